--- a/routing/caching_test.go
+++ b/routing/caching_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"strconv"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -76,3 +77,20 @@
 	assert.Equal(t, 0, starts[0].RetentionRank)
 	assert.Contains(t, []EndpointID{"p0", "p1"}, starts[0].Source)
 }
+
+// The number of objects that are remembered is out of reach of a trace: its value is held here. Above it the time of
+// forgetting is halved until half of the number is left.
+func TestObjectsAreRememberedUpToTheirNumber(t *testing.T) {
+	const remembered = 131072
+	r := newTestRouter(Idempotent)
+	r.sweptAt = r.now // the next sweep for idle objects is not due
+	for i := range remembered - 1 {
+		o := r.findOrAddObject(strconv.Itoa(i), 0)
+		o.lastRequest = r.now - 60*float64(i)/remembered
+	}
+	r.forgetIdleObjects()
+	assert.Len(t, r.objects, remembered-1)
+	r.findOrAddObject("one more", 0).lastRequest = r.now - 60
+	r.forgetIdleObjects()
+	assert.Len(t, r.objects, remembered/2)
+}
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"math"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -123,3 +124,23 @@
 	r.recordResult(c, true)
 	assert.Zero(t, c.ejectedUntil, "the suspicion has expired")
 }
+
+// The longest ejection hides how many ejections a suspicion counts for and how many doublings there are: the first is
+// held by its sum with the longest, the second by the time of an endpoint that fails without end.
+func TestEjectionsDoubleUpToTheLongest(t *testing.T) {
+	r := newTestRouter(Idempotent)
+	c := r.findOrAddEndpoint("c0")
+	for i, want := range []float64{1, 2, 4, 4, 4} {
+		r.eject(c)
+		assert.InDelta(t, want, c.ejectedUntil-r.now, 1e-9, "ejection %d", i)
+		r.now = c.ejectedUntil
+	}
+	c.ejections = 1 << 40
+	r.eject(c)
+	assert.InDelta(t, 4, c.ejectedUntil-r.now, 1e-9, "after very many")
+	suspected := r.findOrAddEndpoint("c1")
+	suspected.suspectedUntil = r.now + 1
+	r.eject(suspected)
+	assert.InDelta(t, 4, suspected.ejectedUntil-r.now, 1e-9)
+	assert.Equal(t, maxEjection, firstEjection*math.Pow(2, suspicionEjections), "no more and no less than the longest")
+}
--- a/routing/purge_test.go
+++ b/routing/purge_test.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"strconv"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -55,3 +56,18 @@
 	r.class(0).latePriority, r.purges = 0.6, nil
 	assert.Zero(t, r.maxCopyAge(req, a), "a late answer is worth more")
 }
+
+// The number of purges that are remembered is out of reach of a trace's other rules: its value is held here.
+func TestPurgesAreRememberedUpToTheirNumber(t *testing.T) {
+	const remembered = 16384
+	r := newTestRouter(WithIdempotencyKey)
+	purge := func(i int) { r.Decide(100+float64(i)/100, Purge{Object: strconv.Itoa(i)}) }
+	for i := range remembered {
+		purge(i)
+	}
+	assert.Len(t, r.purges, remembered)
+	assert.Zero(t, r.purgesForgottenUntil)
+	purge(remembered)
+	assert.Len(t, r.purges, remembered-remembered/8, "an eighth is forgotten at once")
+	assert.Equal(t, 100+float64(remembered/8)/100, r.purgesForgottenUntil)
+}
--- a/routing/tracescenarios_test.go
+++ b/routing/tracescenarios_test.go
@@ -17,6 +17,11 @@
 	requestsPerS     float64
 	seconds          float64
 	purges           int // sent in one block before the last third
+
+	conditionSeconds       float64 // added to how long an endpoint misbehaves
+	observationsPerS       float64 // health observations beside those of disturb
+	purgesBeforeRequests   bool    // some requests come right after a purge of their object
+	endpointsWithoutWeight bool    // caches of the last half have no weight
 }
 
 // traceSettings are those of a small deployment with one class of each kind.
@@ -84,6 +89,10 @@
 }
 
 func scenarios() []traceScenario {
+	return append(commonScenarios(), rareScenarios()...)
+}
+
+func commonScenarios() []traceScenario {
 	return []traceScenario{
 		{
 			name: "hedged-full-details", settings: traceSettings(nil), seeds: []uint64{1, 2, 3},
@@ -143,3 +152,32 @@
 		},
 	}
 }
+
+// rareScenarios are deployments whose traces notice constants that those of scenarios do not.
+func rareScenarios() []traceScenario {
+	return []traceScenario{
+		{ // objects are idle for about as long as they are remembered
+			name: "seldom-requested", settings: traceSettings(nil),
+			seeds: []uint64{15, 16}, caches: 3, parents: 2, origin: true, requestsPerS: 4, seconds: 600,
+		},
+		{ // shares of an endpoint below what any limit starts at
+			name: "hundreds-of-routers",
+			settings: traceSettings(routing.Settings{
+				routing.SettingRouters:       "400",
+				routing.SettingRoutersByZone: "0,200,200",
+			}),
+			seeds: []uint64{17, 18}, caches: 4, parents: 2, origin: true, requestsPerS: 10, seconds: 60,
+			endpointsWithoutWeight: true,
+		},
+		{ // repeated ejections, observations of other routers, windows that end while retries are decided
+			name: "long-failures-observed",
+			settings: traceSettings(routing.Settings{
+				routing.ClassSetting(1, routing.ClassIdempotencyWindow): "0.65",
+				routing.ClassSetting(3, routing.ClassIdempotencyWindow): "0.7",
+				routing.ClassSetting(4, routing.ClassIdempotencyWindow): "0.75",
+			}),
+			seeds: []uint64{19, 20, 21}, caches: 4, parents: 3, origin: true, requestsPerS: 60, seconds: 60,
+			conditionSeconds: 15, observationsPerS: 5, purgesBeforeRequests: true,
+		},
+	}
+}
--- a/routing/traceworld_test.go
+++ b/routing/traceworld_test.go
@@ -21,6 +21,8 @@
 	cancelDelay      = 0.001 // s until a cancelled attempt's end is heard
 	traceIdleGap     = 75.0  // s without traffic before the last requests, longer than anything is remembered
 	requestsAfterGap = 200
+
+	purgedRequestInterval = 10 // requests, of which one comes right after a purge where a scenario has that
 )
 
 // condition is how an endpoint behaves for a while.
@@ -126,7 +128,11 @@
 		w.byID[e.ID] = e
 	}
 	for i := range w.scenario.caches {
-		add(fmt.Sprint("cache-", i), traceZone, 0, i/2, 5+float64(i))
+		weight := 5 + float64(i)
+		if w.scenario.endpointsWithoutWeight && i >= w.scenario.caches/2 {
+			weight = 0
+		}
+		add(fmt.Sprint("cache-", i), traceZone, 0, i/2, weight)
 	}
 	add("elsewhere", 1, 0, 0, 5)
 	for i := range w.scenario.parents {
@@ -164,6 +170,11 @@
 	for at := traceStart + 1; at < end; at += 0.4 + w.random.Float64() {
 		w.at(at, w.disturb)
 	}
+	if perSecond := w.scenario.observationsPerS; perSecond > 0 {
+		for at := traceStart + 1; at < end; at += w.random.ExpFloat64() / perSecond {
+			w.at(at, w.observe)
+		}
+	}
 	if w.scenario.purges > 0 {
 		w.at(traceStart+w.scenario.seconds*2/3, w.purgeMany)
 	}
@@ -221,6 +232,9 @@
 		deadline: w.now + 0.8 + 1.5*w.random.Float64(),
 	}
 	w.requests[id] = request
+	if w.scenario.purgesBeforeRequests && w.arrived%purgedRequestInterval == 0 {
+		w.decide(routing.Purge{ObjectGroup: object % traceGroups, Object: fmt.Sprint("object-", object)})
+	}
 	w.decide(routing.RequestArrived{
 		Request:     id,
 		Class:       class,
@@ -408,7 +422,7 @@
 func (w *traceWorld) changeCondition() {
 	e := w.endpoints[w.random.IntN(len(w.endpoints))]
 	e.condition = condition(w.random.IntN(int(conditionCount)))
-	w.after(0.5+4*w.random.Float64(), func() { e.condition = healthy })
+	w.after(w.scenario.conditionSeconds+0.5+4*w.random.Float64(), func() { e.condition = healthy })
 }
 
 // disturb brings one event that is of no request.
@@ -424,11 +438,7 @@
 	case 4:
 		w.decide(routing.EndpointUpdate{Kind: routing.Unavailable})
 	case 5, 6:
-		w.decide(routing.HealthObservation{
-			Endpoint:     e.ID,
-			Suspicion:    w.random.Float64(),
-			ValidSeconds: 3 * w.random.Float64(),
-		})
+		w.observeHealth(e)
 	case 7, 8:
 		w.spendBudget(e)
 	case 9:
@@ -441,6 +451,17 @@
 	}
 }
 
+// observe brings a health observation of any endpoint.
+func (w *traceWorld) observe() { w.observeHealth(w.endpoints[w.random.IntN(len(w.endpoints))]) }
+
+func (w *traceWorld) observeHealth(e *traceEndpoint) {
+	w.decide(routing.HealthObservation{
+		Endpoint:     e.ID,
+		Suspicion:    w.random.Float64(),
+		ValidSeconds: 3 * w.random.Float64(),
+	})
+}
+
 func (w *traceWorld) restart(e *traceEndpoint) {
 	e.Status = routing.Ready
 	e.StartedAt = w.now - 0.5*w.random.Float64()
