--- a/routing/caching.go
+++ b/routing/caching.go
@@ -10,6 +10,7 @@
 	fillCostRatio      = 0.75   // (alpha) cost of a kept fill over a pass: only a fill leaves a copy
 	newestGapWeight    = 0.25   // (gamma) weight of the newest gap between requests in the mean gap
 	initialHorizon     = 10.0   // s, (T) before any idle time was seen
+	maxIdleSamples     = 10     // idle times that the horizon (T) is the mean of: few, so that changes show soon
 	minHorizon         = 1.0    // s, (T) at least: a purge heard late must not close the cache to new chunks
 	storedRank         = 2      // retention rank of 1 to 3 of a kept chunk: the middle one
 	cachedIdleHorizons = 3.0    // horizons of idle time after which a chunk has surely been evicted
@@ -22,6 +23,13 @@
 	minCopyAge         = 2e-6   // s, an age that no rounding turns into 0, which means any age
 )
 
+// The costs of sending a KB, by which a kept fill is compared with a pass.
+const (
+	fillCost    = 2 * fillCostRatio / (fillCostRatio + 1) // (C_F)
+	passCost    = 2 / (fillCostRatio + 1)                 // (C_R)
+	refetchCost = min(fillCost, passCost)                 // of sending a chunk once more that was not kept
+)
+
 // gap is the mean time between requests for the chunk, the time since the last one included.
 func (c *chunk) gap(now float64) float64 {
 	return newestGapWeight*(now-c.lastRequest) + (1-newestGapWeight)*c.averageGap
@@ -74,15 +82,14 @@
 	if cache.cached[req.chunk] != nil {
 		return true
 	}
-	fillCost, passCost := 2*fillCostRatio/(fillCostRatio+1), 2/(fillCostRatio+1) // (C_F, C_R) a KB
 	needed := req.SizeKB
 	serve := needed * fillCost
-	pass := needed*passCost + needed*horizon/r.gapOf(req, cache)*min(fillCost, passCost)
+	pass := needed*passCost + needed*horizon/r.gapOf(req, cache)*refetchCost
 	for _, evicted := range cache.byGap {
 		if needed <= 0 || serve >= pass {
 			break
 		}
-		serve += min(evicted.sizeKB, needed) * horizon / evicted.chunk.gap(r.now) * min(fillCost, passCost)
+		serve += min(evicted.sizeKB, needed) * horizon / evicted.chunk.gap(r.now) * refetchCost
 		needed -= evicted.sizeKB
 	}
 	return serve < pass
@@ -97,7 +104,7 @@
 	}
 	copied := cache.cached[req.chunk]
 	if copied != nil && filled && r.class(req.Class).freshSeconds == 0 {
-		cache.idleSamples = appendSample(cache.idleSamples, max(a.sentAt-copied.lastUsed, 0), recentSamples)
+		cache.idleSamples = appendSample(cache.idleSamples, max(a.sentAt-copied.lastUsed, 0), maxIdleSamples)
 	}
 	if filled && a.retentionRank == 0 {
 		cache.removeCached(req.chunk, true)
@@ -112,26 +119,38 @@
 	copied.sizeKB, copied.lastUsed = req.SizeKB, r.now
 }
 
-// maxCopyAge is the age of the oldest copy that will do, 0 for the class's fresh time. It guards against
-// purged copies (rule 5) on the disk of a cache that was down: forgotten purges count for endpoints started
-// since. A stale copy will do if it is worth more than a late answer and fills are congested or failed.
+// maxCopyAge is the age of the oldest copy that will do, 0 for the class's fresh time.
 func (r *Router) maxCopyAge(req *request, a *attempt) float64 {
+	age, class := r.ageOfNewestPurge(req, a), r.class(req.Class)
+	switch {
+	case r.staleCopyWillDo(class, len(req.attempts)):
+		return min(age, class.freshSeconds+class.staleSeconds)
+	case math.IsInf(age, 1) || (class.freshSeconds > 0 && age > class.freshSeconds):
+		return 0
+	}
+	return age
+}
+
+// ageOfNewestPurge is the age that a copy has to be younger than to be served after the purges of its object, +Inf
+// without any. It guards against purged copies (rule 5) on the disk of a cache that was down: purges are remembered
+// for longer than caches run, and forgotten ones count for endpoints that started since.
+func (r *Router) ageOfNewestPurge(req *request, a *attempt) float64 {
 	purgedAt := max(r.purges[purgeKey{object: req.Object}], r.purges[purgeKey{group: req.ObjectGroup}])
 	for _, e := range [2]*endpoint{a.target, a.source} {
 		purgedAt = max(purgedAt, r.purgesForgottenUntil*indicator(e.StartedAt > r.purgesForgottenUntil))
 	}
-	age := math.Inf(1)
 	if purgedAt > 0 {
-		age = max(r.now-purgedAt-purgeAgeMargin, minCopyAge)
+		return max(r.now-purgedAt-purgeAgeMargin, minCopyAge)
 	}
-	class := r.class(req.Class)
-	congestedUntil := max(r.originLimiter().decreasedAt, r.zoneLink.decreasedAt) + congestionLasts
-	staleWillDo := class.staleSeconds > 0 && class.stalePriority > class.latePriority
-	switch {
-	case staleWillDo && (len(req.attempts) > 0 || r.now < congestedUntil):
-		return min(age, class.freshSeconds+class.staleSeconds)
-	case math.IsInf(age, 1) || (class.freshSeconds > 0 && age > class.freshSeconds):
-		return 0
+	return math.Inf(1)
+}
+
+// staleCopyWillDo says whether a stale copy will do for a request of a class that had some attempts: if it is worth
+// more than a late answer, and fills are congested or have failed.
+func (r *Router) staleCopyWillDo(class *class, attempts int) bool {
+	if class.staleSeconds <= 0 || class.stalePriority <= class.latePriority {
+		return false
 	}
-	return age
+	congestedUntil := max(r.originLimiter().decreasedAt, r.zoneLink.decreasedAt) + congestionLasts
+	return attempts > 0 || r.now < congestedUntil
 }
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -3,22 +3,34 @@
 import "math"
 
 const (
-	limitPerCapacity = 1.5  // attempts in flight a transfer of capacity: the objective's stretch allows that
-	burstAllowance   = 1.0  // of the root of a cache's share, added to it: one router's traffic varies
-	minStartingLimit = 0.1  // attempts in flight that a limit starts at, for endpoints without weight
-	minLimitShare    = 0.2  // of its starting value that a limit never falls below: it has to go on learning
-	growthPerRound   = 0.5  // attempts added a round, over the root of the routers: more outruns decreases
-	decreaseFactor   = 0.8  // of a limit that is left by a late or refused attempt
-	decreaseInterval = 0.25 // s between decreases: attempts in flight then tell of the same congestion
-	congestionShare  = 0.15 // share of late answers that tells of congestion: few are chance
-	timelyShare      = 0.8  // share of the objective beyond which an answer is late; 1 is too late to react
-	suspectShare     = 0.5  // share of the unstretched objective after which an attempt is suspected
-	suspectSendTimes = 1.3  // sending times added to that: a busy link stretches a transfer
+	limitPerCapacity   = 1.5  // attempts in flight a transfer of capacity: the objective's stretch allows that
+	burstAllowance     = 1.0  // of the root of a cache's share, added to it: one router's traffic varies
+	minStartingLimit   = 0.1  // attempts in flight that a limit starts at, for endpoints without weight
+	minLimitShare      = 0.2  // of its starting value that a limit never falls below: it has to go on learning
+	growthPerRound     = 0.5  // attempts added a round, over the root of the routers: more outruns decreases
+	maxGrowthStep      = 1.0  // attempts added a round at most
+	recoveryStep       = 1.0  // attempts that an answer in time adds up to the proven limit
+	usedLimitShare     = 0.5  // share of a limit in use above which it grows: an unused one proves nothing
+	decreaseFactor     = 0.8  // of a limit that is left by a late or refused attempt
+	decreaseInterval   = 0.25 // s between decreases: attempts in flight then tell of the same congestion
+	congestionShare    = 0.15 // share of late answers that tells of congestion: few are chance
+	maxLateSamples     = 10   // answers of a limiter whose lateness counts: few, so that changes show soon
+	timelyShare        = 0.8  // share of the objective beyond which an answer is late; 1 is too late to react
+	lateFirstByteShare = 0.5  // share of that beyond which a first byte is late: its source is slow, not the link
 )
 
 // hasRoom says whether a limiter lets one more attempt through. A limit below 1 is used with pauses.
 func (l *limiter) hasRoom(now float64) bool { return l.inFlight < l.limit && now >= l.pausedUntil }
 
+// hasRoomFor says whether a limiter lets a request's attempt through. Writes pass a limit that was not decreased since
+// it was last proven: they cannot be answered elsewhere.
+func (l *limiter) hasRoomFor(write bool, now float64) bool {
+	return l.hasRoom(now) || (write && l.recovered())
+}
+
+// recovered says whether a limit is back where it was before its last decrease.
+func (l *limiter) recovered() bool { return l.limit >= l.provenLimit }
+
 // release takes back an attempt's load after some seconds. Used says that it came as far as this limiter.
 func (l *limiter) release(now, load, lasted float64, used bool) {
 	l.inFlight = max(l.inFlight-load, 0)
@@ -29,7 +41,8 @@
 
 // setShare starts a limiter at this router's share of what a number of routers use together.
 func (l *limiter) setShare(limit, routers float64) {
-	l.limit, l.growthStep = max(limit, minStartingLimit), min(growthPerRound/math.Sqrt(routers), 1)
+	l.limit = max(limit, minStartingLimit)
+	l.growthStep = min(growthPerRound/math.Sqrt(routers), maxGrowthStep)
 	l.provenLimit, l.minLimit = l.limit, minLimitShare*l.limit
 }
 
@@ -40,24 +53,24 @@
 
 // increase takes an answer in time: by one up to the proven limit, then slowly and while it is used.
 func (l *limiter) increase() {
-	l.lateSamples = appendSample(l.lateSamples, 0, recentSamples)
+	l.lateSamples = appendSample(l.lateSamples, 0, maxLateSamples)
 	if l.limit < l.provenLimit {
-		l.limit = min(l.limit+1, l.provenLimit)
-	} else if l.limit < 1 || l.inFlight > l.limit/2 {
+		l.limit = min(l.limit+recoveryStep, l.provenLimit)
+	} else if l.limit < 1 || l.inFlight > usedLimitShare*l.limit {
 		l.limit += l.growthStep / max(l.limit, 1)
 	}
 }
 
 // decrease takes a sign of congestion: a refusal counts at once, a late answer if many of the last were late.
 func (l *limiter) decrease(now float64, refused bool) {
-	l.lateSamples = appendSample(l.lateSamples, 1, recentSamples)
+	l.lateSamples = appendSample(l.lateSamples, 1, maxLateSamples)
 	if now > l.decreasedAt+decreaseInterval && (refused || mean(l.lateSamples) >= congestionShare) {
 		l.limit = max(l.limit*decreaseFactor, l.minLimit)
 		l.provenLimit, l.decreasedAt = l.limit, now
 	}
 }
 
-// setStartingLimit gives this router its share of an endpoint's capacity, and little while that is cold.
+// setStartingLimit gives this router its share of an endpoint's capacity, and little while that endpoint is cold.
 func (r *Router) setStartingLimit(e *endpoint) {
 	share := limitPerCapacity * e.Weight / e.sharers
 	burst := indicator(e.role == edgeCache) * burstAllowance * math.Sqrt(share*(1-1/e.sharers))
@@ -65,9 +78,7 @@
 	if e.role == parentCache {
 		e.raiseMinimum(e.sharers)
 	}
-	if r.warmShare(e) < 1 {
-		e.limit = coldLimit
-	}
+	e.limit = startingLimit(e.limit, r.warmShare(e))
 }
 
 // setSharedLimits starts the limits of the zone's link and of the origins, once caches are known. An origin's
@@ -87,16 +98,19 @@
 	}
 }
 
+// isLate says whether an answer that took some seconds tells of congestion, against the request's objective in seconds.
+func isLate(elapsed, objective float64) bool { return elapsed > timelyShare*objective }
+
 // adjustLimits moves the limits that an attempt has passed: a late one lowers the first that may be to blame.
 func (r *Router) adjustLimits(req *request, a *attempt, end AttemptEnded, filled bool) {
-	if end.ElapsedSeconds <= timelyShare*req.objective {
+	if !isLate(end.ElapsedSeconds, req.objective) {
 		a.target.increase()
 		for i := 0; filled && i < len(a.fillLimiters); i++ {
 			a.fillLimiters[i].increase()
 		}
 		return
 	}
-	lateFirstByte := end.FirstByteSeconds > suspectShare*timelyShare*req.objective
+	lateFirstByte := end.FirstByteSeconds > lateFirstByteShare*timelyShare*req.objective
 	switch {
 	case !filled:
 		a.target.decrease(r.now, false)
@@ -117,7 +131,7 @@
 func (r *Router) penalizeUnanswered(req *request) {
 	for _, a := range req.attempts {
 		elapsed := r.now - a.sentAt
-		if !a.inFlight || !a.wanted || math.IsInf(a.suspectAt, 1) || elapsed <= timelyShare*req.objective {
+		if !a.inFlight || !a.wanted || math.IsInf(a.suspectAt, 1) || !isLate(elapsed, req.objective) {
 			continue
 		}
 		r.adjustLimits(req, a, AttemptEnded{ElapsedSeconds: elapsed, FirstByteSeconds: elapsed}, a.expectMiss)
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -130,15 +130,6 @@
 	return min(distance, max(ringSize-distance, 0))
 }
 
-// hasAlternative says whether another endpoint of the same role is ready and not ejected.
-func (r *Router) hasAlternative(e *endpoint) bool {
-	peers := r.parents.members
-	if e.role == edgeCache {
-		peers = r.caches.members
-	}
-	return slices.ContainsFunc(peers, func(peer *endpoint) bool { return peer != e && peer.ejectedUntil <= r.now })
-}
-
 // originLimiter is the limiter of the first origin listed; one without a limit where there is none.
 func (r *Router) originLimiter() *limiter {
 	if len(r.origins.members) > 0 {
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -2,6 +2,8 @@
 
 import "slices"
 
+const localRefusal = 0.004 // s in which only the cache itself can have refused: sources are farther away
+
 // attemptEnded learns from the end of an attempt and plans its request and then the first of the queued ones.
 func (r *Router) attemptEnded(end AttemptEnded) {
 	req, a := r.findAttempt(end.Request, end.Attempt)
@@ -24,10 +26,7 @@
 // learn takes what an end shows of the attempt's target, its source and the paths between.
 func (r *Router) learn(req *request, a *attempt, end AttemptEnded) {
 	slowness := end.ElapsedSeconds / (a.suspectAt - a.sentAt) // 0 for an attempt that was taken for lost
-	if len(r.slownessSamples) == longSamples && slowness > slices.Max(r.slownessSamples) {
-		unanswered := indicator(end.Result == Cancelled || end.Result == TimedOut)
-		r.unansweredSamples = appendSample(r.unansweredSamples, unanswered, recentSamples)
-	}
+	r.recordSlowest(slowness, end.Result)
 	if end.Result.isAnswer() {
 		a.target.recordSign(r.now)
 	}
@@ -56,7 +55,7 @@
 		}
 	}
 	r.recordResult(a.target, false)
-	r.slownessSamples = appendSample(r.slownessSamples, slowness, longSamples)
+	r.slownessSamples = appendSample(r.slownessSamples, slowness, maxSlownessSamples)
 	filled := !end.answeredFromCache()
 	if filled && a.source != a.target {
 		a.source.recordSign(r.now)
@@ -64,7 +63,7 @@
 	}
 	req.chunk.filledByParent = req.chunk.filledByParent || filled && !a.fromPeer
 	if a.expectMiss && !a.fromPeer && !a.cacheOnly && a.target.role == edgeCache {
-		r.missSamples = appendSample(r.missSamples, indicator(filled), longSamples)
+		r.missSamples = appendSample(r.missSamples, indicator(filled), maxMissSamples)
 	}
 	r.recordCached(req, a, filled)
 	r.adjustLimits(req, a, end, filled)
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -1,25 +1,39 @@
 package routing
 
-import "math"
+import (
+	"math"
+	"slices"
+)
 
 const (
-	recentSamples      = 10    // samples kept of results and idle times: few, so that changes show soon
-	longSamples        = 64    // samples kept of sending times, durations and misses: these vary widely
-	minSamples         = 8     // samples before their mean is used
-	minSilence         = 0.35  // s without a sign of life before silence is suspected: over usual pauses
-	silenceIntervals   = 4.0   // usual intervals between signs that tell of silence: one in fifty by chance
-	lostSlownessFactor = 1.3   // times as slow for its size as any of late is lost: congestion slows all
-	recheckInterval    = 0.1   // s between looks at a suspected attempt, and before a failed endpoint's retry
-	firstEjection      = 1.0   // s of the first ejection: dozens of requests would go there in it
-	maxEjection        = 4.0   // s of the longest: an endpoint that is back is wanted soon
-	localRefusal       = 0.004 // s in which only the cache itself can have refused: sources are farther away
-	ejectFailureShare  = 0.5   // share of failures that ejects: below it attempts cost less than a lost cache
-	ejectFailureCount  = 4     // failures at least for that: fewer are chance
-	suspicionEjections = 2.0   // ejections that other routers' failures count for
-	suspicionThreshold = 0.5   // suspicion from which one own failure ejects: two honest routers say so
-	maxDoublings       = 8     // of the first ejection by earlier ones: bounds the power
+	suspectShare           = 0.5  // share of the unstretched objective after which an attempt is suspected
+	suspectSendTimes       = 1.3  // sending times added to that: a busy link stretches a transfer
+	suspectRecheckInterval = 0.1  // s between reviews of a suspected attempt
+	minSilence             = 0.35 // s without an answer before silence is suspected: over usual pauses
+	minSourceSilence       = 2 * minSilence
+	silenceIntervals       = 4.0 // usual intervals between answers that tell of silence: one in fifty by chance
+	maxAnswerTimes         = 10  // last answers of an endpoint whose intervals are its usual ones
+	maxSlownessSamples     = 64  // last answered attempts that a lost one has to be slower than: these vary widely
+	lostSlownessFactor     = 1.3 // times as slow for its size as any of late is lost: congestion slows all
+	maxUnansweredSamples   = 10  // last attempts slower than all of those, of which most had no answer
+	minUnansweredSamples   = 4   // of these before their share counts: fewer are chance
+	unansweredShare        = 0.5 // share of them without an answer from which the next one is lost
+	firstEjection          = 1.0 // s of the first ejection: dozens of requests would go there in it
+	maxEjection            = 4.0 // s of the longest: an endpoint that is back is wanted soon
+	limitAfterEjection     = 1.0 // attempts in flight at an endpoint that returns; each answer adds one
+	maxResultSamples       = 10  // last results of an endpoint that ejections go by: few, so that changes show soon
+	ejectFailureShare      = 0.5 // share of failures that ejects: below it attempts cost less than a lost cache
+	ejectFailureCount      = 4   // failures at least for that: fewer are chance
+	suspicionEjections     = 2.0 // ejections that other routers' failures count for
+	suspicionThreshold     = 0.5 // suspicion from which one own failure ejects: two honest routers say so
 )
 
+// suspectTime is when an attempt is suspected: the time at which it is sent, and seconds that go by the objective of
+// its class and by the sending time of its size.
+func suspectTime(sentAt, classObjective, sendSeconds float64) float64 {
+	return sentAt + suspectShare*classObjective + suspectSendTimes*sendSeconds
+}
+
 // healthObserved takes other routers' word. It ejects nothing by itself: an own attempt has to fail too.
 func (r *Router) healthObserved(ev HealthObservation) {
 	if e := r.findEndpoint(ev.Endpoint); e != nil {
@@ -27,60 +41,114 @@
 	}
 }
 
-// isSilent judges the target of a suspected attempt, then its source: nothing was heard since it was sent,
-// several times as long as usual, and it is slower for its size than any of late. It covers hangs, lost
-// machines and cut paths. It does harm where all become slow at once, or to long transfers if seldom heard.
-func (r *Router) isSilent(a *attempt) bool {
-	e, patience := a.target, minSilence
-	if e.lastHeard() >= a.sentAt && a.expectMiss {
-		e, patience = a.source, 2*minSilence
+// judgeSuspected says whether a suspected attempt is lost, and ejects the endpoint that is silent.
+func (r *Router) judgeSuspected(a *attempt) bool {
+	if silent := r.silentEndpoint(a); silent != nil {
+		r.eject(silent)
+		return true
 	}
-	patience = max(patience, silenceIntervals*e.signInterval())
-	usual := r.now-a.sentAt <= patience || r.slownessOf(a) <= lostSlownessFactor*r.greatestSlowness()
-	if usual || e.lastHeard() >= a.sentAt {
-		return r.isLost(a)
+	if !r.isUnanswered(a) {
+		return false
 	}
-	r.eject(e)
+	raised := lostSlownessFactor * r.slownessOf(a) // so that the next one waits longer
+	r.slownessSamples = appendSample(r.slownessSamples, raised, maxSlownessSamples)
 	return true
 }
 
-// isLost judges a suspected attempt whose endpoint is heard: it is slower for its size than any of the last
-// dozens, and most that were so never ended. It covers answers that never come; each raises the bar.
-func (r *Router) isLost(a *attempt) bool {
-	enough := len(r.unansweredSamples) >= ejectFailureCount && mean(r.unansweredSamples) >= ejectFailureShare
-	if !enough || r.slownessOf(a) <= r.greatestSlowness() {
-		return false
+// silentEndpoint judges the target of a suspected attempt, then its source, and returns nil where neither is silent.
+// Silent is one that was not heard since the attempt was sent, several times as long as usual, while the attempt is
+// slower for its size than any of late. It covers hangs, lost machines and cut paths: these show as attempts without an
+// end. It does harm where all become slow at once.
+func (r *Router) silentEndpoint(a *attempt) *endpoint {
+	suspect, leastSilence := a.target, minSilence
+	if suspect.lastHeard() >= a.sentAt && a.expectMiss {
+		suspect, leastSilence = a.source, minSourceSilence
+	}
+	if suspect.lastHeard() >= a.sentAt {
+		return nil
+	}
+	usualSilence := r.now-a.sentAt <= max(leastSilence, silenceIntervals*suspect.signInterval())
+	if usualSilence || r.slownessOf(a) <= lostSlownessFactor*r.greatestSlowness() {
+		return nil
+	}
+	return suspect
+}
+
+// isUnanswered judges a suspected attempt whose endpoint is heard: it is slower for its size than any of the last
+// dozens, and most that were so never ended. It covers answers that never come.
+func (r *Router) isUnanswered(a *attempt) bool {
+	enough := len(r.unansweredSamples) >= minUnansweredSamples && mean(r.unansweredSamples) >= unansweredShare
+	return enough && r.slownessOf(a) > r.greatestSlowness()
+}
+
+// recordSlowest takes the end of an attempt that was slower than all of late, once there are enough of these: whether
+// there was no answer.
+func (r *Router) recordSlowest(slowness float64, result AttemptResult) {
+	if len(r.slownessSamples) == maxSlownessSamples && slowness > slices.Max(r.slownessSamples) {
+		unanswered := indicator(result == Cancelled || result == TimedOut)
+		r.unansweredSamples = appendSample(r.unansweredSamples, unanswered, maxUnansweredSamples)
 	}
-	r.slownessSamples = appendSample(r.slownessSamples, lostSlownessFactor*r.slownessOf(a), longSamples)
-	return true
 }
 
-// eject keeps attempts from an endpoint for a while if another can stand in. Else, and for an origin, its
-// limit is decreased: where all fail the cause is common, and ejections would leave none.
+// leavesLostInFlight says whether a lost attempt is left in flight beside its successor: where two may run, and where a
+// second run would do harm.
+func (r *Router) leavesLostInFlight(req *request) bool {
+	return r.settings.Bool(SettingHedging) || r.class(req.Class).effect == NonIdempotent
+}
+
+// hasAlternative says whether another endpoint of the same role is ready and not ejected.
+func (r *Router) hasAlternative(e *endpoint) bool {
+	peers := r.parents.members
+	if e.role == edgeCache {
+		peers = r.caches.members
+	}
+	return slices.ContainsFunc(peers, func(peer *endpoint) bool { return peer != e && peer.ejectedUntil <= r.now })
+}
+
+// barredByEjection says whether an ejected endpoint is left out at a level of strictness. At the last level it is used
+// if all of its role are ejected.
+func (r *Router) barredByEjection(e *endpoint, level strictness) bool {
+	return e.ejectedUntil > r.now && (level < anyAllowed || r.hasAlternative(e))
+}
+
+// mayEject allows an ejection where another endpoint can stand in. Where all fail the cause is common, and ejections
+// would leave none.
+func (r *Router) mayEject(e *endpoint) bool { return e.role != originServer && r.hasAlternative(e) }
+
+// ejectionSeconds is how long an endpoint is ejected that was so some times since it last worked. Other routers'
+// suspicion counts like earlier ejections.
+func ejectionSeconds(ejections int, suspected bool) float64 {
+	doublings := float64(ejections) + suspicionEjections*indicator(suspected)
+	return min(firstEjection*math.Pow(2, doublings), maxEjection)
+}
+
+// eject keeps attempts from an endpoint for a while. Where it may not be ejected, its limit is decreased.
 func (r *Router) eject(e *endpoint) {
-	if e.role == originServer || !r.hasAlternative(e) {
+	switch {
+	case !r.mayEject(e):
 		e.decrease(r.now, true)
-		return
-	} else if e.ejectedUntil > r.now {
-		return
+	case e.ejectedUntil <= r.now:
+		e.ejectedUntil = r.now + ejectionSeconds(e.ejections, r.now < e.suspectedUntil)
+		e.recentFailures, e.limit = nil, limitAfterEjection
+		e.ejections++
 	}
-	suspected := suspicionEjections * indicator(r.now < e.suspectedUntil)
-	doublings := float64(min(e.ejections, maxDoublings)) + suspected
-	e.ejectedUntil = r.now + min(firstEjection*math.Pow(2, doublings), maxEjection)
-	e.recentFailures, e.limit = nil, 1
-	e.ejections++
 }
 
-// recordResult counts a result. Failures eject when they are half of the last few, or at once when all since
-// an ejection failed or others suspect the endpoint. It covers errors, refused fills and broken connections.
+// recordResult counts a result, 1 for a failure. It covers errors, refused fills and broken connections.
 func (r *Router) recordResult(e *endpoint, failed bool) {
-	if !failed && e.limit >= e.provenLimit {
+	if !failed && e.recovered() {
 		e.ejections = 0
 	}
-	e.recentFailures = appendSample(e.recentFailures, indicator(failed), recentSamples)
-	share := mean(e.recentFailures)
-	often := share*float64(len(e.recentFailures)) >= ejectFailureCount && share >= ejectFailureShare
-	if failed && (e.ejections > 0 && share == 1 || r.now < e.suspectedUntil || often) {
+	e.recentFailures = appendSample(e.recentFailures, indicator(failed), maxResultSamples)
+	if failed && failuresEject(e.recentFailures, e.ejections > 0, r.now < e.suspectedUntil) {
 		r.eject(e)
 	}
 }
+
+// failuresEject says whether an endpoint whose last attempt failed is ejected: when half of its last few failed, or at
+// once when all since an ejection failed or others suspect it.
+func failuresEject(results []float64, ejectedBefore, suspected bool) bool {
+	share := mean(results)
+	often := share*float64(len(results)) >= ejectFailureCount && share >= ejectFailureShare
+	return (ejectedBefore && share == 1) || suspected || often
+}
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -9,6 +9,8 @@
 	idempotencyMargin = 0.25 // s kept free of an idempotency key's window for the way to the endpoint
 	sendMargin        = 0.05 // s before an attempt may not be begun any more: for the way to the socket
 	retryAfterMean    = 1.5  // s that a rejected client is told to wait: congestion lasts seconds
+	retryAfterLeast   = 0.5  // share of the mean that is told at least; up to once the mean is drawn on top
+	endpointPause     = 0.1  // s after an attempt's end in which its request leaves that endpoint alone
 )
 
 // provesNotRun says whether the request can't have had its effect at the endpoint.
@@ -19,18 +21,42 @@
 // mayHaveRun says whether an attempt may have had its effect.
 func (a *attempt) mayHaveRun() bool { return a.started && (a.inFlight || !a.result.provesNotRun()) }
 
-// mayRetry allows a further attempt if it can't run a request twice (rule 2), or only within the window of
-// its idempotency key, and if the class's retry budget is not spent.
+// mayRetry allows a further attempt within the limits of attempts and budget if it cannot run a request twice (rule 2).
 func (r *Router) mayRetry(req *request) bool {
 	class := r.class(req.Class)
-	spent := class.retryBudgetSpent && len(req.attempts) > 0
-	if spent || float64(len(req.attempts)) >= r.number(SettingMaxAttempts, 1) {
+	return r.hasRetriesLeft(class, len(req.attempts)) &&
+		!slices.ContainsFunc(req.attempts, func(a *attempt) bool { return r.barsRetry(class, a) })
+}
+
+// hasRetriesLeft says whether a request of a class that had some attempts may have one more.
+func (r *Router) hasRetriesLeft(class *class, attempts int) bool {
+	exhausted := class.retryBudgetSpent && attempts > 0
+	return !exhausted && float64(attempts) < r.number(SettingMaxAttempts, 1)
+}
+
+// barsRetry says whether another run beside an attempt would do harm: both may have their effect, and no idempotency
+// key that endpoints still recognize makes them one.
+func (r *Router) barsRetry(class *class, a *attempt) bool {
+	if class.effect == Idempotent || !a.mayHaveRun() {
 		return false
 	}
-	return class.effect == Idempotent || !slices.ContainsFunc(req.attempts, func(a *attempt) bool {
-		windowEnd := a.sentAt + class.idempotencyWindow - idempotencyMargin
-		return a.mayHaveRun() && (class.effect != WithIdempotencyKey || r.now > windowEnd)
-	})
+	windowEnd := a.sentAt + class.idempotencyWindow - idempotencyMargin
+	return class.effect != WithIdempotencyKey || r.now > windowEnd
+}
+
+// barredByRetryBudget says whether a request that had some attempts may not go to an endpoint, whose budget of retries
+// is exhausted. It guards against retries that add to the load of an endpoint that fails under load.
+func barredByRetryBudget(e *endpoint, attempts int) bool { return e.retryBudgetSpent && attempts > 0 }
+
+// triedAlready says whether a request has used an endpoint: at all at the first level of strictness, just now at the
+// others. Used tells whether an attempt has used it as target, or as source.
+func triedAlready(req *request, e *endpoint, level strictness, now float64, used usedFunc) bool {
+	for _, a := range req.attempts {
+		if used(a, e) && (level == untried || now < a.endedAt+endpointPause) {
+			return true
+		}
+	}
+	return false
 }
 
 // sendBefore is when an attempt that is decided now may not be begun any more. A connection that comes up late, or
@@ -58,15 +84,20 @@
 	})
 }
 
-// giveUp answers at once: rejected where the client may safely repeat the request, else aborted (rule 2).
-func (r *Router) giveUp(req *request) {
+// chooseFinalAction is the answer to a request that is given up: rejected where the client may safely repeat it, else
+// aborted (rule 2).
+func (r *Router) chooseFinalAction(req *request) Action {
 	class := r.class(req.Class)
 	recognized := class.effect == WithIdempotencyKey && class.deduplicationScope == AnyScope
 	if class.effect != Idempotent && !recognized && slices.ContainsFunc(req.attempts, (*attempt).mayHaveRun) {
-		req.finalAction = AbortRequest{Request: req.Request}
-		return
+		return AbortRequest{Request: req.Request}
 	}
-	retryAfter := indicator(r.settings.Bool(SettingRetryAfterAllowed)) * retryAfterMean * (0.5 + r.nextRandom())
-	retryAfter = min(retryAfter, r.number(SettingMaxRetryAfter, 0))
-	req.finalAction = RejectRequest{Request: req.Request, RetryAfterSeconds: retryAfter}
+	return RejectRequest{Request: req.Request, RetryAfterSeconds: r.retryAfterSeconds()}
+}
+
+// retryAfterSeconds is how long a rejected client is told to stay away, 0 for no advice. It is drawn, so that clients
+// that were rejected together do not return together.
+func (r *Router) retryAfterSeconds() float64 {
+	allowed := indicator(r.settings.Bool(SettingRetryAfterAllowed))
+	return min(allowed*retryAfterMean*(retryAfterLeast+r.nextRandom()), r.number(SettingMaxRetryAfter, 0))
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -6,9 +6,12 @@
 )
 
 const (
-	deadlineMargin  = 0.006 // s before the deadline at which a request is given up: a few ticks of the clock
-	queuedSendTimes = 2.0   // sending times that a queued request's attempt needs: the paths are full then
-	maxQueueRetries = 12    // queued requests planned after each end of an attempt: bounds the work
+	deadlineMargin       = 0.006 // s before the deadline at which a request is given up: a few ticks of the clock
+	queueShare           = 0.8   // share of the objective by which a queued request's attempt has to end
+	queuedSendTimes      = 2.0   // sending times that a queued request's attempt needs: the paths are full then
+	queueRecheckInterval = 0.1   // s between the plans of a queued request that nothing else wakes
+	maxQueueRetries      = 12    // queued requests planned after each end of an attempt: bounds the work
+	unknownSizeKB        = 1.0   // size of a chunk where sizes are not known: chunks are counted then
 )
 
 // updateEndpoints takes news of the endpoints. One that started again is empty, cold and unjudged.
@@ -26,7 +29,7 @@
 
 // requestArrived takes a request and decides its first attempt.
 func (r *Router) requestArrived(arrived RequestArrived) {
-	arrived.SizeKB = cmp.Or(max(arrived.SizeKB, 0), 1) // where sizes are not known chunks are counted
+	arrived.SizeKB = cmp.Or(max(arrived.SizeKB, 0), unknownSizeKB)
 	class := r.class(arrived.Class)
 	req := &request{RequestArrived: arrived, arrivedAt: r.now}
 	if pace := r.number(SettingTransferRate, 0); pace > 0 {
@@ -34,7 +37,7 @@
 	}
 	req.objective = class.objective + req.sendSeconds*class.objectiveStretch
 	req.priorityPerKB = class.priority / arrived.SizeKB
-	class.sendSamples = appendSample(class.sendSamples, req.sendSeconds, longSamples)
+	class.sendSamples = appendSample(class.sendSamples, req.sendSeconds, maxSendSamples)
 	r.forgetIdleObjects()
 	r.addRequest(req)
 	r.plan(req)
@@ -48,30 +51,72 @@
 	r.reconcile(req)
 }
 
-// updateWanted sets a request's wanted attempts, final action, place in the queue and wake time.
+// updateWanted decides what a request gets next: it sets the request's wanted attempts, final action, place in the
+// queue and wake time.
 func (r *Router) updateWanted(req *request) {
 	req.queued = false
-	req.wakeAt = req.Deadline - deadlineMargin
-	if r.now >= req.wakeAt {
+	req.wakeAt = answerBy(req)
+	step, next := r.nextStep(req)
+	switch step {
+	case awaitAttempts:
+	case sendAttempt:
+		r.addAttempt(req, next)
+	case queueRequest:
+		req.queued = true
+		req.wakeAt = min(req.wakeAt, max(queueUntil(req), r.now+queueRecheckInterval))
+	case giveUp:
 		r.penalizeUnanswered(req)
-		r.giveUp(req)
-		return
+		req.finalAction = r.chooseFinalAction(req)
+	}
+}
+
+// nextStep is what a request gets next.
+type nextStep int
+
+const (
+	awaitAttempts nextStep = iota // nothing but the ends of its attempts
+	sendAttempt                   // an attempt more
+	queueRequest                  // a place in the queue, until an endpoint has room
+	giveUp                        // a final action without a response
+)
+
+// nextStep decides what a request gets next, and its attempt where that is one. A request is given up when its time is
+// over, or when nothing is in flight for it and no attempt may follow or could still be in time.
+func (r *Router) nextStep(req *request) (nextStep, *attempt) {
+	if r.now >= answerBy(req) {
+		return giveUp, nil
 	}
 	inFlight, waiting := r.reviewAttempts(req)
 	if waiting || (inFlight && !r.settings.Bool(SettingHedging)) {
-		return
+		return awaitAttempts, nil
 	}
-	if !r.mayRetry(req) {
-		if !inFlight {
-			r.giveUp(req)
+	retry := r.mayRetry(req)
+	if retry {
+		if next := r.chooseAttempt(req); next != nil {
+			return sendAttempt, next
 		}
-		return
 	}
-	if next := r.chooseAttempt(req); next != nil {
-		r.addAttempt(req, next)
-		return
+	switch {
+	case retry && (inFlight || r.worthQueueing(req)):
+		return queueRequest, nil
+	case inFlight:
+		return awaitAttempts, nil
 	}
-	r.queueOrGiveUp(req, inFlight)
+	return giveUp, nil
+}
+
+// answerBy is when a request is given up, so that its final action is out before the client's deadline.
+func answerBy(req *request) float64 { return req.Deadline - deadlineMargin }
+
+// queueUntil is until when an attempt on full paths that begins then is still in time.
+func queueUntil(req *request) float64 {
+	return req.arrivedAt + queueShare*req.objective - queuedSendTimes*req.sendSeconds
+}
+
+// worthQueueing says whether a request that no endpoint has room for may wait for room. It guards against attempts that
+// are sent too late to be of use and fill the paths of others: these show as late answers after a burst is over.
+func (r *Router) worthQueueing(req *request) bool {
+	return r.now < queueUntil(req) && len(r.caches.members) > 0
 }
 
 // addAttempt wants another attempt and decides how old its copy may be and whether a filled one is kept.
@@ -84,23 +129,11 @@
 	}
 	next.maxAge = r.maxCopyAge(req, next)
 	next.wanted = true
-	next.suspectAt = r.now + suspectShare*r.class(req.Class).objective + suspectSendTimes*req.sendSeconds
+	next.suspectAt = suspectTime(r.now, r.class(req.Class).objective, req.sendSeconds)
 	req.attempts = append(req.attempts, next)
 	req.wakeAt = min(req.wakeAt, next.suspectAt)
 }
 
-// queueOrGiveUp queues a request that nobody has room for while an attempt on full paths could still be in
-// time. One sent later would only fill the paths of others.
-func (r *Router) queueOrGiveUp(req *request, inFlight bool) {
-	giveUpAt := req.arrivedAt + timelyShare*req.objective - queuedSendTimes*req.sendSeconds
-	if !inFlight && (r.now >= giveUpAt || len(r.caches.members) == 0) {
-		r.giveUp(req)
-		return
-	}
-	req.queued = true
-	req.wakeAt = min(req.wakeAt, max(giveUpAt, r.now+recheckInterval))
-}
-
 // reconcile emits the difference between what is wanted for a request and what is under way.
 func (r *Router) reconcile(req *request) {
 	ended := req.done || req.finalAction != nil
@@ -136,28 +169,23 @@
 	for _, l := range a.fillLimiters {
 		l.inFlight += a.expectedFills
 	}
-	for _, e := range [2]*endpoint{a.target, a.source} {
-		if r.warmShare(e) < 1 && (e == a.target || a.expectMiss) {
-			e.recentWork = append(e.recentWork, workSample{at: r.now, seconds: r.workOf(req, e)})
-		}
-	}
+	r.recordColdWork(req, a)
 }
 
-// reviewAttempts finds lost attempts and tells whether any is in flight, and whether one is waited for. A
-// lost one stays wanted beside its successor where two may run, and where a second run would do harm.
+// reviewAttempts finds lost attempts and tells whether any is in flight, and whether one is waited for.
 func (r *Router) reviewAttempts(req *request) (inFlight, waiting bool) {
 	for _, a := range req.attempts {
 		if !a.inFlight {
 			continue
 		}
 		inFlight = true
-		if a.wanted && (a.stalled || (r.now >= a.suspectAt && r.isSilent(a))) {
-			a.wanted = r.settings.Bool(SettingHedging) || r.class(req.Class).effect == NonIdempotent
+		if a.wanted && (a.stalled || (r.now >= a.suspectAt && r.judgeSuspected(a))) {
+			a.wanted = r.leavesLostInFlight(req)
 			a.suspectAt, a.stalled = math.Inf(1), false
 		}
 		if a.wanted && !math.IsInf(a.suspectAt, 1) {
 			waiting = true
-			req.wakeAt = min(req.wakeAt, max(a.suspectAt, r.now+recheckInterval))
+			req.wakeAt = min(req.wakeAt, max(a.suspectAt, r.now+suspectRecheckInterval))
 		}
 	}
 	return inFlight, waiting
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -37,10 +37,10 @@
 	assert.Len(t, actionsOf[RejectRequest](r.Decide(100, newArrival("t", "x"))), 1)
 }
 
-// A request that nobody has room for is given up once twice its sending time would end past the timely share of its
+// A request that nobody has room for is given up once twice its sending time would end past a share of its
 // objective; a large one at once.
 func TestRequestIsQueuedOnlyWhileAttemptCouldBeInTime(t *testing.T) {
-	for kb, most := range map[float64]float64{20: timelyShare*0.54 - 0.04, 100: timelyShare*0.7 - 0.2, 4000: 0} {
+	for kb, most := range map[float64]float64{20: queueShare*0.54 - 0.04, 100: queueShare*0.7 - 0.2, 4000: 0} {
 		r := newTestRouter(Idempotent)
 		for _, e := range r.endpoints {
 			e.limit, e.provenLimit = 0, 0
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -9,6 +9,10 @@
 	zoneDistanceFactor  = 2.0  // times as seldom first in hash order a zone of distance: fills cost more
 	minCacheOnlyHitRate = 0.1  // hit rate where a miss is expected that makes a cache-only attempt worth it
 	minHashWeight       = 1e-3 // capacity that an endpoint counts for at least in the hash order
+	unknownMissRate     = 1.0  // miss rate before enough misses were expected
+	maxMissSamples      = 64   // last attempts expected to miss that the miss rate is taken of: these vary widely
+	minMissSamples      = 8    // of these before their mean is used
+	peerFreshShare      = 0.5  // share of the fresh time after which a peer's copy is too near to its end
 	maxCandidates       = 64   // endpoints of a list that a choice looks at: where these have no room, few others do
 )
 
@@ -84,20 +88,14 @@
 	return target
 }
 
-// usable says whether a request may use an endpoint at a level of strictness. Writes pass limits not
-// decreased lately. Used tells whether an attempt has used the endpoint as target, or as source.
+// usable says whether a request may use an endpoint at a level of strictness. Used tells whether an attempt has used
+// the endpoint as target, or as source.
 func (r *Router) usable(req *request, e *endpoint, level strictness, used usedFunc) bool {
-	ejected := e.ejectedUntil > r.now && (level < anyAllowed || r.hasAlternative(e))
-	full := !e.hasRoom(r.now) && (!req.Write || e.provenLimit > e.limit)
-	if ejected || full || (e.retryBudgetSpent && len(req.attempts) > 0) {
-		return false
-	}
-	for _, a := range req.attempts {
-		if used(a, e) && (level == untried || r.now < a.endedAt+recheckInterval) {
-			return false
-		}
-	}
-	return r.withinColdBudget(req, e)
+	return !r.barredByEjection(e, level) &&
+		e.hasRoomFor(req.Write, r.now) &&
+		!barredByRetryBudget(e, len(req.attempts)) &&
+		!triedAlready(req, e, level, r.now, used) &&
+		r.withinColdBudget(req, e)
 }
 
 // limitFill holds a fill to the limits on its way, and says whether there is room. Where a limit is reached,
@@ -137,7 +135,9 @@
 }
 
 // missRate is the share of the last attempts expected to miss that did.
-func (r *Router) missRate() float64 { return meanIfEnough(r.missSamples, 1) }
+func (r *Router) missRate() float64 {
+	return meanIfEnough(r.missSamples, minMissSamples, unknownMissRate)
+}
 
 // peerWithChunk is another cache of the zone that is known to have a chunk which the target lacks, after
 // restarts, ejections and full limits. It spares the link; a wrong guess costs one short attempt.
@@ -151,7 +151,7 @@
 		copied := e.cached[req.chunk]
 		if e.listed.list == &r.caches && e != target && e.ejectedUntil <= r.now && e.hasRoom(r.now) &&
 			r.withinColdBudget(req, e) && r.now-copied.lastUsed < r.horizon(e) &&
-			(fresh == 0 || r.now-copied.filledAt < fresh/2) {
+			(fresh == 0 || r.now-copied.filledAt < peerFreshShare*fresh) {
 			return e
 		}
 	}
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -3,8 +3,19 @@
 const (
 	coldLimit       = 2.0 // attempts in flight at an endpoint that has just started; each answer adds one
 	coldBudgetShare = 1.0 // share of a cold endpoint's capacity that is used: half of what topples it
+	maxSendSamples  = 64  // sending times of a class that its mean is taken of: these vary widely
+	minSendSamples  = 8   // of these before their mean is used
 )
 
+// startingLimit is the limit of an endpoint that starts with some share of its capacity, given the limit that it has
+// once it is warm. Both are numbers of attempts in flight.
+func startingLimit(warmLimit, warmShare float64) float64 {
+	if warmShare < 1 {
+		return coldLimit
+	}
+	return warmLimit
+}
+
 // warmShare is the share of its capacity that an endpoint surely has: linear from the cold share to 1.
 func (r *Router) warmShare(e *endpoint) float64 {
 	if e.StartedAt <= 0 || e.role == originServer {
@@ -20,10 +31,19 @@
 // workOf is the seconds of sending that an attempt counts for: its class's mean, at a parent its own if more.
 func (r *Router) workOf(req *request, e *endpoint) float64 {
 	class := r.class(req.Class)
-	usual := meanIfEnough(class.sendSamples, max(req.sendSeconds, class.objective))
+	usual := meanIfEnough(class.sendSamples, minSendSamples, max(req.sendSeconds, class.objective))
 	return max(usual, indicator(e.role == parentCache)*req.sendSeconds)
 }
 
+// recordColdWork charges an attempt to its target, and a fill to its source too, while they are cold.
+func (r *Router) recordColdWork(req *request, a *attempt) {
+	for _, e := range [2]*endpoint{a.target, a.source} {
+		if r.warmShare(e) < 1 && (e == a.target || a.expectMiss) {
+			e.recentWork = append(e.recentWork, workSample{at: r.now, seconds: r.workOf(req, e)})
+		}
+	}
+}
+
 // withinColdBudget protects cold endpoints (rule 4): in any window this router sends no more than its even
 // share of what a cache, or a parent with its fills, can do then. Capacity is wasted where others are idle.
 func (r *Router) withinColdBudget(req *request, e *endpoint) bool {
--- a/routing/state.go
+++ b/routing/state.go
@@ -243,7 +243,7 @@
 }
 
 func (e *endpoint) recordSign(now float64) {
-	e.signsOfLife = appendSample(e.signsOfLife, now, recentSamples)
+	e.signsOfLife = appendSample(e.signsOfLife, now, maxAnswerTimes)
 }
 
 // lastHeard is the time of the last sign of life, 0 for none.
@@ -276,9 +276,9 @@
 	return append(samples, sample)
 }
 
-// meanIfEnough is the mean of samples once there are enough of them.
-func meanIfEnough(samples []float64, otherwise float64) float64 {
-	if len(samples) < minSamples {
+// meanIfEnough is the mean of samples once there are so many of them.
+func meanIfEnough(samples []float64, enough int, otherwise float64) float64 {
+	if len(samples) < enough {
 		return otherwise
 	}
 	return mean(samples)
