--- a/routing/actions.go
+++ b/routing/actions.go
@@ -19,22 +19,6 @@
 	Revalidate    bool       // an ageing copy is served and revalidated in the background
 }
 
-// startAction is the action that starts an attempt of a request.
-func (a *attempt) startAction(req *request, join, revalidate bool) StartAttempt {
-	return StartAttempt{
-		Request:       req.Request,
-		Endpoint:      a.target.ID,
-		Deadline:      req.Deadline,
-		SendBefore:    a.sendBefore,
-		Source:        a.source.ID,
-		RetentionRank: a.retentionRank,
-		MaxAgeSeconds: a.maxAge,
-		JoinFill:      join,
-		CacheOnly:     a.fromPeer || a.cacheOnly,
-		Revalidate:    revalidate,
-	}
-}
-
 // CancelAttempt stops waiting for an attempt.
 type CancelAttempt struct {
 	Request RequestID
--- /dev/null
+++ b/routing/attempt.go
@@ -0,0 +1,143 @@
+package routing
+
+import "math"
+
+// attempt is one try of a request at an endpoint.
+type attempt struct {
+	target        *endpoint
+	source        *endpoint  // who fills a miss; the target for nobody
+	fillLimiters  []*limiter // of the paths behind the target
+	originLimiter *limiter   // of an attempt thought to reach the origin
+	expectedFills float64    // load at the fill limiters: how likely a fill is
+	fill          fillPlan
+	state         attemptState
+	retentionRank int
+	maxAge        float64
+	sentAt        float64
+	sendBefore    float64 // from when it may not be begun any more
+	suspectAt     float64 // when it is suspected; +Inf once it was taken for lost
+	endedAt       float64
+	result        AttemptResult
+	blame         blame
+}
+
+// attemptState is where an attempt is between its choice and its end. These are all transitions; attempt.move makes
+// them and no other:
+//
+//	from       to         when
+//	planned    awaited    it is sent
+//	awaited    stalled    its connection is silent though its endpoint is not
+//	awaited    lost       its endpoint is silent, or nothing as slow was answered of late
+//	awaited    abandoned  likewise, and it must not stay in flight beside its successor
+//	stalled    lost       it is reviewed
+//	stalled    abandoned  it is reviewed, and it must not stay in flight beside its successor
+//	awaited    cancelled  its request has ended
+//	stalled    cancelled  its request has ended
+//	lost       cancelled  its request has ended
+//	abandoned  cancelled  at once, where attempts may be cancelled
+//	awaited    ended      its end was heard, as from each state below
+//	stalled    ended
+//	lost       ended
+//	abandoned  ended
+//	cancelled  ended
+type attemptState int
+
+const (
+	attemptPlanned   attemptState = iota // chosen and not sent yet
+	attemptAwaited                       // sent; the request waits for its end
+	attemptStalled                       // awaited, and to be taken for lost at the next review
+	attemptLost                          // taken for lost and in flight; its answer still counts
+	attemptAbandoned                     // taken for lost and in flight; it is to be cancelled
+	attemptCancelled                     // cancelled and in flight until its end is heard
+	attemptEnded                         // its end was heard
+	attemptStateCount
+)
+
+// attemptTransitions has, by its state, the states that an attempt may take next.
+var attemptTransitions = [attemptStateCount][attemptStateCount]bool{
+	attemptPlanned: {attemptAwaited: true},
+	attemptAwaited: {
+		attemptStalled: true, attemptLost: true, attemptAbandoned: true, attemptCancelled: true, attemptEnded: true,
+	},
+	attemptStalled:   {attemptLost: true, attemptAbandoned: true, attemptCancelled: true, attemptEnded: true},
+	attemptLost:      {attemptCancelled: true, attemptEnded: true},
+	attemptAbandoned: {attemptCancelled: true, attemptEnded: true},
+	attemptCancelled: {attemptEnded: true},
+}
+
+// move takes an attempt to another state where the table has the transition, and says whether it did. Events that come
+// late, of attempts that have ended or were given up meanwhile, are told apart by that.
+func (a *attempt) move(to attemptState) bool {
+	if !attemptTransitions[a.state][to] {
+		return false
+	}
+	a.state = to
+	if to == attemptLost || to == attemptAbandoned {
+		a.suspectAt = math.Inf(1)
+	}
+	return true
+}
+
+// inFlight says whether an attempt was sent and its end was not heard.
+func (s attemptState) inFlight() bool { return s != attemptPlanned && s != attemptEnded }
+
+// awaited says whether a request waits for an attempt that was not taken for lost.
+func (s attemptState) awaited() bool { return s == attemptAwaited || s == attemptStalled }
+
+// fillPlan is what an attempt does about a copy that its target lacks.
+type fillPlan int
+
+const (
+	expectHit    fillPlan = iota // the target is known to have a copy; its source fills if not
+	expectFill                   // the source, or a target that is no edge cache, fetches the chunk
+	fillFromPeer                 // a peer cache gives what it has cached
+	targetOnly                   // the target answers from its cache or not at all
+	sourceOnly                   // the source, a parent, gives what it has cached
+)
+
+// missExpected says whether the target is thought to have no copy and another endpoint to have one.
+func (f fillPlan) missExpected() bool { return f == expectFill || f == fillFromPeer || f == sourceOnly }
+
+// cacheOnly says whether an attempt was kept from the path behind its target or its source because that is full.
+func (f fillPlan) cacheOnly() bool { return f == targetOnly || f == sourceOnly }
+
+// blame is whose fault an unexplained failure may be. It counts once another attempt of the request completes.
+type blame int
+
+const (
+	noBlame blame = iota
+	blameTarget
+	blameTargetAndSource
+)
+
+// usedFunc tells whether an attempt has used an endpoint in one of its places.
+type usedFunc func(*attempt, *endpoint) bool
+
+func wasTarget(a *attempt, e *endpoint) bool { return a.target == e && !a.fill.cacheOnly() }
+
+func wasSource(a *attempt, e *endpoint) bool {
+	return a.source == e && a.fill != fillFromPeer && !a.fill.cacheOnly()
+}
+
+func isCacheOnly(a *attempt) bool { return a.fill.cacheOnly() }
+func isFromPeer(a *attempt) bool  { return a.fill == fillFromPeer }
+func isInFlight(a *attempt) bool  { return a.state.inFlight() }
+
+// slownessOf is how long an attempt is in flight over the time after which it is suspected, which goes by its size.
+func (r *Router) slownessOf(a *attempt) float64 { return (r.now - a.sentAt) / (a.suspectAt - a.sentAt) }
+
+// startAction is the action that starts an attempt of a request.
+func (a *attempt) startAction(req *request, join, revalidate bool) StartAttempt {
+	return StartAttempt{
+		Request:       req.Request,
+		Endpoint:      a.target.ID,
+		Deadline:      req.Deadline,
+		SendBefore:    a.sendBefore,
+		Source:        a.source.ID,
+		RetentionRank: a.retentionRank,
+		MaxAgeSeconds: a.maxAge,
+		JoinFill:      join,
+		CacheOnly:     a.fill == fillFromPeer || a.fill.cacheOnly(),
+		Revalidate:    revalidate,
+	}
+}
--- /dev/null
+++ b/routing/attempt_test.go
@@ -0,0 +1,55 @@
+package routing
+
+import (
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestAttemptInFlightMayAlwaysEndAndEndedStaysEnded(t *testing.T) {
+	for from := range attemptStateCount {
+		a := &attempt{state: from}
+		assert.Equal(t, from.inFlight(), a.move(attemptEnded), "from state %d", from)
+		ended := &attempt{state: attemptEnded}
+		assert.False(t, ended.move(from), "to state %d", from)
+		assert.Equal(t, attemptEnded, ended.state)
+	}
+}
+
+// A second cancel, a second end or a stall after an attempt was given up must change nothing.
+func TestAttemptMovesOnlyAsItsTableSays(t *testing.T) {
+	for from := range attemptStateCount {
+		for to := range attemptStateCount {
+			a := &attempt{state: from, suspectAt: 1}
+			moved := a.move(to)
+			assert.Equal(t, attemptTransitions[from][to], moved)
+			if !moved {
+				assert.Equal(t, from, a.state)
+			}
+			lost := moved && (to == attemptLost || to == attemptAbandoned)
+			assert.Equal(t, lost, math.IsInf(a.suspectAt, 1), "a lost attempt is not suspected again")
+		}
+		assert.Equal(t, from.inFlight() && from != attemptCancelled, attemptTransitions[from][attemptCancelled])
+	}
+}
+
+func TestRequestIsInTheQueueWhileItsStateSaysSo(t *testing.T) {
+	r := newTestRouter(Idempotent)
+	req := addSentRequest(r, 0, true)
+	for _, step := range []struct {
+		to, want requestState
+	}{
+		{requestQueued, requestQueued},
+		{requestQueued, requestQueued},
+		{requestOpen, requestOpen},
+		{requestQueued, requestQueued},
+		{requestEnded, requestEnded},
+		{requestQueued, requestEnded},
+		{requestOpen, requestEnded},
+	} {
+		r.moveRequest(req, step.to)
+		assert.Equal(t, step.want, req.state)
+		assert.Equal(t, step.want == requestQueued, len(r.queue) == 1)
+	}
+}
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -121,7 +121,7 @@
 		r.zoneLink.decrease(r.now, false)
 	case lateFirstByte:
 		a.source.decrease(r.now, false)
-	case !a.fromPeer:
+	case a.fill != fillFromPeer:
 		r.zoneLink.decrease(r.now, false)
 	}
 }
@@ -131,10 +131,10 @@
 func (r *Router) penalizeUnanswered(req *request) {
 	for _, a := range req.attempts {
 		elapsed := r.now - a.sentAt
-		if !a.inFlight || !a.wanted || math.IsInf(a.suspectAt, 1) || !isLate(elapsed, req.objective) {
+		if !a.state.awaited() || !isLate(elapsed, req.objective) {
 			continue
 		}
-		r.adjustLimits(req, a, AttemptEnded{ElapsedSeconds: elapsed, FirstByteSeconds: elapsed}, a.expectMiss)
+		r.adjustLimits(req, a, AttemptEnded{ElapsedSeconds: elapsed, FirstByteSeconds: elapsed}, a.fill.missExpected())
 		if a.originLimiter != nil && a.originLimiter != &a.source.limiter {
 			a.originLimiter.decrease(r.now, false)
 		}
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -1,7 +1,6 @@
 package routing
 
 import (
-	"math"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -54,7 +53,7 @@
 	r.settings[SettingResultDetails] = DetailsOfHits
 	req := addSentRequest(r, 0, true)
 	a := req.attempts[0]
-	a.source, a.expectMiss, a.suspectAt = r.findOrAddEndpoint("p0"), true, 100.2
+	a.source, a.fill, a.suspectAt = r.findOrAddEndpoint("p0"), expectFill, 100.2
 	r.zoneLink.minLimit = 1
 	before := [2]float64{a.source.limit, r.zoneLink.limit}
 	r.adjustLimits(req, a, AttemptEnded{ElapsedSeconds: 0.6}, true)
@@ -70,14 +69,14 @@
 	}{
 		"out at the end of its time": {func(*attempt) {}, true},
 		"sent shortly before it":     {func(a *attempt) { a.sentAt = 104.8 }, false},
-		"taken for lost":             {func(a *attempt) { a.suspectAt = math.Inf(1) }, false},
-		"given up before":            {func(a *attempt) { a.inFlight, a.result = false, Cancelled }, false},
+		"taken for lost":             {func(a *attempt) { a.move(attemptLost) }, false},
+		"given up before":            {func(a *attempt) { a.state, a.result = attemptEnded, Cancelled }, false},
 	} {
 		r := newTestRouter(Idempotent)
 		r.settings[SettingResultDetails] = DetailsOfHits
 		req := addSentRequest(r, 0, true)
 		a, o := req.attempts[0], r.findOrAddEndpoint("o")
-		a.source, a.expectMiss, a.originLimiter, a.suspectAt = r.findOrAddEndpoint("p0"), true, &o.limiter, 100.4
+		a.source, a.fill, a.originLimiter, a.suspectAt = r.findOrAddEndpoint("p0"), expectFill, &o.limiter, 100.4
 		cache := a.target.limit
 		ways := []*limiter{&a.source.limiter, &r.zoneLink, &o.limiter}
 		var before []float64
@@ -88,7 +87,7 @@
 		c.change(a)
 		r.now = req.Deadline
 		r.plan(req)
-		assert.IsType(t, RejectRequest{}, req.finalAction, name)
+		assert.IsType(t, RejectRequest{}, finalAction(r), name)
 		for i, g := range ways {
 			assert.Equal(t, c.narrower, g.limit < before[i], "%s, way %d", name, i)
 		}
--- a/routing/decide.go
+++ b/routing/decide.go
@@ -28,8 +28,8 @@
 		r.attemptEnded(ev)
 	case ClientDisconnected:
 		if req := r.requests[ev.Request]; req != nil {
-			req.done = true
-			r.reconcile(req)
+			r.moveRequest(req, requestEnded)
+			r.reconcile(req, nil)
 		}
 	case TimerFired:
 		if req := r.requestsByToken[ev.Token]; req != nil {
@@ -40,7 +40,7 @@
 		r.recordPurge(ev)
 	case AttemptStalled:
 		if req, a := r.findAttempt(ev.Request, ev.Attempt); a != nil {
-			a.stalled = true
+			a.move(attemptStalled)
 			r.plan(req)
 		}
 	case HealthObservation:
--- a/routing/helpers_test.go
+++ b/routing/helpers_test.go
@@ -75,6 +75,10 @@
 func addSentRequest(r *Router, result AttemptResult, inFlight bool) *request {
 	cache := r.findOrAddEndpoint("c0")
 	object := r.findOrAddObject("x", 0)
+	state := attemptEnded
+	if inFlight {
+		state = attemptAwaited
+	}
 	req := &request{
 		RequestArrived: RequestArrived{Request: "t", Class: 1, SizeKB: 100, Deadline: 105},
 		token:          1,
@@ -83,17 +87,27 @@
 		object:         object,
 		chunk:          object.findOrAddChunk(0),
 		attempts: []*attempt{{
-			target:   cache,
-			source:   cache,
-			started:  true,
-			inFlight: inFlight,
-			wanted:   inFlight,
-			result:   result,
-			sentAt:   100,
-			endedAt:  100,
+			target:  cache,
+			source:  cache,
+			state:   state,
+			result:  result,
+			sentAt:  100,
+			endedAt: 100,
 		}},
 	}
 	r.requests["t"] = req
 	r.requestsByToken[1] = req
 	return req
 }
+
+// finalAction is the last final action emitted, nil if there is none.
+func finalAction(r *Router) Action {
+	var final Action
+	for _, action := range r.actions {
+		switch action.(type) {
+		case RejectRequest, AbortRequest:
+			final = action
+		}
+	}
+	return final
+}
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -7,16 +7,18 @@
 // attemptEnded learns from the end of an attempt and plans its request and then the first of the queued ones.
 func (r *Router) attemptEnded(end AttemptEnded) {
 	req, a := r.findAttempt(end.Request, end.Attempt)
-	if a == nil || !a.inFlight {
+	if a == nil || !a.move(attemptEnded) {
 		return
 	}
-	a.inFlight, a.wanted, a.result, a.endedAt = false, false, end.Result, r.now
+	a.result, a.endedAt = end.Result, r.now
 	a.target.release(r.now, 1, end.ElapsedSeconds, true)
 	for _, l := range a.fillLimiters {
 		l.release(r.now, a.expectedFills, end.ElapsedSeconds, !end.answeredFromCache())
 	}
 	r.learn(req, a, end)
-	req.done = req.done || end.RequestDone
+	if end.RequestDone {
+		r.moveRequest(req, requestEnded)
+	}
 	r.plan(req)
 	for _, queued := range slices.Clone(r.queue[:min(len(r.queue), maxQueueRetries)]) {
 		r.plan(queued)
@@ -36,7 +38,7 @@
 	case ServerError, Overloaded:
 		r.learnFromFailure(req, a, end)
 	case CacheMiss:
-		if a.fromPeer {
+		if a.fill == fillFromPeer {
 			a.source.removeCached(req.chunk, true)
 		}
 	case ConnectFailed, ConnectionBroken:
@@ -47,11 +49,11 @@
 // learnFromSuccess counts a completed attempt, and errors before it: one met everywhere is the request's own.
 func (r *Router) learnFromSuccess(req *request, a *attempt, end AttemptEnded, slowness float64) {
 	for _, earlier := range req.attempts {
-		if earlier.failedAtTarget {
+		if earlier.blame != noBlame {
 			r.recordResult(earlier.target, true)
-			if earlier.sourceMayBeAtFault {
-				r.recordResult(earlier.source, true)
-			}
+		}
+		if earlier.blame == blameTargetAndSource {
+			r.recordResult(earlier.source, true)
 		}
 	}
 	r.recordResult(a.target, false)
@@ -61,8 +63,8 @@
 		a.source.recordSign(r.now)
 		r.recordResult(a.source, false)
 	}
-	req.chunk.filledByParent = req.chunk.filledByParent || filled && !a.fromPeer
-	if a.expectMiss && !a.fromPeer && !a.cacheOnly && a.target.role == edgeCache {
+	req.chunk.filledByParent = req.chunk.filledByParent || filled && a.fill != fillFromPeer
+	if a.fill == expectFill && a.target.role == edgeCache {
 		r.missSamples = appendSample(r.missSamples, indicator(filled), maxMissSamples)
 	}
 	r.recordCached(req, a, filled)
@@ -95,8 +97,8 @@
 // learnFromUnexplained judges a failure that tells nothing of its source, which may be at fault all the same.
 func (r *Router) learnFromUnexplained(a *attempt, end AttemptEnded) {
 	refused := end.Result == Overloaded
-	a.sourceMayBeAtFault = a.expectMiss && a.source != a.target && !r.tellsAll()
-	refusedFill := refused && a.sourceMayBeAtFault
+	sourceMayBeAtFault := a.fill.missExpected() && a.source != a.target && !r.tellsAll()
+	refusedFill := refused && sourceMayBeAtFault
 	switch {
 	case end.Detail == FillSlotsExhausted || refusedFill && end.ElapsedSeconds < localRefusal:
 		r.zoneLink.decrease(r.now, true) // fills have taken all of the cache's slots
@@ -105,7 +107,9 @@
 		r.recordResult(a.source, true)
 	case refused:
 		a.target.decrease(r.now, true)
+	case sourceMayBeAtFault:
+		a.blame = blameTargetAndSource
 	default:
-		a.failedAtTarget = true
+		a.blame = blameTarget
 	}
 }
--- a/routing/outcome_test.go
+++ b/routing/outcome_test.go
@@ -11,7 +11,7 @@
 	r := newTestRouter(Idempotent)
 	req := addSentRequest(r, 0, true)
 	p, o := r.findOrAddEndpoint("p0"), r.findOrAddEndpoint("o")
-	req.attempts[0].source, req.attempts[0].expectMiss = p, true
+	req.attempts[0].source, req.attempts[0].fill = p, expectFill
 	o.limit, p.limit = 10, 10
 	for range 6 {
 		r.learn(req, req.attempts[0], AttemptEnded{Result: ServerError, Detail: OriginFailed})
@@ -27,7 +27,7 @@
 		r.settings[SettingResultDetails] = DetailsOfHits
 		req := addSentRequest(r, 0, true)
 		p := r.findOrAddEndpoint("p0")
-		req.attempts[0].source, req.attempts[0].expectMiss = p, true
+		req.attempts[0].source, req.attempts[0].fill = p, expectFill
 		r.zoneLink.minLimit = 1 // shared with others
 		before, source := r.zoneLink.limit, p.limit
 		r.learn(req, req.attempts[0], AttemptEnded{Result: Overloaded, ElapsedSeconds: took})
@@ -44,7 +44,7 @@
 	for i := range ejectFailureCount {
 		assert.Zero(t, p.ejectedUntil, "after %d", i)
 		req := addSentRequest(r, 0, true)
-		req.attempts[0].source, req.attempts[0].expectMiss = p, true
+		req.attempts[0].source, req.attempts[0].fill = p, expectFill
 		r.learn(req, req.attempts[0], AttemptEnded{Result: Overloaded, ElapsedSeconds: 0.8})
 	}
 	assert.Greater(t, p.ejectedUntil, r.now)
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -61,7 +61,7 @@
 // end. It does harm where all become slow at once.
 func (r *Router) silentEndpoint(a *attempt) *endpoint {
 	suspect, leastSilence := a.target, minSilence
-	if suspect.lastHeard() >= a.sentAt && a.expectMiss {
+	if suspect.lastHeard() >= a.sentAt && a.fill.missExpected() {
 		suspect, leastSilence = a.source, minSourceSilence
 	}
 	if suspect.lastHeard() >= a.sentAt {
@@ -90,10 +90,13 @@
 	}
 }
 
-// leavesLostInFlight says whether a lost attempt is left in flight beside its successor: where two may run, and where a
-// second run would do harm.
-func (r *Router) leavesLostInFlight(req *request) bool {
-	return r.settings.Bool(SettingHedging) || r.class(req.Class).effect == NonIdempotent
+// stateOfLost is the state of an attempt that is taken for lost. It is left in flight where two may run, and where
+// cancelling would lose the answer of a request that must not run again.
+func (r *Router) stateOfLost(req *request) attemptState {
+	if r.settings.Bool(SettingHedging) || r.class(req.Class).effect == NonIdempotent {
+		return attemptLost
+	}
+	return attemptAbandoned
 }
 
 // hasAlternative says whether another endpoint of the same role is ready and not ejected.
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -19,7 +19,9 @@
 }
 
 // mayHaveRun says whether an attempt may have had its effect.
-func (a *attempt) mayHaveRun() bool { return a.started && (a.inFlight || !a.result.provesNotRun()) }
+func (a *attempt) mayHaveRun() bool {
+	return a.state.inFlight() || (a.state == attemptEnded && !a.result.provesNotRun())
+}
 
 // mayRetry allows a further attempt within the limits of attempts and budget if it cannot run a request twice (rule 2).
 func (r *Router) mayRetry(req *request) bool {
@@ -101,3 +103,12 @@
 	allowed := indicator(r.settings.Bool(SettingRetryAfterAllowed))
 	return min(allowed*retryAfterMean*(retryAfterLeast+r.nextRandom()), r.number(SettingMaxRetryAfter, 0))
 }
+
+// retryBudgetChanged notes whether there are retries left for an endpoint, or for a class where none is named.
+func (r *Router) retryBudgetChanged(ev RetryBudgetChanged) {
+	if e := r.findEndpoint(ev.Endpoint); e != nil {
+		e.retryBudgetSpent = !ev.Available
+	} else if ev.Endpoint == "" {
+		r.class(ev.Class).retryBudgetSpent = !ev.Available
+	}
+}
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -21,11 +21,11 @@
 		req := addSentRequest(r, Overloaded, c.out)
 		r.now = 104.9
 		r.plan(req)
-		assert.Nil(t, req.finalAction, "before its time")
+		assert.Nil(t, finalAction(r), "before its time")
 		r.now = 105 - deadlineMargin
 		req.attempts = req.attempts[:1]
 		r.plan(req)
-		assert.IsType(t, c.want, req.finalAction, c.effect)
+		assert.IsType(t, c.want, finalAction(r), c.effect)
 	}
 }
 
@@ -74,13 +74,13 @@
 	r.now = 101
 	r.plan(req)
 	assert.Empty(t, actionsOf[CancelAttempt](r.actions))
-	assert.Nil(t, req.finalAction)
+	assert.Nil(t, finalAction(r))
 }
 
 // A spent budget stops the retries of a class and leaves first attempts alone; that of an endpoint bars it alone.
 func TestSpentRetryBudgetStopsRetriesOnly(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
-	fresh, once := &request{}, &request{attempts: []*attempt{{started: true, result: Overloaded}}}
+	fresh, once := &request{}, &request{attempts: []*attempt{{state: attemptEnded, result: Overloaded}}}
 	r.settings[SettingMaxAttempts] = "6"
 	assert.True(t, r.mayRetry(once))
 	r.Decide(100, RetryBudgetChanged{Class: 0})
--- a/routing/router.go
+++ b/routing/router.go
@@ -1,9 +1,6 @@
 package routing
 
-import (
-	"cmp"
-	"math"
-)
+import "cmp"
 
 const (
 	deadlineMargin       = 0.006 // s before the deadline at which a request is given up: a few ticks of the clock
@@ -45,29 +42,32 @@
 
 // plan decides what is wanted for a request now and reconciles it with what is under way.
 func (r *Router) plan(req *request) {
-	if !req.done && req.finalAction == nil {
-		r.updateWanted(req)
+	var final Action
+	if req.state != requestEnded {
+		final = r.updateWanted(req)
 	}
-	r.reconcile(req)
+	r.reconcile(req, final)
 }
 
-// updateWanted decides what a request gets next: it sets the request's wanted attempts, final action, place in the
-// queue and wake time.
-func (r *Router) updateWanted(req *request) {
-	req.queued = false
+// updateWanted decides what a request gets next: it adds its next attempt, moves it into the queue or out of it and
+// sets its wake time. It returns the final action of a request that is given up.
+func (r *Router) updateWanted(req *request) Action {
 	req.wakeAt = answerBy(req)
 	step, next := r.nextStep(req)
 	switch step {
 	case awaitAttempts:
+		r.moveRequest(req, requestOpen)
 	case sendAttempt:
+		r.moveRequest(req, requestOpen)
 		r.addAttempt(req, next)
 	case queueRequest:
-		req.queued = true
+		r.moveRequest(req, requestQueued)
 		req.wakeAt = min(req.wakeAt, max(queueUntil(req), r.now+queueRecheckInterval))
 	case giveUp:
 		r.penalizeUnanswered(req)
-		req.finalAction = r.chooseFinalAction(req)
+		return r.chooseFinalAction(req)
 	}
+	return nil
 }
 
 // nextStep is what a request gets next.
@@ -128,30 +128,29 @@
 		r.updateGap(req, next.target)
 	}
 	next.maxAge = r.maxCopyAge(req, next)
-	next.wanted = true
 	next.suspectAt = suspectTime(r.now, r.class(req.Class).objective, req.sendSeconds)
 	req.attempts = append(req.attempts, next)
 	req.wakeAt = min(req.wakeAt, next.suspectAt)
 }
 
-// reconcile emits the difference between what is wanted for a request and what is under way.
-func (r *Router) reconcile(req *request) {
-	ended := req.done || req.finalAction != nil
+// reconcile emits the difference between what is wanted for a request and what is under way, and the final action of a
+// request that is given up.
+func (r *Router) reconcile(req *request, final Action) {
+	ended := req.state == requestEnded || final != nil
 	for i, a := range req.attempts {
-		if a.inFlight && (ended || !a.wanted) && !a.cancelled && r.settings.Bool(SettingCancellation) {
-			a.cancelled = true
+		mayCancel := (ended || a.state == attemptAbandoned) && r.settings.Bool(SettingCancellation)
+		if mayCancel && a.move(attemptCancelled) {
 			r.actions = append(r.actions, CancelAttempt{Request: req.Request, Attempt: i})
 		}
-		if a.wanted && !a.started && !ended {
+		if a.state == attemptPlanned && !ended {
 			r.startAttempt(req, a)
 		}
 	}
-	r.setQueued(req, req.queued && !ended)
-	if req.finalAction != nil && !req.done {
-		req.done = true
-		r.actions = append(r.actions, req.finalAction)
+	if final != nil {
+		r.moveRequest(req, requestEnded)
+		r.actions = append(r.actions, final)
 	}
-	if req.done {
+	if ended {
 		r.removeUnlessInFlight(req)
 	} else if req.timerAt == 0 || req.wakeAt < req.timerAt {
 		req.timerAt = req.wakeAt
@@ -161,7 +160,8 @@
 
 // startAttempt emits an attempt and counts it at the limiters and at the cold endpoints that it loads.
 func (r *Router) startAttempt(req *request, a *attempt) {
-	a.started, a.inFlight, a.sentAt = true, true, r.now
+	a.move(attemptAwaited)
+	a.sentAt = r.now
 	a.sendBefore = r.sendBefore(req)
 	join, revalidate := r.settings.Bool(SettingFillJoining), r.class(req.Class).freshSeconds > 0
 	r.actions = append(r.actions, a.startAction(req, join, revalidate))
@@ -175,15 +175,15 @@
 // reviewAttempts finds lost attempts and tells whether any is in flight, and whether one is waited for.
 func (r *Router) reviewAttempts(req *request) (inFlight, waiting bool) {
 	for _, a := range req.attempts {
-		if !a.inFlight {
+		if !a.state.inFlight() {
 			continue
 		}
 		inFlight = true
-		if a.wanted && (a.stalled || (r.now >= a.suspectAt && r.judgeSuspected(a))) {
-			a.wanted = r.leavesLostInFlight(req)
-			a.suspectAt, a.stalled = math.Inf(1), false
+		suspected := a.state == attemptAwaited && r.now >= a.suspectAt
+		if a.state == attemptStalled || (suspected && r.judgeSuspected(a)) {
+			a.move(r.stateOfLost(req))
 		}
-		if a.wanted && !math.IsInf(a.suspectAt, 1) {
+		if a.state == attemptAwaited {
 			waiting = true
 			req.wakeAt = min(req.wakeAt, max(a.suspectAt, r.now+suspectRecheckInterval))
 		}
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -52,7 +52,7 @@
 			assert.Empty(t, actionsOf[RejectRequest](actions))
 			r.now = 100 + most - 0.01
 			r.plan(r.requests["t"])
-			assert.Nil(t, r.requests["t"].finalAction)
+			assert.Nil(t, finalAction(r))
 			actions = r.Decide(100+most+0.01, TimerFired{r.requests["t"].token})
 		}
 		assert.Len(t, actionsOf[RejectRequest](actions), 1, "%v KB", kb)
@@ -69,7 +69,7 @@
 	r.Decide(100, big)
 	r.Decide(100, small)
 	req := addSentRequest(r, 0, true)
-	req.done = true
+	r.moveRequest(req, requestEnded)
 	for _, c := range r.caches.members {
 		c.limit = 0.5
 	}
@@ -114,16 +114,20 @@
 // An attempt whose connection stalled is given up and its endpoint is not ejected. One that must not run twice is
 // waited for.
 func TestStalledAttemptIsGivenUpWithoutEjection(t *testing.T) {
-	for effect, want := range map[Effect]bool{Idempotent: false, WithIdempotencyKey: false, NonIdempotent: true} {
+	for effect, want := range map[Effect]attemptState{
+		Idempotent:         attemptCancelled,
+		WithIdempotencyKey: attemptCancelled,
+		NonIdempotent:      attemptLost,
+	} {
 		r := newTestRouter(effect)
 		r.settings[SettingHedging] = "false"
 		req := addSentRequest(r, 0, true)
 		req.attempts[0].suspectAt = 200
 		r.Decide(100.2, AttemptStalled{Request: "t", Attempt: 7})
 		r.Decide(100.2, AttemptStalled{Request: "gone"})
-		assert.True(t, req.attempts[0].wanted)
+		assert.Equal(t, attemptAwaited, req.attempts[0].state)
 		r.Decide(100.2, AttemptStalled{Request: "t", Attempt: 0})
-		assert.Equal(t, want, req.attempts[0].wanted, effect)
+		assert.Equal(t, want, req.attempts[0].state, effect)
 		assert.Zero(t, r.findOrAddEndpoint("c0").ejectedUntil)
 	}
 }
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -32,21 +32,20 @@
 	}
 	a := &attempt{target: target, source: target, expectedFills: 1}
 	if target.role != edgeCache {
-		a.expectMiss = true
+		a.fill = expectFill
 		if r.uncacheable(req) && len(r.origins.members) > 0 {
 			a.source = r.origins.members[0]
 		}
 		a.fillLimiters = []*limiter{&r.zoneLink}
 		return a
 	}
-	a.expectMiss = target.cached[req.chunk] == nil
 	if peer := r.peerWithChunk(req, target); peer != nil {
-		a.source, a.fromPeer = peer, true
+		a.source, a.fill = peer, fillFromPeer
 		a.fillLimiters = []*limiter{&peer.limiter}
 		return a
 	}
 	a.source = r.chooseSource(req, target, sources)
-	if a.expectMiss && !r.limitFill(req, a) {
+	if target.cached[req.chunk] == nil && !r.limitFill(req, a) {
 		return nil
 	}
 	return a
@@ -101,21 +100,21 @@
 // limitFill holds a fill to the limits on its way, and says whether there is room. Where a limit is reached,
 // one attempt reaches only as far as the cache or the parent: a wrong guess costs one short attempt.
 func (r *Router) limitFill(req *request, a *attempt) bool {
-	a.expectedFills = r.missRate()
+	a.fill, a.expectedFills = expectFill, r.missRate()
 	if !req.chunk.filledByParent {
 		a.originLimiter = r.originLimiter()
 	}
 	fillBlocked := a.source == a.target || (!req.Write && !r.zoneLink.hasRoom(r.now))
 	originBlocked := !req.Write && a.originLimiter != nil && !a.originLimiter.hasRoom(r.now)
 	if fillBlocked || originBlocked {
-		a.originLimiter, a.cacheOnly = nil, true
+		a.originLimiter, a.fill = nil, sourceOnly
 		if fillBlocked || a.source.role == originServer {
-			a.source, a.expectMiss = a.target, false
+			a.source, a.fill = a.target, targetOnly
 		}
 		if !r.mayTryCacheOnly(req, a) {
 			return false
 		}
-		if a.source == a.target {
+		if a.fill == targetOnly {
 			return true
 		}
 	}
@@ -131,7 +130,7 @@
 	if r.uncacheable(req) || slices.ContainsFunc(req.attempts, isCacheOnly) {
 		return false
 	}
-	return a.source != a.target || r.missRate() <= 1-minCacheOnlyHitRate
+	return a.fill == sourceOnly || r.missRate() <= 1-minCacheOnlyHitRate
 }
 
 // missRate is the share of the last attempts expected to miss that did.
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -38,7 +38,7 @@
 // recordColdWork charges an attempt to its target, and a fill to its source too, while they are cold.
 func (r *Router) recordColdWork(req *request, a *attempt) {
 	for _, e := range [2]*endpoint{a.target, a.source} {
-		if r.warmShare(e) < 1 && (e == a.target || a.expectMiss) {
+		if r.warmShare(e) < 1 && (e == a.target || a.fill.missExpected()) {
 			e.recentWork = append(e.recentWork, workSample{at: r.now, seconds: r.workOf(req, e)})
 		}
 	}
--- a/routing/state.go
+++ b/routing/state.go
@@ -1,9 +1,6 @@
 package routing
 
-import (
-	"cmp"
-	"slices"
-)
+import "slices"
 
 // chunk is a part of an object that is cached and requested by itself.
 type chunk struct {
@@ -60,9 +57,6 @@
 	strictnessLevels
 )
 
-// usedFunc tells whether an attempt has used an endpoint in one of its places.
-type usedFunc func(*attempt, *endpoint) bool
-
 // endpoint is what this router knows of an endpoint.
 type endpoint struct {
 	Endpoint
@@ -84,53 +78,6 @@
 	idleSamples      []float64      // s, idle times of chunks before they were missed
 }
 
-// attempt is one try of a request at an endpoint.
-type attempt struct {
-	target         *endpoint
-	source         *endpoint  // who fills a miss; the target for nobody
-	fillLimiters   []*limiter // of the paths behind the target
-	originLimiter  *limiter   // of an attempt thought to reach the origin
-	expectedFills  float64    // load at the fill limiters: how likely a fill is
-	retentionRank  int
-	maxAge         float64
-	sentAt         float64
-	sendBefore     float64 // from when it may not be begun any more
-	suspectAt      float64 // when it is late; +Inf once it was taken for lost
-	endedAt        float64
-	result         AttemptResult
-	fromPeer       bool // a peer cache fills a miss
-	expectMiss     bool
-	cacheOnly      bool // it must not reach behind its source
-	wanted         bool
-	started        bool
-	inFlight       bool
-	cancelled      bool
-	stalled        bool // its connection is silent though its endpoint is not
-	failedAtTarget bool // by a fault of the target or of the request
-	// sourceMayBeAtFault says that its failure may be that of its source.
-	sourceMayBeAtFault bool
-}
-
-// request is an open request with what is wanted for it.
-type request struct {
-	RequestArrived
-	token         uint64 // of its timers
-	arrivedAt     float64
-	sendSeconds   float64 // of its size
-	priorityPerKB float64
-	objective     float64 // s, of its size
-	chunk         *chunk
-	object        *object
-	firstOfChunk  bool // no request for the chunk was seen before
-	queued        bool // wanted in the queue
-	inQueue       bool
-	attempts      []*attempt
-	finalAction   Action
-	done          bool
-	wakeAt        float64
-	timerAt       float64 // when its next timer fires, 0 for none
-}
-
 // Router decides for one instance. Its zero value is of no use: see New.
 type Router struct {
 	settings             Settings
@@ -167,60 +114,6 @@
 	return float64(shifted>>rotation|shifted<<(-rotation&31)) / (1 << 32)
 }
 
-// addRequest enters a request under its id and a new token, and finds its chunk.
-func (r *Router) addRequest(req *request) {
-	r.sequence++
-	req.token = r.sequence
-	r.requests[req.Request] = req
-	r.requestsByToken[req.token] = req
-	req.object = r.findOrAddObject(req.Object, req.ObjectGroup)
-	req.object.lastRequest = r.now
-	req.chunk = req.object.findOrAddChunk(req.Chunk)
-	req.firstOfChunk = !req.chunk.requested
-}
-
-// removeUnlessInFlight forgets a request that has ended, once the ends of all its attempts are known.
-func (r *Router) removeUnlessInFlight(req *request) {
-	if !slices.ContainsFunc(req.attempts, isInFlight) {
-		delete(r.requests, req.Request)
-		delete(r.requestsByToken, req.token)
-	}
-}
-
-// findAttempt finds an attempt of an open request, nil where there is none.
-func (r *Router) findAttempt(id RequestID, number int) (*request, *attempt) {
-	req := r.requests[id]
-	if req == nil || number < 0 || number >= len(req.attempts) {
-		return nil, nil
-	}
-	return req, req.attempts[number]
-}
-
-// retryBudgetChanged notes whether there are retries left for an endpoint, or for a class where none is named.
-func (r *Router) retryBudgetChanged(ev RetryBudgetChanged) {
-	if e := r.findEndpoint(ev.Endpoint); e != nil {
-		e.retryBudgetSpent = !ev.Available
-	} else if ev.Endpoint == "" {
-		r.class(ev.Class).retryBudgetSpent = !ev.Available
-	}
-}
-
-// setQueued puts a request into the queue, by priority a KB and then by age, or takes it out.
-func (r *Router) setQueued(req *request, queued bool) {
-	if queued == req.inQueue {
-		return
-	}
-	at, _ := slices.BinarySearchFunc(r.queue, req, func(a, b *request) int {
-		return cmp.Or(cmp.Compare(b.priorityPerKB, a.priorityPerKB), cmp.Compare(a.token, b.token))
-	})
-	req.inQueue = queued
-	if queued {
-		r.queue = slices.Insert(r.queue, at, req)
-	} else {
-		r.queue = slices.Delete(r.queue, at, at+1)
-	}
-}
-
 // workSince adds up what was sent to an endpoint after a time, and forgets the rest.
 func (e *endpoint) workSince(since float64) (seconds float64) {
 	e.recentWork = slices.DeleteFunc(e.recentWork, func(s workSample) bool { return s.at <= since })
@@ -230,9 +123,6 @@
 	return seconds
 }
 
-// slownessOf is how long an attempt is in flight over the time after which it is suspected, which goes by its size.
-func (r *Router) slownessOf(a *attempt) float64 { return (r.now - a.sentAt) / (a.suspectAt - a.sentAt) }
-
 // greatestSlowness is that of the last attempts that had an answer, 1 at least.
 func (r *Router) greatestSlowness() float64 {
 	greatest := 1.0
@@ -262,12 +152,6 @@
 	return (e.lastHeard() - e.signsOfLife[0]) / float64(len(e.signsOfLife)-1)
 }
 
-func wasTarget(a *attempt, e *endpoint) bool { return a.target == e && !a.cacheOnly }
-func wasSource(a *attempt, e *endpoint) bool { return a.source == e && !a.fromPeer && !a.cacheOnly }
-func isCacheOnly(a *attempt) bool            { return a.cacheOnly }
-func isFromPeer(a *attempt) bool             { return a.fromPeer }
-func isInFlight(a *attempt) bool             { return a.inFlight }
-
 // appendSample appends to the last samples, of which it keeps a number at most.
 func appendSample[S any](samples []S, sample S, most int) []S {
 	if len(samples) >= most {
