--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -12,7 +12,7 @@
 	fill          fillPlan
 	state         attemptState
 	retentionRank int
-	maxAge        float64
+	maxAgeSeconds float64
 	sentAt        float64
 	sendBefore    float64 // from when it may not be begun any more
 	suspectAt     float64 // when it is suspected; +Inf once it was taken for lost
@@ -135,7 +135,7 @@
 		SendBefore:    a.sendBefore,
 		Source:        a.source.ID,
 		RetentionRank: a.retentionRank,
-		MaxAgeSeconds: a.maxAge,
+		MaxAgeSeconds: a.maxAgeSeconds,
 		JoinFill:      join,
 		CacheOnly:     a.fill == fillFromPeer || a.fill.cacheOnly(),
 		Revalidate:    revalidate,
--- a/routing/cachestate.go
+++ b/routing/cachestate.go
@@ -8,12 +8,12 @@
 
 // cachedChunk is a chunk that answers showed to be at a cache.
 type cachedChunk struct {
-	chunk    *chunk
-	sizeKB   float64
-	gapKey   float64 // orders chunks by their gaps, see chunk.gapKey
-	lastUsed float64
-	filledAt float64
-	sequence uint64 // orders chunks of the same gap key
+	chunk      *chunk
+	sizeKB     float64
+	gapKey     float64 // orders chunks by their gaps, see chunk.gapKey
+	lastUsedAt float64
+	filledAt   float64
+	sequence   uint64 // orders chunks of the same gap key
 }
 
 // purgeKey names what a purge invalidates: an object, or a group where there is none.
@@ -24,7 +24,7 @@
 
 // gapKey orders chunks by their gaps, largest first. The order is the same at any time.
 func (c *chunk) gapKey() float64 {
-	return newestGapWeight*c.lastRequest - (1-newestGapWeight)*c.averageGap
+	return newestGapShare*c.lastRequestAt - (1-newestGapShare)*c.averageGapSeconds
 }
 
 func compareGapKeys(a, b *cachedChunk) int {
@@ -85,7 +85,7 @@
 	for _, e := range c.holders {
 		e.removeCached(c, false)
 	}
-	c.requested, c.averageGap, c.lastRequest = true, gap, r.now
+	c.requested, c.averageGapSeconds, c.lastRequestAt = true, gap, r.now
 	for _, e := range c.holders {
 		e.addCached(e.cached[c], c.gapKey())
 	}
@@ -164,13 +164,13 @@
 
 // forgetIdleObjects forgets objects that were idle for long, sooner if there are too many.
 func (r *Router) forgetIdleObjects() {
-	if r.now < r.sweptAt+sweepInterval && len(r.objects) < maxObjects {
+	if r.now < r.sweptAt+sweepIntervalSeconds && len(r.objects) < maxObjects {
 		return
 	}
 	r.sweptAt = r.now
-	for age := forgetAfter; age == forgetAfter || len(r.objects) > maxObjects/2; age /= 2 {
+	for age := forgetAfterSeconds; age == forgetAfterSeconds || len(r.objects) > maxObjects/2; age /= 2 {
 		for id, o := range r.objects {
-			if r.now-o.lastRequest >= age {
+			if r.now-o.lastRequestAt >= age {
 				o.dropCached()
 				delete(r.objects, id)
 			}
--- a/routing/caching.go
+++ b/routing/caching.go
@@ -7,20 +7,20 @@
 
 // Keeping a fill or passing it is decided as in Cafe Cache (docs/design.md); its symbols are in parentheses.
 const (
-	fillCostRatio      = 0.75   // (alpha) cost of a kept fill over a pass: only a fill leaves a copy
-	newestGapWeight    = 0.25   // (gamma) weight of the newest gap between requests in the mean gap
-	initialHorizon     = 10.0   // s, (T) before any idle time was seen
-	maxIdleSamples     = 10     // idle times that the horizon (T) is the mean of: few, so that changes show soon
-	minHorizon         = 1.0    // s, (T) at least: a purge heard late must not close the cache to new chunks
-	storedRank         = 2      // retention rank of 1 to 3 of a kept chunk: the middle one
-	cachedIdleHorizons = 3.0    // horizons of idle time after which a chunk has surely been evicted
-	congestionLasts    = 1.0    // s after a decrease for which stale copies will do: congestion passes slower
-	forgetAfter        = 60.0   // s of idle time after which an object or a removed endpoint is forgotten
-	sweepInterval      = 5.0    // s between searches for idle objects
-	maxObjects         = 131072 // objects remembered, some tens of MB; above it forgetting is faster
-	maxPurges          = 16384  // purges remembered, some MB: hours of them, as caches may return with a disk
-	purgeAgeMargin     = 1e-4   // s by which a copy must be younger than a purge: rounding of times
-	minCopyAge         = 2e-6   // s, an age that no rounding turns into 0, which means any age
+	fillCostRatio         = 0.75   // (alpha) cost of a kept fill over a pass: only a fill leaves a copy
+	newestGapShare        = 0.25   // (gamma) weight of the newest gap between requests in the mean gap
+	initialHorizonSeconds = 10.0   // s, (T) before any idle time was seen
+	maxIdleSamples        = 10     // idle times that the horizon (T) is the mean of: few, so that changes show soon
+	minHorizonSeconds     = 1.0    // s, (T) at least: a purge heard late must not close the cache to new chunks
+	storedRank            = 2      // retention rank of 1 to 3 of a kept chunk: the middle one
+	cachedIdleHorizons    = 3.0    // horizons of idle time after which a chunk has surely been evicted
+	congestionSeconds     = 1.0    // s after a decrease for which stale copies will do: congestion passes slower
+	forgetAfterSeconds    = 60.0   // s of idle time after which an object or a removed endpoint is forgotten
+	sweepIntervalSeconds  = 5.0    // s between searches for idle objects
+	maxObjects            = 131072 // objects remembered, some tens of MB; above it forgetting is faster
+	maxPurges             = 16384  // purges remembered, some MB: hours of them, as caches may return with a disk
+	purgeAgeMarginSeconds = 1e-4   // s by which a copy must be younger than a purge: rounding of times
+	minCopyAgeSeconds     = 2e-6   // s, an age that no rounding turns into 0, which means any age
 )
 
 // The costs of sending a KB, by which a kept fill is compared with a pass.
@@ -32,7 +32,7 @@
 
 // gap is the mean time between requests for the chunk, the time since the last one included.
 func (c *chunk) gap(now float64) float64 {
-	return newestGapWeight*(now-c.lastRequest) + (1-newestGapWeight)*c.averageGap
+	return newestGapShare*(now-c.lastRequestAt) + (1-newestGapShare)*c.averageGapSeconds
 }
 
 // gapOf is the mean gap of a request's chunk. A chunk not seen before takes the largest gap of its object's
@@ -61,10 +61,10 @@
 
 // horizon (T) is the mean idle time after which chunks thought cached were missed.
 func (r *Router) horizon(cache *endpoint) float64 {
-	if len(cache.idleSamples) == 0 {
-		return initialHorizon
+	if len(cache.idleSeconds) == 0 {
+		return initialHorizonSeconds
 	}
-	return max(mean(cache.idleSamples), minHorizon)
+	return max(mean(cache.idleSeconds), minHorizonSeconds)
 }
 
 func (r *Router) uncacheable(req *request) bool { return req.Write || r.class(req.Class).uncacheable }
@@ -76,7 +76,7 @@
 		return false
 	}
 	horizon := r.horizon(cache)
-	for len(cache.byGap) > 0 && r.now-cache.byGap[0].lastUsed > cachedIdleHorizons*horizon {
+	for len(cache.byGap) > 0 && r.now-cache.byGap[0].lastUsedAt > cachedIdleHorizons*horizon {
 		cache.removeCached(cache.byGap[0].chunk, true)
 	}
 	if cache.cached[req.chunk] != nil {
@@ -104,7 +104,7 @@
 	}
 	copied := cache.cached[req.chunk]
 	if copied != nil && filled && r.class(req.Class).freshSeconds == 0 {
-		cache.idleSamples = appendSample(cache.idleSamples, max(a.sentAt-copied.lastUsed, 0), maxIdleSamples)
+		cache.idleSeconds = appendSample(cache.idleSeconds, max(a.sentAt-copied.lastUsedAt, 0), maxIdleSamples)
 	}
 	if filled && a.retentionRank == 0 {
 		cache.removeCached(req.chunk, true)
@@ -116,7 +116,7 @@
 	if filled {
 		copied.filledAt = r.now
 	}
-	copied.sizeKB, copied.lastUsed = req.SizeKB, r.now
+	copied.sizeKB, copied.lastUsedAt = req.SizeKB, r.now
 }
 
 // maxCopyAge is the age of the oldest copy that will do, 0 for the class's fresh time.
@@ -140,7 +140,7 @@
 		purgedAt = max(purgedAt, r.purgesForgottenUntil*indicator(e.StartedAt > r.purgesForgottenUntil))
 	}
 	if purgedAt > 0 {
-		return max(r.now-purgedAt-purgeAgeMargin, minCopyAge)
+		return max(r.now-purgedAt-purgeAgeMarginSeconds, minCopyAgeSeconds)
 	}
 	return math.Inf(1)
 }
@@ -148,9 +148,9 @@
 // staleCopyWillDo says whether a stale copy will do for a request of a class that had some attempts: if it is worth
 // more than a late answer, and fills are congested or have failed.
 func (r *Router) staleCopyWillDo(class *class, attempts int) bool {
-	if class.staleSeconds <= 0 || class.stalePriority <= class.latePriority {
+	if class.staleSeconds <= 0 || class.stalePriorityShare <= class.latePriorityShare {
 		return false
 	}
-	congestedUntil := max(r.originLimiter().decreasedAt, r.zoneLink.decreasedAt) + congestionLasts
+	congestedUntil := max(r.originLimiter().decreasedAt, r.zoneLink.decreasedAt) + congestionSeconds
 	return attempts > 0 || r.now < congestedUntil
 }
--- a/routing/caching_test.go
+++ b/routing/caching_test.go
@@ -11,18 +11,18 @@
 
 func TestUpdateGapAveragesWithTheNewestGap(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
-	req := &request{chunk: &chunk{requested: true, lastRequest: 90, averageGap: 8}}
+	req := &request{chunk: &chunk{requested: true, lastRequestAt: 90, averageGapSeconds: 8}}
 	r.updateGap(req, r.findOrAddEndpoint("c0"))
-	assert.InDelta(t, 0.25*10+0.75*8, req.chunk.averageGap, 1e-9)
-	assert.Equal(t, 100.0, req.chunk.lastRequest)
+	assert.InDelta(t, 0.25*10+0.75*8, req.chunk.averageGapSeconds, 1e-9)
+	assert.Equal(t, 100.0, req.chunk.lastRequestAt)
 }
 
 func TestUpdateGapStartsAtTheHorizon(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	req := &request{chunk: &chunk{}}
-	r.findOrAddEndpoint("c0").idleSamples = []float64{4, 6}
+	r.findOrAddEndpoint("c0").idleSeconds = []float64{4, 6}
 	r.updateGap(req, r.findOrAddEndpoint("c0"))
-	assert.Equal(t, 5.0, req.chunk.averageGap)
+	assert.Equal(t, 5.0, req.chunk.averageGapSeconds)
 }
 
 func TestGapOfUnseenChunkIsTheLargestCachedOfItsObject(t *testing.T) {
@@ -30,7 +30,7 @@
 	c, o := r.findOrAddEndpoint("c0"), r.findOrAddObject("x", 0)
 	for i, dt := range []float64{4, 12, 40} {
 		p := o.findOrAddChunk(i)
-		p.requested, p.averageGap, p.lastRequest = true, dt, 100
+		p.requested, p.averageGapSeconds, p.lastRequestAt = true, dt, 100
 		if i < 2 {
 			c.addCached(&cachedChunk{chunk: p, sizeKB: 1}, p.gapKey())
 		}
@@ -48,9 +48,9 @@
 		for _, old := range []float64{1, 5, 20} {
 			r := newTestRouter(WithIdempotencyKey)
 			c := r.findOrAddEndpoint("c0")
-			p := &chunk{requested: true, lastRequest: 100, averageGap: old / 0.75}
-			c.addCached(&cachedChunk{chunk: p, sizeKB: 300, lastUsed: 100}, p.gapKey())
-			missing := &chunk{requested: true, lastRequest: 100, averageGap: gap / 0.75}
+			p := &chunk{requested: true, lastRequestAt: 100, averageGapSeconds: old / 0.75}
+			c.addCached(&cachedChunk{chunk: p, sizeKB: 300, lastUsedAt: 100}, p.gapKey())
+			missing := &chunk{requested: true, lastRequestAt: 100, averageGapSeconds: gap / 0.75}
 			req := &request{RequestArrived: RequestArrived{SizeKB: 100}, chunk: missing}
 			want := 100*cf+100*10/old*min(cf, cr) < 100*cr+100*10/gap*min(cf, cr)
 			assert.Equal(t, want, r.shouldStore(req, c), "gap %v against %v", gap, old)
@@ -61,16 +61,16 @@
 func TestShouldStoreRefusesUncacheableClass(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	r.settings[SettingUncacheable] = "true,true"
-	popular := &chunk{requested: true, lastRequest: 100, averageGap: 0.1}
+	popular := &chunk{requested: true, lastRequestAt: 100, averageGapSeconds: 0.1}
 	req := &request{RequestArrived: RequestArrived{SizeKB: 1}, chunk: popular}
 	assert.False(t, r.shouldStore(req, r.findOrAddEndpoint("c0")))
 }
 
 func TestPassedFillNamesItsSourceAndKeepsNothing(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
-	for _, c := range r.caches.members { // full of what is wanted all the time
-		p := &chunk{requested: true, lastRequest: 100, averageGap: 0.1}
-		c.addCached(&cachedChunk{chunk: p, sizeKB: 1e6, lastUsed: 100}, p.gapKey())
+	for _, c := range r.caches.endpoints { // full of what is wanted all the time
+		p := &chunk{requested: true, lastRequestAt: 100, averageGapSeconds: 0.1}
+		c.addCached(&cachedChunk{chunk: p, sizeKB: 1e6, lastUsedAt: 100}, p.gapKey())
 	}
 	starts := actionsOf[StartAttempt](r.Decide(100, newArrival("t", "x")))
 	require.Len(t, starts, 1)
@@ -86,11 +86,11 @@
 	r.sweptAt = r.now // the next sweep for idle objects is not due
 	for i := range remembered - 1 {
 		o := r.findOrAddObject(strconv.Itoa(i), 0)
-		o.lastRequest = r.now - 60*float64(i)/remembered
+		o.lastRequestAt = r.now - 60*float64(i)/remembered
 	}
 	r.forgetIdleObjects()
 	assert.Len(t, r.objects, remembered-1)
-	r.findOrAddObject("one more", 0).lastRequest = r.now - 60
+	r.findOrAddObject("one more", 0).lastRequestAt = r.now - 60
 	r.forgetIdleObjects()
 	assert.Len(t, r.objects, remembered/2)
 }
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -3,20 +3,20 @@
 import "math"
 
 const (
-	limitPerCapacity   = 1.5  // attempts in flight a transfer of capacity: the objective's stretch allows that
-	burstAllowance     = 1.0  // of the root of a cache's share, added to it: one router's traffic varies
-	minStartingLimit   = 0.1  // attempts in flight that a limit starts at, for endpoints without weight
-	minLimitShare      = 0.2  // of its starting value that a limit never falls below: it has to go on learning
-	growthPerRound     = 0.5  // attempts added a round, over the root of the routers: more outruns decreases
-	maxGrowthStep      = 1.0  // attempts added a round at most
-	recoveryStep       = 1.0  // attempts that an answer in time adds up to the proven limit
-	usedLimitShare     = 0.5  // share of a limit in use above which it grows: an unused one proves nothing
-	decreaseFactor     = 0.8  // of a limit that is left by a late or refused attempt
-	decreaseInterval   = 0.25 // s between decreases: attempts in flight then tell of the same congestion
-	congestionShare    = 0.15 // share of late answers that tells of congestion: few are chance
-	maxLateSamples     = 10   // answers of a limiter whose lateness counts: few, so that changes show soon
-	timelyShare        = 0.8  // share of the objective beyond which an answer is late; 1 is too late to react
-	lateFirstByteShare = 0.5  // share of that beyond which a first byte is late: its source is slow, not the link
+	limitPerCapacity        = 1.5  // attempts in flight a transfer of capacity: the objective's stretch allows that
+	burstAllowance          = 1.0  // of the root of a cache's share, added to it: one router's traffic varies
+	minStartingLimit        = 0.1  // attempts in flight that a limit starts at, for endpoints without weight
+	minLimitShare           = 0.2  // of its starting value that a limit never falls below: it has to go on learning
+	growthPerRound          = 0.5  // attempts added a round, over the root of the routers: more outruns decreases
+	maxGrowthStep           = 1.0  // attempts added a round at most
+	recoveryStep            = 1.0  // attempts that an answer in time adds up to the proven limit
+	usedLimitShare          = 0.5  // share of a limit in use above which it grows: an unused one proves nothing
+	decreaseFactor          = 0.8  // of a limit that is left by a late or refused attempt
+	decreaseIntervalSeconds = 0.25 // s between decreases: attempts in flight then tell of the same congestion
+	congestionShare         = 0.15 // share of late answers that tells of congestion: few are chance
+	maxLateSamples          = 10   // answers of a limiter whose lateness counts: few, so that changes show soon
+	timelyShare             = 0.8  // share of the objective beyond which an answer is late; 1 is too late to react
+	lateFirstByteShare      = 0.5  // share of that beyond which a first byte is late: its source is slow, not the link
 )
 
 // hasRoom says whether a limiter lets one more attempt through. A limit below 1 is used with pauses.
@@ -32,10 +32,10 @@
 func (l *limiter) recovered() bool { return l.limit >= l.provenLimit }
 
 // release takes back an attempt's load after some seconds. Used says that it came as far as this limiter.
-func (l *limiter) release(now, load, lasted float64, used bool) {
+func (l *limiter) release(now, load, lastedSeconds float64, used bool) {
 	l.inFlight = max(l.inFlight-load, 0)
 	if used && l.limit < load {
-		l.pausedUntil = now + lasted*(load/l.limit-1)
+		l.pausedUntil = now + lastedSeconds*(load/l.limit-1)
 	}
 }
 
@@ -64,7 +64,7 @@
 // decrease takes a sign of congestion: a refusal counts at once, a late answer if many of the last were late.
 func (l *limiter) decrease(now float64, refused bool) {
 	l.lateSamples = appendSample(l.lateSamples, 1, maxLateSamples)
-	if now > l.decreasedAt+decreaseInterval && (refused || mean(l.lateSamples) >= congestionShare) {
+	if now > l.decreasedAt+decreaseIntervalSeconds && (refused || mean(l.lateSamples) >= congestionShare) {
 		l.limit = max(l.limit*decreaseFactor, l.minLimit)
 		l.provenLimit, l.decreasedAt = l.limit, now
 	}
@@ -72,55 +72,57 @@
 
 // setStartingLimit gives this router its share of an endpoint's capacity, and little while that endpoint is cold.
 func (r *Router) setStartingLimit(e *endpoint) {
-	share := limitPerCapacity * e.Weight / e.sharers
-	burst := indicator(e.role == edgeCache) * burstAllowance * math.Sqrt(share*(1-1/e.sharers))
-	e.setShare(share+burst, e.sharers)
+	share := limitPerCapacity * e.Weight / e.routersSharing
+	burst := indicator(e.role == edgeCache) * burstAllowance * math.Sqrt(share*(1-1/e.routersSharing))
+	e.limiter.setShare(share+burst, e.routersSharing)
 	if e.role == parentCache {
-		e.raiseMinimum(e.sharers)
+		e.limiter.raiseMinimum(e.routersSharing)
 	}
-	e.limit = startingLimit(e.limit, r.warmShare(e))
+	e.limiter.limit = startingLimit(e.limiter.limit, r.warmShare(e))
 }
 
 // setSharedLimits starts the limits of the zone's link and of the origins, once caches are known. An origin's
 // weight says nothing: it starts at as much as the link.
 func (r *Router) setSharedLimits() {
 	sum, transfers := 0.0, r.linkTransfers()
-	for _, cache := range r.caches.members {
-		sum += limitPerCapacity * cache.Weight / cache.sharers
+	for _, cache := range r.caches.endpoints {
+		sum += limitPerCapacity * cache.Weight / cache.routersSharing
 		if transfers > 0 {
-			sum = limitPerCapacity * transfers / cache.sharers
+			sum = limitPerCapacity * transfers / cache.routersSharing
 		}
-		r.zoneLink.setShare(sum, cache.sharers)
-		r.zoneLink.raiseMinimum(cache.sharers)
+		r.zoneLink.setShare(sum, cache.routersSharing)
+		r.zoneLink.raiseMinimum(cache.routersSharing)
 	}
-	for _, e := range r.origins.members {
-		e.setShare(sum, e.sharers)
+	for _, e := range r.origins.endpoints {
+		e.limiter.setShare(sum, e.routersSharing)
 	}
 }
 
-// isLate says whether an answer that took some seconds tells of congestion, against the request's objective in seconds.
-func isLate(elapsed, objective float64) bool { return elapsed > timelyShare*objective }
+// isLate says whether an answer took so long, against its request's objective, that it tells of congestion.
+func isLate(elapsedSeconds, objectiveSeconds float64) bool {
+	return elapsedSeconds > timelyShare*objectiveSeconds
+}
 
 // adjustLimits moves the limits that an attempt has passed: a late one lowers the first that may be to blame.
 func (r *Router) adjustLimits(req *request, a *attempt, end AttemptEnded, filled bool) {
-	if !isLate(end.ElapsedSeconds, req.objective) {
-		a.target.increase()
+	if !isLate(end.ElapsedSeconds, req.objectiveSeconds) {
+		a.target.limiter.increase()
 		for i := 0; filled && i < len(a.fillLimiters); i++ {
 			a.fillLimiters[i].increase()
 		}
 		return
 	}
-	lateFirstByte := end.FirstByteSeconds > lateFirstByteShare*timelyShare*req.objective
+	lateFirstByte := end.FirstByteSeconds > lateFirstByteShare*timelyShare*req.objectiveSeconds
 	switch {
 	case !filled:
-		a.target.decrease(r.now, false)
+		a.target.limiter.decrease(r.now, false)
 	case end.Detail == FilledByOrigin && a.originLimiter != nil && lateFirstByte:
 		a.originLimiter.decrease(r.now, false)
-	case !r.tellsAll(): // either may be to blame; few routers share the link and most of its fills are seen
-		a.source.decrease(r.now, false)
+	case !r.reportsAllDetails(): // either may be to blame; few routers share the link and most of its fills are seen
+		a.source.limiter.decrease(r.now, false)
 		r.zoneLink.decrease(r.now, false)
 	case lateFirstByte:
-		a.source.decrease(r.now, false)
+		a.source.limiter.decrease(r.now, false)
 	case a.fill != fillFromPeer:
 		r.zoneLink.decrease(r.now, false)
 	}
@@ -131,7 +133,7 @@
 func (r *Router) penalizeUnanswered(req *request) {
 	for _, a := range req.attempts {
 		elapsed := r.now - a.sentAt
-		if !a.state.awaited() || !isLate(elapsed, req.objective) {
+		if !a.state.awaited() || !isLate(elapsed, req.objectiveSeconds) {
 			continue
 		}
 		r.adjustLimits(req, a, AttemptEnded{ElapsedSeconds: elapsed, FirstByteSeconds: elapsed}, a.fill.missExpected())
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -33,9 +33,9 @@
 // Answers in time must not raise the limit faster than late ones between them lower it, however many routers share
 // it.
 func TestLimiterShrinksWhileOneAnswerInFiveIsLate(t *testing.T) {
-	for _, sharers := range []float64{3, 30, 300} {
+	for _, routersSharing := range []float64{3, 30, 300} {
 		var l limiter
-		l.setShare(10, sharers)
+		l.setShare(10, routersSharing)
 		l.inFlight = 8
 		for i := range 200 {
 			if i%5 == 4 {
@@ -44,7 +44,7 @@
 				l.increase()
 			}
 		}
-		assert.Less(t, l.limit, 8.0, "%v routers", sharers)
+		assert.Less(t, l.limit, 8.0, "%v routers", routersSharing)
 	}
 }
 
@@ -55,9 +55,9 @@
 	a := req.attempts[0]
 	a.source, a.fill, a.suspectAt = r.findOrAddEndpoint("p0"), expectFill, 100.2
 	r.zoneLink.minLimit = 1
-	before := [2]float64{a.source.limit, r.zoneLink.limit}
+	before := [2]float64{a.source.limiter.limit, r.zoneLink.limit}
 	r.adjustLimits(req, a, AttemptEnded{ElapsedSeconds: 0.6}, true)
-	assert.Less(t, a.source.limit, before[0])
+	assert.Less(t, a.source.limiter.limit, before[0])
 	assert.Less(t, r.zoneLink.limit, before[1])
 }
 
@@ -77,7 +77,7 @@
 		req := addSentRequest(r, 0, true)
 		a, o := req.attempts[0], r.findOrAddEndpoint("o")
 		a.source, a.fill, a.originLimiter, a.suspectAt = r.findOrAddEndpoint("p0"), expectFill, &o.limiter, 100.4
-		cache := a.target.limit
+		cache := a.target.limiter.limit
 		ways := []*limiter{&a.source.limiter, &r.zoneLink, &o.limiter}
 		var before []float64
 		for _, g := range ways {
@@ -91,7 +91,7 @@
 		for i, g := range ways {
 			assert.Equal(t, c.narrower, g.limit < before[i], "%s, way %d", name, i)
 		}
-		assert.Equal(t, cache, a.target.limit, "%s: a fill is not laid to the cache", name)
+		assert.Equal(t, cache, a.target.limiter.limit, "%s: a fill is not laid to the cache", name)
 	}
 }
 
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -48,7 +48,7 @@
 				Endpoint:   e.Endpoint,
 				listed:     e.listed,
 				cached:     map[*chunk]*cachedChunk{},
-				limiter:    limiter{inFlight: e.inFlight},
+				limiter:    limiter{inFlight: e.limiter.inFlight},
 				recentWork: e.recentWork,
 				removedAt:  e.removedAt,
 			}
@@ -73,7 +73,7 @@
 			e.removedAt = 0
 			return true
 		}
-		if r.now < e.removedAt+forgetAfter {
+		if r.now < e.removedAt+forgetAfterSeconds {
 			return false
 		}
 		e.forgetCached()
@@ -95,7 +95,7 @@
 func (r *Router) classify(e *endpoint) {
 	zone := int(r.number(SettingZone, 0))
 	routers := max(r.number(SettingRouters, 1), 1)
-	e.role, e.zonesAway, e.sharers = otherZone, r.zonesAway(e), routers
+	e.role, e.zonesAway, e.routersSharing = otherZone, r.zonesAway(e), routers
 	var list *endpointList
 	switch kind := float64(e.Kind); {
 	case kind == r.number(SettingParentKind, -1):
@@ -104,7 +104,7 @@
 		e.role, list = originServer, &r.origins
 	case e.Zone == zone:
 		e.role, list = edgeCache, &r.caches
-		e.sharers = max(r.settings.FloatItem(SettingRoutersByZone, zone, routers), 1)
+		e.routersSharing = max(r.settings.FloatItem(SettingRoutersByZone, zone, routers), 1)
 	}
 	if e.Status != Ready {
 		list = nil
@@ -132,8 +132,8 @@
 
 // originLimiter is the limiter of the first origin listed; one without a limit where there is none.
 func (r *Router) originLimiter() *limiter {
-	if len(r.origins.members) > 0 {
-		return &r.origins.members[0].limiter
+	if len(r.origins.endpoints) > 0 {
+		return &r.origins.endpoints[0].limiter
 	}
 	return &limiter{limit: math.Inf(1)}
 }
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -11,13 +11,13 @@
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	for i := range 20 {
-		now := 100 + float64(i)*forgetAfter/2
+		now := 100 + float64(i)*forgetAfterSeconds/2
 		added := Endpoint{ID: EndpointID("n" + strconv.Itoa(i)), Zone: 1, Weight: 4}
 		removed := Endpoint{ID: EndpointID("n" + strconv.Itoa(i-1)), Zone: 1, Status: Removed}
 		r.Decide(now, EndpointUpdate{Endpoints: []Endpoint{added, removed}})
 	}
 	assert.Len(t, r.endpoints, 6+1+2)
-	assert.Len(t, r.caches.members, 4)
+	assert.Len(t, r.caches.endpoints, 4)
 }
 
 // However many routers there are said to be, a request is sent, and all shares together stay near the capacity.
@@ -32,6 +32,6 @@
 		}})
 		assert.Len(t, actionsOf[StartAttempt](r.Decide(100, newArrival("t", "x"))), 1, "told %q", told)
 		n := max(r.settings.Float(SettingRouters, 1), 1)
-		assert.InDelta(t, limitPerCapacity*400, n*r.findOrAddEndpoint("p").limit, 1e-6, "told %q", told)
+		assert.InDelta(t, limitPerCapacity*400, n*r.findOrAddEndpoint("p").limiter.limit, 1e-6, "told %q", told)
 	}
 }
--- a/routing/hashorder.go
+++ b/routing/hashorder.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	keptCandidates  = 4   // endpoints of its hash order that an object keeps: mostly the first one is used
-	rememberedMoves = 256 // changes of a list by which orders are repaired; after more they are worked out anew
+	storedCandidates = 4   // endpoints of its hash order that an object keeps: mostly the first one is used
+	maxMoves         = 256 // changes of a list by which orders are repaired; after more they are worked out anew
 )
 
 // hashOrder is the beginning of the order in which an object prefers the endpoints of a list, highest score first. It
-// takes 40 bytes and 8 for each endpoint of best, which are keptCandidates at most between two decisions.
+// takes 40 bytes and 8 for each endpoint of best, which are storedCandidates at most between two decisions.
 type hashOrder struct {
 	best    []*endpoint
 	version int // of the list that it is of
@@ -20,9 +20,9 @@
 
 // endpointList holds the ready endpoints of one role and what changed in it of late.
 type endpointList struct {
-	members []*endpoint // by id
-	version int         // number of the last change
-	moves   []*endpoint // that came, left or got another score, with the last changes
+	endpoints []*endpoint // by id
+	version   int         // number of the last change
+	moves     []*endpoint // that came, left or got another score, with the last changes
 }
 
 // listing is an endpoint's place in a list, and what its score depends on there.
@@ -52,23 +52,23 @@
 func compareIDs(e *endpoint, id EndpointID) int { return cmp.Compare(e.ID, id) }
 
 func (l *endpointList) add(e *endpoint) {
-	if at, found := slices.BinarySearchFunc(l.members, e.ID, compareIDs); !found {
-		l.members = slices.Insert(l.members, at, e)
+	if at, found := slices.BinarySearchFunc(l.endpoints, e.ID, compareIDs); !found {
+		l.endpoints = slices.Insert(l.endpoints, at, e)
 	}
 	l.noteMove(e)
 }
 
 func (l *endpointList) remove(e *endpoint) {
-	if at, found := slices.BinarySearchFunc(l.members, e.ID, compareIDs); found {
-		l.members = slices.Delete(l.members, at, at+1)
+	if at, found := slices.BinarySearchFunc(l.endpoints, e.ID, compareIDs); found {
+		l.endpoints = slices.Delete(l.endpoints, at, at+1)
 	}
 	l.noteMove(e)
 }
 
 func (l *endpointList) noteMove(e *endpoint) {
 	l.version++
-	if len(l.moves) >= 2*rememberedMoves {
-		l.moves = append(l.moves[:0], l.moves[len(l.moves)-rememberedMoves:]...)
+	if len(l.moves) >= 2*maxMoves {
+		l.moves = append(l.moves[:0], l.moves[len(l.moves)-maxMoves:]...)
 	}
 	l.moves = append(l.moves, e)
 }
@@ -81,7 +81,7 @@
 	if missed == 0 {
 		return
 	}
-	if missed > len(l.moves) || missed > rememberedMoves {
+	if missed > len(l.moves) || missed > maxMoves {
 		order.best = nil
 		return
 	}
@@ -96,7 +96,7 @@
 			order.insert(prefix, e)
 		}
 	}
-	order.best = order.best[:min(len(order.best), keptCandidates)]
+	order.best = order.best[:min(len(order.best), storedCandidates)]
 }
 
 // insert puts an endpoint at its place if that is before the last one.
@@ -121,11 +121,11 @@
 // at returns the candidate of a rank, nil past the last one. The order is worked out as far as it is asked for, and for
 // maxCandidates at most.
 func (c candidates) at(rank int) *endpoint {
-	best := c.list.members
+	best := c.list.endpoints
 	if c.order != nil {
 		known := len(c.order.best)
-		if rank >= known && known < min(len(c.list.members), maxCandidates) {
-			c.order.best = highestByHash(c.object, c.list.members, min(max(2*known, keptCandidates), maxCandidates))
+		if rank >= known && known < min(len(c.list.endpoints), maxCandidates) {
+			c.order.best = highestByHash(c.object, c.list.endpoints, min(max(2*known, storedCandidates), maxCandidates))
 		}
 		best = c.order.best
 	}
@@ -137,8 +137,8 @@
 
 // release lets go of what was worked out past the candidates that an object keeps.
 func (c candidates) release() {
-	if c.order != nil && len(c.order.best) > keptCandidates {
-		c.order.best = slices.Clone(c.order.best[:keptCandidates])
+	if c.order != nil && len(c.order.best) > storedCandidates {
+		c.order.best = slices.Clone(c.order.best[:storedCandidates])
 	}
 }
 
--- a/routing/hashorder_test.go
+++ b/routing/hashorder_test.go
@@ -70,7 +70,7 @@
 }
 
 func checkOrder(t *rapid.T, c candidates) {
-	want := referenceOrder(c.object, c.list.members)
+	want := referenceOrder(c.object, c.list.endpoints)
 	want = want[:min(len(want), maxCandidates)]
 	first := c.at(0)
 	if len(want) > 0 && first != want[0] {
@@ -80,7 +80,7 @@
 		t.Fatalf("%d endpoints are not in the order of a sort", len(want))
 	}
 	c.release()
-	if len(c.order.best) > keptCandidates {
+	if len(c.order.best) > storedCandidates {
 		t.Fatalf("%d endpoints are kept", len(c.order.best))
 	}
 }
@@ -95,7 +95,7 @@
 			parents = append(parents, e)
 		}
 	}
-	if !slices.Equal(caches, r.caches.members) || !slices.Equal(parents, r.parents.members) {
+	if !slices.Equal(caches, r.caches.endpoints) || !slices.Equal(parents, r.parents.endpoints) {
 		t.Fatalf("the lists are not those of the ready endpoints by id")
 	}
 }
@@ -124,7 +124,7 @@
 	}
 	for i := range 40 {
 		c := r.findOrAddObject(fmt.Sprint(i%10), i%2).findOrAddChunk(i % 4)
-		cache := r.caches.members[i%3]
+		cache := r.caches.endpoints[i%3]
 		if cache.cached[c] == nil {
 			r.addCopy(cache, c)
 		}
@@ -135,13 +135,13 @@
 	check(36)
 	r.Decide(101, Purge{ObjectGroup: 1})
 	check(20)
-	onFirst := len(r.caches.members[0].cached)
+	onFirst := len(r.caches.endpoints[0].cached)
 	r.Decide(102, EndpointUpdate{Endpoints: []Endpoint{{ID: "c0", Zone: 1, Weight: 4, StartedAt: 101}}})
 	check(20 - onFirst)
-	onSecond := len(r.caches.members[1].cached)
+	onSecond := len(r.caches.endpoints[1].cached)
 	r.Decide(103, EndpointUpdate{Endpoints: []Endpoint{{ID: "c1", Zone: 1, Weight: 4, Status: Removed}}})
 	check(20 - onFirst)
-	r.Decide(103+forgetAfter, EndpointUpdate{})
+	r.Decide(103+forgetAfterSeconds, EndpointUpdate{})
 	check(20 - onFirst - onSecond)
 	assert.Nil(t, r.findEndpoint("c1"))
 }
--- a/routing/helpers_test.go
+++ b/routing/helpers_test.go
@@ -80,12 +80,12 @@
 		state = attemptAwaited
 	}
 	req := &request{
-		RequestArrived: RequestArrived{Request: "t", Class: 1, SizeKB: 100, Deadline: 105},
-		token:          1,
-		arrivedAt:      100,
-		objective:      0.5,
-		object:         object,
-		chunk:          object.findOrAddChunk(0),
+		RequestArrived:   RequestArrived{Request: "t", Class: 1, SizeKB: 100, Deadline: 105},
+		token:            1,
+		arrivedAt:        100,
+		objectiveSeconds: 0.5,
+		object:           object,
+		chunk:            object.findOrAddChunk(0),
 		attempts: []*attempt{{
 			target:  cache,
 			source:  cache,
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-const localRefusal = 0.004 // s in which only the cache itself can have refused: sources are farther away
+const localRefusalSeconds = 0.004 // s in which only the cache itself can have refused: sources are farther away
 
 // attemptEnded learns from the end of an attempt and plans its request and then the first of the queued ones.
 func (r *Router) attemptEnded(end AttemptEnded) {
@@ -11,7 +11,7 @@
 		return
 	}
 	a.result, a.endedAt = end.Result, r.now
-	a.target.release(r.now, 1, end.ElapsedSeconds, true)
+	a.target.limiter.release(r.now, 1, end.ElapsedSeconds, true)
 	for _, l := range a.fillLimiters {
 		l.release(r.now, a.expectedFills, end.ElapsedSeconds, !end.answeredFromCache())
 	}
@@ -30,7 +30,7 @@
 	slowness := end.ElapsedSeconds / (a.suspectAt - a.sentAt) // 0 for an attempt that was taken for lost
 	r.recordSlowest(slowness, end.Result)
 	if end.Result.isAnswer() {
-		a.target.recordSign(r.now)
+		a.target.recordHeard(r.now)
 	}
 	switch end.Result {
 	case Completed:
@@ -60,7 +60,7 @@
 	r.slownessSamples = appendSample(r.slownessSamples, slowness, maxSlownessSamples)
 	filled := !end.answeredFromCache()
 	if filled && a.source != a.target {
-		a.source.recordSign(r.now)
+		a.source.recordHeard(r.now)
 		r.recordResult(a.source, false)
 	}
 	req.chunk.filledByParent = req.chunk.filledByParent || filled && a.fill != fillFromPeer
@@ -76,18 +76,18 @@
 	switch end.Detail {
 	case SourceRefused, SourceUnreachable, OriginFailed:
 		// A source that was heard since is not the one that failed: the origin behind it is.
-		heardSince := a.originLimiter != nil && a.source.lastHeard() > a.sentAt
+		heardSince := a.originLimiter != nil && a.source.lastHeardAt() > a.sentAt
 		if end.Detail == OriginFailed || (end.Detail == SourceUnreachable && heardSince) {
-			a.source.recordSign(r.now)
+			a.source.recordHeard(r.now)
 			r.originLimiter().decrease(r.now, true)
 			return
 		}
-		a.source.decrease(r.now, true)
+		a.source.limiter.decrease(r.now, true)
 		if end.Detail == SourceUnreachable {
 			r.recordResult(a.source, true)
 		}
 	case SourceCacheMiss:
-		a.source.recordSign(r.now)
+		a.source.recordHeard(r.now)
 		a.source.removeCached(req.chunk, true)
 	default:
 		r.learnFromUnexplained(a, end)
@@ -97,16 +97,16 @@
 // learnFromUnexplained judges a failure that tells nothing of its source, which may be at fault all the same.
 func (r *Router) learnFromUnexplained(a *attempt, end AttemptEnded) {
 	refused := end.Result == Overloaded
-	sourceMayBeAtFault := a.fill.missExpected() && a.source != a.target && !r.tellsAll()
+	sourceMayBeAtFault := a.fill.missExpected() && a.source != a.target && !r.reportsAllDetails()
 	refusedFill := refused && sourceMayBeAtFault
 	switch {
-	case end.Detail == FillSlotsExhausted || refusedFill && end.ElapsedSeconds < localRefusal:
+	case end.Detail == FillSlotsExhausted || refusedFill && end.ElapsedSeconds < localRefusalSeconds:
 		r.zoneLink.decrease(r.now, true) // fills have taken all of the cache's slots
 	case refusedFill:
-		a.source.decrease(r.now, true)
+		a.source.limiter.decrease(r.now, true)
 		r.recordResult(a.source, true)
 	case refused:
-		a.target.decrease(r.now, true)
+		a.target.limiter.decrease(r.now, true)
 	case sourceMayBeAtFault:
 		a.blame = blameTargetAndSource
 	default:
--- a/routing/outcome_test.go
+++ b/routing/outcome_test.go
@@ -12,27 +12,27 @@
 	req := addSentRequest(r, 0, true)
 	p, o := r.findOrAddEndpoint("p0"), r.findOrAddEndpoint("o")
 	req.attempts[0].source, req.attempts[0].fill = p, expectFill
-	o.limit, p.limit = 10, 10
+	o.limiter.limit, p.limiter.limit = 10, 10
 	for range 6 {
 		r.learn(req, req.attempts[0], AttemptEnded{Result: ServerError, Detail: OriginFailed})
 	}
-	assert.Less(t, o.limit, 10.0)
-	assert.Equal(t, 10.0, p.limit)
+	assert.Less(t, o.limiter.limit, 10.0)
+	assert.Equal(t, 10.0, p.limiter.limit)
 	assert.Zero(t, p.ejectedUntil)
 }
 
 func TestUnexplainedRefusalIsAttributedByItsDuration(t *testing.T) {
-	for took, link := range map[float64]bool{localRefusal / 2: true, localRefusal * 2: false} {
+	for took, link := range map[float64]bool{localRefusalSeconds / 2: true, localRefusalSeconds * 2: false} {
 		r := newTestRouter(Idempotent)
 		r.settings[SettingResultDetails] = DetailsOfHits
 		req := addSentRequest(r, 0, true)
 		p := r.findOrAddEndpoint("p0")
 		req.attempts[0].source, req.attempts[0].fill = p, expectFill
 		r.zoneLink.minLimit = 1 // shared with others
-		before, source := r.zoneLink.limit, p.limit
+		before, source := r.zoneLink.limit, p.limiter.limit
 		r.learn(req, req.attempts[0], AttemptEnded{Result: Overloaded, ElapsedSeconds: took})
 		assert.Equal(t, link, r.zoneLink.limit < before)
-		assert.Equal(t, !link, p.limit < source)
+		assert.Equal(t, !link, p.limiter.limit < source)
 	}
 }
 
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	suspectShare           = 0.5  // share of the unstretched objective after which an attempt is suspected
-	suspectSendTimes       = 1.3  // sending times added to that: a busy link stretches a transfer
-	suspectRecheckInterval = 0.1  // s between reviews of a suspected attempt
-	minSilence             = 0.35 // s without an answer before silence is suspected: over usual pauses
-	minSourceSilence       = 2 * minSilence
-	silenceIntervals       = 4.0 // usual intervals between answers that tell of silence: one in fifty by chance
-	maxAnswerTimes         = 10  // last answers of an endpoint whose intervals are its usual ones
-	maxSlownessSamples     = 64  // last answered attempts that a lost one has to be slower than: these vary widely
-	lostSlownessFactor     = 1.3 // times as slow for its size as any of late is lost: congestion slows all
-	maxUnansweredSamples   = 10  // last attempts slower than all of those, of which most had no answer
-	minUnansweredSamples   = 4   // of these before their share counts: fewer are chance
-	unansweredShare        = 0.5 // share of them without an answer from which the next one is lost
-	firstEjection          = 1.0 // s of the first ejection: dozens of requests would go there in it
-	maxEjection            = 4.0 // s of the longest: an endpoint that is back is wanted soon
-	limitAfterEjection     = 1.0 // attempts in flight at an endpoint that returns; each answer adds one
-	maxResultSamples       = 10  // last results of an endpoint that ejections go by: few, so that changes show soon
-	ejectFailureShare      = 0.5 // share of failures that ejects: below it attempts cost less than a lost cache
-	ejectFailureCount      = 4   // failures at least for that: fewer are chance
-	suspicionEjections     = 2.0 // ejections that other routers' failures count for
-	suspicionThreshold     = 0.5 // suspicion from which one own failure ejects: two honest routers say so
+	suspectShare            = 0.5  // share of the unstretched objective after which an attempt is suspected
+	suspectSendTimes        = 1.3  // sending times added to that: a busy link stretches a transfer
+	suspectRecheckSeconds   = 0.1  // s between reviews of a suspected attempt
+	minSilenceSeconds       = 0.35 // s without an answer before silence is suspected: over usual pauses
+	minSourceSilenceSeconds = 2 * minSilenceSeconds
+	silenceIntervals        = 4.0 // usual intervals between answers that tell of silence: one in fifty by chance
+	maxHeardTimes           = 10  // last answers of an endpoint whose intervals are its usual ones
+	maxSlownessSamples      = 64  // last answered attempts that a lost one has to be slower than: these vary widely
+	lostSlownessFactor      = 1.3 // times as slow for its size as any of late is lost: congestion slows all
+	maxUnansweredSamples    = 10  // last attempts slower than all of those, of which most had no answer
+	minUnansweredSamples    = 4   // of these before their share counts: fewer are chance
+	unansweredShare         = 0.5 // share of them without an answer from which the next one is lost
+	firstEjectionSeconds    = 1.0 // s of the first ejection: dozens of requests would go there in it
+	maxEjectionSeconds      = 4.0 // s of the longest: an endpoint that is back is wanted soon
+	limitAfterEjection      = 1.0 // attempts in flight at an endpoint that returns; each answer adds one
+	maxResultSamples        = 10  // last results of an endpoint that ejections go by: few, so that changes show soon
+	ejectFailureShare       = 0.5 // share of failures that ejects: below it attempts cost less than a lost cache
+	ejectFailureCount       = 4   // failures at least for that: fewer are chance
+	suspicionEjections      = 2.0 // ejections that other routers' failures count for
+	suspicionThreshold      = 0.5 // suspicion from which one own failure ejects: two honest routers say so
 )
 
-// suspectTime is when an attempt is suspected: the time at which it is sent, and seconds that go by the objective of
-// its class and by the sending time of its size.
-func suspectTime(sentAt, classObjective, sendSeconds float64) float64 {
-	return sentAt + suspectShare*classObjective + suspectSendTimes*sendSeconds
+// suspectTime is when an attempt that is sent at a time is suspected: after a share of its class's objective, which is
+// that of a request without size, and some sending times of its size.
+func suspectTime(sentAt, objectiveSeconds, sendSeconds float64) float64 {
+	return sentAt + suspectShare*objectiveSeconds + suspectSendTimes*sendSeconds
 }
 
 // healthObserved takes other routers' word. It ejects nothing by itself: an own attempt has to fail too.
@@ -60,14 +60,14 @@
 // slower for its size than any of late. It covers hangs, lost machines and cut paths: these show as attempts without an
 // end. It does harm where all become slow at once.
 func (r *Router) silentEndpoint(a *attempt) *endpoint {
-	suspect, leastSilence := a.target, minSilence
-	if suspect.lastHeard() >= a.sentAt && a.fill.missExpected() {
-		suspect, leastSilence = a.source, minSourceSilence
+	suspect, leastSilence := a.target, minSilenceSeconds
+	if suspect.lastHeardAt() >= a.sentAt && a.fill.missExpected() {
+		suspect, leastSilence = a.source, minSourceSilenceSeconds
 	}
-	if suspect.lastHeard() >= a.sentAt {
+	if suspect.lastHeardAt() >= a.sentAt {
 		return nil
 	}
-	usualSilence := r.now-a.sentAt <= max(leastSilence, silenceIntervals*suspect.signInterval())
+	usualSilence := r.now-a.sentAt <= max(leastSilence, silenceIntervals*suspect.heardIntervalSeconds())
 	if usualSilence || r.slownessOf(a) <= lostSlownessFactor*r.greatestSlowness() {
 		return nil
 	}
@@ -101,9 +101,9 @@
 
 // hasAlternative says whether another endpoint of the same role is ready and not ejected.
 func (r *Router) hasAlternative(e *endpoint) bool {
-	peers := r.parents.members
+	peers := r.parents.endpoints
 	if e.role == edgeCache {
-		peers = r.caches.members
+		peers = r.caches.endpoints
 	}
 	return slices.ContainsFunc(peers, func(peer *endpoint) bool { return peer != e && peer.ejectedUntil <= r.now })
 }
@@ -122,24 +122,24 @@
 // suspicion counts like earlier ejections.
 func ejectionSeconds(ejections int, suspected bool) float64 {
 	doublings := float64(ejections) + suspicionEjections*indicator(suspected)
-	return min(firstEjection*math.Pow(2, doublings), maxEjection)
+	return min(firstEjectionSeconds*math.Pow(2, doublings), maxEjectionSeconds)
 }
 
 // eject keeps attempts from an endpoint for a while. Where it may not be ejected, its limit is decreased.
 func (r *Router) eject(e *endpoint) {
 	switch {
 	case !r.mayEject(e):
-		e.decrease(r.now, true)
+		e.limiter.decrease(r.now, true)
 	case e.ejectedUntil <= r.now:
 		e.ejectedUntil = r.now + ejectionSeconds(e.ejections, r.now < e.suspectedUntil)
-		e.recentFailures, e.limit = nil, limitAfterEjection
+		e.recentFailures, e.limiter.limit = nil, limitAfterEjection
 		e.ejections++
 	}
 }
 
 // recordResult counts a result, 1 for a failure. It covers errors, refused fills and broken connections.
 func (r *Router) recordResult(e *endpoint, failed bool) {
-	if !failed && e.recovered() {
+	if !failed && e.limiter.recovered() {
 		e.ejections = 0
 	}
 	e.recentFailures = appendSample(e.recentFailures, indicator(failed), maxResultSamples)
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -12,7 +12,7 @@
 	r := newTestRouter(Idempotent)
 	req := addSentRequest(r, 0, true)
 	req.attempts[0].suspectAt = 100.25
-	r.now = 100 + minSilence + 0.01
+	r.now = 100 + minSilenceSeconds + 0.01
 	r.plan(req)
 	assert.Greater(t, r.findOrAddEndpoint("c0").ejectedUntil, r.now)
 	require.Len(t, req.attempts, 2)
@@ -41,7 +41,7 @@
 func TestHeardEndpointIsNotSilent(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	req := addSentRequest(r, 0, true)
-	r.findOrAddEndpoint("c0").recordSign(100.1)
+	r.findOrAddEndpoint("c0").recordHeard(100.1)
 	r.now = 101
 	assert.False(t, r.judgeSuspected(req.attempts[0]))
 }
@@ -57,7 +57,7 @@
 func TestSilenceIsMeasuredInUsualSignIntervals(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	c, a := r.findOrAddEndpoint("c0"), addSentRequest(r, 0, true).attempts[0]
-	c.signsOfLife, a.suspectAt = []float64{96, 97, 98, 99}, 100.2
+	c.heardAt, a.suspectAt = []float64{96, 97, 98, 99}, 100.2
 	for wait, want := range map[float64]bool{silenceIntervals - 0.1: false, silenceIntervals + 0.1: true} {
 		r.now, c.ejectedUntil = 100+wait, 0
 		assert.Equal(t, want, r.judgeSuspected(a), "after %v s", wait)
@@ -76,7 +76,7 @@
 		late := func() *request {
 			req := addSentRequest(r, 0, true)
 			req.attempts[0].suspectAt = 100.25
-			r.findOrAddEndpoint("c0").recordSign(100.2)
+			r.findOrAddEndpoint("c0").recordHeard(100.2)
 			return req
 		}
 		for range ejectFailureCount {
@@ -113,7 +113,7 @@
 		r.recordResult(c, true)
 		assert.Equal(t, want, c.ejectedUntil > r.now, "suspicion %v", suspicion)
 		if want {
-			assert.InDelta(t, min(firstEjection*4, maxEjection), c.ejectedUntil-r.now, 1e-9,
+			assert.InDelta(t, min(firstEjectionSeconds*4, maxEjectionSeconds), c.ejectedUntil-r.now, 1e-9,
 				"as long as one that failed before: other routers found it so")
 		}
 	}
@@ -142,5 +142,6 @@
 	suspected.suspectedUntil = r.now + 1
 	r.eject(suspected)
 	assert.InDelta(t, 4, suspected.ejectedUntil-r.now, 1e-9)
-	assert.Equal(t, maxEjection, firstEjection*math.Pow(2, suspicionEjections), "no more and no less than the longest")
+	whenSuspected := firstEjectionSeconds * math.Pow(2, suspicionEjections)
+	assert.Equal(t, maxEjectionSeconds, whenSuspected, "no more and no less than the longest")
 }
--- a/routing/purge_test.go
+++ b/routing/purge_test.go
@@ -17,12 +17,12 @@
 	req := &request{RequestArrived: RequestArrived{Object: "x", ObjectGroup: 3}}
 	other := &request{RequestArrived: RequestArrived{Object: "y", ObjectGroup: 3}}
 	a := &attempt{target: r.findOrAddEndpoint("c0"), source: r.findOrAddEndpoint("p0")}
-	assert.InDelta(t, 0.2-purgeAgeMargin, r.maxCopyAge(req, a), 1e-9)
+	assert.InDelta(t, 0.2-purgeAgeMarginSeconds, r.maxCopyAge(req, a), 1e-9)
 	assert.Zero(t, r.maxCopyAge(other, a))
 	r.now = 3700
-	assert.InDelta(t, 3600.2-purgeAgeMargin, r.maxCopyAge(req, a), 1e-9)
+	assert.InDelta(t, 3600.2-purgeAgeMarginSeconds, r.maxCopyAge(req, a), 1e-9)
 	r.Decide(3710, Purge{ObjectGroup: 3})
-	assert.Equal(t, minCopyAge, r.maxCopyAge(other, a), "never 0, which means any")
+	assert.Equal(t, minCopyAgeSeconds, r.maxCopyAge(other, a), "never 0, which means any")
 }
 
 // Purges are forgotten in the end. An endpoint that started since may serve nothing from before them.
@@ -36,7 +36,7 @@
 	req := &request{RequestArrived: RequestArrived{Object: "never purged", ObjectGroup: 3}}
 	assert.Zero(t, r.maxCopyAge(req, a))
 	a.target.StartedAt = r.purgesForgottenUntil + 1
-	assert.InDelta(t, r.now-r.purgesForgottenUntil-purgeAgeMargin, r.maxCopyAge(req, a), 1e-9)
+	assert.InDelta(t, r.now-r.purgesForgottenUntil-purgeAgeMarginSeconds, r.maxCopyAge(req, a), 1e-9)
 	a.target, a.source = a.source, a.target
 	assert.Positive(t, r.maxCopyAge(req, a), "as a source of fills too")
 }
@@ -52,8 +52,8 @@
 	r.zoneLink.decreasedAt = 100
 	assert.Equal(t, 15.0, r.maxCopyAge(req, a))
 	r.purges[purgeKey{object: "x"}] = 97
-	assert.InDelta(t, 3-purgeAgeMargin, r.maxCopyAge(req, a), 1e-9)
-	r.class(0).latePriority, r.purges = 0.6, nil
+	assert.InDelta(t, 3-purgeAgeMarginSeconds, r.maxCopyAge(req, a), 1e-9)
+	r.class(0).latePriorityShare, r.purges = 0.6, nil
 	assert.Zero(t, r.maxCopyAge(req, a), "a late answer is worth more")
 }
 
--- a/routing/request.go
+++ b/routing/request.go
@@ -8,18 +8,18 @@
 // request is an open request with what is wanted for it.
 type request struct {
 	RequestArrived
-	token         uint64 // of its timers
-	arrivedAt     float64
-	sendSeconds   float64 // of its size
-	priorityPerKB float64
-	objective     float64 // s, of its size
-	chunk         *chunk
-	object        *object
-	firstOfChunk  bool // no request for the chunk was seen before
-	state         requestState
-	attempts      []*attempt
-	wakeAt        float64 // when it is to be planned again
-	timerAt       float64 // when its next timer fires, 0 for none
+	token            uint64 // of its timers
+	arrivedAt        float64
+	sendSeconds      float64 // of its size
+	priorityPerKB    float64
+	objectiveSeconds float64 // s, of its size
+	chunk            *chunk
+	object           *object
+	firstOfChunk     bool // no request for the chunk was seen before
+	state            requestState
+	attempts         []*attempt
+	wakeAt           float64 // when it is to be planned again
+	timerAt          float64 // when its next timer fires, 0 for none
 }
 
 // requestState is where a request is between its arrival and its end. These are all transitions; Router.moveRequest
@@ -65,7 +65,7 @@
 	r.requests[req.Request] = req
 	r.requestsByToken[req.token] = req
 	req.object = r.findOrAddObject(req.Object, req.ObjectGroup)
-	req.object.lastRequest = r.now
+	req.object.lastRequestAt = r.now
 	req.chunk = req.object.findOrAddChunk(req.Chunk)
 	req.firstOfChunk = !req.chunk.requested
 }
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	idempotencyMargin = 0.25 // s kept free of an idempotency key's window for the way to the endpoint
-	sendMargin        = 0.05 // s before an attempt may not be begun any more: for the way to the socket
-	retryAfterMean    = 1.5  // s that a rejected client is told to wait: congestion lasts seconds
-	retryAfterLeast   = 0.5  // share of the mean that is told at least; up to once the mean is drawn on top
-	endpointPause     = 0.1  // s after an attempt's end in which its request leaves that endpoint alone
+	idempotencyMarginSeconds = 0.25 // s kept free of an idempotency key's window for the way to the endpoint
+	sendMarginSeconds        = 0.05 // s before an attempt may not be begun any more: for the way to the socket
+	retryAfterMeanSeconds    = 1.5  // s that a rejected client is told to wait: congestion lasts seconds
+	retryAfterLeastShare     = 0.5  // share of the mean that is told at least; up to once the mean is drawn on top
+	endpointPauseSeconds     = 0.1  // s after an attempt's end in which its request leaves that endpoint alone
 )
 
 // provesNotRun says whether the request can't have had its effect at the endpoint.
@@ -32,7 +32,7 @@
 
 // hasRetriesLeft says whether a request of a class that had some attempts may have one more.
 func (r *Router) hasRetriesLeft(class *class, attempts int) bool {
-	exhausted := class.retryBudgetSpent && attempts > 0
+	exhausted := class.retryBudgetExhausted && attempts > 0
 	return !exhausted && float64(attempts) < r.number(SettingMaxAttempts, 1)
 }
 
@@ -42,19 +42,21 @@
 	if class.effect == Idempotent || !a.mayHaveRun() {
 		return false
 	}
-	windowEnd := a.sentAt + class.idempotencyWindow - idempotencyMargin
+	windowEnd := a.sentAt + class.idempotencyWindowSeconds - idempotencyMarginSeconds
 	return class.effect != WithIdempotencyKey || r.now > windowEnd
 }
 
 // barredByRetryBudget says whether a request that had some attempts may not go to an endpoint, whose budget of retries
 // is exhausted. It guards against retries that add to the load of an endpoint that fails under load.
-func barredByRetryBudget(e *endpoint, attempts int) bool { return e.retryBudgetSpent && attempts > 0 }
+func barredByRetryBudget(e *endpoint, attempts int) bool {
+	return e.retryBudgetExhausted && attempts > 0
+}
 
 // triedAlready says whether a request has used an endpoint: at all at the first level of strictness, just now at the
 // others. Used tells whether an attempt has used it as target, or as source.
 func triedAlready(req *request, e *endpoint, level strictness, now float64, used usedFunc) bool {
 	for _, a := range req.attempts {
-		if used(a, e) && (level == untried || now < a.endedAt+endpointPause) {
+		if used(a, e) && (level == untried || now < a.endedAt+endpointPauseSeconds) {
 			return true
 		}
 	}
@@ -70,10 +72,10 @@
 	class := r.class(req.Class)
 	for _, a := range req.attempts {
 		if class.effect == WithIdempotencyKey && a.sentAt < r.now && a.mayHaveRun() {
-			latest = min(latest, a.sentAt+class.idempotencyWindow)
+			latest = min(latest, a.sentAt+class.idempotencyWindowSeconds)
 		}
 	}
-	return max(latest-sendMargin, r.now)
+	return max(latest-sendMarginSeconds, r.now)
 }
 
 // inDeduplicationScope keeps a request that may have run where its idempotency key is recognized (rule 2).
@@ -101,14 +103,14 @@
 // that were rejected together do not return together.
 func (r *Router) retryAfterSeconds() float64 {
 	allowed := indicator(r.settings.Bool(SettingRetryAfterAllowed))
-	return min(allowed*retryAfterMean*(retryAfterLeast+r.nextRandom()), r.number(SettingMaxRetryAfter, 0))
+	return min(allowed*retryAfterMeanSeconds*(retryAfterLeastShare+r.nextRandom()), r.number(SettingMaxRetryAfter, 0))
 }
 
 // retryBudgetChanged notes whether there are retries left for an endpoint, or for a class where none is named.
 func (r *Router) retryBudgetChanged(ev RetryBudgetChanged) {
 	if e := r.findEndpoint(ev.Endpoint); e != nil {
-		e.retryBudgetSpent = !ev.Available
+		e.retryBudgetExhausted = !ev.Available
 	} else if ev.Endpoint == "" {
-		r.class(ev.Class).retryBudgetSpent = !ev.Available
+		r.class(ev.Class).retryBudgetExhausted = !ev.Available
 	}
 }
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -22,7 +22,7 @@
 		r.now = 104.9
 		r.plan(req)
 		assert.Nil(t, finalAction(r), "before its time")
-		r.now = 105 - deadlineMargin
+		r.now = 105 - deadlineMarginSeconds
 		req.attempts = req.attempts[:1]
 		r.plan(req)
 		assert.IsType(t, c.want, finalAction(r), c.effect)
@@ -50,7 +50,7 @@
 func TestIdempotencyWindowCountsFromAttemptThatMayHaveRun(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	req := addSentRequest(r, ConnectionBroken, false)
-	r.now = 105 - idempotencyMargin
+	r.now = 105 - idempotencyMarginSeconds
 	assert.True(t, r.mayRetry(req))
 	r.now += 0.001
 	assert.False(t, r.mayRetry(req))
@@ -89,7 +89,7 @@
 	r.Decide(100, RetryBudgetChanged{Class: 0, Available: true})
 	assert.True(t, r.mayRetry(once))
 	e := r.findOrAddEndpoint("c0")
-	e.limit = 5
+	e.limiter.limit = 5
 	once.attempts[0].target = r.findOrAddEndpoint("c1")
 	used := func(*attempt, *endpoint) bool { return false }
 	r.Decide(100, RetryBudgetChanged{Endpoint: "c0"})
@@ -107,14 +107,14 @@
 	r := newTestRouter(WithIdempotencyKey)
 	r.settings[SettingDrainGrace], r.settings[SettingPurgeGrace] = "1", "0.5"
 	first := actionsOf[StartAttempt](r.Decide(100, newArrival("a", "x")))
-	assert.InDelta(t, 100.5-sendMargin, first[0].SendBefore, 1e-9)
+	assert.InDelta(t, 100.5-sendMarginSeconds, first[0].SendBefore, 1e-9)
 
 	req := addSentRequest(r, ConnectionBroken, false)
 	r.now = 104.6
-	assert.InDelta(t, 105-sendMargin, r.sendBefore(req), 1e-9)
+	assert.InDelta(t, 105-sendMarginSeconds, r.sendBefore(req), 1e-9)
 	req.attempts[0].result = Overloaded // it did not run
 	req.Deadline = 109
-	assert.InDelta(t, 105.1-sendMargin, r.sendBefore(req), 1e-9)
+	assert.InDelta(t, 105.1-sendMarginSeconds, r.sendBefore(req), 1e-9)
 	r.now = 108.99
 	assert.InDelta(t, 108.99, r.sendBefore(req), 1e-9, "not before now: the deadline itself bounds it")
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -3,12 +3,12 @@
 import "cmp"
 
 const (
-	deadlineMargin       = 0.006 // s before the deadline at which a request is given up: a few ticks of the clock
-	queueShare           = 0.8   // share of the objective by which a queued request's attempt has to end
-	queuedSendTimes      = 2.0   // sending times that a queued request's attempt needs: the paths are full then
-	queueRecheckInterval = 0.1   // s between the plans of a queued request that nothing else wakes
-	maxQueueRetries      = 12    // queued requests planned after each end of an attempt: bounds the work
-	unknownSizeKB        = 1.0   // size of a chunk where sizes are not known: chunks are counted then
+	deadlineMarginSeconds = 0.006 // s before the deadline at which a request is given up: a few ticks of the clock
+	queueShare            = 0.8   // share of the objective by which a queued request's attempt has to end
+	queuedSendTimes       = 2.0   // sending times that a queued request's attempt needs: the paths are full then
+	queueRecheckSeconds   = 0.1   // s between the plans of a queued request that nothing else wakes
+	maxQueueRetries       = 12    // queued requests planned after each end of an attempt: bounds the work
+	unknownSizeKB         = 1.0   // size of a chunk where sizes are not known: chunks are counted then
 )
 
 // updateEndpoints takes news of the endpoints. One that started again is empty, cold and unjudged.
@@ -32,9 +32,9 @@
 	if pace := r.number(SettingTransferRate, 0); pace > 0 {
 		req.sendSeconds = arrived.SizeKB / pace
 	}
-	req.objective = class.objective + req.sendSeconds*class.objectiveStretch
+	req.objectiveSeconds = class.objectiveSeconds + req.sendSeconds*class.objectiveStretch
 	req.priorityPerKB = class.priority / arrived.SizeKB
-	class.sendSamples = appendSample(class.sendSamples, req.sendSeconds, maxSendSamples)
+	class.sendSecondsSamples = appendSample(class.sendSecondsSamples, req.sendSeconds, maxSendSamples)
 	r.forgetIdleObjects()
 	r.addRequest(req)
 	r.plan(req)
@@ -62,7 +62,7 @@
 		r.addAttempt(req, next)
 	case queueRequest:
 		r.moveRequest(req, requestQueued)
-		req.wakeAt = min(req.wakeAt, max(queueUntil(req), r.now+queueRecheckInterval))
+		req.wakeAt = min(req.wakeAt, max(queueUntil(req), r.now+queueRecheckSeconds))
 	case giveUp:
 		r.penalizeUnanswered(req)
 		return r.chooseFinalAction(req)
@@ -106,17 +106,17 @@
 }
 
 // answerBy is when a request is given up, so that its final action is out before the client's deadline.
-func answerBy(req *request) float64 { return req.Deadline - deadlineMargin }
+func answerBy(req *request) float64 { return req.Deadline - deadlineMarginSeconds }
 
 // queueUntil is until when an attempt on full paths that begins then is still in time.
 func queueUntil(req *request) float64 {
-	return req.arrivedAt + queueShare*req.objective - queuedSendTimes*req.sendSeconds
+	return req.arrivedAt + queueShare*req.objectiveSeconds - queuedSendTimes*req.sendSeconds
 }
 
 // worthQueueing says whether a request that no endpoint has room for may wait for room. It guards against attempts that
 // are sent too late to be of use and fill the paths of others: these show as late answers after a burst is over.
 func (r *Router) worthQueueing(req *request) bool {
-	return r.now < queueUntil(req) && len(r.caches.members) > 0
+	return r.now < queueUntil(req) && len(r.caches.endpoints) > 0
 }
 
 // addAttempt wants another attempt and decides how old its copy may be and whether a filled one is kept.
@@ -127,8 +127,8 @@
 	if len(req.attempts) == 0 {
 		r.updateGap(req, next.target)
 	}
-	next.maxAge = r.maxCopyAge(req, next)
-	next.suspectAt = suspectTime(r.now, r.class(req.Class).objective, req.sendSeconds)
+	next.maxAgeSeconds = r.maxCopyAge(req, next)
+	next.suspectAt = suspectTime(r.now, r.class(req.Class).objectiveSeconds, req.sendSeconds)
 	req.attempts = append(req.attempts, next)
 	req.wakeAt = min(req.wakeAt, next.suspectAt)
 }
@@ -165,7 +165,7 @@
 	a.sendBefore = r.sendBefore(req)
 	join, revalidate := r.settings.Bool(SettingFillJoining), r.class(req.Class).freshSeconds > 0
 	r.actions = append(r.actions, a.startAction(req, join, revalidate))
-	a.target.inFlight++
+	a.target.limiter.inFlight++
 	for _, l := range a.fillLimiters {
 		l.inFlight += a.expectedFills
 	}
@@ -185,7 +185,7 @@
 		}
 		if a.state == attemptAwaited {
 			waiting = true
-			req.wakeAt = min(req.wakeAt, max(a.suspectAt, r.now+suspectRecheckInterval))
+			req.wakeAt = min(req.wakeAt, max(a.suspectAt, r.now+suspectRecheckSeconds))
 		}
 	}
 	return inFlight, waiting
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -43,7 +43,7 @@
 	for kb, most := range map[float64]float64{20: queueShare*0.54 - 0.04, 100: queueShare*0.7 - 0.2, 4000: 0} {
 		r := newTestRouter(Idempotent)
 		for _, e := range r.endpoints {
-			e.limit, e.provenLimit = 0, 0
+			e.limiter.limit, e.limiter.provenLimit = 0, 0
 		}
 		a := newArrival("t", "x")
 		a.SizeKB = kb // at 1000 KB a second, the objective being half a second and two sending times
@@ -61,8 +61,8 @@
 
 func TestQueueReleasesHighestPriorityPerKBFirst(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
-	for _, c := range r.caches.members {
-		c.limit, c.provenLimit = 0, 0
+	for _, c := range r.caches.endpoints {
+		c.limiter.limit, c.limiter.provenLimit = 0, 0
 	}
 	big, small := newArrival("big", "x"), newArrival("small", "x")
 	big.SizeKB = 400
@@ -70,8 +70,8 @@
 	r.Decide(100, small)
 	req := addSentRequest(r, 0, true)
 	r.moveRequest(req, requestEnded)
-	for _, c := range r.caches.members {
-		c.limit = 0.5
+	for _, c := range r.caches.endpoints {
+		c.limiter.limit = 0.5
 	}
 	acts := actionsOf[StartAttempt](r.Decide(100.05, AttemptEnded{Request: "t", Endpoint: "c0", Result: Cancelled}))
 	require.NotEmpty(t, acts)
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	zoneDistanceFactor  = 2.0  // times as seldom first in hash order a zone of distance: fills cost more
-	minCacheOnlyHitRate = 0.1  // hit rate where a miss is expected that makes a cache-only attempt worth it
-	minHashWeight       = 1e-3 // capacity that an endpoint counts for at least in the hash order
-	unknownMissRate     = 1.0  // miss rate before enough misses were expected
-	maxMissSamples      = 64   // last attempts expected to miss that the miss rate is taken of: these vary widely
-	minMissSamples      = 8    // of these before their mean is used
-	peerFreshShare      = 0.5  // share of the fresh time after which a peer's copy is too near to its end
-	maxCandidates       = 64   // endpoints of a list that a choice looks at: where these have no room, few others do
+	zoneDistanceFactor   = 2.0  // times as seldom first in hash order a zone of distance: fills cost more
+	minCacheOnlyHitShare = 0.1  // hit rate where a miss is expected that makes a cache-only attempt worth it
+	minHashWeight        = 1e-3 // capacity that an endpoint counts for at least in the hash order
+	unknownMissRate      = 1.0  // miss rate before enough misses were expected
+	maxMissSamples       = 64   // last attempts expected to miss that the miss rate is taken of: these vary widely
+	minMissSamples       = 8    // of these before their mean is used
+	peerFreshShare       = 0.5  // share of the fresh time after which a peer's copy is too near to its end
+	maxCandidates        = 64   // endpoints of a list that a choice looks at: where these have no room, few others do
 )
 
 // chooseAttempt picks the target and the fill's source of a next attempt, or returns nil if nobody has room.
@@ -33,8 +33,8 @@
 	a := &attempt{target: target, source: target, expectedFills: 1}
 	if target.role != edgeCache {
 		a.fill = expectFill
-		if r.uncacheable(req) && len(r.origins.members) > 0 {
-			a.source = r.origins.members[0]
+		if r.uncacheable(req) && len(r.origins.endpoints) > 0 {
+			a.source = r.origins.endpoints[0]
 		}
 		a.fillLimiters = []*limiter{&r.zoneLink}
 		return a
@@ -91,7 +91,7 @@
 // the endpoint as target, or as source.
 func (r *Router) usable(req *request, e *endpoint, level strictness, used usedFunc) bool {
 	return !r.barredByEjection(e, level) &&
-		e.hasRoomFor(req.Write, r.now) &&
+		e.limiter.hasRoomFor(req.Write, r.now) &&
 		!barredByRetryBudget(e, len(req.attempts)) &&
 		!triedAlready(req, e, level, r.now, used) &&
 		r.withinColdBudget(req, e)
@@ -130,7 +130,7 @@
 	if r.uncacheable(req) || slices.ContainsFunc(req.attempts, isCacheOnly) {
 		return false
 	}
-	return a.fill == sourceOnly || r.missRate() <= 1-minCacheOnlyHitRate
+	return a.fill == sourceOnly || r.missRate() <= 1-minCacheOnlyHitShare
 }
 
 // missRate is the share of the last attempts expected to miss that did.
@@ -148,8 +148,8 @@
 	fresh := r.class(req.Class).freshSeconds
 	for _, e := range req.chunk.holders {
 		copied := e.cached[req.chunk]
-		if e.listed.list == &r.caches && e != target && e.ejectedUntil <= r.now && e.hasRoom(r.now) &&
-			r.withinColdBudget(req, e) && r.now-copied.lastUsed < r.horizon(e) &&
+		if e.listed.list == &r.caches && e != target && e.ejectedUntil <= r.now && e.limiter.hasRoom(r.now) &&
+			r.withinColdBudget(req, e) && r.now-copied.lastUsedAt < r.horizon(e) &&
 			(fresh == 0 || r.now-copied.filledAt < peerFreshShare*fresh) {
 			return e
 		}
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -11,12 +11,12 @@
 
 func TestHashOrderIsStableAndSkipsFullCaches(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
-	all := highestByHash("x", r.caches.members, 3)
-	less := highestByHash("x", slices.DeleteFunc(slices.Clone(r.caches.members), func(e *endpoint) bool {
+	all := highestByHash("x", r.caches.endpoints, 3)
+	less := highestByHash("x", slices.DeleteFunc(slices.Clone(r.caches.endpoints), func(e *endpoint) bool {
 		return e == all[0]
 	}), 3)
 	assert.Equal(t, []EndpointID{all[1].ID, all[2].ID}, []EndpointID{less[0].ID, less[1].ID})
-	all[0].inFlight = all[0].limit // it has no room
+	all[0].limiter.inFlight = all[0].limiter.limit // it has no room
 	starts := actionsOf[StartAttempt](r.Decide(100, newArrival("t", "x")))
 	require.Len(t, starts, 1)
 	assert.Equal(t, all[1].ID, starts[0].Endpoint)
@@ -31,7 +31,7 @@
 			{ID: "p0", Kind: 1, Weight: 20, Status: status},
 		}})
 		p := r.findOrAddObject("x", 0).findOrAddChunk(0)
-		r.findOrAddEndpoint("c0").addCached(&cachedChunk{chunk: p, sizeKB: 1, lastUsed: 100}, p.gapKey())
+		r.findOrAddEndpoint("c0").addCached(&cachedChunk{chunk: p, sizeKB: 1, lastUsedAt: 100}, p.gapKey())
 		for i := range 5 {
 			starts := actionsOf[StartAttempt](r.Decide(100, newArrival(RequestID(fmt.Sprint(i)), "x")))
 			assert.Len(t, starts, 1)
@@ -49,7 +49,7 @@
 	r.classifyEndpoints()
 	near := 0
 	for i := range 300 {
-		if highestByHash(fmt.Sprint(i), r.parents.members, 1)[0].ID == "p0" {
+		if highestByHash(fmt.Sprint(i), r.parents.endpoints, 1)[0].ID == "p0" {
 			near++
 		}
 	}
@@ -72,7 +72,7 @@
 	r := newTestRouter(WithIdempotencyKey)
 	r.missSamples = []float64{1, 0, 0, 0, 1, 0, 0, 0}
 	req := &request{object: r.findOrAddObject("y", 0), chunk: &chunk{}, firstOfChunk: true}
-	assert.InDelta(t, initialHorizon/0.75, r.gapOf(req, r.findOrAddEndpoint("c0")), 1e-9)
+	assert.InDelta(t, initialHorizonSeconds/0.75, r.gapOf(req, r.findOrAddEndpoint("c0")), 1e-9)
 	require.Len(t, actionsOf[StartAttempt](r.Decide(100, newArrival("t", "x"))), 1)
 	assert.InDelta(t, 0.25, r.zoneLink.inFlight, 1e-9)
 	r.Decide(100.1, AttemptEnded{Request: "t", Endpoint: "c0", Result: Completed, Detail: CacheHit, RequestDone: true})
@@ -81,7 +81,7 @@
 
 func TestFullOriginAllowsCacheOnlyAttemptUpToTheParent(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
-	r.findOrAddEndpoint("o").limit = 0
+	r.findOrAddEndpoint("o").limiter.limit = 0
 	starts := actionsOf[StartAttempt](r.Decide(100, newArrival("t", "x")))
 	require.Len(t, starts, 1)
 	assert.True(t, starts[0].CacheOnly)
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -44,19 +44,19 @@
 
 // class is a request class as the settings have it, and what was last seen of it.
 type class struct {
-	objective          float64 // s, the latency objective of a request without size
-	objectiveStretch   float64 // sending times added to that
-	priority           float64 // weight of an answer in time
-	latePriority       float64 // weight of a late answer
-	idempotencyWindow  float64 // s for which an idempotency key is recognized
-	freshSeconds       float64 // 0 where copies do not expire
-	staleSeconds       float64 // after the fresh time, in which a copy may still be served
-	stalePriority      float64 // share of the priority of such an answer
-	effect             Effect
-	deduplicationScope DeduplicationScope
-	uncacheable        bool
-	retryBudgetSpent   bool
-	sendSamples        []float64 // s, the last sending times
+	objectiveSeconds         float64 // s, the latency objective of a request without size
+	objectiveStretch         float64 // sending times added to that
+	priority                 float64 // weight of an answer in time
+	latePriorityShare        float64 // weight of a late answer
+	idempotencyWindowSeconds float64 // s for which an idempotency key is recognized
+	freshSeconds             float64 // 0 where copies do not expire
+	staleSeconds             float64 // after the fresh time, in which a copy may still be served
+	stalePriorityShare       float64 // share of the priority of such an answer
+	effect                   Effect
+	deduplicationScope       DeduplicationScope
+	uncacheable              bool
+	retryBudgetExhausted     bool
+	sendSecondsSamples       []float64 // s, the last sending times
 }
 
 // class reads what the settings say of a request class, once.
@@ -69,17 +69,17 @@
 		return s.Float(ClassSetting(index, field), otherwise)
 	}
 	read := &class{
-		objective:          number(ClassLatencyObjective, 1),
-		objectiveStretch:   number(ClassObjectiveStretch, 0),
-		priority:           number(ClassPriority, 1),
-		latePriority:       number(ClassLatePriority, 0),
-		idempotencyWindow:  number(ClassIdempotencyWindow, 0),
-		freshSeconds:       s.FloatItem(SettingFreshTime, item, 0),
-		staleSeconds:       s.FloatItem(SettingStaleTime, item, 0),
-		stalePriority:      s.FloatItem(SettingStalePriority, item, 0),
-		effect:             Effect(s[ClassSetting(index, ClassEffect)]),
-		deduplicationScope: DeduplicationScope(s[ClassSetting(index, ClassDeduplicationScope)]),
-		uncacheable:        s.ListItem(SettingUncacheable, item) == "true",
+		objectiveSeconds:         number(ClassLatencyObjective, 1),
+		objectiveStretch:         number(ClassObjectiveStretch, 0),
+		priority:                 number(ClassPriority, 1),
+		latePriorityShare:        number(ClassLatePriority, 0),
+		idempotencyWindowSeconds: number(ClassIdempotencyWindow, 0),
+		freshSeconds:             s.FloatItem(SettingFreshTime, item, 0),
+		staleSeconds:             s.FloatItem(SettingStaleTime, item, 0),
+		stalePriorityShare:       s.FloatItem(SettingStalePriority, item, 0),
+		effect:                   Effect(s[ClassSetting(index, ClassEffect)]),
+		deduplicationScope:       DeduplicationScope(s[ClassSetting(index, ClassDeduplicationScope)]),
+		uncacheable:              s.ListItem(SettingUncacheable, item) == "true",
 	}
 	r.classes[index] = read
 	return read
@@ -103,8 +103,8 @@
 	return r.settings[SettingDiscoveryMode] == DiscoveryOnRequest
 }
 
-// tellsAll says whether endpoints tell the details of all results, failures of sources included.
-func (r *Router) tellsAll() bool { return r.settings[SettingResultDetails] == DetailsOfAll }
+// reportsAllDetails says whether endpoints tell the details of all results, failures of sources included.
+func (r *Router) reportsAllDetails() bool { return r.settings[SettingResultDetails] == DetailsOfAll }
 
 // mayUsePeers says whether misses may be filled by other caches of the zone.
 func (r *Router) mayUsePeers() bool {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -31,7 +31,7 @@
 // workOf is the seconds of sending that an attempt counts for: its class's mean, at a parent its own if more.
 func (r *Router) workOf(req *request, e *endpoint) float64 {
 	class := r.class(req.Class)
-	usual := meanIfEnough(class.sendSamples, minSendSamples, max(req.sendSeconds, class.objective))
+	usual := meanIfEnough(class.sendSecondsSamples, minSendSamples, max(req.sendSeconds, class.objectiveSeconds))
 	return max(usual, indicator(e.role == parentCache)*req.sendSeconds)
 }
 
@@ -49,5 +49,5 @@
 func (r *Router) withinColdBudget(req *request, e *endpoint) bool {
 	warm, window := r.warmShare(e), r.number(SettingOverloadWindow, 1)
 	return warm >= 1 ||
-		r.workOf(req, e)+e.workSince(r.now-window) <= coldBudgetShare*warm*e.Weight*window/e.sharers
+		r.workOf(req, e)+e.workSince(r.now-window) <= coldBudgetShare*warm*e.Weight*window/e.routersSharing
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -13,7 +13,7 @@
 	c := r.findOrAddEndpoint("c0")
 	c.StartedAt = 100
 	req := &request{RequestArrived: RequestArrived{SizeKB: 100}, sendSeconds: 0.1}
-	r.class(0).sendSamples = []float64{.1, .1, .1, .1, .1, .1, .1, .1}
+	r.class(0).sendSecondsSamples = []float64{.1, .1, .1, .1, .1, .1, .1, .1}
 	budget := coldBudgetShare * 0.25 * 4 * 2 // share, capacity and window, one router
 	c.recentWork = []workSample{{100, budget - 0.1}}
 	r.now = 100
@@ -43,7 +43,7 @@
 // All caches and a parent start again at once, and the routers send all that they have. What arrives at each stays,
 // in every window, below what topples it, and each is used.
 func TestColdZoneIsNotOverloadedWhenItReturns(t *testing.T) {
-	const sharers = 6
+	const routersSharing = 6
 	rows := []Endpoint{
 		{ID: "o", Kind: 2, Weight: 1},
 		{ID: "p0", Kind: 1, Weight: 20, StartedAt: 100},
@@ -53,9 +53,10 @@
 		rows = append(rows, Endpoint{ID: EndpointID(id), Zone: 1, Weight: 8, StartedAt: 100})
 	}
 	came := map[EndpointID][]float64{} // times at which an attempt, or a fill, came to an endpoint
-	for i := range sharers {
+	for i := range routersSharing {
 		settings := testSettings(WithIdempotencyKey)
-		settings[SettingRouters], settings[SettingRoutersByZone] = strconv.Itoa(sharers), "0,"+strconv.Itoa(sharers)
+		settings[SettingRouters] = strconv.Itoa(routersSharing)
+		settings[SettingRoutersByZone] = "0," + settings[SettingRouters]
 		r := New(uint64(i), settings)
 		r.Decide(100, EndpointUpdate{Kind: Restored, Endpoints: rows})
 		for n := range 300 { // 50 a second for 6 s, each answered a tenth of a second later by a fill
@@ -101,9 +102,9 @@
 	restarted := Endpoint{ID: "c0", Zone: 1, Weight: 4, StartedAt: 99}
 	r.Decide(100, EndpointUpdate{Kind: Incremental, Endpoints: []Endpoint{restarted}})
 	assert.Empty(t, c.cached)
-	assert.Equal(t, coldLimit, c.limit)
-	c.increase()
-	assert.Equal(t, coldLimit+1, c.limit)
+	assert.Equal(t, coldLimit, c.limiter.limit)
+	c.limiter.increase()
+	assert.Equal(t, coldLimit+1, c.limiter.limit)
 }
 
 func TestColdBudgetHoldsWithoutSizesOrLinks(t *testing.T) {
@@ -118,7 +119,7 @@
 		r.Decide(100, RequestArrived{Request: RequestID(fmt.Sprint(i)), Object: fmt.Sprint("x", i), Deadline: 105})
 	}
 	for _, e := range r.endpoints {
-		assert.LessOrEqual(t, e.workSince(98), coldBudgetShare*r.warmShare(e)*e.Weight*2/e.sharers, e.ID)
+		assert.LessOrEqual(t, e.workSince(98), coldBudgetShare*r.warmShare(e)*e.Weight*2/e.routersSharing, e.ID)
 	}
-	assert.Positive(t, r.findOrAddEndpoint("c").inFlight)
+	assert.Positive(t, r.findOrAddEndpoint("c").limiter.inFlight)
 }
--- a/routing/state.go
+++ b/routing/state.go
@@ -4,12 +4,12 @@
 
 // chunk is a part of an object that is cached and requested by itself.
 type chunk struct {
-	index          int
-	averageGap     float64 // s between requests, as of the last one
-	lastRequest    float64
-	requested      bool
-	filledByParent bool        // since its last purge
-	holders        []*endpoint // caches of the zone that are known to have it, by id
+	index             int
+	averageGapSeconds float64 // s between requests, as of the last one
+	lastRequestAt     float64
+	requested         bool
+	filledByParent    bool        // since its last purge
+	holders           []*endpoint // caches of the zone that are known to have it, by id
 }
 
 // object is what is known of a requested object.
@@ -17,7 +17,7 @@
 	id              string
 	group           int
 	chunks          []*chunk // by index
-	lastRequest     float64
+	lastRequestAt   float64
 	caches, parents hashOrder
 }
 
@@ -60,22 +60,22 @@
 // endpoint is what this router knows of an endpoint.
 type endpoint struct {
 	Endpoint
-	limiter
-	role             role
-	listed           listing
-	zonesAway        float64
-	sharers          float64   // routers that send to it
-	signsOfLife      []float64 // times of the last few
-	recentFailures   []float64 // the last few results, 1 for a failure
-	ejectedUntil     float64
-	removedAt        float64 // when the list first said so, 0 if it does not
-	retryBudgetSpent bool
-	suspectedUntil   float64 // by other routers
-	ejections        int     // since it last worked at its proven limit
-	recentWork       []workSample
-	cached           map[*chunk]*cachedChunk
-	byGap            []*cachedChunk // largest gap first
-	idleSamples      []float64      // s, idle times of chunks before they were missed
+	limiter              limiter
+	role                 role
+	listed               listing
+	zonesAway            float64
+	routersSharing       float64   // routers that send to it
+	heardAt              []float64 // times of the last few
+	recentFailures       []float64 // the last few results, 1 for a failure
+	ejectedUntil         float64
+	removedAt            float64 // when the list first said so, 0 if it does not
+	retryBudgetExhausted bool
+	suspectedUntil       float64 // by other routers
+	ejections            int     // since it last worked at its proven limit
+	recentWork           []workSample
+	cached               map[*chunk]*cachedChunk
+	byGap                []*cachedChunk // largest gap first
+	idleSeconds          []float64      // s, idle times of chunks before they were missed
 }
 
 // Router decides for one instance. Its zero value is of no use: see New.
@@ -132,24 +132,24 @@
 	return greatest
 }
 
-func (e *endpoint) recordSign(now float64) {
-	e.signsOfLife = appendSample(e.signsOfLife, now, maxAnswerTimes)
+func (e *endpoint) recordHeard(now float64) {
+	e.heardAt = appendSample(e.heardAt, now, maxHeardTimes)
 }
 
-// lastHeard is the time of the last sign of life, 0 for none.
-func (e *endpoint) lastHeard() float64 {
-	if len(e.signsOfLife) == 0 {
+// lastHeardAt is the time of the last sign of life, 0 for none.
+func (e *endpoint) lastHeardAt() float64 {
+	if len(e.heardAt) == 0 {
 		return 0
 	}
-	return e.signsOfLife[len(e.signsOfLife)-1]
+	return e.heardAt[len(e.heardAt)-1]
 }
 
-// signInterval is the mean time between the last few signs of life, 0 if there are fewer than two.
-func (e *endpoint) signInterval() float64 {
-	if len(e.signsOfLife) < 2 {
+// heardIntervalSeconds is the mean time between the last few signs of life, 0 if there are fewer than two.
+func (e *endpoint) heardIntervalSeconds() float64 {
+	if len(e.heardAt) < 2 {
 		return 0
 	}
-	return (e.lastHeard() - e.signsOfLife[0]) / float64(len(e.signsOfLife)-1)
+	return (e.lastHeardAt() - e.heardAt[0]) / float64(len(e.heardAt)-1)
 }
 
 // appendSample appends to the last samples, of which it keeps a number at most.
