--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -123,9 +123,6 @@
 func isFromPeer(a *attempt) bool  { return a.fill == fillFromPeer }
 func isInFlight(a *attempt) bool  { return a.state.inFlight() }
 
-// slownessOf is how long an attempt is in flight over the time after which it is suspected, which goes by its size.
-func (r *Router) slownessOf(a *attempt) float64 { return (r.now - a.sentAt) / (a.suspectAt - a.sentAt) }
-
 // startAction is the action that starts an attempt of a request.
 func (a *attempt) startAction(req *request, join, revalidate bool) StartAttempt {
 	return StartAttempt{
--- a/routing/cachestate.go
+++ b/routing/cachestate.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"maps"
 	"slices"
 )
 
@@ -16,17 +15,6 @@
 	sequence   uint64 // orders chunks of the same gap key
 }
 
-// purgeKey names what a purge invalidates: an object, or a group where there is none.
-type purgeKey struct {
-	object string
-	group  int
-}
-
-// gapKey orders chunks by their gaps, largest first. The order is the same at any time.
-func (c *chunk) gapKey() float64 {
-	return newestGapShare*c.lastRequestAt - (1-newestGapShare)*c.averageGapSeconds
-}
-
 func compareGapKeys(a, b *cachedChunk) int {
 	return cmp.Or(cmp.Compare(a.gapKey, b.gapKey), cmp.Compare(a.sequence, b.sequence))
 }
@@ -99,59 +87,6 @@
 	return copied
 }
 
-// findOrAddObject finds an object, or adds it.
-func (r *Router) findOrAddObject(id string, group int) *object {
-	if r.objects[id] == nil {
-		r.objects[id] = &object{id: id, group: group}
-	}
-	return r.objects[id]
-}
-
-// findOrAddChunk finds a chunk of the object, or adds it.
-func (o *object) findOrAddChunk(index int) *chunk {
-	at, found := slices.BinarySearchFunc(o.chunks, index, func(c *chunk, index int) int {
-		return cmp.Compare(c.index, index)
-	})
-	if !found {
-		o.chunks = slices.Insert(o.chunks, at, &chunk{index: index})
-	}
-	return o.chunks[at]
-}
-
-// recordPurge remembers a purge and forgets what was thought cached of it.
-func (r *Router) recordPurge(p Purge) {
-	key := purgeKey{object: p.Object}
-	if p.Object == "" {
-		key.group = p.ObjectGroup
-	}
-	r.purges[key] = max(r.purges[key], r.now-p.AgeSeconds)
-	if len(r.purges) > maxPurges {
-		r.forgetOldestPurges()
-	}
-	if p.Object != "" {
-		if o := r.objects[p.Object]; o != nil {
-			o.dropCached()
-		}
-		return
-	}
-	for _, o := range r.objects {
-		if o.group == p.ObjectGroup {
-			o.dropCached()
-		}
-	}
-}
-
-// forgetOldestPurges drops an eighth of the purges, so that it is not done for each one.
-func (r *Router) forgetOldestPurges() {
-	times := make([]float64, 0, len(r.purges))
-	for _, at := range r.purges {
-		times = append(times, at)
-	}
-	slices.Sort(times)
-	r.purgesForgottenUntil = max(r.purgesForgottenUntil, times[len(times)/8])
-	maps.DeleteFunc(r.purges, func(_ purgeKey, at float64) bool { return at <= r.purgesForgottenUntil })
-}
-
 // dropCached forgets what is thought cached of an object.
 func (o *object) dropCached() {
 	for _, c := range o.chunks {
@@ -161,19 +96,3 @@
 		}
 	}
 }
-
-// forgetIdleObjects forgets objects that were idle for long, sooner if there are too many.
-func (r *Router) forgetIdleObjects() {
-	if r.now < r.sweptAt+sweepIntervalSeconds && len(r.objects) < maxObjects {
-		return
-	}
-	r.sweptAt = r.now
-	for age := forgetAfterSeconds; age == forgetAfterSeconds || len(r.objects) > maxObjects/2; age /= 2 {
-		for id, o := range r.objects {
-			if r.now-o.lastRequestAt >= age {
-				o.dropCached()
-				delete(r.objects, id)
-			}
-		}
-	}
-}
--- a/routing/caching.go
+++ b/routing/caching.go
@@ -5,36 +5,49 @@
 	"math"
 )
 
-// Keeping a fill or passing it is decided as in Cafe Cache (docs/design.md); its symbols are in parentheses.
+// Storing a fill or passing it is decided as in Cafe Cache (docs/design.md); its symbols are in parentheses.
 const (
-	fillCostRatio         = 0.75   // (alpha) cost of a kept fill over a pass: only a fill leaves a copy
-	newestGapShare        = 0.25   // (gamma) weight of the newest gap between requests in the mean gap
-	initialHorizonSeconds = 10.0   // s, (T) before any idle time was seen
-	maxIdleSamples        = 10     // idle times that the horizon (T) is the mean of: few, so that changes show soon
-	minHorizonSeconds     = 1.0    // s, (T) at least: a purge heard late must not close the cache to new chunks
-	storedRank            = 2      // retention rank of 1 to 3 of a kept chunk: the middle one
-	cachedIdleHorizons    = 3.0    // horizons of idle time after which a chunk has surely been evicted
-	congestionSeconds     = 1.0    // s after a decrease for which stale copies will do: congestion passes slower
-	forgetAfterSeconds    = 60.0   // s of idle time after which an object or a removed endpoint is forgotten
-	sweepIntervalSeconds  = 5.0    // s between searches for idle objects
-	maxObjects            = 131072 // objects remembered, some tens of MB; above it forgetting is faster
-	maxPurges             = 16384  // purges remembered, some MB: hours of them, as caches may return with a disk
-	purgeAgeMarginSeconds = 1e-4   // s by which a copy must be younger than a purge: rounding of times
-	minCopyAgeSeconds     = 2e-6   // s, an age that no rounding turns into 0, which means any age
+	fillCostRatio         = 0.75 // (alpha) cost of a stored fill over a pass: only a fill leaves a copy
+	newestGapShare        = 0.25 // (gamma) share of the newest gap between requests in the mean gap
+	initialHorizonSeconds = 10.0 // (T) before any idle time was seen
+	minHorizonSeconds     = 1.0  // (T) at least: a purge heard late must not close the cache to new chunks
+	maxIdleSamples        = 10   // idle times that the horizon (T) is the mean of: few, so that changes show soon
+	storedRank            = 2    // retention rank, of 1 to 3, of a stored chunk: the middle one
+	cachedIdleHorizons    = 3.0  // horizons of idle time after which a chunk has surely been evicted
 )
 
-// The costs of sending a KB, by which a kept fill is compared with a pass.
+// How old a copy may be.
+const (
+	congestionSeconds     = 1.0  // time after a decrease in which stale copies will do: congestion passes slower
+	purgeAgeMarginSeconds = 1e-4 // by which a copy must be younger than a purge: times are rounded on the wire
+	minCopyAgeSeconds     = 2e-6 // an age that no rounding turns into 0, which means any age
+)
+
+// For how long objects are remembered.
+const (
+	forgetObjectSeconds  = 60.0   // idle time after which an object is forgotten
+	sweepIntervalSeconds = 5.0    // time between searches for idle objects
+	maxObjects           = 131072 // objects remembered: bounds memory
+	objectsAfterSweep    = maxObjects / 2
+)
+
+// The costs of sending a KB, by which a stored fill is compared with a pass.
 const (
 	fillCost    = 2 * fillCostRatio / (fillCostRatio + 1) // (C_F)
 	passCost    = 2 / (fillCostRatio + 1)                 // (C_R)
-	refetchCost = min(fillCost, passCost)                 // of sending a chunk once more that was not kept
+	refetchCost = min(fillCost, passCost)                 // of sending a chunk once more that was not stored
 )
 
-// gap is the mean time between requests for the chunk, the time since the last one included.
+// gap is the mean time in seconds between requests for the chunk, the time since the last one included.
 func (c *chunk) gap(now float64) float64 {
 	return newestGapShare*(now-c.lastRequestAt) + (1-newestGapShare)*c.averageGapSeconds
 }
 
+// gapKey orders chunks by their gaps, largest first. The order is the same at any time.
+func (c *chunk) gapKey() float64 {
+	return newestGapShare*c.lastRequestAt - (1-newestGapShare)*c.averageGapSeconds
+}
+
 // gapOf is the mean gap of a request's chunk. A chunk not seen before takes the largest gap of its object's
 // cached chunks. Without any, another router may have seen it with a gap of T: the miss rate says how likely.
 func (r *Router) gapOf(req *request, cache *endpoint) float64 {
@@ -59,7 +72,7 @@
 	r.setGap(req.chunk, gap)
 }
 
-// horizon (T) is the mean idle time after which chunks thought cached were missed.
+// horizon (T) is the mean idle time in seconds after which chunks thought cached were missed.
 func (r *Router) horizon(cache *endpoint) float64 {
 	if len(cache.idleSeconds) == 0 {
 		return initialHorizonSeconds
@@ -67,9 +80,10 @@
 	return max(mean(cache.idleSeconds), minHorizonSeconds)
 }
 
+// uncacheable says whether no copy of a response may be stored or served.
 func (r *Router) uncacheable(req *request) bool { return req.Write || r.class(req.Class).uncacheable }
 
-// shouldStore says whether a missing chunk is kept (serve) or passed without a copy. The cost of a kept fill
+// shouldStore says whether a missing chunk is stored (serve) or passed without a copy. The cost of a stored fill
 // includes later fills of what it evicts, that of a pass later requests for the chunk.
 func (r *Router) shouldStore(req *request, cache *endpoint) bool {
 	if r.uncacheable(req) {
@@ -154,3 +168,20 @@
 	congestedUntil := max(r.originLimiter().decreasedAt, r.zoneLink.decreasedAt) + congestionSeconds
 	return attempts > 0 || r.now < congestedUntil
 }
+
+// forgetIdleObjects forgets objects that were idle for long, sooner if there are too many: memory must not grow with
+// the number of objects that clients ask for.
+func (r *Router) forgetIdleObjects() {
+	if r.now < r.sweptAt+sweepIntervalSeconds && len(r.objects) < maxObjects {
+		return
+	}
+	r.sweptAt = r.now
+	for age := forgetObjectSeconds; age == forgetObjectSeconds || len(r.objects) > objectsAfterSweep; age /= 2 {
+		for id, o := range r.objects {
+			if r.now-o.lastRequestAt >= age {
+				o.dropCached()
+				delete(r.objects, id)
+			}
+		}
+	}
+}
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -19,6 +19,20 @@
 	lateFirstByteShare      = 0.5  // share of that beyond which a first byte is late: its source is slow, not the link
 )
 
+// limiter bounds what this router has in flight at an endpoint, on a link or on the path to the origin. The limit
+// grows with answers in time, fast up to what is proven, and shrinks with late and refused ones. Limits and loads are
+// numbers of attempts in flight, or parts of one where many routers share an endpoint.
+type limiter struct {
+	limit       float64
+	provenLimit float64 // limit in use when the last decrease ended
+	minLimit    float64
+	growthStep  float64 // what a round of answers in time adds above the proven limit
+	inFlight    float64
+	decreasedAt float64
+	pausedUntil float64   // of a limit below one attempt
+	lateSamples []float64 // the last few answers, 1 for a late one
+}
+
 // hasRoom says whether a limiter lets one more attempt through. A limit below 1 is used with pauses.
 func (l *limiter) hasRoom(now float64) bool { return l.inFlight < l.limit && now >= l.pausedUntil }
 
--- a/routing/decide.go
+++ b/routing/decide.go
@@ -1,5 +1,36 @@
 package routing
 
+// Router decides for one instance. Its zero value is of no use: see New.
+type Router struct {
+	settings    Settings
+	numbers     map[SettingName]float64 // settings read as numbers
+	classes     map[ClassIndex]*class
+	randomState uint64
+	now         float64
+	actions     []Action
+
+	endpoints []*endpoint  // by id
+	removed   []*endpoint  // of these, removed from the list and not forgotten
+	caches    endpointList // of this zone
+	parents   endpointList
+	origins   endpointList
+	zoneLink  limiter // the link into the zone
+
+	requests        map[RequestID]*request
+	requestsByToken map[uint64]*request
+	queue           []*request // highest priority a KB first
+	sequence        uint64
+
+	objects              map[string]*object
+	sweptAt              float64              // when idle objects were last searched for
+	purges               map[purgeKey]float64 // time of the newest of each
+	purgesForgottenUntil float64
+
+	slownessSamples   []float64 // the last durations over those after which attempts are suspected
+	unansweredSamples []float64 // the last attempts slower than any of those, 1 for one without an answer
+	missSamples       []float64 // the last attempts expected to miss, 1 for one that was filled
+}
+
 // New returns a router that knows nothing but its settings. Its random numbers follow from the seed.
 func New(seed uint64, settings Settings) *Router {
 	return &Router{
@@ -50,3 +81,18 @@
 	}
 	return r.actions
 }
+
+// The parameters of the linear congruential generator under the permuted one (PCG-XSH-RR, 64 bits of state).
+const (
+	randomMultiplier = 6364136223846793005
+	randomIncrement  = 1442695040888963407
+)
+
+// nextRandom is the next number of a permuted congruential generator, from 0 up to 1.
+func (r *Router) nextRandom() float64 {
+	old := r.randomState
+	r.randomState = old*randomMultiplier + randomIncrement
+	shifted := uint32((old>>18 ^ old) >> 27)
+	rotation := uint32(old >> 59)
+	return float64(shifted>>rotation|shifted<<(-rotation&31)) / (1 << 32)
+}
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -6,6 +6,10 @@
 	"slices"
 )
 
+// forgetEndpointSeconds is the time after which a removed endpoint is forgotten. Until then what was learned of it
+// counts if it is listed again. Memory must not grow with the endpoints of all time.
+const forgetEndpointSeconds = 60.0
+
 // search finds the place of an endpoint in the list by id.
 func (r *Router) search(id EndpointID) (int, bool) {
 	return slices.BinarySearchFunc(r.endpoints, id, func(e *endpoint, id EndpointID) int {
@@ -73,7 +77,7 @@
 			e.removedAt = 0
 			return true
 		}
-		if r.now < e.removedAt+forgetAfterSeconds {
+		if r.now < e.removedAt+forgetEndpointSeconds {
 			return false
 		}
 		e.forgetCached()
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -11,7 +11,7 @@
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	for i := range 20 {
-		now := 100 + float64(i)*forgetAfterSeconds/2
+		now := 100 + float64(i)*forgetEndpointSeconds/2
 		added := Endpoint{ID: EndpointID("n" + strconv.Itoa(i)), Zone: 1, Weight: 4}
 		removed := Endpoint{ID: EndpointID("n" + strconv.Itoa(i-1)), Zone: 1, Status: Removed}
 		r.Decide(now, EndpointUpdate{Endpoints: []Endpoint{added, removed}})
@@ -35,3 +35,15 @@
 		assert.InDelta(t, limitPerCapacity*400, n*r.findOrAddEndpoint("p").limiter.limit, 1e-6, "told %q", told)
 	}
 }
+
+// Until it is forgotten, a removed endpoint that is listed again continues as it was. The time is out of reach of the
+// decision traces: its value is held here.
+func TestRemovedEndpointIsRememberedForAMinute(t *testing.T) {
+	r := newTestRouter(Idempotent)
+	removed := Endpoint{ID: "c0", Zone: 1, Weight: 4, Status: Removed}
+	r.Decide(100, EndpointUpdate{Endpoints: []Endpoint{removed}})
+	r.Decide(159.9, EndpointUpdate{})
+	assert.NotNil(t, r.findEndpoint("c0"))
+	r.Decide(160, EndpointUpdate{})
+	assert.Nil(t, r.findEndpoint("c0"))
+}
--- a/routing/hashorder_test.go
+++ b/routing/hashorder_test.go
@@ -141,7 +141,7 @@
 	onSecond := len(r.caches.endpoints[1].cached)
 	r.Decide(103, EndpointUpdate{Endpoints: []Endpoint{{ID: "c1", Zone: 1, Weight: 4, Status: Removed}}})
 	check(20 - onFirst)
-	r.Decide(103+forgetAfterSeconds, EndpointUpdate{})
+	r.Decide(103+forgetEndpointSeconds, EndpointUpdate{})
 	check(20 - onFirst - onSecond)
 	assert.Nil(t, r.findEndpoint("c1"))
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -81,6 +81,18 @@
 	return enough && r.slownessOf(a) > r.greatestSlowness()
 }
 
+// slownessOf is how long an attempt is in flight over the time after which it is suspected, which goes by its size.
+func (r *Router) slownessOf(a *attempt) float64 { return (r.now - a.sentAt) / (a.suspectAt - a.sentAt) }
+
+// greatestSlowness is that of the last attempts that had an answer, 1 at least.
+func (r *Router) greatestSlowness() float64 {
+	greatest := 1.0
+	for _, slowness := range r.slownessSamples {
+		greatest = max(greatest, slowness)
+	}
+	return greatest
+}
+
 // recordSlowest takes the end of an attempt that was slower than all of late, once there are enough of these: whether
 // there was no answer.
 func (r *Router) recordSlowest(slowness float64, result AttemptResult) {
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -16,6 +16,16 @@
 	maxCandidates        = 64   // endpoints of a list that a choice looks at: where these have no room, few others do
 )
 
+// strictness says which endpoints a request may use. Limits, budgets of retries and cold budgets hold at each level.
+type strictness int
+
+const (
+	untried    strictness = iota // not used by this request, and not ejected
+	retryable                    // not failed for this request just now, and not ejected
+	anyAllowed                   // as before; ejected ones too if there is no other
+	strictnessLevels
+)
+
 // chooseAttempt picks the target and the fill's source of a next attempt, or returns nil if nobody has room.
 func (r *Router) chooseAttempt(req *request) *attempt {
 	caches, parents := r.cacheCandidates(req.object), r.parentCandidates(req.object)
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -1,5 +1,7 @@
 package routing
 
+import "slices"
+
 const (
 	coldLimit       = 2.0 // attempts in flight at an endpoint that has just started; each answer adds one
 	coldBudgetShare = 1.0 // share of a cold endpoint's capacity that is used: half of what topples it
@@ -7,6 +9,9 @@
 	minSendSamples  = 8   // of these before their mean is used
 )
 
+// workSample is work sent to a cold endpoint, in seconds of sending.
+type workSample struct{ at, seconds float64 }
+
 // startingLimit is the limit of an endpoint that starts with some share of its capacity, given the limit that it has
 // once it is warm. Both are numbers of attempts in flight.
 func startingLimit(warmLimit, warmShare float64) float64 {
@@ -51,3 +56,12 @@
 	return warm >= 1 ||
 		r.workOf(req, e)+e.workSince(r.now-window) <= coldBudgetShare*warm*e.Weight*window/e.routersSharing
 }
+
+// workSince adds up what was sent to an endpoint after a time, and forgets the rest.
+func (e *endpoint) workSince(since float64) (seconds float64) {
+	e.recentWork = slices.DeleteFunc(e.recentWork, func(s workSample) bool { return s.at <= since })
+	for _, s := range e.recentWork {
+		seconds += s.seconds
+	}
+	return seconds
+}
