--- a/routing/actions.go
+++ b/routing/actions.go
@@ -31,7 +31,7 @@
 	RetryAfterSeconds float64 // time that the client should stay away, 0 for no advice
 }
 
-// AbortRequest is the final answer that promises nothing.
+// AbortRequest is the final answer that leaves open whether the request ran.
 type AbortRequest struct{ Request RequestID }
 
 // SetTimer asks for a TimerFired with the token.
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -98,7 +98,7 @@
 // missExpected says whether the target is thought to have no copy and another endpoint to have one.
 func (f fillPlan) missExpected() bool { return f == expectFill || f == fillFromPeer || f == sourceOnly }
 
-// cacheOnly says whether an attempt was kept from the path behind its target or its source because that is full.
+// cacheOnly says whether an attempt must not use the path behind its target or its source because that is full.
 func (f fillPlan) cacheOnly() bool { return f == targetOnly || f == sourceOnly }
 
 // blame is whose fault an unexplained failure may be. It counts once another attempt of the request completes.
--- a/routing/cachestate.go
+++ b/routing/cachestate.go
@@ -25,29 +25,29 @@
 	at, _ := slices.BinarySearchFunc(e.byGap, c, compareGapKeys)
 	e.byGap = slices.Insert(e.byGap, at, c)
 	if e.cached[c.chunk] == nil {
-		c.chunk.addHolder(e)
+		c.chunk.addCache(e)
 	}
 	e.cached[c.chunk] = c
 }
 
-// addHolder notes that a cache has the chunk.
-func (c *chunk) addHolder(e *endpoint) {
-	if at, found := slices.BinarySearchFunc(c.holders, e.ID, compareIDs); !found {
-		c.holders = slices.Insert(c.holders, at, e)
+// addCache notes that a cache has the chunk.
+func (c *chunk) addCache(e *endpoint) {
+	if at, found := slices.BinarySearchFunc(c.cachedBy, e.ID, compareIDs); !found {
+		c.cachedBy = slices.Insert(c.cachedBy, at, e)
 	}
 }
 
-// removeHolder notes that a cache does not have the chunk.
-func (c *chunk) removeHolder(e *endpoint) {
-	if at, found := slices.BinarySearchFunc(c.holders, e.ID, compareIDs); found {
-		c.holders = slices.Delete(c.holders, at, at+1)
+// removeCache notes that a cache does not have the chunk.
+func (c *chunk) removeCache(e *endpoint) {
+	if at, found := slices.BinarySearchFunc(c.cachedBy, e.ID, compareIDs); found {
+		c.cachedBy = slices.Delete(c.cachedBy, at, at+1)
 	}
 }
 
 // forgetCached forgets all that is thought cached at an endpoint.
 func (e *endpoint) forgetCached() {
 	for c := range e.cached {
-		c.removeHolder(e)
+		c.removeCache(e)
 	}
 	clear(e.cached)
 	e.byGap = nil
@@ -64,17 +64,17 @@
 	}
 	if forget {
 		delete(e.cached, c)
-		c.removeHolder(e)
+		c.removeCache(e)
 	}
 }
 
 // setGap notes a request for a chunk, with its mean gap, and moves the chunk in the caches' orders.
 func (r *Router) setGap(c *chunk, gap float64) {
-	for _, e := range c.holders {
+	for _, e := range c.cachedBy {
 		e.removeCached(c, false)
 	}
 	c.requested, c.averageGapSeconds, c.lastRequestAt = true, gap, r.now
-	for _, e := range c.holders {
+	for _, e := range c.cachedBy {
 		e.addCached(e.cached[c], c.gapKey())
 	}
 }
@@ -91,8 +91,8 @@
 func (o *object) dropCached() {
 	for _, c := range o.chunks {
 		c.filledByParent = false
-		for len(c.holders) > 0 {
-			c.holders[len(c.holders)-1].removeCached(c, true)
+		for len(c.cachedBy) > 0 {
+			c.cachedBy[len(c.cachedBy)-1].removeCached(c, true)
 		}
 	}
 }
--- a/routing/caching.go
+++ b/routing/caching.go
@@ -48,8 +48,8 @@
 	return newestGapShare*c.lastRequestAt - (1-newestGapShare)*c.averageGapSeconds
 }
 
-// gapOf is the mean gap of a request's chunk. A chunk not seen before takes the largest gap of its object's
-// cached chunks. Without any, another router may have seen it with a gap of T: the miss rate says how likely.
+// gapOf is the mean gap of a request's chunk. A chunk not seen before takes the largest gap of its object's cached
+// chunks. Without any, another router may have seen it with a gap of T: the miss rate says how likely.
 func (r *Router) gapOf(req *request, cache *endpoint) float64 {
 	if !req.firstOfChunk {
 		return req.chunk.gap(r.now)
@@ -90,9 +90,7 @@
 		return false
 	}
 	horizon := r.horizon(cache)
-	for len(cache.byGap) > 0 && r.now-cache.byGap[0].lastUsedAt > cachedIdleHorizons*horizon {
-		cache.removeCached(cache.byGap[0].chunk, true)
-	}
+	r.forgetEvicted(cache, horizon)
 	if cache.cached[req.chunk] != nil {
 		return true
 	}
@@ -109,8 +107,16 @@
 	return serve < pass
 }
 
-// recordCached notes what an answer showed of a cache. A fill of a chunk thought cached tells of an eviction:
-// the idle time before it is a sample of the horizon. Chunks that expire tell nothing.
+// forgetEvicted forgets the chunks with the largest gaps that were idle for so many horizons, in seconds, that the
+// cache has surely evicted them.
+func (r *Router) forgetEvicted(cache *endpoint, horizon float64) {
+	for len(cache.byGap) > 0 && r.now-cache.byGap[0].lastUsedAt > cachedIdleHorizons*horizon {
+		cache.removeCached(cache.byGap[0].chunk, true)
+	}
+}
+
+// recordCached notes what an answer showed of a cache. A fill of a chunk thought cached tells of an eviction: the idle
+// time before it is a sample of the horizon. Chunks that expire tell nothing.
 func (r *Router) recordCached(req *request, a *attempt, filled bool) {
 	cache := a.target
 	if cache.role != edgeCache || r.uncacheable(req) {
@@ -145,9 +151,10 @@
 	return age
 }
 
-// ageOfNewestPurge is the age that a copy has to be younger than to be served after the purges of its object, +Inf
-// without any. It guards against purged copies (rule 5) on the disk of a cache that was down: purges are remembered
-// for longer than caches run, and forgotten ones count for endpoints that started since.
+// ageOfNewestPurge is the age in seconds that a copy must not have reached to be served after the purges of its object,
+// +Inf without any. It guards against purged copies (rule 5) on the disk of a cache that was down during the purge.
+// They show as old content from one cache alone, long after the others dropped theirs. Purges are remembered however
+// old they are, and those that were forgotten count for endpoints that started since.
 func (r *Router) ageOfNewestPurge(req *request, a *attempt) float64 {
 	purgedAt := max(r.purges[purgeKey{object: req.Object}], r.purges[purgeKey{group: req.ObjectGroup}])
 	for _, e := range [2]*endpoint{a.target, a.source} {
--- a/routing/caching_test.go
+++ b/routing/caching_test.go
@@ -40,9 +40,9 @@
 	assert.True(t, math.IsInf(r.gapOf(unseen, r.findOrAddEndpoint("c1")), 1))
 }
 
-// With a horizon of 10 s and a chunk of 100 KB, a kept fill costs 100 times the fill cost and what it evicts, a pass
+// With a horizon of 10 s and a chunk of 100 KB, a stored fill costs 100 times the fill cost and what it evicts, a pass
 // 100 times the pass cost and 100 times 10/gap.
-func TestShouldStoreComparesKeepingWithPassing(t *testing.T) {
+func TestShouldStoreComparesStoringWithPassing(t *testing.T) {
 	cf, cr := 2*fillCostRatio/(fillCostRatio+1), 2/(fillCostRatio+1)
 	for _, gap := range []float64{2, 8, 60} {
 		for _, old := range []float64{1, 5, 20} {
@@ -66,7 +66,7 @@
 	assert.False(t, r.shouldStore(req, r.findOrAddEndpoint("c0")))
 }
 
-func TestPassedFillNamesItsSourceAndKeepsNothing(t *testing.T) {
+func TestPassedFillNamesItsSourceAndStoresNothing(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	for _, c := range r.caches.endpoints { // full of what is wanted all the time
 		p := &chunk{requested: true, lastRequestAt: 100, averageGapSeconds: 0.1}
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -2,21 +2,30 @@
 
 import "math"
 
+// What a limit starts at. Limits are numbers of attempts in flight.
+const (
+	limitPerCapacity = 1.5 // attempts for each transfer of capacity: the objective's stretch allows that
+	burstAllowance   = 1.0 // roots of a cache's share added to it: one router's traffic varies by that much
+	minStartingLimit = 0.1 // attempts at least, for endpoints without weight
+	minLimitShare    = 0.2 // share of the start that a limit never falls below: without answers it learns nothing
+)
+
+// How a limit moves.
 const (
-	limitPerCapacity        = 1.5  // attempts in flight a transfer of capacity: the objective's stretch allows that
-	burstAllowance          = 1.0  // of the root of a cache's share, added to it: one router's traffic varies
-	minStartingLimit        = 0.1  // attempts in flight that a limit starts at, for endpoints without weight
-	minLimitShare           = 0.2  // of its starting value that a limit never falls below: it has to go on learning
 	growthPerRound          = 0.5  // attempts added a round, over the root of the routers: more outruns decreases
 	maxGrowthStep           = 1.0  // attempts added a round at most
 	recoveryStep            = 1.0  // attempts that an answer in time adds up to the proven limit
 	usedLimitShare          = 0.5  // share of a limit in use above which it grows: an unused one proves nothing
-	decreaseFactor          = 0.8  // of a limit that is left by a late or refused attempt
-	decreaseIntervalSeconds = 0.25 // s between decreases: attempts in flight then tell of the same congestion
-	congestionShare         = 0.15 // share of late answers that tells of congestion: few are chance
-	maxLateSamples          = 10   // answers of a limiter whose lateness counts: few, so that changes show soon
-	timelyShare             = 0.8  // share of the objective beyond which an answer is late; 1 is too late to react
-	lateFirstByteShare      = 0.5  // share of that beyond which a first byte is late: its source is slow, not the link
+	decreaseFactor          = 0.8  // share of a limit that a late or refused attempt leaves
+	decreaseIntervalSeconds = 0.25 // time between decreases: attempts in flight then tell of the same congestion
+	maxLateSamples          = 10   // last answers whose lateness counts: few, so that changes show soon
+	congestionShare         = 0.15 // share of late ones among them that tells of congestion: fewer are chance
+)
+
+// When an answer tells of congestion.
+const (
+	timelyShare        = 0.8 // share of the objective after which an answer is late: at 1 it is too late to react
+	lateFirstByteShare = 0.5 // share of that after which a first byte is late: the source is slow, not the link
 )
 
 // limiter bounds what this router has in flight at an endpoint, on a link or on the path to the origin. The limit
@@ -33,11 +42,13 @@
 	lateSamples []float64 // the last few answers, 1 for a late one
 }
 
-// hasRoom says whether a limiter lets one more attempt through. A limit below 1 is used with pauses.
+// hasRoom says whether a limiter lets one more attempt through. A limit below one attempt is used with pauses: hundreds
+// of routers with one attempt each would overload an endpoint, which shows as late answers while each router has one in
+// flight. With pauses each sends, over time, no more than its share.
 func (l *limiter) hasRoom(now float64) bool { return l.inFlight < l.limit && now >= l.pausedUntil }
 
-// hasRoomFor says whether a limiter lets a request's attempt through. Writes pass a limit that was not decreased since
-// it was last proven: they cannot be answered elsewhere.
+// hasRoomFor says whether a limiter lets a request's attempt through. Writes pass a limit that is not below what was
+// proven.
 func (l *limiter) hasRoomFor(write bool, now float64) bool {
 	return l.hasRoom(now) || (write && l.recovered())
 }
@@ -45,7 +56,8 @@
 // recovered says whether a limit is back where it was before its last decrease.
 func (l *limiter) recovered() bool { return l.limit >= l.provenLimit }
 
-// release takes back an attempt's load after some seconds. Used says that it came as far as this limiter.
+// release takes back an attempt's load after the seconds that it lasted, and closes a limit below the load for as long
+// as its share asks. Used says that the attempt came as far as this limiter.
 func (l *limiter) release(now, load, lastedSeconds float64, used bool) {
 	l.inFlight = max(l.inFlight-load, 0)
 	if used && l.limit < load {
@@ -60,12 +72,14 @@
 	l.provenLimit, l.minLimit = l.limit, minLimitShare*l.limit
 }
 
-// raiseMinimum is for paths behind the caches: few routers see most answers, so decreases are small.
+// raiseMinimum is for paths behind the caches. It guards against a limit that is decreased to a fifth because a lost
+// parent makes the other's answers late, where few routers see most of these: they are rejected then while the path has
+// room. The fewer routers share a path, the higher is its minimum.
 func (l *limiter) raiseMinimum(routers float64) {
 	l.minLimit = max(minLimitShare, 1/math.Sqrt(routers)) * l.limit
 }
 
-// increase takes an answer in time: by one up to the proven limit, then slowly and while it is used.
+// increase takes an answer in time: the limit grows fast up to the proven limit, then slowly and while it is used.
 func (l *limiter) increase() {
 	l.lateSamples = appendSample(l.lateSamples, 0, maxLateSamples)
 	if l.limit < l.provenLimit {
@@ -132,7 +146,7 @@
 		a.target.limiter.decrease(r.now, false)
 	case end.Detail == FilledByOrigin && a.originLimiter != nil && lateFirstByte:
 		a.originLimiter.decrease(r.now, false)
-	case !r.reportsAllDetails(): // either may be to blame; few routers share the link and most of its fills are seen
+	case !r.reportsAllDetails(): // either may be to blame; few routers share the link, so most of its fills are seen
 		a.source.limiter.decrease(r.now, false)
 		r.zoneLink.decrease(r.now, false)
 	case lateFirstByte:
@@ -142,8 +156,9 @@
 	}
 }
 
-// penalizeUnanswered counts attempts in flight at their request's deadline as late, unless they were taken
-// for lost. It covers congestion without any answer. It does harm where answers are lost on their way back.
+// penalizeUnanswered counts attempts in flight at their request's deadline as late, unless they were taken for lost. It
+// guards against congestion so deep that no answer comes in time: there is no late answer then to decrease a limit, and
+// requests end at their deadline for as long as the load lasts. It does harm where answers are lost on their way back.
 func (r *Router) penalizeUnanswered(req *request) {
 	for _, a := range req.attempts {
 		elapsed := r.now - a.sentAt
--- a/routing/decide_bench_test.go
+++ b/routing/decide_bench_test.go
@@ -92,8 +92,8 @@
 			requestAnswered(r, 100+float64(i)*0.02, i, strconv.Itoa(i))
 		}
 		for id, o := range r.objects {
-			if kept := cap(o.caches.best) + cap(o.parents.best); kept > 32 {
-				t.Fatalf("object %s keeps %d endpoints of %d", id, kept, caches)
+			if stored := cap(o.caches.best) + cap(o.parents.best); stored > 32 {
+				t.Fatalf("object %s stores %d endpoints of %d", id, stored, caches)
 			}
 		}
 	}
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -36,7 +36,7 @@
 }
 
 // mergeEndpoints brings the list up to date and returns the endpoints that are new or have started again. Of those
-// only what is in flight and was sent to them is kept.
+// only what is in flight and was sent to them stays.
 func (r *Router) mergeEndpoints(update EndpointUpdate) (started []*endpoint) {
 	snapshot := update.Kind == Snapshot || update.Kind == Restored
 	if snapshot {
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -20,19 +20,19 @@
 	assert.Len(t, r.caches.endpoints, 4)
 }
 
-// However many routers there are said to be, a request is sent, and all shares together stay near the capacity.
+// Whatever the number of routers is said to be, a request is sent, and all shares together stay near the capacity.
 func TestAnyCountOfRoutersGetsSharesOfTheCapacity(t *testing.T) {
-	for _, told := range []string{"", "0", "-3", "0.5", "1", "400"} {
+	for _, count := range []string{"", "0", "-3", "0.5", "1", "400"} {
 		r := New(7, testSettings(WithIdempotencyKey))
-		r.settings[SettingRouters], r.settings[SettingRoutersByZone] = told, "0,"+told
+		r.settings[SettingRouters], r.settings[SettingRoutersByZone] = count, "0,"+count
 		r.Decide(100, EndpointUpdate{Kind: Restored, Endpoints: []Endpoint{
 			{ID: "o", Kind: 2, Weight: 1},
 			{ID: "c", Zone: 1, Weight: 4},
 			{ID: "p", Kind: 1, Weight: 400},
 		}})
-		assert.Len(t, actionsOf[StartAttempt](r.Decide(100, newArrival("t", "x"))), 1, "told %q", told)
+		assert.Len(t, actionsOf[StartAttempt](r.Decide(100, newArrival("t", "x"))), 1, "number %q", count)
 		n := max(r.settings.Float(SettingRouters, 1), 1)
-		assert.InDelta(t, limitPerCapacity*400, n*r.findOrAddEndpoint("p").limiter.limit, 1e-6, "told %q", told)
+		assert.InDelta(t, limitPerCapacity*400, n*r.findOrAddEndpoint("p").limiter.limit, 1e-6, "number %q", count)
 	}
 }
 
--- a/routing/events.go
+++ b/routing/events.go
@@ -91,7 +91,7 @@
 	return a == Completed || a == ServerError || a == Overloaded || a == CacheMiss
 }
 
-// ResultDetail tells more of a result, where the deployment tells it.
+// ResultDetail says more of a result, where the deployment reports it.
 type ResultDetail int
 
 // The details of a result. From SourceRefused on they say why a fill failed.
@@ -147,7 +147,7 @@
 	LoadReport     []LoadMetric
 }
 
-// Purge invalidates the copies of an object, or of a whole group where Object is empty, that were made more than
+// Purge invalidates the copies of an object, or of all of a group where Object is empty, that were made more than
 // AgeSeconds ago.
 type Purge struct {
 	AgeSeconds  float64
--- a/routing/hashorder.go
+++ b/routing/hashorder.go
@@ -73,7 +73,7 @@
 	l.moves = append(l.moves, e)
 }
 
-// refresh brings an object's order up to date with the list. Only the endpoints that moved are looked at: those that
+// refresh brings an object's order up to date with the list. Only the endpoints that moved are compared: those that
 // stayed keep their order, and one that moved has its place if it is before the last of these.
 func (l *endpointList) refresh(order *hashOrder, object string) {
 	missed := l.version - order.version
@@ -154,8 +154,8 @@
 			continue
 		}
 		score := hashScore(unit, e)
-		at, _ := slices.BinarySearchFunc(scores, score, func(kept, score float64) int {
-			if kept >= score {
+		at, _ := slices.BinarySearchFunc(scores, score, func(better, score float64) int {
+			if better >= score {
 				return -1
 			}
 			return 1
--- a/routing/hashorder_test.go
+++ b/routing/hashorder_test.go
@@ -38,7 +38,7 @@
 }
 
 // TestOrdersFollowTheListLikeASort draws changes of the list: caches that come, go, drain and change their weight, many
-// at once or few. The repaired orders of several objects have to be those that a sort of the whole list gives.
+// at once or few. The repaired orders of several objects have to be those that a sort of the full list gives.
 func TestOrdersFollowTheListLikeASort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := New(7, testSettings(Idempotent))
@@ -81,7 +81,7 @@
 	}
 	c.release()
 	if len(c.order.best) > storedCandidates {
-		t.Fatalf("%d endpoints are kept", len(c.order.best))
+		t.Fatalf("%d endpoints are stored", len(c.order.best))
 	}
 }
 
@@ -109,8 +109,8 @@
 		held := 0
 		for _, o := range r.objects {
 			for _, c := range o.chunks {
-				held += len(c.holders)
-				for _, e := range c.holders {
+				held += len(c.cachedBy)
+				for _, e := range c.cachedBy {
 					assert.NotNil(t, e.cached[c])
 				}
 			}
--- a/routing/object.go
+++ b/routing/object.go
@@ -12,7 +12,7 @@
 	lastRequestAt     float64
 	requested         bool
 	filledByParent    bool        // since its last purge
-	holders           []*endpoint // caches of the zone that are known to have it, by id
+	cachedBy          []*endpoint // caches of the zone that are known to have it, by id
 }
 
 // object is what is known of a requested object.
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-const localRefusalSeconds = 0.004 // s in which only the cache itself can have refused: sources are farther away
+// localRefusalSeconds is the time in which only the cache itself can have refused a fill: sources are farther away.
+const localRefusalSeconds = 0.004
 
 // attemptEnded learns from the end of an attempt and plans its request and then the first of the queued ones.
 func (r *Router) attemptEnded(end AttemptEnded) {
@@ -46,7 +47,8 @@
 	}
 }
 
-// learnFromSuccess counts a completed attempt, and errors before it: one met everywhere is the request's own.
+// learnFromSuccess counts a completed attempt, and the errors of attempts before it. Errors count only now: a request
+// that cannot be served fails everywhere, and would eject one endpoint after another if each error counted at once.
 func (r *Router) learnFromSuccess(req *request, a *attempt, end AttemptEnded, slowness float64) {
 	for _, earlier := range req.attempts {
 		if earlier.blame != noBlame {
@@ -75,9 +77,7 @@
 func (r *Router) learnFromFailure(req *request, a *attempt, end AttemptEnded) {
 	switch end.Detail {
 	case SourceRefused, SourceUnreachable, OriginFailed:
-		// A source that was heard since is not the one that failed: the origin behind it is.
-		heardSince := a.originLimiter != nil && a.source.lastHeardAt() > a.sentAt
-		if end.Detail == OriginFailed || (end.Detail == SourceUnreachable && heardSince) {
+		if originFailed(a, end.Detail) {
 			a.source.recordHeard(r.now)
 			r.originLimiter().decrease(r.now, true)
 			return
@@ -94,7 +94,15 @@
 	}
 }
 
-// learnFromUnexplained judges a failure that tells nothing of its source, which may be at fault all the same.
+// originFailed says whether a fill failed at the origin and not at its source: a source that was heard since the
+// attempt was sent can be reached.
+func originFailed(a *attempt, detail ResultDetail) bool {
+	heardSince := a.originLimiter != nil && a.source.lastHeardAt() > a.sentAt
+	return detail == OriginFailed || (detail == SourceUnreachable && heardSince)
+}
+
+// learnFromUnexplained takes a failure that says nothing of its source, which may be at fault all the same. A refused
+// fill counts as a failure of the source: one that is lost behind a cache shows as refusals of that cache alone.
 func (r *Router) learnFromUnexplained(a *attempt, end AttemptEnded) {
 	refused := end.Result == Overloaded
 	sourceMayBeAtFault := a.fill.missExpected() && a.source != a.target && !r.reportsAllDetails()
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -5,27 +5,32 @@
 	"slices"
 )
 
+// When an attempt is suspected, and when it is lost.
 const (
 	suspectShare            = 0.5  // share of the unstretched objective after which an attempt is suspected
 	suspectSendTimes        = 1.3  // sending times added to that: a busy link stretches a transfer
-	suspectRecheckSeconds   = 0.1  // s between reviews of a suspected attempt
-	minSilenceSeconds       = 0.35 // s without an answer before silence is suspected: over usual pauses
-	minSourceSilenceSeconds = 2 * minSilenceSeconds
-	silenceIntervals        = 4.0 // usual intervals between answers that tell of silence: one in fifty by chance
-	maxHeardTimes           = 10  // last answers of an endpoint whose intervals are its usual ones
-	maxSlownessSamples      = 64  // last answered attempts that a lost one has to be slower than: these vary widely
-	lostSlownessFactor      = 1.3 // times as slow for its size as any of late is lost: congestion slows all
-	maxUnansweredSamples    = 10  // last attempts slower than all of those, of which most had no answer
-	minUnansweredSamples    = 4   // of these before their share counts: fewer are chance
-	unansweredShare         = 0.5 // share of them without an answer from which the next one is lost
-	firstEjectionSeconds    = 1.0 // s of the first ejection: dozens of requests would go there in it
-	maxEjectionSeconds      = 4.0 // s of the longest: an endpoint that is back is wanted soon
-	limitAfterEjection      = 1.0 // attempts in flight at an endpoint that returns; each answer adds one
-	maxResultSamples        = 10  // last results of an endpoint that ejections go by: few, so that changes show soon
-	ejectFailureShare       = 0.5 // share of failures that ejects: below it attempts cost less than a lost cache
-	ejectFailureCount       = 4   // failures at least for that: fewer are chance
-	suspicionEjections      = 2.0 // ejections that other routers' failures count for
-	suspicionThreshold      = 0.5 // suspicion from which one own failure ejects: two honest routers say so
+	suspectRecheckSeconds   = 0.1  // time between reviews of a suspected attempt
+	minSilenceSeconds       = 0.35 // time without a sound of a target before it is silent: over usual pauses
+	minSourceSilenceSeconds = 0.7  // likewise of a source: its answers come through the target
+	silenceIntervals        = 4.0  // usual intervals between sounds after which an endpoint is silent
+	maxHeardTimes           = 10   // last times at which an endpoint was heard: their intervals are the usual ones
+	lostSlownessFactor      = 1.3  // times as slow as any of late that a lost attempt is: congestion slows all
+	maxSlownessSamples      = 64   // last answered attempts that are meant by that: durations vary widely
+	maxUnansweredSamples    = 10   // last attempts slower than all of those: few, so that changes show soon
+	minUnansweredSamples    = 4    // number of them before their share counts: fewer are chance
+	unansweredShare         = 0.5  // share of them without an answer from which another one is lost
+)
+
+// When an endpoint is ejected, and for how long.
+const (
+	maxResultSamples     = 10  // last results of an endpoint that count: few, so that changes show soon
+	ejectFailureCount    = 4   // number of failures among them that ejects at least: fewer are chance
+	ejectFailureShare    = 0.5 // share of them that ejects: below it attempts cost less than a lost cache
+	firstEjectionSeconds = 1.0 // time of the first ejection; each further one is twice as long
+	maxEjectionSeconds   = 4.0 // time of the longest: an endpoint that is back is wanted soon
+	limitAfterEjection   = 1.0 // attempts in flight at an endpoint that returns; each answer adds one
+	suspicionThreshold   = 0.5 // suspicion, of 1, from which one own failure ejects: two honest routers say so
+	suspicionEjections   = 2.0 // number of earlier ejections that other routers' suspicion counts for
 )
 
 // suspectTime is when an attempt that is sent at a time is suspected: after a share of its class's objective, which is
@@ -34,20 +39,22 @@
 	return sentAt + suspectShare*objectiveSeconds + suspectSendTimes*sendSeconds
 }
 
-// healthObserved takes other routers' word. It ejects nothing by itself: an own attempt has to fail too.
+// healthObserved takes other routers' suspicion of an endpoint. It ejects nothing by itself, because other routers may
+// be wrong or lie: an attempt of this router has to fail too.
 func (r *Router) healthObserved(ev HealthObservation) {
 	if e := r.findEndpoint(ev.Endpoint); e != nil {
 		e.suspectedUntil = r.now + ev.ValidSeconds*indicator(ev.Suspicion >= suspicionThreshold)
 	}
 }
 
-// judgeSuspected says whether a suspected attempt is lost, and ejects the endpoint that is silent.
-func (r *Router) judgeSuspected(a *attempt) bool {
+// reviewSuspected says whether a suspected attempt is lost, and ejects an endpoint that is silent. An attempt is lost
+// too if it is slower for its size than any of late and such attempts go unanswered.
+func (r *Router) reviewSuspected(a *attempt) bool {
 	if silent := r.silentEndpoint(a); silent != nil {
 		r.eject(silent)
 		return true
 	}
-	if !r.isUnanswered(a) {
+	if !r.slowestGoUnanswered() || r.slownessOf(a) <= r.greatestSlowness() {
 		return false
 	}
 	raised := lostSlownessFactor * r.slownessOf(a) // so that the next one waits longer
@@ -55,10 +62,12 @@
 	return true
 }
 
-// silentEndpoint judges the target of a suspected attempt, then its source, and returns nil where neither is silent.
-// Silent is one that was not heard since the attempt was sent, several times as long as usual, while the attempt is
-// slower for its size than any of late. It covers hangs, lost machines and cut paths: these show as attempts without an
-// end. It does harm where all become slow at once.
+// silentEndpoint is the target of a suspected attempt, or else its source, if it is silent; nil where neither is.
+//
+// It guards against hangs, lost machines and cut paths. They show as attempts without any end, and as no other answer
+// of that endpoint since. Silence alone is no proof: nothing is heard during a long transfer, and a router with few
+// requests seldom hears an endpoint. So it has to last several times as long as usual, and the attempt has to be slower
+// for its size than any of late. It does harm where all become slow at once.
 func (r *Router) silentEndpoint(a *attempt) *endpoint {
 	suspect, leastSilence := a.target, minSilenceSeconds
 	if suspect.lastHeardAt() >= a.sentAt && a.fill.missExpected() {
@@ -74,11 +83,11 @@
 	return suspect
 }
 
-// isUnanswered judges a suspected attempt whose endpoint is heard: it is slower for its size than any of the last
-// dozens, and most that were so never ended. It covers answers that never come.
-func (r *Router) isUnanswered(a *attempt) bool {
-	enough := len(r.unansweredSamples) >= minUnansweredSamples && mean(r.unansweredSamples) >= unansweredShare
-	return enough && r.slownessOf(a) > r.greatestSlowness()
+// slowestGoUnanswered says whether most attempts that were slower than any of late had no answer. It guards against
+// answers that never come from endpoints that answer others: these show as requests that end at their deadline after
+// one attempt. Where slow answers come in the end their share is low, and nothing is given up.
+func (r *Router) slowestGoUnanswered() bool {
+	return len(r.unansweredSamples) >= minUnansweredSamples && mean(r.unansweredSamples) >= unansweredShare
 }
 
 // slownessOf is how long an attempt is in flight over the time after which it is suspected, which goes by its size.
@@ -121,13 +130,14 @@
 }
 
 // barredByEjection says whether an ejected endpoint is left out at a level of strictness. At the last level it is used
-// if all of its role are ejected.
+// if all of its role are ejected: requests would find nobody else. A full alternative does not open it, as a burst
+// would then be sent to the endpoint that failed.
 func (r *Router) barredByEjection(e *endpoint, level strictness) bool {
 	return e.ejectedUntil > r.now && (level < anyAllowed || r.hasAlternative(e))
 }
 
-// mayEject allows an ejection where another endpoint can stand in. Where all fail the cause is common, and ejections
-// would leave none.
+// mayEject allows an ejection where another endpoint can stand in. It guards against ejecting all endpoints of a role:
+// where all fail the cause is common, as with requests that nobody can serve or an origin that is down.
 func (r *Router) mayEject(e *endpoint) bool { return e.role != originServer && r.hasAlternative(e) }
 
 // ejectionSeconds is how long an endpoint is ejected that was so some times since it last worked. Other routers'
@@ -149,7 +159,7 @@
 	}
 }
 
-// recordResult counts a result, 1 for a failure. It covers errors, refused fills and broken connections.
+// recordResult counts a result of an endpoint: errors, refused fills, broken connections and completed attempts.
 func (r *Router) recordResult(e *endpoint, failed bool) {
 	if !failed && e.limiter.recovered() {
 		e.ejections = 0
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -30,10 +30,10 @@
 		a.suspectAt = 102 // for its size it may take two seconds
 		bar := 2 * lostSlownessFactor * r.greatestSlowness()
 		r.now = 100 + bar - 0.01
-		assert.False(t, r.judgeSuspected(a))
+		assert.False(t, r.reviewSuspected(a))
 		assert.Zero(t, c.ejectedUntil)
 		r.now = 100 + bar + 0.01
-		assert.True(t, r.judgeSuspected(a))
+		assert.True(t, r.reviewSuspected(a))
 		assert.Greater(t, c.ejectedUntil, r.now)
 	}
 }
@@ -43,7 +43,7 @@
 	req := addSentRequest(r, 0, true)
 	r.findOrAddEndpoint("c0").recordHeard(100.1)
 	r.now = 101
-	assert.False(t, r.judgeSuspected(req.attempts[0]))
+	assert.False(t, r.reviewSuspected(req.attempts[0]))
 }
 
 func TestEjectedEndpointsAreUsedWhenAllAreEjected(t *testing.T) {
@@ -60,7 +60,7 @@
 	c.heardAt, a.suspectAt = []float64{96, 97, 98, 99}, 100.2
 	for wait, want := range map[float64]bool{silenceIntervals - 0.1: false, silenceIntervals + 0.1: true} {
 		r.now, c.ejectedUntil = 100+wait, 0
-		assert.Equal(t, want, r.judgeSuspected(a), "after %v s", wait)
+		assert.Equal(t, want, r.reviewSuspected(a), "after %v s", wait)
 		assert.Equal(t, want, c.ejectedUntil > r.now)
 	}
 }
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	idempotencyMarginSeconds = 0.25 // s kept free of an idempotency key's window for the way to the endpoint
-	sendMarginSeconds        = 0.05 // s before an attempt may not be begun any more: for the way to the socket
-	retryAfterMeanSeconds    = 1.5  // s that a rejected client is told to wait: congestion lasts seconds
-	retryAfterLeastShare     = 0.5  // share of the mean that is told at least; up to once the mean is drawn on top
-	endpointPauseSeconds     = 0.1  // s after an attempt's end in which its request leaves that endpoint alone
+	idempotencyMarginSeconds = 0.25 // time before the end of an idempotency key's window: for the way to the endpoint
+	sendMarginSeconds        = 0.05 // time before an attempt may not be begun any more: for the way to the socket
+	endpointPauseSeconds     = 0.1  // time after an attempt's end in which its request leaves that endpoint alone
+	retryAfterMeanSeconds    = 1.5  // mean time that a rejected client should stay away: congestion lasts seconds
+	retryAfterLeastShare     = 0.5  // least share of the mean; up to once the mean is drawn on top
 )
 
-// provesNotRun says whether the request can't have had its effect at the endpoint.
+// provesNotRun says whether the request cannot have had its effect at the endpoint.
 func (a AttemptResult) provesNotRun() bool {
 	return a == Overloaded || a == ConnectFailed || a == NotSent || a == CacheMiss
 }
@@ -47,13 +47,15 @@
 }
 
 // barredByRetryBudget says whether a request that had some attempts may not go to an endpoint, whose budget of retries
-// is exhausted. It guards against retries that add to the load of an endpoint that fails under load.
+// is exhausted. It guards against retries that keep an endpoint down which fails under load: attempts then grow while
+// requests do not. First attempts pass, so an endpoint that works again is found.
 func barredByRetryBudget(e *endpoint, attempts int) bool {
 	return e.retryBudgetExhausted && attempts > 0
 }
 
 // triedAlready says whether a request has used an endpoint: at all at the first level of strictness, just now at the
-// others. Used tells whether an attempt has used it as target, or as source.
+// others. It guards against a request that uses up its attempts within milliseconds at one endpoint that refuses at
+// once. Used tells whether an attempt has used it as target, or as source.
 func triedAlready(req *request, e *endpoint, level strictness, now float64, used usedFunc) bool {
 	for _, a := range req.attempts {
 		if used(a, e) && (level == untried || now < a.endedAt+endpointPauseSeconds) {
@@ -99,8 +101,8 @@
 	return RejectRequest{Request: req.Request, RetryAfterSeconds: r.retryAfterSeconds()}
 }
 
-// retryAfterSeconds is how long a rejected client is told to stay away, 0 for no advice. It is drawn, so that clients
-// that were rejected together do not return together.
+// retryAfterSeconds is how long a rejected client should stay away, 0 for no advice. It is drawn, so that clients that
+// were rejected together do not return together.
 func (r *Router) retryAfterSeconds() float64 {
 	allowed := indicator(r.settings.Bool(SettingRetryAfterAllowed))
 	return min(allowed*retryAfterMeanSeconds*(retryAfterLeastShare+r.nextRandom()), r.number(SettingMaxRetryAfter, 0))
--- a/routing/router.go
+++ b/routing/router.go
@@ -3,15 +3,15 @@
 import "cmp"
 
 const (
-	deadlineMarginSeconds = 0.006 // s before the deadline at which a request is given up: a few ticks of the clock
+	deadlineMarginSeconds = 0.006 // time before the deadline at which a request is given up: a few ticks of the clock
 	queueShare            = 0.8   // share of the objective by which a queued request's attempt has to end
 	queuedSendTimes       = 2.0   // sending times that a queued request's attempt needs: the paths are full then
-	queueRecheckSeconds   = 0.1   // s between the plans of a queued request that nothing else wakes
-	maxQueueRetries       = 12    // queued requests planned after each end of an attempt: bounds the work
+	queueRecheckSeconds   = 0.1   // time between plans of a queued request that nothing else wakes
+	maxQueueRetries       = 12    // queued requests planned after each end of an attempt: bounds its work
 	unknownSizeKB         = 1.0   // size of a chunk where sizes are not known: chunks are counted then
 )
 
-// updateEndpoints takes news of the endpoints. One that started again is empty, cold and unjudged.
+// updateEndpoints takes news of the endpoints. One that started again is empty, cold and without results.
 func (r *Router) updateEndpoints(update EndpointUpdate) {
 	if update.Kind == Unavailable || (update.Kind == Restored && r.subscribesOnRequest()) {
 		r.actions = append(r.actions, SubscribeEndpoints{})
@@ -114,12 +114,13 @@
 }
 
 // worthQueueing says whether a request that no endpoint has room for may wait for room. It guards against attempts that
-// are sent too late to be of use and fill the paths of others: these show as late answers after a burst is over.
+// are sent too late to be of use and fill the paths of others, which show as late answers after a burst is over. Until
+// queueUntil an attempt that takes as long as on full paths is still in time.
 func (r *Router) worthQueueing(req *request) bool {
 	return r.now < queueUntil(req) && len(r.caches.endpoints) > 0
 }
 
-// addAttempt wants another attempt and decides how old its copy may be and whether a filled one is kept.
+// addAttempt adds an attempt to a request, with how old its copy may be and whether a filled one is stored.
 func (r *Router) addAttempt(req *request, next *attempt) {
 	if next.target.role == edgeCache && r.shouldStore(req, next.target) {
 		next.retentionRank = storedRank
@@ -134,7 +135,7 @@
 }
 
 // reconcile emits the difference between what is wanted for a request and what is under way, and the final action of a
-// request that is given up.
+// request that is given up. Each request ends once, so it gets one final action at most.
 func (r *Router) reconcile(req *request, final Action) {
 	ended := req.state == requestEnded || final != nil
 	for i, a := range req.attempts {
@@ -180,7 +181,7 @@
 		}
 		inFlight = true
 		suspected := a.state == attemptAwaited && r.now >= a.suspectAt
-		if a.state == attemptStalled || (suspected && r.judgeSuspected(a)) {
+		if a.state == attemptStalled || (suspected && r.reviewSuspected(a)) {
 			a.move(r.stateOfLost(req))
 		}
 		if a.state == attemptAwaited {
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -7,13 +7,13 @@
 
 const (
 	zoneDistanceFactor   = 2.0  // times as seldom first in hash order a zone of distance: fills cost more
-	minCacheOnlyHitShare = 0.1  // hit rate where a miss is expected that makes a cache-only attempt worth it
-	minHashWeight        = 1e-3 // capacity that an endpoint counts for at least in the hash order
-	unknownMissRate      = 1.0  // miss rate before enough misses were expected
+	minHashWeight        = 1e-3 // capacity, in transfers, that an endpoint counts for at least in the hash order
+	maxCandidates        = 64   // endpoints of a list that a choice tries: where these are full, few others are not
+	minCacheOnlyHitShare = 0.1  // share of hits where a miss is expected that makes a cache-only attempt worth it
 	maxMissSamples       = 64   // last attempts expected to miss that the miss rate is taken of: these vary widely
-	minMissSamples       = 8    // of these before their mean is used
+	minMissSamples       = 8    // number of these before their mean is used
+	unknownMissRate      = 1.0  // share of misses before that
 	peerFreshShare       = 0.5  // share of the fresh time after which a peer's copy is too near to its end
-	maxCandidates        = 64   // endpoints of a list that a choice looks at: where these have no room, few others do
 )
 
 // strictness says which endpoints a request may use. Limits, budgets of retries and cold budgets hold at each level.
@@ -26,7 +26,7 @@
 	strictnessLevels
 )
 
-// chooseAttempt picks the target and the fill's source of a next attempt, or returns nil if nobody has room.
+// chooseAttempt picks the target and the fill's source of a next attempt, or returns nil if no endpoint has room.
 func (r *Router) chooseAttempt(req *request) *attempt {
 	caches, parents := r.cacheCandidates(req.object), r.parentCandidates(req.object)
 	defer caches.release()
@@ -61,8 +61,8 @@
 	return a
 }
 
-// chooseTarget is the first usable cache in hash order. Where caches may be bypassed, uncacheable requests do
-// so, and others do if no cache is usable at the first level and the zone's link has room.
+// chooseTarget is the first usable cache in hash order. Where caches may be bypassed, uncacheable requests do so, and
+// others do if no cache is usable at the first level of strictness and the zone's link has room.
 func (r *Router) chooseTarget(req *request, caches candidates, sources [2]candidates) *endpoint {
 	direct, uncacheable := r.settings.Bool(SettingDirectAttempts), r.uncacheable(req)
 	for level := untried; level < strictnessLevels; level++ {
@@ -107,8 +107,10 @@
 		r.withinColdBudget(req, e)
 }
 
-// limitFill holds a fill to the limits on its way, and says whether there is room. Where a limit is reached,
-// one attempt reaches only as far as the cache or the parent: a wrong guess costs one short attempt.
+// limitFill holds a fill to the limits on its way, and says whether there is room. Where a limit is reached, one
+// attempt goes only as far as the cache or the parent. It guards against requests that wait for a full link while a
+// cache has what they ask for, as a router with few requests does not know all copies. A wrong guess costs one short
+// attempt.
 func (r *Router) limitFill(req *request, a *attempt) bool {
 	a.fill, a.expectedFills = expectFill, r.missRate()
 	if !req.chunk.filledByParent {
@@ -148,25 +150,36 @@
 	return meanIfEnough(r.missSamples, minMissSamples, unknownMissRate)
 }
 
-// peerWithChunk is another cache of the zone that is known to have a chunk which the target lacks, after
-// restarts, ejections and full limits. It spares the link; a wrong guess costs one short attempt.
+// peerWithChunk is another cache of the zone that is known to have a chunk which the target lacks, after restarts,
+// ejections and full limits. It spares the link; a wrong guess costs one short attempt.
 func (r *Router) peerWithChunk(req *request, target *endpoint) *endpoint {
 	tried := slices.ContainsFunc(req.attempts, isFromPeer)
 	if !r.mayUsePeers() || tried || target.cached[req.chunk] != nil || r.uncacheable(req) {
 		return nil
 	}
 	fresh := r.class(req.Class).freshSeconds
-	for _, e := range req.chunk.holders {
+	for _, e := range req.chunk.cachedBy {
 		copied := e.cached[req.chunk]
-		if e.listed.list == &r.caches && e != target && e.ejectedUntil <= r.now && e.limiter.hasRoom(r.now) &&
-			r.withinColdBudget(req, e) && r.now-copied.lastUsedAt < r.horizon(e) &&
-			(fresh == 0 || r.now-copied.filledAt < peerFreshShare*fresh) {
+		if e != target && r.mayFillPeers(req, e) && r.stillCached(copied, e, fresh) {
 			return e
 		}
 	}
 	return nil
 }
 
+// mayFillPeers says whether a cache of the zone has room to fill a miss of another one.
+func (r *Router) mayFillPeers(req *request, e *endpoint) bool {
+	return e.listed.list == &r.caches && e.ejectedUntil <= r.now && e.limiter.hasRoom(r.now) &&
+		r.withinColdBudget(req, e)
+}
+
+// stillCached says whether a copy was used within its cache's horizon and, of a class whose copies expire after some
+// seconds, is fresh for long enough.
+func (r *Router) stillCached(copied *cachedChunk, cache *endpoint, freshSeconds float64) bool {
+	return r.now-copied.lastUsedAt < r.horizon(cache) &&
+		(freshSeconds == 0 || r.now-copied.filledAt < peerFreshShare*freshSeconds)
+}
+
 // hashScore is that of weighted rendezvous hashing, of a hash between 0 and 1. Nearer and heavier endpoints come
 // first more often.
 func hashScore(unit float64, e *endpoint) float64 {
--- a/routing/settingnames.go
+++ b/routing/settingnames.go
@@ -38,7 +38,7 @@
 	SettingFreshTime     SettingName = "fresh_s"              // list: s, 0 where copies do not expire
 	SettingStaleTime     SettingName = "stale_s"              // list: s after that in which a copy may be served
 	SettingStalePriority SettingName = "stale_priority_share" // list: share of the priority of a stale answer
-	SettingUncacheable   SettingName = "uncacheable"          // list of booleans: copies are never kept
+	SettingUncacheable   SettingName = "uncacheable"          // list of booleans: copies are never stored
 	SettingChunked       SettingName = "chunked"              // list of booleans: objects have several chunks
 	SettingPurgeComplete SettingName = "purge_complete_s"     // s after a purge in which all caches dropped copies
 	SettingPurgeGrace    SettingName = "purge_grace_s"        // s in which a router has to heed a purge
@@ -129,6 +129,6 @@
 	LoadFromProbes     = "probes"     // of SettingLoadReportSource: a health check asks for it
 	PeerCachesInZone   = "zone"       // of SettingPeerCaches: caches of the same zone may fill a miss
 	PeerCachesAnywhere = "any"        // of SettingPeerCaches: any cache may fill a miss
-	DetailsOfAll       = "all"        // of SettingResultDetails: results tell all details, failures of sources included
-	DetailsOfHits      = "hit"        // of SettingResultDetails: results tell only whether and how a cache was hit
+	DetailsOfAll       = "all"        // of SettingResultDetails: results have all details, failures of sources included
+	DetailsOfHits      = "hit"        // of SettingResultDetails: results say only whether and how a cache was hit
 )
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Settings are the standing facts that a router is given at its start, by name. Lists are separated by commas.
+// Settings are the facts that a router is given at its start, by name. Lists are separated by commas.
 type Settings map[SettingName]string
 
 // Float reads a number, or returns the other value where the setting is missing or no number.
@@ -98,12 +98,12 @@
 	return number
 }
 
-// subscribesOnRequest says whether the discovery service tells only those who ask it.
+// subscribesOnRequest says whether the discovery service notifies only those who ask it.
 func (r *Router) subscribesOnRequest() bool {
 	return r.settings[SettingDiscoveryMode] == DiscoveryOnRequest
 }
 
-// reportsAllDetails says whether endpoints tell the details of all results, failures of sources included.
+// reportsAllDetails says whether endpoints report the details of all results, failures of sources included.
 func (r *Router) reportsAllDetails() bool { return r.settings[SettingResultDetails] == DetailsOfAll }
 
 // mayUsePeers says whether misses may be filled by other caches of the zone.
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -4,12 +4,12 @@
 
 const (
 	coldLimit       = 2.0 // attempts in flight at an endpoint that has just started; each answer adds one
-	coldBudgetShare = 1.0 // share of a cold endpoint's capacity that is used: half of what topples it
-	maxSendSamples  = 64  // sending times of a class that its mean is taken of: these vary widely
-	minSendSamples  = 8   // of these before their mean is used
+	coldBudgetShare = 1.0 // share of a cold endpoint's capacity that is used: a multiple of it brings it down
+	maxSendSamples  = 64  // last sending times of a class that its mean is taken of: these vary widely
+	minSendSamples  = 8   // number of these before their mean is used
 )
 
-// workSample is work sent to a cold endpoint, in seconds of sending.
+// workSample is work sent to a cold endpoint at a time, in seconds of sending.
 type workSample struct{ at, seconds float64 }
 
 // startingLimit is the limit of an endpoint that starts with some share of its capacity, given the limit that it has
@@ -49,8 +49,10 @@
 	}
 }
 
-// withinColdBudget protects cold endpoints (rule 4): in any window this router sends no more than its even
-// share of what a cache, or a parent with its fills, can do then. Capacity is wasted where others are idle.
+// withinColdBudget protects cold endpoints (rule 4): in any window this router sends no more than its even share of
+// what a cache, or a parent with its fills, can do then. It guards against an endpoint that starts, is sent its usual
+// load while it is cold and goes down again, which shows as repeated starts in the endpoint list. The shares of all
+// routers together stay within the capacity, which is wasted where other routers are idle.
 func (r *Router) withinColdBudget(req *request, e *endpoint) bool {
 	warm, window := r.warmShare(e), r.number(SettingOverloadWindow, 1)
 	return warm >= 1 ||
--- a/routing/traceworld_test.go
+++ b/routing/traceworld_test.go
@@ -17,7 +17,7 @@
 	traceChunks      = 5
 	traceGroups      = 8
 	traceClasses     = 6
-	cachedChunks     = 120   // kept by a cache
+	cachedChunks     = 120   // stored by a cache
 	cancelDelay      = 0.001 // s until a cancelled attempt's end is heard
 	traceIdleGap     = 75.0  // s without traffic before the last requests, longer than anything is remembered
 	requestsAfterGap = 200
@@ -84,7 +84,7 @@
 	return last
 }
 
-// traceWorld feeds one router with what a deployment would tell it and carries its actions out.
+// traceWorld feeds one router with what a deployment would report and carries its actions out.
 type traceWorld struct {
 	scenario  traceScenario
 	random    *rand.Rand
@@ -349,7 +349,7 @@
 	if e.Kind == 0 {
 		return w.playCache(request, attempt, round, transfer)
 	}
-	return routing.Completed, w.told(routing.CacheHit), round + 0.02 + transfer
+	return routing.Completed, w.reported(routing.CacheHit), round + 0.02 + transfer
 }
 
 // playCache answers from the cache, or fills from the source.
@@ -359,15 +359,15 @@
 	e, source := attempt.endpoint, attempt.source
 	if e.cached[request.chunk] {
 		if w.random.IntN(15) == 0 {
-			return routing.Completed, w.told(routing.StaleHit), round + transfer
+			return routing.Completed, w.reported(routing.StaleHit), round + transfer
 		}
-		return routing.Completed, w.told(routing.CacheHit), round + transfer
+		return routing.Completed, w.reported(routing.CacheHit), round + transfer
 	}
 	if source == e || (attempt.CacheOnly && source.Kind == 0 && !source.cached[request.chunk]) {
 		return routing.CacheMiss, routing.NoDetail, round
 	}
 	if attempt.CacheOnly && w.random.IntN(2) == 0 {
-		return routing.Overloaded, w.told(routing.SourceCacheMiss), round + 0.01
+		return routing.Overloaded, w.reported(routing.SourceCacheMiss), round + 0.01
 	}
 	if result, detail, took, failed := w.sourceFailure(source); failed {
 		return result, detail, took + round
@@ -379,26 +379,26 @@
 		transfer *= 5
 	}
 	details := []routing.ResultDetail{routing.Filled, routing.Filled, routing.FilledByOrigin, routing.JoinedFill}
-	return routing.Completed, w.told(details[w.random.IntN(len(details))]), round + 0.03 + 1.5*transfer
+	return routing.Completed, w.reported(details[w.random.IntN(len(details))]), round + 0.03 + 1.5*transfer
 }
 
 // sourceFailure says how a fill fails at its source, if it does.
 func (w *traceWorld) sourceFailure(source *traceEndpoint) (routing.AttemptResult, routing.ResultDetail, float64, bool) {
 	switch source.condition {
 	case failing:
-		return routing.ServerError, w.told(routing.OriginFailed), 0.03, true
+		return routing.ServerError, w.reported(routing.OriginFailed), 0.03, true
 	case overloaded:
-		return routing.Overloaded, w.told(routing.SourceRefused), 0.02, true
+		return routing.Overloaded, w.reported(routing.SourceRefused), 0.02, true
 	case silent:
-		return routing.ServerError, w.told(routing.SourceUnreachable), 0.25, true
+		return routing.ServerError, w.reported(routing.SourceUnreachable), 0.25, true
 	case refusingConnections:
-		return routing.Overloaded, w.told(routing.FillSlotsExhausted), 0.001, true
+		return routing.Overloaded, w.reported(routing.FillSlotsExhausted), 0.001, true
 	}
 	return 0, 0, 0, false
 }
 
-// told is a detail as far as the deployment tells it.
-func (w *traceWorld) told(detail routing.ResultDetail) routing.ResultDetail {
+// reported is a detail as far as the deployment reports it.
+func (w *traceWorld) reported(detail routing.ResultDetail) routing.ResultDetail {
 	switch w.scenario.settings[routing.SettingResultDetails] {
 	case routing.DetailsOfAll:
 		return detail
