--- /dev/null
+++ b/internal/codestyle/decisions_test.go
@@ -0,0 +1,232 @@
+package codestyle
+
+import (
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// The columns of the tables in docs/decisions.md.
+const (
+	questionColumn = iota
+	whereColumn
+	inputsColumn
+	constantsColumn
+	guardColumn
+	evidenceColumn
+	decisionColumns
+)
+
+// decisionRow is a row of docs/decisions.md: a rule with the functions that decide it and their constants.
+type decisionRow struct {
+	line      int
+	file      string
+	functions []string
+	constants []string
+}
+
+// declarations are the names that a Go file declares at its top level.
+type declarations struct {
+	functions map[string]bool // methods without their type
+	constants map[string]bool
+}
+
+// TestDecisionsAreIndexed holds docs/decisions.md to the code: what it names exists, and each function and constant of
+// the files under policy in the deployment file has a row.
+func TestDecisionsAreIndexed(t *testing.T) {
+	root, err := filepath.Abs("../..")
+	require.NoError(t, err)
+	page, err := os.ReadFile(filepath.Join(root, "docs", "decisions.md"))
+	require.NoError(t, err)
+	policy := policyFiles(t, filepath.Join(root, "deploy", "balancer.toml"))
+	assert.Contains(t, policy, "routing/router.go")
+	for _, fault := range decisionFaults(t, root, string(page), policy) {
+		assert.Fail(t, "docs/decisions.md and the code differ", "%s", fault)
+	}
+}
+
+// TestDecisionFaultsAreFound shows that the check can fail, in each of its ways.
+func TestDecisionFaultsAreFound(t *testing.T) {
+	root := t.TempDir()
+	code := "package rules\n\nconst limit = 1\n\nfunc decide() int { return limit }\n\nfunc other() {}\n"
+	require.NoError(t, os.MkdirAll(filepath.Join(root, "rules"), 0o700))
+	require.NoError(t, os.WriteFile(filepath.Join(root, "rules", "rules.go"), []byte(code), 0o600))
+	policy := []string{"rules/rules.go"}
+	head := "| question | where | inputs | constants | guards against | shows in |\n"
+	head += strings.Repeat("| --- ", decisionColumns) + "|\n"
+	row := "| a? | `rules/rules.go`: `decide`, `other` | none | `limit` | b | c |\n"
+	assert.Empty(t, decisionFaults(t, root, head+row, policy))
+	for name, page := range map[string]string{
+		"no such function":    strings.Replace(row, "`other`", "`other`, `gone`", 1),
+		"no such constant":    strings.Replace(row, "`limit`", "`limit`, `gone`", 1),
+		"no such file":        row + "| a? | `rules/gone.go`: `decide` | none | - | b | c |\n",
+		"no function at all":  row + "| a? | `rules/rules.go` | none | - | b | c |\n",
+		"function not named":  strings.Replace(row, ", `other`", "", 1),
+		"constant not named":  strings.Replace(row, "`limit`", "-", 1),
+		"a cell is missing":   row + "| a? | `rules/rules.go`: `decide` | none | - | b |\n",
+		"a cell is empty":     row + "| a? | `rules/rules.go`: `decide` | none | - |  | c |\n",
+		"name in a wrong row": strings.Replace(row, "`other`", "`other`, `limit`", 1),
+	} {
+		assert.Len(t, decisionFaults(t, root, head+page, policy), 1, name)
+	}
+	assert.Len(t, decisionFaults(t, root, "", policy), 3, "an empty page")
+}
+
+// decisionFaults lists what is wrong with a page of decisions about the code under root.
+func decisionFaults(t *testing.T, root, page string, policy []string) []string {
+	t.Helper()
+	rows, faults := parseDecisions(page)
+	named := map[string]bool{} // folder and name
+	for _, row := range rows {
+		faults = append(faults, rowFaults(t, root, row)...)
+		for _, name := range append(row.functions, row.constants...) {
+			named[filepath.Dir(filepath.Join(root, row.file))+" "+name] = true
+		}
+	}
+	for _, file := range policy {
+		path := filepath.Join(root, file)
+		declared := declarationsOf(t, path)
+		for _, names := range []map[string]bool{declared.functions, declared.constants} {
+			for name := range names {
+				if !named[filepath.Dir(path)+" "+name] {
+					faults = append(faults, file+": "+name+" has no row")
+				}
+			}
+		}
+	}
+	return faults
+}
+
+// rowFaults lists what a row names that does not exist.
+func rowFaults(t *testing.T, root string, row decisionRow) (faults []string) {
+	t.Helper()
+	path := filepath.Join(root, row.file)
+	if _, err := os.Stat(path); err != nil {
+		return []string{fmt.Sprintf("line %d: no file %s", row.line, row.file)}
+	}
+	declared, constants := declarationsOf(t, path), packageConstants(t, filepath.Dir(path))
+	for _, function := range row.functions {
+		if !declared.functions[function] {
+			faults = append(faults, fmt.Sprintf("line %d: no function %s in %s", row.line, function, row.file))
+		}
+	}
+	for _, constant := range row.constants {
+		if !constants[constant] {
+			faults = append(faults, fmt.Sprintf("line %d: no constant %s beside %s", row.line, constant, row.file))
+		}
+	}
+	return faults
+}
+
+var backquoted = regexp.MustCompile("`([^`]+)`")
+
+// parseDecisions reads the rows of all tables of a page, and lists the rows that lack something.
+func parseDecisions(page string) (rows []decisionRow, faults []string) {
+	for i, line := range strings.Split(page, "\n") {
+		heading := strings.HasPrefix(line, "| ---") || strings.HasPrefix(line, "| question |")
+		if heading || !strings.HasPrefix(line, "|") {
+			continue
+		}
+		cells := strings.Split(strings.Trim(line, "|"), "|")
+		where := []string(nil)
+		if len(cells) == decisionColumns {
+			where = quotedNames(cells[whereColumn])
+		}
+		if len(where) < 2 || hasEmptyCell(cells) {
+			faults = append(faults, fmt.Sprintf("line %d: not a full row: %s", i+1, line))
+			continue
+		}
+		rows = append(rows, decisionRow{
+			line:      i + 1,
+			file:      where[0],
+			functions: where[1:],
+			constants: quotedNames(cells[constantsColumn]),
+		})
+	}
+	return rows, faults
+}
+
+func hasEmptyCell(cells []string) bool {
+	for _, cell := range cells {
+		if strings.TrimSpace(cell) == "" {
+			return true
+		}
+	}
+	return false
+}
+
+func quotedNames(cell string) []string {
+	var names []string
+	for _, match := range backquoted.FindAllStringSubmatch(cell, -1) {
+		names = append(names, match[1])
+	}
+	return names
+}
+
+// policyFiles reads the list under policy of a deployment file.
+func policyFiles(t *testing.T, path string) []string {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	require.NoError(t, err)
+	for _, line := range strings.Split(string(text), "\n") {
+		list, found := strings.CutPrefix(line, "policy = [")
+		if !found {
+			continue
+		}
+		list, _, _ = strings.Cut(list, "]")
+		var files []string
+		for _, item := range strings.Split(list, ",") {
+			files = append(files, strings.Trim(strings.TrimSpace(item), `"`))
+		}
+		return files
+	}
+	require.Fail(t, "no policy list", "in %s", path)
+	return nil
+}
+
+// packageConstants are the constants of all files of a folder that are no tests.
+func packageConstants(t *testing.T, folder string) map[string]bool {
+	t.Helper()
+	all := map[string]bool{}
+	for _, file := range goFiles(t, folder) {
+		if filepath.Dir(file) != folder || strings.HasSuffix(file, "_test.go") {
+			continue
+		}
+		for name := range declarationsOf(t, file).constants {
+			all[name] = true
+		}
+	}
+	return all
+}
+
+func declarationsOf(t *testing.T, path string) declarations {
+	t.Helper()
+	tree, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+	require.NoError(t, err)
+	found := declarations{functions: map[string]bool{}, constants: map[string]bool{}}
+	for _, declaration := range tree.Decls {
+		switch d := declaration.(type) {
+		case *ast.FuncDecl:
+			found.functions[d.Name.Name] = true
+		case *ast.GenDecl:
+			if d.Tok != token.CONST {
+				continue
+			}
+			for _, spec := range d.Specs {
+				for _, name := range spec.(*ast.ValueSpec).Names {
+					found.constants[name.Name] = true
+				}
+			}
+		}
+	}
+	return found
+}
