--- /dev/null
+++ b/routing/traceendpoint_test.go
@@ -0,0 +1,127 @@
+package routing_test
+
+import "cairnfront/routing"
+
+// condition is how an endpoint behaves for a while.
+type condition int
+
+const (
+	healthy condition = iota
+	failing
+	overloaded
+	slow
+	silent
+	refusingConnections
+	conditionCount
+)
+
+// traceEndpoint is an endpoint as the synthetic deployment plays it.
+type traceEndpoint struct {
+	routing.Endpoint
+	condition condition
+	inFlight  int
+	cached    map[string]bool
+	order     []string // of cached, oldest first
+}
+
+// play says how an attempt ends at its endpoint, and after how long.
+func (w *traceWorld) play(
+	request *traceRequest, attempt *traceAttempt,
+) (routing.AttemptResult, routing.ResultDetail, float64) {
+	e := attempt.endpoint
+	round := 0.001 + 0.004*w.random.Float64()
+	transfer := (request.sizeKB/1000 + 0.01) * max(1, float64(e.inFlight)/max(e.Weight, 4))
+	switch e.condition {
+	case failing:
+		if w.random.IntN(5) > 0 {
+			return routing.ServerError, routing.NoDetail, round
+		}
+	case overloaded:
+		return routing.Overloaded, routing.NoDetail, round
+	case slow:
+		transfer *= 4
+	case silent:
+		return routing.TimedOut, routing.NoDetail, 0
+	case refusingConnections:
+		if w.random.IntN(2) == 0 {
+			return routing.ConnectFailed, routing.NoDetail, round
+		}
+		return routing.ConnectionBroken, routing.NoDetail, transfer
+	}
+	if float64(e.inFlight) > 4*max(e.Weight, 4) {
+		return routing.Overloaded, routing.NoDetail, round
+	}
+	if w.random.IntN(200) == 0 {
+		return routing.NotSent, routing.NoDetail, 0
+	}
+	if e.Kind == 0 {
+		return w.playCache(request, attempt, round, transfer)
+	}
+	return routing.Completed, w.reported(routing.CacheHit), round + 0.02 + transfer
+}
+
+// playCache answers from the cache, or fills from the source.
+func (w *traceWorld) playCache(
+	request *traceRequest, attempt *traceAttempt, round, transfer float64,
+) (routing.AttemptResult, routing.ResultDetail, float64) {
+	e, source := attempt.endpoint, attempt.source
+	if e.cached[request.chunk] {
+		if w.random.IntN(15) == 0 {
+			return routing.Completed, w.reported(routing.StaleHit), round + transfer
+		}
+		return routing.Completed, w.reported(routing.CacheHit), round + transfer
+	}
+	if source == e || (attempt.CacheOnly && source.Kind == 0 && !source.cached[request.chunk]) {
+		return routing.CacheMiss, routing.NoDetail, round
+	}
+	if attempt.CacheOnly && w.random.IntN(2) == 0 {
+		return routing.Overloaded, w.reported(routing.SourceCacheMiss), round + 0.01
+	}
+	if result, detail, took, failed := w.sourceFailure(source); failed {
+		return result, detail, took + round
+	}
+	if attempt.RetentionRank > 0 {
+		e.store(request.chunk)
+	}
+	if source.condition == slow {
+		transfer *= 5
+	}
+	details := []routing.ResultDetail{routing.Filled, routing.Filled, routing.FilledByOrigin, routing.JoinedFill}
+	return routing.Completed, w.reported(details[w.random.IntN(len(details))]), round + 0.03 + 1.5*transfer
+}
+
+// sourceFailure says how a fill fails at its source, if it does.
+func (w *traceWorld) sourceFailure(source *traceEndpoint) (routing.AttemptResult, routing.ResultDetail, float64, bool) {
+	switch source.condition {
+	case failing:
+		return routing.ServerError, w.reported(routing.OriginFailed), 0.03, true
+	case overloaded:
+		return routing.Overloaded, w.reported(routing.SourceRefused), 0.02, true
+	case silent:
+		return routing.ServerError, w.reported(routing.SourceUnreachable), 0.25, true
+	case refusingConnections:
+		return routing.Overloaded, w.reported(routing.FillSlotsExhausted), 0.001, true
+	}
+	return 0, 0, 0, false
+}
+
+// reported is a detail as far as the deployment reports it.
+func (w *traceWorld) reported(detail routing.ResultDetail) routing.ResultDetail {
+	switch w.scenario.settings[routing.SettingResultDetails] {
+	case routing.DetailsOfAll:
+		return detail
+	case routing.DetailsOfHits:
+		if detail <= routing.StaleHit {
+			return detail
+		}
+	}
+	return routing.NoDetail
+}
+
+func (e *traceEndpoint) store(chunk string) {
+	e.cached[chunk] = true
+	if e.order = append(e.order, chunk); len(e.order) > cachedChunks {
+		delete(e.cached, e.order[0])
+		e.order = e.order[1:]
+	}
+}
