--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -40,7 +40,7 @@
 //	lost       ended
 //	abandoned  ended
 //	cancelled  ended
-type attemptState int
+type attemptState uint8
 
 const (
 	attemptPlanned   attemptState = iota // chosen and not sent yet
@@ -68,7 +68,7 @@
 // move takes an attempt to another state where the table has the transition, and says whether it did. Events that come
 // late, of attempts that have ended or were given up meanwhile, are told apart by that.
 func (a *attempt) move(to attemptState) bool {
-	if !attemptTransitions[a.state][to] {
+	if !a.mayMove(to) {
 		return false
 	}
 	a.state = to
@@ -78,6 +78,9 @@
 	return true
 }
 
+// mayMove says whether the table has a transition from an attempt's state.
+func (a *attempt) mayMove(to attemptState) bool { return attemptTransitions[a.state][to] }
+
 // inFlight says whether an attempt was sent and its end was not heard.
 func (s attemptState) inFlight() bool { return s != attemptPlanned && s != attemptEnded }
 
@@ -85,7 +88,7 @@
 func (s attemptState) awaited() bool { return s == attemptAwaited || s == attemptStalled }
 
 // fillPlan is what an attempt does about a copy that its target lacks.
-type fillPlan int
+type fillPlan uint8
 
 const (
 	expectHit    fillPlan = iota // the target is known to have a copy; its source fills if not
@@ -102,7 +105,7 @@
 func (f fillPlan) cacheOnly() bool { return f == targetOnly || f == sourceOnly }
 
 // blame is whose fault an unexplained failure may be. It counts once another attempt of the request completes.
-type blame int
+type blame uint8
 
 const (
 	noBlame blame = iota
--- a/routing/request.go
+++ b/routing/request.go
@@ -30,7 +30,7 @@
 //	queued  open    it gets an attempt, or its attempts are awaited
 //	open    ended   it has completed, its final action is emitted, or its client has disconnected
 //	queued  ended   likewise
-type requestState int
+type requestState uint8
 
 const (
 	requestOpen   requestState = iota // its attempts are chosen or in flight
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -26,8 +26,12 @@
 // mayRetry allows a further attempt within the limits of attempts and budget if it cannot run a request twice (rule 2).
 func (r *Router) mayRetry(req *request) bool {
 	class := r.class(req.Class)
-	return r.hasRetriesLeft(class, len(req.attempts)) &&
-		!slices.ContainsFunc(req.attempts, func(a *attempt) bool { return r.barsRetry(class, a) })
+	for _, a := range req.attempts {
+		if r.barsRetry(class, a) {
+			return false
+		}
+	}
+	return r.hasRetriesLeft(class, len(req.attempts))
 }
 
 // hasRetriesLeft says whether a request of a class that had some attempts may have one more.
--- a/routing/router.go
+++ b/routing/router.go
@@ -139,8 +139,9 @@
 func (r *Router) reconcile(req *request, final Action) {
 	ended := req.state == requestEnded || final != nil
 	for i, a := range req.attempts {
-		mayCancel := (ended || a.state == attemptAbandoned) && r.settings.Bool(SettingCancellation)
-		if mayCancel && a.move(attemptCancelled) {
+		cancel := (ended || a.state == attemptAbandoned) && a.mayMove(attemptCancelled)
+		if cancel && r.settings.Bool(SettingCancellation) {
+			a.move(attemptCancelled)
 			r.actions = append(r.actions, CancelAttempt{Request: req.Request, Attempt: i})
 		}
 		if a.state == attemptPlanned && !ended {
