--- /dev/null
+++ b/internal/ciscripts/knownred_test.go
@@ -0,0 +1,73 @@
+package ciscripts
+
+import (
+	"bytes"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// knownRed runs .ci/known-red on a list, against a repository with the tests TestSlow and FuzzParse, and returns what
+// it printed and whether it succeeded.
+func knownRed(t *testing.T, list string) (skip, messages string, ok bool) {
+	t.Helper()
+	repository := t.TempDir()
+	tests := "package p\n\nfunc TestSlow(t *testing.T) {}\n\nfunc FuzzParse(f *testing.F) {}\n"
+	require.NoError(t, os.WriteFile(filepath.Join(repository, "p_test.go"), []byte(tests), 0o600))
+	file := filepath.Join(repository, "KNOWN-RED.txt")
+	require.NoError(t, os.WriteFile(file, []byte(list), 0o600))
+	script, err := filepath.Abs("../../.ci/known-red")
+	require.NoError(t, err)
+	var stdout, stderr bytes.Buffer
+	command := exec.CommandContext(t.Context(), "bash", script, file, repository)
+	command.Stdout, command.Stderr = &stdout, &stderr
+	err = command.Run()
+	return stdout.String(), stderr.String(), err == nil
+}
+
+// TestKnownFailuresAreSkippedAndPrinted holds that CI passes over just the tests that the list names, and prints each
+// entry, without a bound on their number.
+func TestKnownFailuresAreSkippedAndPrinted(t *testing.T) {
+	slow := "TestSlow | go test -run TestSlow ./p -seed 7 | two of ten runs were late | issue 41\n"
+	fuzz := "FuzzParse | go test -run FuzzParse ./p, no seed | a panic at an empty line | issue 47"
+	skip, messages, ok := knownRed(t, "# known failures\n\n"+slow+slow+slow+slow+fuzz)
+	require.True(t, ok, messages)
+	assert.Equal(t, "^(TestSlow|TestSlow|TestSlow|TestSlow|FuzzParse)$\n", skip)
+	assert.Contains(t, messages, "known to fail, not run: "+slow)
+	assert.Contains(t, messages, "known to fail, not run: "+fuzz)
+}
+
+func TestEmptyListOfKnownFailuresSkipsNothing(t *testing.T) {
+	for _, list := range []string{"", "\n# nothing is known to fail\n"} {
+		skip, messages, ok := knownRed(t, list)
+		assert.True(t, ok, messages)
+		assert.Empty(t, skip)
+	}
+}
+
+// TestIncompleteEntryOfKnownFailuresFails holds that CI fails on an entry that lacks a part or names a test that does
+// not exist: such an entry would hide a failure, or nothing at all.
+func TestIncompleteEntryOfKnownFailuresFails(t *testing.T) {
+	for entry, message := range map[string]string{
+		"TestSlow: late, issue 41":                            `an entry is "TestName | command`,
+		"TestSlow | go test, seed 7 | late":                   `an entry is "TestName | command`,
+		"the soak | go test, seed 7 | late | issue 41":        "no name of a test",
+		"TestSlow | | late | issue 41":                        "the command is missing",
+		"TestSlow | go test | late | issue 41":                "the command names no seed",
+		"TestSlow | go test, seed 7 | | issue 41":             "what was seen is missing",
+		"TestSlow | go test, seed 7 | late |":                 "the issue is missing",
+		"TestSlow | go test, seed 7 | late | soon":            "the issue is missing",
+		"TestSlo | go test, seed 7 | late | issue 41":         "there is no test TestSlo",
+		"TestRemoved | go test, seed 7 | late | issue 41":     "there is no test TestRemoved",
+		"TestSlow | a | b, seed 7 | late | issue 41":          `an entry is "TestName | command`,
+		"TestSlow$|^Test | go test, seed 7 | late | issue 41": `an entry is "TestName | command`,
+	} {
+		_, messages, ok := knownRed(t, entry)
+		assert.False(t, ok, entry)
+		assert.Contains(t, messages, message, entry)
+	}
+}
