--- a/internal/diskcache/errors.go
+++ b/internal/diskcache/errors.go
@@ -8,7 +8,7 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// FaultCode names a kind of fault in counters, log lines and tools; docs/operate/disk-tier.md lists the codes.
+// FaultCode names a kind of fault in counters, log lines and tools; docs/operate/disk-cache.md lists the codes.
 type FaultCode string
 
 // The codes of faults.
--- a/internal/diskcache/eviction/cafe.go
+++ b/internal/diskcache/eviction/cafe.go
@@ -82,7 +82,7 @@
 //
 // The time since the least recent access was tried instead and is worse: a chunk that was requested often for an hour
 // keeps its small gap while it ages, T grows with it, and where T is large alpha no longer counts. The figures are in
-// docs/disk-tier.md.
+// docs/disk-cache.md.
 func (c *Cafe) CacheAge(now float64) float64 {
 	age := minCacheAge
 	if e, ok := c.cached.Min(); ok {
--- a/internal/diskcache/format.go
+++ b/internal/diskcache/format.go
@@ -9,7 +9,7 @@
 	"cairnfront/internal/diskcache/eviction"
 )
 
-// The format on the disk; docs/disk-format.md names every byte. All numbers are little-endian.
+// The format on the disk; docs/disk-cache-format.md names every byte. All numbers are little-endian.
 const (
 	formatVersion = 1
 	formatText    = "cairnfront disk tier %d\n"
--- a/internal/diskcache/store.go
+++ b/internal/diskcache/store.go
@@ -2,7 +2,7 @@
 //
 // [Store] is a log-structured store: append-only segments, an index in memory, an index snapshot and a purge log.
 // [Cache] puts it into the path of requests: bounded queues, the eviction policy and the validity of copies. The
-// package owns the folder on the disk, which docs/disk-format.md describes byte by byte. It does not fetch, serve or
+// package owns the folder on the disk, which docs/disk-cache-format.md describes byte by byte. It does not fetch, serve or
 // interpret chunks.
 //
 // Durability: a chunk survives a power loss once the Sync after its Put has returned. Before that it survives whole or
--- a/internal/diskcache/validity/record.go
+++ b/internal/diskcache/validity/record.go
@@ -45,7 +45,7 @@
 	Seq       uint64
 }
 
-// AppendRecord encodes a record as described in docs/disk-format.md.
+// AppendRecord encodes a record as described in docs/disk-cache-format.md.
 func AppendRecord(b []byte, r Record) []byte {
 	start := len(b)
 	b = binary.LittleEndian.AppendUint16(b, recordMagic)
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -4,7 +4,7 @@
 // The package owns the listener, the connections, their timeouts and their end. The goroutine that reads a connection
 // owns its end: others ask for it with RequestClose, and the reader ends the connection once nothing is under way on
 // it. So a request that has arrived before the end is taken in, and one that crosses it is not reset but meets a
-// half-closed connection. docs/crossings.md lists the races that this answers.
+// half-closed connection. docs/races.md lists the races that this answers.
 //
 // The package does not decide where a request goes (routing), what the process may hold (admission), or how frames
 // look on the wire (clientproto).
--- a/internal/membership/partition/state.go
+++ b/internal/membership/partition/state.go
@@ -4,7 +4,7 @@
 // more.
 type State uint8
 
-// The states. docs/peers.md says what each part of a router may do in which.
+// The states. docs/membership.md says what each part of a router may do in which.
 const (
 	Alone       State = iota // no other member is present
 	Minority                 // at most half of the roster is present and working
--- a/internal/replication/node.go
+++ b/internal/replication/node.go
@@ -3,7 +3,7 @@
 // A Node is one goroutine that owns the router's replicas, their rebalancer and the write-ahead
 // log, and the connections to the other routers. What is decided is decided in the cores (packages
 // shard, statemachine, placement and reservation). The node carries it out in the order that they
-// need: first to disk, then sent, then believed. The design is in docs/ledger.md.
+// need: first to disk, then sent, then believed. The design is in docs/replication.md.
 package replication
 
 import (
--- a/internal/replication/wal/wal.go
+++ b/internal/replication/wal/wal.go
@@ -2,7 +2,7 @@
 // in one file, so that one sync serves them all, and a snapshot file a shard.
 //
 // It owns the files of one folder, which belongs to one router for good. The format is in
-// docs/ledger-format.md. It uses the file layer of the disk cache (package vfs) and has no
+// docs/replication-log-format.md. It uses the file layer of the disk cache (package vfs) and has no
 // goroutine.
 //
 // What was synced is believed only if its checksums match. A torn end, as a loss of power leaves
