--- a/internal/ciscripts/knownred_test.go
+++ b/internal/ciscripts/knownred_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"io"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -20,13 +21,19 @@
 	require.NoError(t, os.WriteFile(filepath.Join(repository, "p_test.go"), []byte(tests), 0o600))
 	file := filepath.Join(repository, "KNOWN-RED.txt")
 	require.NoError(t, os.WriteFile(file, []byte(list), 0o600))
-	script, err := filepath.Abs("../../.ci/known-red")
+	return runScript(t, nil, "../../.ci/known-red", file, repository)
+}
+
+// runScript runs a script with some input and returns what it printed and whether it succeeded.
+func runScript(t *testing.T, input io.Reader, path string, args ...string) (stdout, stderr string, ok bool) {
+	t.Helper()
+	script, err := filepath.Abs(path)
 	require.NoError(t, err)
-	var stdout, stderr bytes.Buffer
-	command := exec.CommandContext(t.Context(), "bash", script, file, repository)
-	command.Stdout, command.Stderr = &stdout, &stderr
+	var output, messages bytes.Buffer
+	command := exec.CommandContext(t.Context(), "bash", append([]string{script}, args...)...)
+	command.Stdin, command.Stdout, command.Stderr = input, &output, &messages
 	err = command.Run()
-	return stdout.String(), stderr.String(), err == nil
+	return output.String(), messages.String(), err == nil
 }
 
 // TestKnownFailuresAreSkippedAndPrinted holds that CI passes over just the tests that the list names, and prints each
--- a/internal/upstream/address/race.go
+++ b/internal/upstream/address/race.go
@@ -116,9 +116,6 @@
 	}
 }
 
-// Stop ends the race: nobody wants the connection any more. A dial that succeeds later is not used.
-func (r *Race) Stop() { r.stopped = true }
-
 // Lost says whether the race cannot be won any more.
 func (r *Race) Lost(now float64) bool {
 	noneLeft := r.count(dialWaiting)+r.count(dialUnderWay) == 0
