--- a/internal/admission/connections.go
+++ b/internal/admission/connections.go
@@ -6,7 +6,7 @@
 // The decisions on a client's connection.
 const (
 	ClientAdmitted ClientDecision = iota // it is served
-	ClientRefused                        // it is told that there are too many, and closed
+	ClientRefused                        // it gets an error that too many are open, and is closed
 	ClientDropped                        // it is closed at once
 )
 
--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -16,18 +16,18 @@
 // Shares of the memory.
 const (
 	bodiesShare   = 0.35 // for bodies
-	requestsShare = 0.1  // for what is kept of open requests
+	requestsShare = 0.1  // for the state of open requests
 	heapShare     = 0.7  // the runtime's soft limit; the rest is for stacks, the program and peaks
 	bytesPerMB    = 1 << 20
 
-	requestBytes      = 8 << 10 // kept of an open request: itself, its attempts and its timers
+	requestBytes      = 8 << 10 // state of an open request: itself, its attempts and its timers
 	bodiesNearlyShare = 0.9     // of the body budget, past which no request is admitted
 )
 
 // Shares of the descriptors. What they leave over is for the discovery service, the listener and the runtime.
 const (
 	clientsShare   = 0.45 // clients need a third at most; old and new connections overlap while the old ones close
-	refusedShare   = 0.06 // clients over their limit, which are told so before they are closed
+	refusedShare   = 0.06 // clients over their limit, which get an error before they are closed
 	endpointsShare = 0.4
 
 	// perEndpointShare is the part of the endpoints' descriptors that one endpoint with several addresses may take. An
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestInstantsKeepTheirSpans shows that a moment turns into a time with the monotonic reading that deadlines need.
+// TestInstantsKeepTheirSpans shows that an instant turns into a time with the monotonic reading that deadlines need.
 func TestInstantsKeepTheirSpans(t *testing.T) {
 	now := time.Now()
 	instant := At(now)
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestUnixTimesAreTranslatedSafelyAcrossSteps draws steps of the wall clock. A moment may have been told by a clock
-// before any of them or after, so each of those has to lie between the earliest and the latest moment.
+// TestUnixTimesAreTranslatedSafelyAcrossSteps draws steps of the wall clock. A time may have been read from a clock
+// before any of them or after, so each of those has to lie between the earliest and the latest instant.
 func TestUnixTimesAreTranslatedSafelyAcrossSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clocks := &steppedClock{monotonic: 10000 * time.Second}
--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -13,7 +13,7 @@
 	maxSteps = 16
 )
 
-// Reading is what both clocks show at one moment.
+// Reading is what both clocks show at one time.
 type Reading struct {
 	Instant  Instant
 	UnixTime time.Duration // of the wall clock, since the Unix epoch
@@ -25,8 +25,8 @@
 	return Reading{Instant: At(now), UnixTime: time.Duration(now.UnixNano())}
 }
 
-// Wall translates Unix times that others have told to instants. It remembers how the wall clock was set over the life
-// of the process, as it is not known whether a time was taken before a step or after it, nor whose clock was right. It
+// Wall translates Unix times that other processes sent to instants. It remembers how the wall clock was set since the
+// process started, as it is not known whether a time was taken before a step or after it, nor whose clock was right. It
 // holds maxSteps durations and is for one goroutine.
 type Wall struct {
 	read    func() Reading
@@ -40,7 +40,7 @@
 	return w
 }
 
-// Observe looks whether the wall clock was stepped. It is to be called about once a second; the translations do too.
+// Observe checks whether the wall clock was stepped. It is to be called about once a second; the translations do too.
 func (w *Wall) Observe() (stepped bool) {
 	reading := w.read()
 	offset := reading.UnixTime - time.Duration(reading.Instant)
@@ -55,7 +55,7 @@
 	return true
 }
 
-// LatestInstant returns the latest moment, now at the latest, that a Unix time may stand for, both in seconds. Where
+// LatestInstant returns the latest instant, now at the latest, that a Unix time may stand for, both in seconds. Where
 // the wall clock was never stepped that is the time itself, unchanged.
 func (w *Wall) LatestInstant(unixSeconds float64) (instantSeconds float64) {
 	w.Observe()
@@ -73,7 +73,7 @@
 	return latest
 }
 
-// EarliestInstant returns the earliest moment that a Unix time may stand for, both in seconds.
+// EarliestInstant returns the earliest instant that a Unix time may stand for, both in seconds.
 func (w *Wall) EarliestInstant(unixSeconds float64) (instantSeconds float64) {
 	w.Observe()
 	return unixSeconds - slices.Max(w.offsets).Seconds()
--- a/internal/faultproxy/connections.go
+++ b/internal/faultproxy/connections.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// passBytes writes bytes when the link lets them pass. It returns false if that never happens.
+// passBytes writes bytes when the link passes them. It returns false if that never happens.
 func (n *Network) passBytes(from, to int, writer io.Writer, data []byte) bool {
 	if _, delay := n.connectionState(from, to); delay > 0 && !n.sleep(delay) {
 		return false
--- a/internal/ringbuffer/buffer.go
+++ b/internal/ringbuffer/buffer.go
@@ -36,7 +36,7 @@
 // io.ErrShortBuffer.
 func (b *Buffer) ReadOnceFrom(src io.Reader) (int, error) {
 	if b.used == 0 {
-		b.start = 0 // one read may then fill the whole buffer
+		b.start = 0 // one read may then fill all of the buffer
 	}
 	if b.Free() == 0 {
 		return 0, io.ErrShortBuffer
--- a/internal/ringbuffer/buffer_test.go
+++ b/internal/ringbuffer/buffer_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// FuzzBuffer plays steps on a buffer and on a plain slice. Each byte is a step and its size.
+// FuzzBuffer plays steps on a buffer and on plain bytes. Each byte is a step and its size.
 func FuzzBuffer(f *testing.F) {
 	f.Add([]byte{0x03, 0x41, 0x82, 0xc1, 0x0f, 0x47, 0x0f, 0x8f, 0xcf})
 	f.Fuzz(func(t *testing.T, steps []byte) {
--- a/internal/upstream/address/golden_test.go
+++ b/internal/upstream/address/golden_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// traceHead is how many lines of a trace stand in its golden file before the hash of the whole.
+// traceHead is how many lines of a trace stand in its golden file before the hash of all lines.
 const traceHead = 200
 
 // assertTrace compares a trace with its golden file: its first lines in full, and all of it by hash.
--- a/internal/upstream/address/observation.go
+++ b/internal/upstream/address/observation.go
@@ -118,7 +118,7 @@
 
 // AwaitingResponse says that an attempt was written over an address so many seconds ago and no input came over that
 // connection since. It returns whether the address is now held to be silent, so that no other attempt goes there.
-// Whether the endpoint is silent is told by its other addresses; see ReachableElsewhere.
+// Whether the endpoint is silent follows from its other addresses; see ReachableElsewhere.
 func (s *Selector) AwaitingResponse(now float64, id routing.EndpointID, addr Addr, waitSeconds float64) bool {
 	e, a := s.lookup(now, id, addr)
 	if a == nil || len(e.addresses) < 2 || a.condition == Disabled {
--- a/internal/upstream/address/probe.go
+++ b/internal/upstream/address/probe.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// recentUse, in seconds, is how long after its last planned connection an endpoint is kept a second one.
+	// recentUse, in seconds, is how long after its last planned connection an endpoint has a second one.
 	recentUse = 30.0
 
 	// spareInterval, in seconds, is the least time between two probes for a spare connection.
--- a/internal/upstream/address/samples.go
+++ b/internal/upstream/address/samples.go
@@ -1,6 +1,6 @@
 package address
 
-// maxSamples is how many samples are kept: few, so that a change shows soon.
+// maxSamples is how many samples are stored: few, so that a change shows soon.
 const maxSamples = 8
 
 // samples are the latest measured seconds, oldest first.
--- a/internal/upstream/address/selector.go
+++ b/internal/upstream/address/selector.go
@@ -92,7 +92,7 @@
 // advance moves the clock on. A clock that jumps back is not followed.
 func (s *Selector) advance(now float64) { s.now = max(s.now, now) }
 
-// SetAddresses sets an endpoint's addresses, in any order. What is known of those that stay is kept, unless the
+// SetAddresses sets an endpoint's addresses, in any order. What is known of those that stay is retained, unless the
 // endpoint was started again.
 func (s *Selector) SetAddresses(now float64, id routing.EndpointID, startedAt float64, addrs []Addr) {
 	s.advance(now)
--- a/internal/upstream/address/selector_test.go
+++ b/internal/upstream/address/selector_test.go
@@ -161,7 +161,7 @@
 	c := twoAddresses()
 	c.DialEnded(100, "a", sock, DialRefused, 0)
 	c.SetAddresses(100, "a", 0, []Addr{sock, six})
-	assert.Equal(t, []Addr{six}, addrs(c.Plan(100, "a", true)), "what is known of one that stays is kept")
+	assert.Equal(t, []Addr{six}, addrs(c.Plan(100, "a", true)), "what is known of one that stays is retained")
 	_, ok := c.Usable(100, "a", four, true)
 	assert.False(t, ok, "it has left the list")
 	c.DialEnded(100, "a", four, DialSucceeded, 1) // a dial that was under way: nothing comes of it
--- a/internal/upstream/retrybudget/budget.go
+++ b/internal/upstream/retrybudget/budget.go
@@ -22,8 +22,8 @@
 
 	slotSeconds = windowSeconds / slotCount
 
-	// reopenShare is the share of the budget under which a spent one is available again, so that it does not change
-	// at each single retry.
+	// reopenShare is the share of the budget under which an exhausted one is available again, so that it does not
+	// change at each single retry.
 	reopenShare = 0.8
 )
 
@@ -42,7 +42,7 @@
 	Endpoint routing.EndpointID
 }
 
-// Change says that a budget is spent, or available again.
+// Change says that a budget is exhausted, or available again.
 type Change struct {
 	Scope
 	Available bool
@@ -64,7 +64,7 @@
 	changes []Change
 }
 
-// New returns budgets of which nothing is spent.
+// New returns budgets of which nothing is used.
 func New(limits Limits) *Budget { return &Budget{limits: limits, windows: map[Scope]*window{}} }
 
 // RecordAttempt counts an attempt of a request: its first one, or a retry.
@@ -84,7 +84,7 @@
 	}
 }
 
-// Advance lets time pass. Spent budgets become available again, and scopes without attempts in the window are
+// Advance sets the time. Exhausted budgets become available again, and scopes without attempts in the window are
 // forgotten.
 func (b *Budget) Advance(now float64) {
 	b.now = max(b.now, now)
@@ -119,7 +119,7 @@
 	return w
 }
 
-// update notes whether a budget was spent or became available.
+// update notes whether a budget was exhausted or became available.
 func (b *Budget) update(scope Scope, w *window) {
 	allowed := b.limits.MinRetries + b.limits.RetryRatio*sum(w.firstAttempts)
 	used := sum(w.retries)
--- a/internal/upstream/retrybudget/budget_test.go
+++ b/internal/upstream/retrybudget/budget_test.go
@@ -15,7 +15,7 @@
 	for range 11 {
 		b.RecordAttempt(100.6, 0, "b", true)
 	}
-	assert.Equal(t, []Change{{Scope{-1, "b"}, false}}, b.TakeChanges(), "b had no first attempt: its minimum is spent")
+	assert.Equal(t, []Change{{Scope{-1, "b"}, false}}, b.TakeChanges(), "b had no first attempt: it has the minimum")
 	b.RecordAttempt(100.6, 0, "c", true)
 	assert.Equal(t, []Change{{Scope{0, ""}, false}}, b.TakeChanges())
 	b.Advance(102)
@@ -34,8 +34,8 @@
 	assert.Empty(t, b.windows)
 }
 
-// TestRetriesStayWithinTheBudget tests that while no retry is sent on a spent budget, the retries in any window stay
-// within it.
+// TestRetriesStayWithinTheBudget tests that while no retry is sent on an exhausted budget, the retries in any window
+// stay within it.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Limits{RetryRatio: 0.25, MinRetries: 3})
