--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -106,15 +106,15 @@
 // watch reads events from one connection until it ends and returns whether any came.
 func (c *Client) watch(ctx context.Context) (receivedAny bool) {
 	c.Telemetry.ConnectionOpened(telemetry.SideDiscovery)
+	remote := telemetry.Remote{Side: telemetry.SideDiscovery, Address: c.Address}
 	startedAt := time.Now()
 	rawConn, err := c.dial(ctx)
 	if err != nil {
 		c.Telemetry.ConnectionEnded(telemetry.ConnectionEnd{
-			Side:       telemetry.SideDiscovery,
-			RemoteAddr: c.Address,
-			Reason:     netconn.ConnectFailed,
-			Err:        err,
-			OpenedAt:   startedAt,
+			Remote:   remote,
+			Reason:   netconn.ConnectFailed,
+			Err:      err,
+			OpenedAt: startedAt,
 		})
 		return false
 	}
@@ -122,7 +122,7 @@
 		c.readTimeout = heartbeatTimeout
 	}
 	conn := netconn.New(rawConn, bufferBytes, c.readTimeout)
-	defer conn.LogEnd(c.Telemetry, telemetry.SideDiscovery, c.Address)
+	defer conn.LogEnd(c.Telemetry, remote)
 	stopClosing := context.AfterFunc(ctx, func() { conn.Close(cancelCode(ctx), nil) })
 	defer stopClosing()
 	defer func() {
--- a/internal/edgecache/conn.go
+++ b/internal/edgecache/conn.go
@@ -68,7 +68,7 @@
 		requests: map[string]*openRequest{},
 		wake:     make(chan struct{}, 1),
 	}
-	remote := c.conn.RemoteAddr()
+	remote := telemetry.Remote{Side: telemetry.SideCacheClient, Address: c.conn.RemoteAddr()}
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(ctx, func() { c.conn.Close(netconn.Shutdown, nil) })
 	var both sync.WaitGroup
@@ -89,7 +89,7 @@
 	both.Wait()
 	stop()
 	s.post(clientGone{c})
-	c.conn.LogEnd(s.Telemetry, telemetry.SideCacheClient, remote)
+	c.conn.LogEnd(s.Telemetry, remote)
 }
 
 // readCommands reads a connection's commands and returns why it ended.
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -190,7 +190,7 @@
 		s.Requests.RequestCancelled(r)
 	}
 	s.removeConn(c)
-	c.LogEnd(s.Metrics, telemetry.SideClient, c.RemoteAddr())
+	c.LogEnd(s.Metrics, telemetry.Remote{Side: telemetry.SideClient, Address: c.RemoteAddr()})
 }
 
 // readConn reads the connection until it ends, and ends it.
--- a/internal/frontend/responsewriter_test.go
+++ b/internal/frontend/responsewriter_test.go
@@ -62,7 +62,7 @@
 	assert.True(t, w.Respond(r, request.Response{Body: w.admission.Bodies.TryAllocate(1000)}))
 	assert.Error(t, w.run(t.Context(), c))
 	var log bytes.Buffer
-	c.LogEnd(telemetry.New(&log, ""), "client", "x")
+	c.LogEnd(telemetry.New(&log, ""), telemetry.Remote{Side: telemetry.SideClient, Address: "x"})
 	assert.Contains(t, log.String(), "reason=slow_reader")
 	assert.Zero(t, w.admission.Bodies.UsedBytes())
 	for range maxQueuedFrames + 1 {
--- a/internal/netconn/close.go
+++ b/internal/netconn/close.go
@@ -85,13 +85,12 @@
 
 // LogEnd closes the connection where that has not happened, logs its end and counts it. It has to be called once all
 // goroutines that used the connection have stopped.
-func (c *Conn) LogEnd(metrics *telemetry.Metrics, side telemetry.Side, remoteAddr string) {
+func (c *Conn) LogEnd(metrics *telemetry.Metrics, remote telemetry.Remote) {
 	c.Close(Shutdown, nil)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	metrics.ConnectionEnded(telemetry.ConnectionEnd{
-		Side:          side,
-		RemoteAddr:    remoteAddr,
+		Remote:        remote,
 		Reason:        c.endCode,
 		Err:           c.endErr,
 		OpenedAt:      c.openedAt,
--- a/internal/netconn/conn_test.go
+++ b/internal/netconn/conn_test.go
@@ -109,7 +109,7 @@
 	c.SetEndCode(ProtocolError, errors.New("why"))
 	c.Close(IdleTimeout, nil)
 	c.Close(PeerReset, nil)
-	c.LogEnd(b, telemetry.SideClient, "x:1")
+	c.LogEnd(b, telemetry.Remote{Side: telemetry.SideClient, Address: "x:1"})
 	assert.Contains(t, log.String(), "side=client reason=protocol_error remote_address=x:1")
 	assert.Contains(t, log.String(), "error=why")
 	assert.Equal(t, 1, strings.Count(log.String(), "\n"))
--- a/internal/netconn/golden_test.go
+++ b/internal/netconn/golden_test.go
@@ -27,7 +27,7 @@
 		c := New(near, 8, 0)
 		metrics.ConnectionOpened(telemetry.SideEndpoint)
 		c.Close(code, errors.New("cause"))
-		c.LogEnd(metrics, telemetry.SideEndpoint, "m@a:1")
+		c.LogEnd(metrics, telemetry.Remote{Side: telemetry.SideEndpoint, Endpoint: "m", Address: "a:1"})
 	}
 	metrics.Dump(&log)
 	masked := regexp.MustCompile(`(time|duration_seconds)=\S+`).ReplaceAll(log.Bytes(), []byte("$1=*"))
--- a/internal/telemetry/connections.go
+++ b/internal/telemetry/connections.go
@@ -5,10 +5,16 @@
 	"time"
 )
 
+// Remote says what is at the other end of a connection.
+type Remote struct {
+	Side     Side
+	Endpoint string // id of the endpoint; empty for other sides
+	Address  string // empty for a connection to an endpoint without a usable address
+}
+
 // ConnectionEnd says how a connection ended.
 type ConnectionEnd struct {
-	Side          Side
-	RemoteAddr    string
+	Remote        Remote
 	Reason        fmt.Stringer // a netconn.EndCode
 	Err           error        // nil for none
 	OpenedAt      time.Time
@@ -27,14 +33,16 @@
 // ConnectionEnded counts a connection that ended and writes its one log line.
 func (m *Metrics) ConnectionEnded(e ConnectionEnd) {
 	m.countConnectionEnd(e)
-	attributes := []any{
-		"side", e.Side,
-		"reason", e.Reason,
-		"remote_address", e.RemoteAddr,
+	attributes := []any{"side", e.Remote.Side, "reason", e.Reason}
+	if e.Remote.Endpoint != "" {
+		attributes = append(attributes, "endpoint", e.Remote.Endpoint)
+	}
+	attributes = append(attributes,
+		"remote_address", e.Remote.Address,
 		"duration_seconds", time.Since(e.OpenedAt).Seconds(),
 		"bytes_received", e.BytesReceived,
 		"bytes_sent", e.BytesSent,
-	}
+	)
 	if e.Err != nil {
 		attributes = append(attributes, "error", e.Err.Error())
 	}
@@ -44,8 +52,8 @@
 func (m *Metrics) countConnectionEnd(e ConnectionEnd) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.values[ConnectionsClosed.With(e.Side, e.Reason).series]++
-	m.values[ConnectionsOpen.With(e.Side).series]--
-	m.values[BytesReceived.With(e.Side).series] += float64(e.BytesReceived)
-	m.values[BytesSent.With(e.Side).series] += float64(e.BytesSent)
+	m.values[ConnectionsClosed.With(e.Remote.Side, e.Reason).series]++
+	m.values[ConnectionsOpen.With(e.Remote.Side).series]--
+	m.values[BytesReceived.With(e.Remote.Side).series] += float64(e.BytesReceived)
+	m.values[BytesSent.With(e.Remote.Side).series] += float64(e.BytesSent)
 }
--- a/internal/telemetry/metrics_test.go
+++ b/internal/telemetry/metrics_test.go
@@ -97,8 +97,7 @@
 	m := New(&out, "n1")
 	m.ConnectionOpened(SideClient)
 	m.ConnectionEnded(ConnectionEnd{
-		Side:          SideClient,
-		RemoteAddr:    "192.0.2.1:5",
+		Remote:        Remote{Side: SideClient, Address: "192.0.2.1:5"},
 		Reason:        label("peer_reset"),
 		Err:           errors.New("gone"),
 		OpenedAt:      time.Now(),
--- a/internal/upstream/lifecycle.go
+++ b/internal/upstream/lifecycle.go
@@ -87,11 +87,17 @@
 		unsent = routing.NotSent
 	}
 	c.endAttempts(conn, unsent)
-	conn.LogEnd(c.pool.Metrics, telemetry.SideEndpoint, c.peerName())
+	conn.LogEnd(c.pool.Metrics, c.remote())
 }
 
-// peerName is the connection's peer in the log.
-func (c *Connection) peerName() string { return string(c.endpointID) + "@" + c.dialedAddr() }
+// remote is the connection's other end in log lines and counters.
+func (c *Connection) remote() telemetry.Remote {
+	return telemetry.Remote{
+		Side:     telemetry.SideEndpoint,
+		Endpoint: string(c.endpointID),
+		Address:  c.dialedAddr(),
+	}
+}
 
 // failedToConnect ends a connection that was not established.
 func (c *Connection) failedToConnect(ctx context.Context, began time.Time, cause error) {
@@ -106,7 +112,7 @@
 	conn.SetStartTime(began)
 	conn.Close(code, cause)
 	c.endAttempts(nil, result)
-	conn.LogEnd(c.pool.Metrics, telemetry.SideEndpoint, c.peerName())
+	conn.LogEnd(c.pool.Metrics, c.remote())
 }
 
 // noSocket stands for the socket of a connection that was never established.
