--- a/internal/admin/commandlabel.go
+++ b/internal/admin/commandlabel.go
@@ -1,20 +1,19 @@
 package admin
 
-// commandLabel is a command of the wire as the label of the counter of requests.
-type commandLabel string
+import "cairnfront/internal/telemetry"
 
 // commandLabels has the labels of the commands whose words on the wire are not the field's.
-var commandLabels = map[commandLabel]string{
+var commandLabels = map[string]telemetry.AdminRequest{
 	"reach":       "addresses",
 	"rest":        "cooldown",
 	"unrest":      "reinstate",
 	"peers-leave": "peers_leave",
 }
 
-// String returns the label's value.
-func (c commandLabel) String() string {
-	if label, ok := commandLabels[c]; ok {
+// commandLabel returns the label of a command of the wire in the counter of requests.
+func commandLabel(command string) telemetry.AdminRequest {
+	if label, ok := commandLabels[command]; ok {
 		return label
 	}
-	return string(c)
+	return telemetry.AdminRequest(command)
 }
--- a/internal/cacheproto/words.go
+++ b/internal/cacheproto/words.go
@@ -37,6 +37,13 @@
 	UnknownPurgeGroup = 0xffff
 )
 
+// Prefixes of the ids of probes, which are numbered behind them. They tell probes of the endpoint's health from those
+// of one of its addresses.
+const (
+	HealthCheckIDPrefix  = "check"
+	AddressProbeIDPrefix = "look"
+)
+
 const (
 	millisInSecond = 1000
 	noFields       = "-" // stands for an empty list of fields
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -56,8 +56,8 @@
 		}
 		happened := clocks.monotonic - time.Duration(rapid.IntRange(0, 9000).Draw(t, "ago"))*time.Second
 		clockOfTeller := rapid.SampledFrom(offsets).Draw(t, "offset")
-		told := (happened + clockOfTeller).Seconds()
-		latest, earliest := wall.LatestInstant(told), wall.EarliestInstant(told)
+		received := (happened + clockOfTeller).Seconds()
+		latest, earliest := wall.LatestInstant(received), wall.EarliestInstant(received)
 		if latest < happened.Seconds()-1e-6 || latest > clocks.monotonic.Seconds() {
 			t.Fatalf("latest %v, happened %v, now %v", latest, happened.Seconds(), clocks.monotonic.Seconds())
 		}
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -5,7 +5,7 @@
 	"cairnfront/routing"
 )
 
-// listedEndpoint is what the dispatcher keeps of an entry of the endpoint list.
+// listedEndpoint is what the dispatcher stores of an entry of the endpoint list.
 type listedEndpoint struct {
 	kind          int
 	startedAtUnix float64 // as listed, Unix seconds; 0 for long ago
@@ -13,7 +13,7 @@
 }
 
 // list returns the entry of a listed endpoint; earlier is the one before, zero for none. The time of a start is
-// worked out once, when it is first heard of, and as late as it may have been: a warming endpoint is taken for colder
+// translated once, when it is first received, and as late as it may have been: a warming endpoint is taken for colder
 // than it is rather than for warmer (rule 4). A start that is new came after the one before, whatever the clocks say.
 func (d *Dispatcher) list(listed routing.Endpoint, earlier listedEndpoint) listedEndpoint {
 	entry := listedEndpoint{kind: listed.Kind, startedAtUnix: listed.StartedAt}
@@ -75,7 +75,7 @@
 	d.decide(routing.EndpointUpdate{Kind: kind, Endpoints: endpoints}, nil)
 }
 
-// fillSource is the source of a fill as the endpoint is told it, empty for none. An edge cache that is its own source
+// fillSource is the source of a fill as the attempt names it, empty for none. An edge cache that is its own source
 // fills nothing; a parent cache or the origin is named all the same.
 func (d *Dispatcher) fillSource(action routing.StartAttempt) string {
 	kind := d.endpoints[action.Endpoint].kind
--- a/internal/telemetry/labels.go
+++ b/internal/telemetry/labels.go
@@ -6,6 +6,12 @@
 // String returns the class's name.
 func (c Class) String() string { return string(c) }
 
+// AdminRequest is a request on the admin socket, as a label.
+type AdminRequest string
+
+// String returns the request's label.
+func (r AdminRequest) String() string { return string(r) }
+
 // Side says what is at the other end of a connection.
 type Side string
 
--- a/internal/telemetry/table.go
+++ b/internal/telemetry/table.go
@@ -71,7 +71,7 @@
 		"Connections to the admin socket that were closed because too many were open.")
 	AdminUsersRefused = newCounter("admin_users_refused_total",
 		"Connections to the admin socket from users that are not allowed.")
-	AdminRequests = newCounterVec[fmt.Stringer]("admin_requests_total", "request",
+	AdminRequests = newCounterVec[AdminRequest]("admin_requests_total", "request",
 		"Requests on the admin socket.")
 )
 
--- a/internal/upstream/addresses.go
+++ b/internal/upstream/addresses.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"cairnfront/internal/cacheproto"
 	"cairnfront/internal/clock"
 	"cairnfront/internal/telemetry"
 	"cairnfront/internal/upstream/address"
@@ -149,7 +150,7 @@
 		c := p.newConnection(e)
 		c.dialPlan = []address.PlannedDial{{Addr: probe.Addr}}
 		if probe.HealthCheck {
-			c.add(p.newHealthCheck("look", false))
+			c.add(p.newHealthCheck(cacheproto.AddressProbeIDPrefix, false))
 		}
 		p.run(e, c)
 	}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -20,7 +20,7 @@
 	id            string
 	command       cacheproto.Attempt // of a request
 	bounds        Bounds
-	head          []byte           // the command line; that of a request is worked out as it is written
+	head          []byte           // the command line; that of a request is formatted as it is written
 	body          *request.Body    // nil for none
 	request       *request.Request // nil for a health check
 	isHealthCheck bool
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -99,7 +99,7 @@
 }
 
 // cancel gives an attempt up and returns how it ends by that, and whether at once. One that the endpoint may know of
-// is over only when the socket has taken the line that tells it, or the connection has ended: a retry sent before
+// is over only when the socket has taken the cancel line, or the connection has ended: a retry sent before
 // that line would be out at the same time as the attempt. Its end then comes like any other.
 func (c *Connection) cancel(a *Attempt, result routing.AttemptResult) (end routing.AttemptResult, atOnce bool) {
 	c.mu.Lock()
@@ -158,7 +158,7 @@
 	}
 }
 
-// reportEnd tells the pool's owner of an attempt's end.
+// reportEnd reports an attempt's end to the pool's owner.
 func (c *Connection) reportEnd(a *Attempt, end request.AttemptEnd) {
 	c.pool.OnEvent(AttemptEnded{Attempt: a, End: end})
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -147,7 +147,7 @@
 
 // SendHealthCheck asks an endpoint for its state. It returns nil where no connection may be made.
 func (p *Pool) SendHealthCheck(endpointID routing.EndpointID, owner Owner) *Attempt {
-	check := p.newHealthCheck("check", p.RequestLoadReports)
+	check := p.newHealthCheck(cacheproto.HealthCheckIDPrefix, p.RequestLoadReports)
 	check.Owner = owner
 	return p.start(endpointID, check, nil)
 }
--- a/internal/upstream/retrybudget/budget.go
+++ b/internal/upstream/retrybudget/budget.go
@@ -53,7 +53,7 @@
 	firstAttempts [slotCount]float64
 	retries       [slotCount]float64
 	slot          int64 // the slot that is being filled, counted from time 0
-	spent         bool
+	exhausted     bool  // as it was reported last
 }
 
 // Budget is the budgets of all scopes. It is not safe for more than one goroutine.
@@ -92,7 +92,7 @@
 		w := b.windows[scope]
 		w.advance(b.currentSlot())
 		b.update(scope, w)
-		if !w.spent && w.isEmpty() {
+		if !w.exhausted && w.isEmpty() {
 			delete(b.windows, scope)
 		}
 	}
@@ -123,10 +123,10 @@
 func (b *Budget) update(scope Scope, w *window) {
 	allowed := b.limits.MinRetries + b.limits.RetryRatio*sum(w.firstAttempts)
 	used := sum(w.retries)
-	spentNow := !w.spent && used >= allowed
-	availableAgain := w.spent && used < reopenShare*allowed
-	if spentNow || availableAgain {
-		w.spent = spentNow
+	exhaustedNow := !w.exhausted && used >= allowed
+	availableAgain := w.exhausted && used < reopenShare*allowed
+	if exhaustedNow || availableAgain {
+		w.exhausted = exhaustedNow
 		b.changes = append(b.changes, Change{Scope: scope, Available: availableAgain})
 	}
 }
--- a/internal/upstream/retrybudget/budget_test.go
+++ b/internal/upstream/retrybudget/budget_test.go
@@ -39,7 +39,7 @@
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Limits{RetryRatio: 0.25, MinRetries: 3})
-		now, spent := 50.0, map[Scope]bool{}
+		now, exhausted := 50.0, map[Scope]bool{}
 		type attempt struct {
 			at      float64
 			isRetry bool
@@ -49,12 +49,12 @@
 			now += rapid.Float64Range(0, 0.1).Draw(t, "dt")
 			isRetry := rapid.Bool().Draw(t, "isRetry")
 			b.Advance(now)
-			if !isRetry || (!spent[Scope{0, ""}] && !spent[Scope{-1, "a"}]) {
+			if !isRetry || (!exhausted[Scope{0, ""}] && !exhausted[Scope{-1, "a"}]) {
 				b.RecordAttempt(now, 0, "a", isRetry)
 				all = append(all, attempt{now, isRetry})
 			}
 			for _, c := range b.TakeChanges() {
-				spent[c.Scope] = !c.Available
+				exhausted[c.Scope] = !c.Available
 			}
 			firstAttempts, retries := 0.0, 0.0
 			for _, a := range all {
--- a/internal/upstream/writer.go
+++ b/internal/upstream/writer.go
@@ -13,8 +13,8 @@
 	"cairnfront/routing"
 )
 
-// maxLineAge is how long the socket may take over an attempt whose line is worked out. By the protocol's terms the
-// deadline in the line may exceed what the client has left by 0.15 s when the attempt has come completely.
+// maxLineAge is how long the socket may take to accept an attempt after its line was formatted. By the protocol's terms
+// the deadline in the line may exceed what the client has left by 0.15 s when all of the attempt has arrived.
 const maxLineAge = 100 * time.Millisecond
 
 // minTimeLeft is the least time to an attempt's deadline with which its line is begun.
@@ -24,7 +24,7 @@
 type connectionWriter struct {
 	*Connection
 	conn         *netconn.Conn
-	told         []*Attempt    // cancelled attempts whose cancel line may be unflushed
+	notified     []*Attempt    // cancelled attempts whose cancel line may be unflushed
 	stalledSince clock.Instant // when the socket began to take nothing of an attempt; zero while it does
 }
 
@@ -58,22 +58,22 @@
 	if err := w.conn.Flush(); err != nil {
 		return err
 	}
-	w.reportCancelled(w.told)
-	w.told = w.told[:0]
+	w.reportCancelled(w.notified)
+	w.notified = w.notified[:0]
 	return nil
 }
 
 // write buffers a cancel line, or writes an attempt.
 func (w *connectionWriter) write(next command) error {
 	if next.cancelLine != nil {
-		w.told = append(w.told, next.attempt)
+		w.notified = append(w.notified, next.attempt)
 		return w.conn.Write(next.cancelLine)
 	}
 	return w.writeAttempt(next.attempt)
 }
 
 // writeAttempt writes an attempt to the socket, behind nothing that is unwritten. If the socket takes nothing of it for
-// a while, the attempt goes back to the head of the queue, so that its line is worked out anew. If it takes a part, the
+// a while, the attempt goes back to the head of the queue, so that its line is formatted anew. If it takes a part, the
 // connection has to end: the line could arrive with a deadline that the client does not have any more, and an attempt
 // that is incomplete does not run.
 func (w *connectionWriter) writeAttempt(a *Attempt) error {
@@ -88,8 +88,8 @@
 		w.stalledSince = 0
 		return nil
 	}
-	momentary := errors.Is(err, os.ErrDeadlineExceeded) || netconn.IsLocalShortage(err)
-	if !momentary || w.conn.BytesWritten() > before || w.stalledTooLong(a) {
+	temporary := errors.Is(err, os.ErrDeadlineExceeded) || netconn.IsLocalShortage(err)
+	if !temporary || w.conn.BytesWritten() > before || w.stalledTooLong(a) {
 		return err
 	}
 	w.conn.DropUnwritten()
@@ -116,7 +116,7 @@
 	c.writeQueue = append([]command{{attempt: a}}, c.writeQueue...)
 }
 
-// hasQueued says whether a command waits.
+// hasQueued reports whether a command waits.
 func (c *Connection) hasQueued() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,7 +142,7 @@
 	}
 }
 
-// dequeue takes the next command from the queue, works out its attempt's line and marks it as written. An attempt that
+// dequeue takes the next command from the queue, formats its attempt's line and marks it as written. An attempt that
 // may not be begun any more is taken off the connection instead.
 func (c *Connection) dequeue(conn *netconn.Conn) (next command, unwanted, ok bool) {
 	c.mu.Lock()
@@ -181,7 +181,8 @@
 	return a.bounds.SendBefore.IsZero() || now < a.bounds.SendBefore
 }
 
-// formatLine returns the line of a request's attempt as of a time.
+// formatLine sets the line of a request's attempt, with the time that is left of its deadline. A health check has its
+// line from the beginning.
 func (a *Attempt) formatLine(now clock.Instant) {
 	if a.request == nil {
 		return
