--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -192,11 +192,7 @@
 	if errors.Is(err, ErrMalformed) {
 		return netconn.ProtocolError
 	}
-	code := netconn.ClassifyError(err)
-	if code == netconn.SlowReader { // the read deadline passed
-		return netconn.MissedHeartbeats
-	}
-	return code
+	return netconn.ClassifyReadError(err, netconn.MissedHeartbeats)
 }
 
 func (c *Client) deliver(ev Event) error {
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -54,7 +54,6 @@
 	}
 	snapshot, known := ev.Kind == discovery.Snapshot, d.endpoints
 	if snapshot {
-		known = d.endpoints
 		d.endpoints = map[routing.EndpointID]listedEndpoint{}
 	}
 	if snapshot && kind != routing.Restored {
--- a/internal/netconn/conn_test.go
+++ b/internal/netconn/conn_test.go
@@ -96,7 +96,12 @@
 		context.Canceled:       Shutdown,
 		errors.New("x"):        SocketError,
 	} {
-		assert.Equal(t, want, ClassifyError(fmt.Errorf("wrapped: %w", err)))
+		wrapped := fmt.Errorf("wrapped: %w", err)
+		assert.Equal(t, want, ClassifyError(wrapped))
+		if want == SlowReader { // the deadline of a write
+			want = IdleTimeout
+		}
+		assert.Equal(t, want, ClassifyReadError(wrapped, IdleTimeout))
 	}
 }
 
--- a/internal/netconn/endcode.go
+++ b/internal/netconn/endcode.go
@@ -64,7 +64,17 @@
 // String returns the code's text in log lines and labels of counters.
 func (c EndCode) String() string { return endCodeTexts[c] }
 
-// ClassifyError returns the end code for an error of a read or a write.
+// ClassifyReadError returns the end code for an error of a read. A read deadline that passed has the code
+// deadlinePassed: only the reader knows what the deadline was for.
+func ClassifyReadError(err error, deadlinePassed EndCode) EndCode {
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		return deadlinePassed
+	}
+	return ClassifyError(err)
+}
+
+// ClassifyError returns the end code for an error of a write, or of a read without a deadline. A deadline that passed
+// is that of a write.
 func ClassifyError(err error) EndCode {
 	switch {
 	case errors.Is(err, io.EOF):
--- a/internal/upstream/address/observation.go
+++ b/internal/upstream/address/observation.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// minSilence, in seconds, is the least wait without input after which an address is held to be silent. It is
+	// minSilenceSeconds is the least wait without input after which an address is held to be silent. It is
 	// under the wait after which an endpoint is ejected (0.35 s).
-	minSilence = 0.12
+	minSilenceSeconds = 0.12
 
 	// silenceFactor is how many usual waits for a first byte tell of silence.
 	silenceFactor = 4.0
 
-	// firstCooldown and maxCooldown, in seconds, bound the cooldown of an address that a probe can reinstate.
-	firstCooldown = 0.2
-	maxCooldown   = 5.0
+	// firstCooldownSeconds and maxCooldownSeconds bound the cooldown of an address that a probe can reinstate.
+	firstCooldownSeconds = 0.2
+	maxCooldownSeconds   = 5.0
 
-	// maxSilentCooldown, in seconds, bounds the cooldown of a silent address: only an attempt or a health check can
+	// maxSilentCooldownSeconds bounds the cooldown of a silent address: only an attempt or a health check can
 	// tell that it responds.
-	maxSilentCooldown = 20.0
+	maxSilentCooldownSeconds = 20.0
 
 	// cooldownGrowth bounds a cooldown by the one before it (decorrelated jitter).
 	cooldownGrowth = 3.0
 
-	// healthyReset, in seconds, is how long an address has to respond until its next cooldown is a first one again.
+	// healthyResetSeconds is how long an address has to respond until its next cooldown is a first one again.
 	// An address that flaps does not reset it.
-	healthyReset = 2.0
+	healthyResetSeconds = 2.0
 )
 
 // Condition says what is held against an address.
@@ -127,7 +127,7 @@
 	if a.condition == Silent && a.inCooldown(s.now) {
 		return true
 	}
-	if waitSeconds < max(minSilence, silenceFactor*a.firstByteSeconds.mean()) {
+	if waitSeconds < max(minSilenceSeconds, silenceFactor*a.firstByteSeconds.mean()) {
 		return false
 	}
 	s.startCooldown(e, a, Silent)
@@ -160,20 +160,20 @@
 	if a.condition == Disabled || len(e.addresses) < 2 || repeated {
 		return
 	}
-	if a.healthySince > 0 && s.now-a.healthySince >= healthyReset {
-		a.lastCooldown = 0
+	if a.healthySince > 0 && s.now-a.healthySince >= healthyResetSeconds {
+		a.lastCooldownSeconds = 0
 	}
-	longest := maxCooldown
+	longest := maxCooldownSeconds
 	if condition == Silent {
-		longest = maxSilentCooldown
+		longest = maxSilentCooldownSeconds
 		e.inDoubt = true
 	}
 	a.healthySince = 0
-	previous := max(a.lastCooldown, firstCooldown)
-	a.lastCooldown = min(longest, firstCooldown+s.random()*(previous*cooldownGrowth-firstCooldown))
+	previous := max(a.lastCooldownSeconds, firstCooldownSeconds)
+	a.lastCooldownSeconds = min(longest, firstCooldownSeconds+s.random()*(previous*cooldownGrowth-firstCooldownSeconds))
 	a.condition = condition
 	a.changedAt = s.now
-	a.cooldownUntil = s.now + a.lastCooldown
+	a.cooldownUntil = s.now + a.lastCooldownSeconds
 	if condition == Refused || condition == TimedOut {
 		a.connectSeconds = nil
 	}
@@ -212,7 +212,7 @@
 		return false
 	}
 	a.reinstate(s.now)
-	a.lastCooldown = 0
+	a.lastCooldownSeconds = 0
 	a.inTrial = false
 	return true
 }
--- a/internal/upstream/address/probe.go
+++ b/internal/upstream/address/probe.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// recentUse, in seconds, is how long after its last planned connection an endpoint has a second one.
-	recentUse = 30.0
+	// recentUseSeconds is how long after its last planned connection an endpoint has a second one.
+	recentUseSeconds = 30.0
 
-	// spareInterval, in seconds, is the least time between two probes for a spare connection.
-	spareInterval = 5.0
+	// spareIntervalSeconds is the least time between two probes for a spare connection.
+	spareIntervalSeconds = 5.0
 
-	// minProbeInterval and probeTimeout, in seconds, bound how soon an address is probed again: after any probe, and
+	// minProbeIntervalSeconds and probeTimeoutSeconds bound how soon an address is probed again: after any probe, and
 	// after one whose end was not heard of.
-	minProbeInterval = firstCooldown
-	probeTimeout     = maxCooldown
+	minProbeIntervalSeconds = firstCooldownSeconds
+	probeTimeoutSeconds     = maxCooldownSeconds
 )
 
 // Probe asks for a connection that carries no attempt: to see whether an address can be reached again, or to have a
@@ -36,7 +36,7 @@
 	var probes []Probe
 	for _, id := range s.ids() {
 		e := s.endpoints[id]
-		unused := s.now-e.lastPlanned >= recentUse
+		unused := s.now-e.lastPlanned >= recentUseSeconds
 		if len(e.addresses) < 2 || (unused && e.isHealthy()) { // most endpoints, most of the time
 			continue
 		}
@@ -81,7 +81,7 @@
 
 // needsSpare says whether it is time to see to a spare connection over the endpoint's second healthy address.
 func (s *Selector) needsSpare(e *endpoint, second *address) bool {
-	return s.now-e.lastPlanned < recentUse && s.now-second.probedAt >= spareInterval
+	return s.now-e.lastPlanned < recentUseSeconds && s.now-second.probedAt >= spareIntervalSeconds
 }
 
 // startProbe notes that a probe of the address begins.
@@ -93,7 +93,7 @@
 // probedLately says whether the address was probed too lately, or is being probed.
 func (a *address) probedLately(now float64) bool {
 	sinceProbe := now - a.probedAt
-	return sinceProbe < minProbeInterval || (a.probing && sinceProbe < probeTimeout)
+	return sinceProbe < minProbeIntervalSeconds || (a.probing && sinceProbe < probeTimeoutSeconds)
 }
 
 // isHealthy says that nothing is held against any address.
--- a/internal/upstream/address/selector.go
+++ b/internal/upstream/address/selector.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// defaultDialDelay, in seconds, lies between two dials where no connect time was measured. It is the recommended
+	// defaultDialDelaySeconds lies between two dials where no connect time was measured. It is the recommended
 	// delay of RFC 8305, section 5.
-	defaultDialDelay = 0.25
+	defaultDialDelaySeconds = 0.25
 
-	// minDialDelay, in seconds, is the least delay between two dials (RFC 8305, section 5).
-	minDialDelay = 0.01
+	// minDialDelaySeconds is the least delay between two dials (RFC 8305, section 5).
+	minDialDelaySeconds = 0.01
 
 	// dialDelayFactor is how many usual connect times pass before the next dial begins. One dial in some dozens takes
 	// longer.
 	dialDelayFactor = 4.0
 
-	// slowerFactor and slowerMargin, the latter in seconds, say by how much an address has to connect slower than the
+	// slowerFactor and slowerMarginSeconds say by how much an address has to connect slower than the
 	// next one to be placed behind it. Smaller differences are noise.
-	slowerFactor = 2.0
-	slowerMargin = 0.005
+	slowerFactor        = 2.0
+	slowerMarginSeconds = 0.005
 )
 
 // Selector is the state of all endpoints' addresses. It is not safe for more than one goroutine.
@@ -36,7 +36,7 @@
 	HealthChecksAllowed bool // the deployment allows health checks
 
 	randomState uint64
-	now         float64 // the latest time that a call gave
+	now         float64 // monotonic seconds, the latest time that a call gave
 	endpoints   map[routing.EndpointID]*endpoint
 	sortedIDs   []routing.EndpointID
 	idsChanged  bool // sortedIDs are not those of the endpoints
@@ -45,24 +45,24 @@
 // endpoint is an endpoint with its addresses in order of preference. One that was started again is another endpoint:
 // nothing known carries over but the addresses' order.
 type endpoint struct {
-	startedAt   float64
+	startedAt   float64 // Unix seconds, as the endpoint list has it
 	addresses   []*address
-	lastPlanned float64 // when a connection to it was last planned
+	lastPlanned float64 // monotonic seconds at which a connection to it was last planned
 	inDoubt     bool    // an address fell silent, and it is not known whether the endpoint did
 }
 
 // address is what is known of one address, in about 250 bytes.
 type address struct {
 	Addr
-	condition     Condition
-	changedAt     float64 // since when the condition holds, monotonic seconds
-	cooldownUntil float64 // monotonic seconds; it is not used for attempts before
-	lastCooldown  float64 // seconds
-	healthySince  float64 // monotonic seconds since when it has responded without a failure, 0 for not
-	probedAt      float64 // monotonic seconds at which a probe last began
-	probing       bool
-	respondedAt   float64 // monotonic seconds at which a response last came
-	inTrial       bool    // an attempt was let through to see whether it responds
+	condition           Condition
+	changedAt           float64 // since when the condition holds, monotonic seconds
+	cooldownUntil       float64 // monotonic seconds; it is not used for attempts before
+	lastCooldownSeconds float64 // length of the latest one, 0 after it has been healthy for a while
+	healthySince        float64 // monotonic seconds since when it has responded without a failure, 0 for not
+	probedAt            float64 // monotonic seconds at which a probe last began
+	probing             bool
+	respondedAt         float64 // monotonic seconds at which a response last came
+	inTrial             bool    // an attempt was let through to see whether it responds
 
 	connectSeconds   samples
 	firstByteSeconds samples
@@ -154,9 +154,9 @@
 // dialDelay returns the seconds between a dial to an address with a usual connect time and the dial after it.
 func dialDelay(usualConnect float64) float64 {
 	if usualConnect == 0 {
-		return defaultDialDelay
+		return defaultDialDelaySeconds
 	}
-	return min(max(dialDelayFactor*usualConnect, minDialDelay), defaultDialDelay)
+	return min(max(dialDelayFactor*usualConnect, minDialDelaySeconds), defaultDialDelaySeconds)
 }
 
 // Usable says whether a new attempt may be written on a connection over an address, and the address's rank: 0 for the
@@ -191,7 +191,7 @@
 	ordered := slices.Clone(e.addresses)
 	for i := 0; i+1 < len(ordered); i++ {
 		this, next := ordered[i].connectSeconds.mean(), ordered[i+1].connectSeconds.mean()
-		if this > 0 && next > 0 && this > slowerFactor*next && this > next+slowerMargin {
+		if this > 0 && next > 0 && this > slowerFactor*next && this > next+slowerMarginSeconds {
 			ordered[i], ordered[i+1] = ordered[i+1], ordered[i]
 		}
 	}
--- a/internal/upstream/address/selector_test.go
+++ b/internal/upstream/address/selector_test.go
@@ -50,7 +50,7 @@
 
 func TestPlanDelaysDialsByMeasuredConnectTimes(t *testing.T) {
 	c := twoAddresses()
-	assert.Equal(t, []PlannedDial{{sock, 0}, {four, defaultDialDelay}}, c.Plan(100, "a", true))
+	assert.Equal(t, []PlannedDial{{sock, 0}, {four, defaultDialDelaySeconds}}, c.Plan(100, "a", true))
 	c.DialEnded(100, "a", sock, DialSucceeded, 0.02)
 	assert.Equal(t, []PlannedDial{{sock, 0}, {four, 0.08}}, c.Plan(100, "a", true))
 	c.DialEnded(100, "a", four, DialSucceeded, 0.001)
@@ -103,7 +103,7 @@
 	c.AttemptSent(110, "a", sock)
 	_, ok = c.Usable(110, "a", sock, true)
 	assert.False(t, ok, "one at a time")
-	first := lookup(c, 110).lastCooldown
+	first := lookup(c, 110).lastCooldownSeconds
 	assert.True(t, c.AwaitingResponse(110.5, "a", sock, 0.5))
 	assert.NotZero(t, first)
 	c.ResponseReceived(140, "a", sock, 0.01)
@@ -145,16 +145,16 @@
 	for range 40 {
 		c.DialEnded(now, "a", sock, DialRefused, 0)
 		x := lookup(c, now)
-		assert.GreaterOrEqual(t, x.lastCooldown, firstCooldown)
-		assert.LessOrEqual(t, x.lastCooldown, maxCooldown)
-		longest = max(longest, x.lastCooldown)
+		assert.GreaterOrEqual(t, x.lastCooldownSeconds, firstCooldownSeconds)
+		assert.LessOrEqual(t, x.lastCooldownSeconds, maxCooldownSeconds)
+		longest = max(longest, x.lastCooldownSeconds)
 		now = x.cooldownUntil + 0.1
 		c.DialEnded(now, "a", sock, DialSucceeded, 0.001) // flapping: it is back and gone again
 	}
 	assert.Greater(t, longest, 2.0)
 	c.ResponseReceived(now, "a", sock, 0.01)
-	c.ConnectionBroken(now+healthyReset, "a", sock)
-	assert.Less(t, lookup(c, now).lastCooldown, 3*firstCooldown)
+	c.ConnectionBroken(now+healthyResetSeconds, "a", sock)
+	assert.Less(t, lookup(c, now).lastCooldownSeconds, 3*firstCooldownSeconds)
 }
 
 func TestRestartForgetsAndAListCanChange(t *testing.T) {
@@ -308,7 +308,7 @@
 			}
 		}
 		for range 3 { // with probes that succeed all addresses come back
-			now += maxSilentCooldown + 100
+			now += maxSilentCooldownSeconds + 100
 			c.HealthChecksAllowed = true
 			for _, l := range c.DueProbes(now, connected) {
 				c.DialEnded(now, l.Endpoint, l.Addr, DialSucceeded, 0.01)
--- a/internal/upstream/lifecycle.go
+++ b/internal/upstream/lifecycle.go
@@ -140,9 +140,6 @@
 			conn.CloseGracefully(netconn.Shutdown, nil, lingerTimeout, lingerBytes)
 			return errConnectionEnded
 		}
-		if code == netconn.SlowReader { // a read deadline that passed
-			code = netconn.StalledResponse
-		}
 		conn.Close(code, err)
 		return errConnectionEnded
 	})
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -29,7 +29,7 @@
 func (c *Connection) readResponse(ctx context.Context, conn *netconn.Conn) (netconn.EndCode, error) {
 	line, err := conn.ReadLine()
 	if err != nil {
-		return netconn.ClassifyError(err), err
+		return netconn.ClassifyReadError(err, netconn.StalledResponse), err
 	}
 	response, err := cacheproto.ParseResponse(line)
 	if err != nil {
@@ -56,7 +56,7 @@
 		if errors.Is(err, errNoLineEnd) {
 			return netconn.ProtocolError, err
 		}
-		return netconn.ClassifyError(err), err
+		return netconn.ClassifyReadError(err, netconn.StalledResponse), err
 	}
 	conn.FrameComplete()
 	c.endByResponse(a, response)
