--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -9,6 +9,19 @@
 	"cairnfront/routing"
 )
 
+// attemptState is the state of an attempt. It changes in the order of the constants and may skip attemptCancelled:
+//
+//	attemptOpen       -> attemptCancelled   cancelAttempt: the decisions gave it up, or its deadline passed
+//	attemptOpen       -> attemptEnded       finishAttempt: its connection reported its end, or it could not be sent
+//	attemptCancelled  -> attemptEnded       finishAttempt: its connection reported its end, or will not report one
+type attemptState uint8
+
+const (
+	attemptOpen attemptState = iota
+	attemptCancelled
+	attemptEnded
+)
+
 // attempt is one try of a request at an endpoint.
 type attempt struct {
 	request    *openRequest
@@ -18,8 +31,7 @@
 	sent       *upstream.Attempt    // nil if it could not be sent, and once it has ended
 	connection *upstream.Connection // nil if it could not be sent
 
-	ended         bool
-	cancelled     bool
+	state         attemptState
 	stallReported bool // the decisions know that its connection is silent
 }
 
@@ -89,12 +101,12 @@
 
 // finishAttempt handles the end of an attempt, once. The first one that completed answers the request.
 func (d *Dispatcher) finishAttempt(a *attempt, end request.AttemptEnd) {
-	if a.ended {
+	if a.state == attemptEnded {
 		end.Body.Free()
 		return
 	}
 	o := a.request
-	a.ended = true
+	a.state = attemptEnded
 	a.sent = nil // it holds the body, and a timer still holds the attempt
 	o.running--
 	elapsed := d.now - a.startedAt
@@ -133,10 +145,10 @@
 // cancelAttempt gives an attempt up. Its end is reported once its endpoint was sent the cancel. If the endpoint can't
 // know of the attempt, its end is handled after the event in hand.
 func (d *Dispatcher) cancelAttempt(a *attempt, result routing.AttemptResult) {
-	if a.ended || a.cancelled || a.sent == nil { // one that was not sent is about to end
+	if a.state != attemptOpen || a.sent == nil { // one that was not sent is about to end
 		return
 	}
-	a.cancelled = true
+	a.state = attemptCancelled
 	if result, atOnce := d.Pool.Cancel(a.sent, result); atOnce {
 		d.runNext(attemptFinished{a, request.AttemptEnd{Result: result}})
 	}
@@ -147,7 +159,7 @@
 func (d *Dispatcher) reportStalled(stalled []*upstream.Attempt) {
 	for _, sent := range stalled {
 		a, ok := sent.Owner.(*attempt)
-		if !ok || a.ended || a.stallReported {
+		if !ok || a.state == attemptEnded || a.stallReported {
 			continue
 		}
 		a.stallReported = true
