--- a/internal/netconn/conn_test.go
+++ b/internal/netconn/conn_test.go
@@ -96,7 +96,12 @@
 		context.Canceled:       Shutdown,
 		errors.New("x"):        SocketError,
 	} {
-		assert.Equal(t, want, ClassifyError(fmt.Errorf("wrapped: %w", err)))
+		wrapped := fmt.Errorf("wrapped: %w", err)
+		assert.Equal(t, want, ClassifyError(wrapped))
+		if want == SlowReader { // the deadline of a write
+			want = IdleTimeout
+		}
+		assert.Equal(t, want, ClassifyReadError(wrapped, IdleTimeout))
 	}
 }
 
@@ -105,17 +110,17 @@
 	c := New(near, 8, 0)
 	var log bytes.Buffer
 	b := telemetry.New(&log, "n1")
-	b.ConnectionOpened("client")
+	b.ConnectionOpened(telemetry.SideClient)
 	c.SetEndCode(ProtocolError, errors.New("why"))
 	c.Close(IdleTimeout, nil)
 	c.Close(PeerReset, nil)
-	c.LogEnd(b, "client", "x:1")
-	assert.Contains(t, log.String(), "side=client code=protocol peer=x:1")
-	assert.Contains(t, log.String(), "err=why")
+	c.LogEnd(b, telemetry.Remote{Side: telemetry.SideClient, Address: "x:1"})
+	assert.Contains(t, log.String(), "side=client reason=protocol_error remote_address=x:1")
+	assert.Contains(t, log.String(), "error=why")
 	assert.Equal(t, 1, strings.Count(log.String(), "\n"))
-	assert.EqualValues(t, 1, b.Value("conn.client.begun"))
-	assert.EqualValues(t, 0, b.Value("conn.client.open"))
-	assert.EqualValues(t, 1, b.Value("conn.client.ended.protocol"))
+	assert.EqualValues(t, 1, b.Value(`connections_opened_total{side="client"}`))
+	assert.EqualValues(t, 0, b.Value(`connections_open{side="client"}`))
+	assert.EqualValues(t, 1, b.Value(`connections_closed_total{side="client",reason="protocol_error"}`))
 }
 
 // tcpPair returns both sides of a connection over loopback: the near one as the program has it, and the far one.
