--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -6,6 +6,10 @@
 	"slices"
 )
 
+// forgetEndpointSeconds is the time after which a removed endpoint is forgotten. Until then what was learned of it
+// counts if it is listed again. Memory must not grow with the endpoints of all time.
+const forgetEndpointSeconds = 60.0
+
 // search finds the place of an endpoint in the list by id.
 func (r *Router) search(id EndpointID) (int, bool) {
 	return slices.BinarySearchFunc(r.endpoints, id, func(e *endpoint, id EndpointID) int {
@@ -32,7 +36,7 @@
 }
 
 // mergeEndpoints brings the list up to date and returns the endpoints that are new or have started again. Of those
-// only what is in flight and was sent to them is kept.
+// only what is in flight and was sent to them stays.
 func (r *Router) mergeEndpoints(update EndpointUpdate) (started []*endpoint) {
 	snapshot := update.Kind == Snapshot || update.Kind == Restored
 	if snapshot {
@@ -48,7 +52,7 @@
 				Endpoint:   e.Endpoint,
 				listed:     e.listed,
 				cached:     map[*chunk]*cachedChunk{},
-				limiter:    limiter{inFlight: e.inFlight},
+				limiter:    limiter{inFlight: e.limiter.inFlight},
 				recentWork: e.recentWork,
 				removedAt:  e.removedAt,
 			}
@@ -73,7 +77,7 @@
 			e.removedAt = 0
 			return true
 		}
-		if r.now < e.removedAt+forgetAfter {
+		if r.now < e.removedAt+forgetEndpointSeconds {
 			return false
 		}
 		e.forgetCached()
@@ -95,7 +99,7 @@
 func (r *Router) classify(e *endpoint) {
 	zone := int(r.number(SettingZone, 0))
 	routers := max(r.number(SettingRouters, 1), 1)
-	e.role, e.zonesAway, e.sharers = otherZone, r.zonesAway(e), routers
+	e.role, e.zonesAway, e.routersSharing = otherZone, r.zonesAway(e), routers
 	var list *endpointList
 	switch kind := float64(e.Kind); {
 	case kind == r.number(SettingParentKind, -1):
@@ -104,7 +108,7 @@
 		e.role, list = originServer, &r.origins
 	case e.Zone == zone:
 		e.role, list = edgeCache, &r.caches
-		e.sharers = max(r.settings.FloatItem(SettingRoutersByZone, zone, routers), 1)
+		e.routersSharing = max(r.settings.FloatItem(SettingRoutersByZone, zone, routers), 1)
 	}
 	if e.Status != Ready {
 		list = nil
@@ -130,19 +134,10 @@
 	return min(distance, max(ringSize-distance, 0))
 }
 
-// hasAlternative says whether another endpoint of the same role is ready and not ejected.
-func (r *Router) hasAlternative(e *endpoint) bool {
-	peers := r.parents.members
-	if e.role == edgeCache {
-		peers = r.caches.members
-	}
-	return slices.ContainsFunc(peers, func(peer *endpoint) bool { return peer != e && peer.ejectedUntil <= r.now })
-}
-
 // originLimiter is the limiter of the first origin listed; one without a limit where there is none.
 func (r *Router) originLimiter() *limiter {
-	if len(r.origins.members) > 0 {
-		return &r.origins.members[0].limiter
+	if len(r.origins.endpoints) > 0 {
+		return &r.origins.endpoints[0].limiter
 	}
 	return &limiter{limit: math.Inf(1)}
 }
--- a/routing/traceworld_test.go
+++ b/routing/traceworld_test.go
@@ -17,34 +17,14 @@
 	traceChunks      = 5
 	traceGroups      = 8
 	traceClasses     = 6
-	cachedChunks     = 120   // kept by a cache
+	cachedChunks     = 120   // stored by a cache
 	cancelDelay      = 0.001 // s until a cancelled attempt's end is heard
 	traceIdleGap     = 75.0  // s without traffic before the last requests, longer than anything is remembered
 	requestsAfterGap = 200
-)
-
-// condition is how an endpoint behaves for a while.
-type condition int
 
-const (
-	healthy condition = iota
-	failing
-	overloaded
-	slow
-	silent
-	refusingConnections
-	conditionCount
+	purgedRequestInterval = 10 // requests, of which one comes right after a purge where a scenario has that
 )
 
-// traceEndpoint is an endpoint as the synthetic deployment plays it.
-type traceEndpoint struct {
-	routing.Endpoint
-	condition condition
-	inFlight  int
-	cached    map[string]bool
-	order     []string // of cached, oldest first
-}
-
 type traceAttempt struct {
 	routing.StartAttempt
 	endpoint, source *traceEndpoint
@@ -82,7 +62,7 @@
 	return last
 }
 
-// traceWorld feeds one router with what a deployment would tell it and carries its actions out.
+// traceWorld feeds one router with what a deployment would report and carries its actions out.
 type traceWorld struct {
 	scenario  traceScenario
 	random    *rand.Rand
@@ -126,7 +106,11 @@
 		w.byID[e.ID] = e
 	}
 	for i := range w.scenario.caches {
-		add(fmt.Sprint("cache-", i), traceZone, 0, i/2, 5+float64(i))
+		weight := 5 + float64(i)
+		if w.scenario.endpointsWithoutWeight && i >= w.scenario.caches/2 {
+			weight = 0
+		}
+		add(fmt.Sprint("cache-", i), traceZone, 0, i/2, weight)
 	}
 	add("elsewhere", 1, 0, 0, 5)
 	for i := range w.scenario.parents {
@@ -164,6 +148,11 @@
 	for at := traceStart + 1; at < end; at += 0.4 + w.random.Float64() {
 		w.at(at, w.disturb)
 	}
+	if perSecond := w.scenario.observationsPerS; perSecond > 0 {
+		for at := traceStart + 1; at < end; at += w.random.ExpFloat64() / perSecond {
+			w.at(at, w.observe)
+		}
+	}
 	if w.scenario.purges > 0 {
 		w.at(traceStart+w.scenario.seconds*2/3, w.purgeMany)
 	}
@@ -221,6 +210,9 @@
 		deadline: w.now + 0.8 + 1.5*w.random.Float64(),
 	}
 	w.requests[id] = request
+	if w.scenario.purgesBeforeRequests && w.arrived%purgedRequestInterval == 0 {
+		w.decide(routing.Purge{ObjectGroup: object % traceGroups, Object: fmt.Sprint("object-", object)})
+	}
 	w.decide(routing.RequestArrived{
 		Request:     id,
 		Class:       class,
@@ -301,187 +293,3 @@
 		LoadReport:       []routing.LoadMetric{{Name: "inflight", Value: float64(attempt.endpoint.inFlight)}},
 	})
 }
-
-// play says how an attempt ends at its endpoint, and after how long.
-func (w *traceWorld) play(
-	request *traceRequest, attempt *traceAttempt,
-) (routing.AttemptResult, routing.ResultDetail, float64) {
-	e := attempt.endpoint
-	round := 0.001 + 0.004*w.random.Float64()
-	transfer := (request.sizeKB/1000 + 0.01) * max(1, float64(e.inFlight)/max(e.Weight, 4))
-	switch e.condition {
-	case failing:
-		if w.random.IntN(5) > 0 {
-			return routing.ServerError, routing.NoDetail, round
-		}
-	case overloaded:
-		return routing.Overloaded, routing.NoDetail, round
-	case slow:
-		transfer *= 4
-	case silent:
-		return routing.TimedOut, routing.NoDetail, 0
-	case refusingConnections:
-		if w.random.IntN(2) == 0 {
-			return routing.ConnectFailed, routing.NoDetail, round
-		}
-		return routing.ConnectionBroken, routing.NoDetail, transfer
-	}
-	if float64(e.inFlight) > 4*max(e.Weight, 4) {
-		return routing.Overloaded, routing.NoDetail, round
-	}
-	if w.random.IntN(200) == 0 {
-		return routing.NotSent, routing.NoDetail, 0
-	}
-	if e.Kind == 0 {
-		return w.playCache(request, attempt, round, transfer)
-	}
-	return routing.Completed, w.told(routing.CacheHit), round + 0.02 + transfer
-}
-
-// playCache answers from the cache, or fills from the source.
-func (w *traceWorld) playCache(
-	request *traceRequest, attempt *traceAttempt, round, transfer float64,
-) (routing.AttemptResult, routing.ResultDetail, float64) {
-	e, source := attempt.endpoint, attempt.source
-	if e.cached[request.chunk] {
-		if w.random.IntN(15) == 0 {
-			return routing.Completed, w.told(routing.StaleHit), round + transfer
-		}
-		return routing.Completed, w.told(routing.CacheHit), round + transfer
-	}
-	if source == e || (attempt.CacheOnly && source.Kind == 0 && !source.cached[request.chunk]) {
-		return routing.CacheMiss, routing.NoDetail, round
-	}
-	if attempt.CacheOnly && w.random.IntN(2) == 0 {
-		return routing.Overloaded, w.told(routing.SourceCacheMiss), round + 0.01
-	}
-	if result, detail, took, failed := w.sourceFailure(source); failed {
-		return result, detail, took + round
-	}
-	if attempt.RetentionRank > 0 {
-		e.store(request.chunk)
-	}
-	if source.condition == slow {
-		transfer *= 5
-	}
-	details := []routing.ResultDetail{routing.Filled, routing.Filled, routing.FilledByOrigin, routing.JoinedFill}
-	return routing.Completed, w.told(details[w.random.IntN(len(details))]), round + 0.03 + 1.5*transfer
-}
-
-// sourceFailure says how a fill fails at its source, if it does.
-func (w *traceWorld) sourceFailure(source *traceEndpoint) (routing.AttemptResult, routing.ResultDetail, float64, bool) {
-	switch source.condition {
-	case failing:
-		return routing.ServerError, w.told(routing.OriginFailed), 0.03, true
-	case overloaded:
-		return routing.Overloaded, w.told(routing.SourceRefused), 0.02, true
-	case silent:
-		return routing.ServerError, w.told(routing.SourceUnreachable), 0.25, true
-	case refusingConnections:
-		return routing.Overloaded, w.told(routing.FillSlotsExhausted), 0.001, true
-	}
-	return 0, 0, 0, false
-}
-
-// told is a detail as far as the deployment tells it.
-func (w *traceWorld) told(detail routing.ResultDetail) routing.ResultDetail {
-	switch w.scenario.settings[routing.SettingResultDetails] {
-	case routing.DetailsOfAll:
-		return detail
-	case routing.DetailsOfHits:
-		if detail <= routing.StaleHit {
-			return detail
-		}
-	}
-	return routing.NoDetail
-}
-
-func (e *traceEndpoint) store(chunk string) {
-	e.cached[chunk] = true
-	if e.order = append(e.order, chunk); len(e.order) > cachedChunks {
-		delete(e.cached, e.order[0])
-		e.order = e.order[1:]
-	}
-}
-
-// changeCondition lets one endpoint misbehave; most recover soon.
-func (w *traceWorld) changeCondition() {
-	e := w.endpoints[w.random.IntN(len(w.endpoints))]
-	e.condition = condition(w.random.IntN(int(conditionCount)))
-	w.after(0.5+4*w.random.Float64(), func() { e.condition = healthy })
-}
-
-// disturb brings one event that is of no request.
-func (w *traceWorld) disturb() {
-	e := w.endpoints[w.random.IntN(len(w.endpoints))]
-	switch w.random.IntN(12) {
-	case 0, 1:
-		w.restart(e)
-	case 2:
-		w.drain(e)
-	case 3:
-		w.decide(routing.EndpointUpdate{Kind: routing.Snapshot, Endpoints: w.listed()})
-	case 4:
-		w.decide(routing.EndpointUpdate{Kind: routing.Unavailable})
-	case 5, 6:
-		w.decide(routing.HealthObservation{
-			Endpoint:     e.ID,
-			Suspicion:    w.random.Float64(),
-			ValidSeconds: 3 * w.random.Float64(),
-		})
-	case 7, 8:
-		w.spendBudget(e)
-	case 9:
-		w.decide(routing.Purge{AgeSeconds: w.random.Float64(), ObjectGroup: w.random.IntN(traceGroups)})
-	case 10:
-		object := fmt.Sprint("object-", w.random.IntN(traceObjects/8))
-		w.decide(routing.Purge{AgeSeconds: w.random.Float64(), Object: object})
-	case 11:
-		w.strayEvents(e)
-	}
-}
-
-func (w *traceWorld) restart(e *traceEndpoint) {
-	e.Status = routing.Ready
-	e.StartedAt = w.now - 0.5*w.random.Float64()
-	e.cached, e.order = map[string]bool{}, nil
-	w.decide(routing.EndpointUpdate{Endpoints: []routing.Endpoint{e.Endpoint}})
-}
-
-func (w *traceWorld) drain(e *traceEndpoint) {
-	e.Status = routing.Draining
-	w.decide(routing.EndpointUpdate{Endpoints: []routing.Endpoint{e.Endpoint}})
-	w.after(1, func() {
-		e.Status = routing.Removed
-		w.decide(routing.EndpointUpdate{Endpoints: []routing.Endpoint{e.Endpoint}})
-	})
-	w.after(2+2*w.random.Float64(), func() { w.restart(e) })
-}
-
-func (w *traceWorld) spendBudget(e *traceEndpoint) {
-	change := routing.RetryBudgetChanged{Class: routing.ClassIndex(w.random.IntN(traceClasses))}
-	if w.random.IntN(2) == 0 {
-		change.Endpoint = e.ID
-	}
-	w.decide(change)
-	change.Available = true
-	w.after(2*w.random.Float64(), func() { w.decide(change) })
-}
-
-// strayEvents are about requests, attempts and endpoints that the router does not know or has no use for.
-func (w *traceWorld) strayEvents(e *traceEndpoint) {
-	w.decide(routing.ProbeResult{Endpoint: e.ID, Result: routing.Completed})
-	w.decide(routing.AttemptEnded{Request: "unknown", Endpoint: e.ID})
-	w.decide(routing.AttemptStalled{Request: "unknown"})
-	w.decide(routing.HealthObservation{Endpoint: "unknown", Suspicion: 1, ValidSeconds: 1})
-	w.decide(routing.RetryBudgetChanged{Endpoint: "unknown"})
-	w.decide(routing.TimerFired{Token: 1 << 40})
-}
-
-// purgeMany sends more purges than the router remembers.
-func (w *traceWorld) purgeMany() {
-	for i := range w.scenario.purges {
-		age := 2 - 2*float64(i)/float64(w.scenario.purges)
-		w.decide(routing.Purge{AgeSeconds: age, Object: fmt.Sprint("purged-", i)})
-	}
-}
