--- a/internal/telemetry/metric.go
+++ b/internal/telemetry/metric.go
@@ -5,47 +5,38 @@
 	"strings"
 )
 
-// Kind says how the value of a metric moves.
-type Kind uint8
+// kind says how the value of a metric moves.
+type kind uint8
 
 // The kinds of metrics.
 const (
-	KindCounter Kind = iota // the value only grows
-	KindGauge               // the value goes up and down
-	KindMaximum             // the value is the largest so far
+	kindCounter kind = iota // the value only grows
+	kindGauge               // the value goes up and down
+	kindMaximum             // the value is the largest so far
 )
 
-var kindTexts = [...]string{
-	KindCounter: "counter",
-	KindGauge:   "gauge",
-	KindMaximum: "maximum",
-}
-
-// String returns the kind's name.
-func (k Kind) String() string { return kindTexts[k] }
-
-// Metric describes what is counted under a name. The name follows the conventions of Prometheus: snake_case, with the
-// base unit, seconds or bytes, where there is one, and with _total at the end of counters and of nothing else.
-type Metric struct {
-	Name   string
-	Kind   Kind
-	Labels []string // names of the labels, in the order in which the dump writes them
-	Help   string   // what the value is, in one sentence
+// descriptor describes a metric. Its name follows the conventions of Prometheus: snake_case, the base unit (seconds
+// or bytes) where it has one, and with _total at the end of counters and of nothing else.
+type descriptor struct {
+	name   string
+	kind   kind
+	labels []string // names of the labels, in the order in which the dump writes them
+	help   string   // what the value is, in one sentence
 }
 
 // table holds all metrics in the order in which table.go defines them.
-var table []*Metric
+var table []*descriptor
 
 // define adds a metric to the table.
-func define(kind Kind, name, help string, labels ...string) *Metric {
-	metric := &Metric{Name: name, Kind: kind, Labels: labels, Help: help}
+func define(kind kind, name, help string, labels ...string) *descriptor {
+	metric := &descriptor{name: name, kind: kind, labels: labels, help: help}
 	table = append(table, metric)
 	return metric
 }
 
 // series is one value of a metric: the one for certain values of its labels.
 type series struct {
-	metric *Metric
+	metric *descriptor
 	labels string // pairs of name and quoted value; empty for a metric without labels
 }
 
@@ -54,20 +45,20 @@
 
 // with returns the series for the values of the metric's labels. The types of this package that embed or build a
 // series have one argument for each label, so the numbers of names and values are the same.
-func (m *Metric) with(values ...fmt.Stringer) series {
+func (d *descriptor) with(values ...fmt.Stringer) series {
 	var labels strings.Builder
 	for i, value := range values {
 		if i > 0 {
 			labels.WriteByte(',')
 		}
-		labels.WriteString(m.Labels[i])
+		labels.WriteString(d.labels[i])
 		labels.WriteString(`="`)
 		if value != nil {
 			_, _ = labelEscaper.WriteString(&labels, value.String())
 		}
 		labels.WriteByte('"')
 	}
-	return series{metric: m, labels: labels.String()}
+	return series{metric: d, labels: labels.String()}
 }
 
 // String returns the name of the series as the dump writes it: name{label="value",label="value"}.
@@ -76,9 +67,9 @@
 		return ""
 	}
 	if s.labels == "" {
-		return s.metric.Name
+		return s.metric.name
 	}
-	return s.metric.Name + "{" + s.labels + "}"
+	return s.metric.name + "{" + s.labels + "}"
 }
 
 // Counter is a series whose value only grows.
@@ -91,53 +82,53 @@
 type Maximum struct{ series }
 
 // CounterVec is a counter with one label, whose value has type A.
-type CounterVec[A fmt.Stringer] struct{ metric *Metric }
+type CounterVec[A fmt.Stringer] struct{ metric *descriptor }
 
 // With returns the series for a label's value.
 func (v CounterVec[A]) With(a A) Counter { return Counter{v.metric.with(a)} }
 
 // CounterVec2 is a counter with two labels.
-type CounterVec2[A, B fmt.Stringer] struct{ metric *Metric }
+type CounterVec2[A, B fmt.Stringer] struct{ metric *descriptor }
 
 // With returns the series for the values of the labels.
 func (v CounterVec2[A, B]) With(a A, b B) Counter { return Counter{v.metric.with(a, b)} }
 
 // CounterVec3 is a counter with three labels.
-type CounterVec3[A, B, C fmt.Stringer] struct{ metric *Metric }
+type CounterVec3[A, B, C fmt.Stringer] struct{ metric *descriptor }
 
 // With returns the series for the values of the labels.
 func (v CounterVec3[A, B, C]) With(a A, b B, c C) Counter { return Counter{v.metric.with(a, b, c)} }
 
 // GaugeVec is a gauge with one label, whose value has type A.
-type GaugeVec[A fmt.Stringer] struct{ metric *Metric }
+type GaugeVec[A fmt.Stringer] struct{ metric *descriptor }
 
 // With returns the series for a label's value.
 func (v GaugeVec[A]) With(a A) Gauge { return Gauge{v.metric.with(a)} }
 
 func newCounter(name, help string) Counter {
-	return Counter{series{metric: define(KindCounter, name, help)}}
+	return Counter{series{metric: define(kindCounter, name, help)}}
 }
 
 func newCounterVec[A fmt.Stringer](name, label, help string) CounterVec[A] {
-	return CounterVec[A]{define(KindCounter, name, help, label)}
+	return CounterVec[A]{define(kindCounter, name, help, label)}
 }
 
 func newCounterVec2[A, B fmt.Stringer](name, labelA, labelB, help string) CounterVec2[A, B] {
-	return CounterVec2[A, B]{define(KindCounter, name, help, labelA, labelB)}
+	return CounterVec2[A, B]{define(kindCounter, name, help, labelA, labelB)}
 }
 
 func newCounterVec3[A, B, C fmt.Stringer](name, labelA, labelB, labelC, help string) CounterVec3[A, B, C] {
-	return CounterVec3[A, B, C]{define(KindCounter, name, help, labelA, labelB, labelC)}
+	return CounterVec3[A, B, C]{define(kindCounter, name, help, labelA, labelB, labelC)}
 }
 
 func newGauge(name, help string) Gauge {
-	return Gauge{series{metric: define(KindGauge, name, help)}}
+	return Gauge{series{metric: define(kindGauge, name, help)}}
 }
 
 func newGaugeVec[A fmt.Stringer](name, label, help string) GaugeVec[A] {
-	return GaugeVec[A]{define(KindGauge, name, help, label)}
+	return GaugeVec[A]{define(kindGauge, name, help, label)}
 }
 
 func newMaximum(name, help string) Maximum {
-	return Maximum{series{metric: define(KindMaximum, name, help)}}
+	return Maximum{series{metric: define(kindMaximum, name, help)}}
 }
--- a/internal/telemetry/read.go
+++ b/internal/telemetry/read.go
@@ -36,7 +36,7 @@
 	defer m.mu.Unlock()
 	total := 0.0
 	for s, value := range m.values {
-		if s.metric != nil && s.metric.Name == name {
+		if s.metric != nil && s.metric.name == name {
 			total += value
 		}
 	}
@@ -44,9 +44,9 @@
 }
 
 // lookUp returns the metric of a name, nil if there is none.
-func lookUp(name string) *Metric {
+func lookUp(name string) *descriptor {
 	for _, metric := range table {
-		if metric.Name == name {
+		if metric.name == name {
 			return metric
 		}
 	}
@@ -60,11 +60,11 @@
 		return false
 	}
 	pairs := labelPair.FindAllStringSubmatch(labels, -1)
-	if len(pairs) != len(metric.Labels) {
+	if len(pairs) != len(metric.labels) {
 		return false
 	}
 	for i, pair := range pairs {
-		if pair[1] != metric.Labels[i] {
+		if pair[1] != metric.labels[i] {
 			return false
 		}
 	}
--- a/internal/telemetry/table_test.go
+++ b/internal/telemetry/table_test.go
@@ -16,15 +16,18 @@
 	"github.com/stretchr/testify/require"
 )
 
+// kindTexts are the kinds of metrics as the golden file has them.
+var kindTexts = map[kind]string{kindCounter: "counter", kindGauge: "gauge", kindMaximum: "maximum"}
+
 // TestTableHoldsThePublishedMetrics compares the table with the names, kinds and labels that operators rely on.
 func TestTableHoldsThePublishedMetrics(t *testing.T) {
 	want, err := os.ReadFile("testdata/metrics.golden.txt")
 	require.NoError(t, err)
 	var got strings.Builder
 	for _, metric := range table {
-		got.WriteString(metric.Kind.String() + " " + metric.Name)
-		if len(metric.Labels) > 0 {
-			got.WriteString("{" + strings.Join(metric.Labels, ",") + "}")
+		got.WriteString(kindTexts[metric.kind] + " " + metric.name)
+		if len(metric.labels) > 0 {
+			got.WriteString("{" + strings.Join(metric.labels, ",") + "}")
 		}
 		got.WriteString("\n")
 	}
@@ -44,17 +47,17 @@
 )
 
 // conventionFaults lists in what a metric breaks the conventions of Prometheus, beside what the types keep.
-func conventionFaults(metric *Metric) []string {
+func conventionFaults(metric *descriptor) []string {
 	var faults []string
 	add := func(broken bool, fault string) {
 		if broken {
 			faults = append(faults, fault)
 		}
 	}
-	words := strings.Split(metric.Name, "_")
-	add(!snakeCase.MatchString(metric.Name), "the name is not in snake_case")
-	isTotal := strings.HasSuffix(metric.Name, "_total")
-	add(isTotal != (metric.Kind == KindCounter), "_total ends the names of counters and of nothing else")
+	words := strings.Split(metric.name, "_")
+	add(!snakeCase.MatchString(metric.name), "the name is not in snake_case")
+	isTotal := strings.HasSuffix(metric.name, "_total")
+	add(isTotal != (metric.kind == kindCounter), "_total ends the names of counters and of nothing else")
 	add(slices.ContainsFunc(words, func(word string) bool { return slices.Contains(otherUnits, word) }),
 		"the unit is no base unit")
 	unitPlace := len(words) - 1
@@ -64,12 +67,12 @@
 	for i, word := range words {
 		add(slices.Contains(baseUnits, word) && i != unitPlace, "the unit is not at the end")
 	}
-	add(metric.Kind == KindMaximum && !strings.Contains(metric.Name, "_max_"), "the name of a maximum has no _max_")
-	for i, name := range metric.Labels {
+	add(metric.kind == kindMaximum && !strings.Contains(metric.name, "_max_"), "the name of a maximum has no _max_")
+	for i, name := range metric.labels {
 		add(!snakeCase.MatchString(name), "a label is not in snake_case")
-		add(slices.Contains(metric.Labels[:i], name), "two labels have one name")
+		add(slices.Contains(metric.labels[:i], name), "two labels have one name")
 	}
-	add(!regexp.MustCompile(`^[A-Z][^\n]{10,}[^.]\.$`).MatchString(metric.Help), "the help text is no sentence")
+	add(!regexp.MustCompile(`^[A-Z][^\n]{10,}[^.]\.$`).MatchString(metric.help), "the help text is no sentence")
 	return faults
 }
 
@@ -77,31 +80,31 @@
 	helpTexts := map[string]string{}
 	names := map[string]bool{}
 	for _, metric := range table {
-		assert.Empty(t, conventionFaults(metric), metric.Name)
-		assert.False(t, names[metric.Name], "%s is defined twice", metric.Name)
-		names[metric.Name] = true
-		assert.Empty(t, helpTexts[metric.Help], "%s has the help text of another metric", metric.Name)
-		helpTexts[metric.Help] = metric.Name
+		assert.Empty(t, conventionFaults(metric), metric.name)
+		assert.False(t, names[metric.name], "%s is defined twice", metric.name)
+		names[metric.name] = true
+		assert.Empty(t, helpTexts[metric.help], "%s has the help text of another metric", metric.name)
+		helpTexts[metric.help] = metric.name
 	}
 }
 
 // TestBrokenConventionsAreFound shows that the check can fail.
 func TestBrokenConventionsAreFound(t *testing.T) {
 	const help = "Requests that were counted."
-	for fault, metric := range map[string]Metric{
-		"the name is not in snake_case":      {Name: "requests.open", Kind: KindGauge, Help: help},
-		"the unit is no base unit":           {Name: "delay_ms_total", Help: help},
-		"the unit is not at the end":         {Name: "bytes_read_total", Help: help},
-		"the name of a maximum has no _max_": {Name: "delay_seconds", Kind: KindMaximum, Help: help},
-		"a label is not in snake_case":       {Name: "a_total", Labels: []string{"Class"}, Help: help},
-		"two labels have one name":           {Name: "a_total", Labels: []string{"a", "a"}, Help: help},
-		"the help text is no sentence":       {Name: "a_total", Help: "requests"},
-
-		"_total ends the names of counters and of nothing else": {Name: "requests", Help: help},
+	for fault, metric := range map[string]descriptor{
+		"the name is not in snake_case":      {name: "requests.open", kind: kindGauge, help: help},
+		"the unit is no base unit":           {name: "delay_ms_total", help: help},
+		"the unit is not at the end":         {name: "bytes_read_total", help: help},
+		"the name of a maximum has no _max_": {name: "delay_seconds", kind: kindMaximum, help: help},
+		"a label is not in snake_case":       {name: "a_total", labels: []string{"Class"}, help: help},
+		"two labels have one name":           {name: "a_total", labels: []string{"a", "a"}, help: help},
+		"the help text is no sentence":       {name: "a_total", help: "requests"},
+
+		"_total ends the names of counters and of nothing else": {name: "requests", help: help},
 	} {
 		assert.Equal(t, []string{fault}, conventionFaults(&metric))
 	}
-	gauge := Metric{Name: "requests_total", Kind: KindGauge, Help: help}
+	gauge := descriptor{name: "requests_total", kind: kindGauge, help: help}
 	assert.Len(t, conventionFaults(&gauge), 1)
 }
 
@@ -117,7 +120,7 @@
 	assert.Equal(t, `cache_responses_total{class="page",result="completed",detail="none"}`,
 		CacheResponses.With("page", label("completed"), label("none")).String())
 	for _, metric := range table {
-		assert.LessOrEqual(t, len(metric.Labels), 3, metric.Name)
+		assert.LessOrEqual(t, len(metric.labels), 3, metric.name)
 	}
 }
 
