--- a/internal/request/labels.go
+++ b/internal/request/labels.go
@@ -20,22 +20,23 @@
 // String returns the label's value.
 func (r ResultLabel) String() string { return resultLabels[r] }
 
-// DetailLabel is the detail of a cache's response as a label of counters.
+// DetailLabel is the detail of a cache's response as a label of counters: how the copy was found.
 type DetailLabel routing.ResultDetail
 
-var detailLabels = [...]string{
-	routing.NoDetail:           "none",
-	routing.CacheHit:           "cache_hit",
-	routing.Filled:             "filled",
-	routing.FilledByOrigin:     "filled_by_origin",
-	routing.JoinedFill:         "joined_fill",
-	routing.StaleHit:           "stale_hit",
-	routing.SourceRefused:      "source_refused",
-	routing.SourceUnreachable:  "source_unreachable",
-	routing.SourceCacheMiss:    "source_cache_miss",
-	routing.FillSlotsExhausted: "fill_slots_exhausted",
-	routing.OriginFailed:       "origin_failed",
+// noDetailLabel stands for details that caches do not send. The simulator alone has those.
+const noDetailLabel = "none"
+
+var detailLabels = map[DetailLabel]string{
+	DetailLabel(routing.CacheHit):   "cache_hit",
+	DetailLabel(routing.Filled):     "filled",
+	DetailLabel(routing.JoinedFill): "joined_fill",
+	DetailLabel(routing.StaleHit):   "stale_hit",
 }
 
 // String returns the label's value.
-func (d DetailLabel) String() string { return detailLabels[d] }
+func (d DetailLabel) String() string {
+	if label, ok := detailLabels[d]; ok {
+		return label
+	}
+	return noDetailLabel
+}
