--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -24,12 +24,12 @@
 	}
 }
 
-// readResponse reads one response. Its body is read whole before the attempt ends; that of a cancelled attempt is
+// readResponse reads one response. All of its body is read before the attempt ends; that of a cancelled attempt is
 // dropped.
 func (c *Connection) readResponse(ctx context.Context, conn *netconn.Conn) (netconn.EndCode, error) {
 	line, err := conn.ReadLine()
 	if err != nil {
-		return netconn.ClassifyError(err), err
+		return netconn.ClassifyReadError(err, netconn.StalledResponse), err
 	}
 	response, err := cacheproto.ParseResponse(line)
 	if err != nil {
@@ -56,7 +56,7 @@
 		if errors.Is(err, errNoLineEnd) {
 			return netconn.ProtocolError, err
 		}
-		return netconn.ClassifyError(err), err
+		return netconn.ClassifyReadError(err, netconn.StalledResponse), err
 	}
 	conn.FrameComplete()
 	c.endByResponse(a, response)
