--- a/cmd/cairnfront/tier_test.go
+++ b/cmd/cairnfront/tier_test.go
@@ -85,7 +85,7 @@
 	assert.Contains(t, out, "bad-body seg-")
 	_, errs, code = runCommand(t, "tier", "inspect", t.TempDir())
 	assert.Equal(t, 1, code)
-	assert.Contains(t, errs, "is no folder of a disk tier")
+	assert.Contains(t, errs, "folder has no disk cache")
 }
 
 func TestBoxLocksItsFolderAndDrains(t *testing.T) {
--- a/internal/diskcache/cache.go
+++ b/internal/diskcache/cache.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Config configures a Cache, from the operators' file.
+// Config configures a Cache, from the configuration file.
 type Config struct {
 	SpaceBytes       int64 // of disk that all segments may take
 	SegmentBytes     int64
@@ -104,7 +104,7 @@
 	return c, report, nil
 }
 
-// restorePolicy tells the eviction policy what the disk holds. A chunk without an access history counts as requested
+// restorePolicy adds what the disk holds to the eviction policy. A chunk without an access history counts as requested
 // now.
 func (c *Cache) restorePolicy(known map[eviction.Key]eviction.AccessHistory, now float64) {
 	type stored struct {
@@ -129,7 +129,11 @@
 
 func (c *Cache) reportFault(fault StoreError) {
 	c.counter.Inc(telemetry.DiskFaults.With(string(fault.Code)))
-	c.log.Warn("tier", "code", string(fault.Code), "file", fault.File, "at", fault.Offset, "err", fault.Err.Error())
+	c.log.Warn("disk cache fault",
+		"reason", string(fault.Code),
+		"file", fault.File,
+		"offset", fault.Offset,
+		"error", fault.Err.Error())
 }
 
 // Run reads, writes and maintains the folder until the context ends.
--- a/internal/diskcache/compaction.go
+++ b/internal/diskcache/compaction.go
@@ -17,7 +17,7 @@
 	denseShare = 0.95
 )
 
-// SegmentUsage says how full a segment is. The JSON keys are part of the output of tier inspect.
+// SegmentUsage says how full a segment is. The JSON keys are part of the output of `disk-cache inspect --json`.
 type SegmentUsage struct {
 	ID     uint32
 	Size   int64 // bytes
@@ -62,7 +62,7 @@
 
 // CompactionResult says what a compaction did.
 type CompactionResult struct {
-	Kept    int   // records moved
+	Moved   int   // records
 	Dropped int   // records not wanted
 	Bad     int   // records that could not be read
 	Freed   int64 // bytes
@@ -108,7 +108,7 @@
 	defer s.mu.Unlock()
 	seg := s.segments[id]
 	if seg == nil || !seg.sealed || s.closed {
-		return nil, nil, fmt.Errorf("segment %08x is not there to be compacted", id)
+		return nil, nil, fmt.Errorf("compact segment %08x: missing, active or closed", id)
 	}
 	seg.readers++
 	var live []location
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	result.Kept++
+	result.Moved++
 	result.written += int64(loc.size)
 	return nil
 }
@@ -160,7 +160,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if seg.liveBytes != 0 { // cannot happen: nothing is appended to a sealed segment
-		return fmt.Errorf("segment %08x still has %d live bytes", seg.id, seg.liveBytes)
+		return fmt.Errorf("compact segment %08x: %d live bytes are left", seg.id, seg.liveBytes)
 	}
 	delete(s.segments, seg.id)
 	seg.removed = true
--- a/internal/diskcache/errors.go
+++ b/internal/diskcache/errors.go
@@ -29,21 +29,23 @@
 // Errors of a Store.
 var (
 	// ErrNotFound reports a chunk that is not stored.
-	ErrNotFound = errors.New("not held")
+	ErrNotFound = errors.New("chunk is not stored")
+	// ErrNoDiskCache reports a folder without a disk cache.
+	ErrNoDiskCache = errors.New("folder has no disk cache")
 	// ErrUnsupportedFormat reports a folder of another format version.
-	ErrUnsupportedFormat = errors.New("folder of another format")
+	ErrUnsupportedFormat = errors.New("unsupported format of the disk cache")
 
-	errClosed = errors.New("store is closed")
+	errClosed = errors.New("disk cache is closed")
 )
 
 // Errors of Cache.Get, besides those of a Store. Callers treat all of them as a miss.
 var (
 	// ErrReadQueueFull reports that too many reads wait for the disk.
-	ErrReadQueueFull = errors.New("too many reads wait for the disk")
+	ErrReadQueueFull = errors.New("read queue of the disk is full")
 	// ErrReadTimeout reports that the disk did not answer in time.
-	ErrReadTimeout = errors.New("the disk took too long")
+	ErrReadTimeout = errors.New("disk did not answer in time")
 	// ErrInvalidated reports a chunk that a purge invalidates.
-	ErrInvalidated = errors.New("purged")
+	ErrInvalidated = errors.New("chunk is purged")
 )
 
 // StoreError is one fault of a folder. It costs the chunks concerned and nothing else.
--- a/internal/diskcache/eviction/cafe.go
+++ b/internal/diskcache/eviction/cafe.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	minCacheAge       = 1.0  // seconds; a disk that was just filled has no age to judge by yet
+	minCacheAge       = 1.0  // seconds; a disk that was just filled has no age to compare with yet
 	treeDegree        = 32   // children of a tree node: two cache lines of pointers are searched at once
 	maxComparedChunks = 64   // of an object, for the gap of an unseen one: bounds the work
 	minGap            = 1e-9 // seconds, avoids a division by zero
@@ -79,10 +79,6 @@
 
 // CacheAge returns T of the paper in seconds: the mean gap of the chunk that would be evicted first. Before the disk is
 // half full it is the time since the first request, if that is longer.
-//
-// The time since the least recent access was tried instead and is worse: a chunk that was requested often for an hour
-// keeps its small gap while it ages, T grows with it, and where T is large alpha no longer counts. The figures are in
-// docs/disk-tier.md.
 func (c *Cafe) CacheAge(now float64) float64 {
 	age := minCacheAge
 	if e, ok := c.cached.Min(); ok {
@@ -136,7 +132,7 @@
 			decision.Evict = append(decision.Evict, victim.key)
 			c.evict(victim)
 		}
-		c.budget.spend(size)
+		c.budget.take(size)
 		c.admit(e)
 	}
 	c.trimGhosts()
--- a/internal/diskcache/eviction/entry.go
+++ b/internal/diskcache/eviction/entry.go
@@ -4,7 +4,7 @@
 const gapWeight = 0.25
 
 // EntryBytes is the approximate memory that a cached or remembered chunk takes: the entry and its places in the map,
-// the tree and its object's list. Measured as the heap of BenchmarkRequest at 10^6 chunks.
+// the tree and its object's list.
 const EntryBytes = 208
 
 // entry is a cached chunk, or a ghost: a chunk that is not cached and whose access history is remembered.
--- a/internal/diskcache/eviction/writebudget.go
+++ b/internal/diskcache/eviction/writebudget.go
@@ -5,7 +5,7 @@
 const (
 	// burstShare is the share of the daily budget that may be written at once: one hour's.
 	burstShare = 1. / 24
-	// scarceShare is the share of the burst under which writing costs more, up to twice as much when it is spent.
+	// scarceShare is the share of the burst under which writing costs more, up to twice as much when it is empty.
 	scarceShare = 0.5
 	secondsADay = 86400
 )
@@ -50,4 +50,4 @@
 	return max(0, 1-b.tokens/burst/scarceShare)
 }
 
-func (b *writeBudget) spend(size int64) { b.tokens -= float64(size) }
+func (b *writeBudget) take(size int64) { b.tokens -= float64(size) }
--- a/internal/diskcache/format.go
+++ b/internal/diskcache/format.go
@@ -9,7 +9,8 @@
 	"cairnfront/internal/diskcache/eviction"
 )
 
-// The format on the disk; docs/disk-format.md names every byte. All numbers are little-endian.
+// The format on the disk; docs/disk-format.md names every byte. All numbers are little-endian. Names and magic numbers
+// are part of it: a "disk tier" is the disk cache, "PART" a chunk, "notices.log" the purge log.
 const (
 	formatVersion = 1
 	formatText    = "cairnfront disk tier %d\n"
@@ -47,7 +48,7 @@
 type Meta struct {
 	eviction.Key
 	Group    uint16 // validity.UnknownGroup if the source named none
-	Rank     uint8  // 0 to 3, higher is kept longer
+	Rank     uint8  // 0 to 3, the lowest is evicted first
 	IssuedAt int64  // Unix ms at which the origin issued the copy
 	ETag     string // entity tag
 	Seq      uint64 // sequence number of the write; the store assigns it
@@ -98,7 +99,7 @@
 	return le.Uint64(b[16:]), nil
 }
 
-// appendRecord encodes a whole record: header, tag, body and padding up to the grain.
+// appendRecord encodes a record: header, tag, body and padding up to the grain.
 func appendRecord(b []byte, salt uint64, m Meta, body []byte, writtenMS int64) []byte {
 	start := len(b)
 	h := recordHeader{Meta: m, bodyLen: len(body), bodyChecksum: crc32.Checksum(body, castagnoli)}
@@ -115,7 +116,7 @@
 	struck       bool
 }
 
-// size is the size of the whole record on the disk in bytes.
+// size is the size of the record on the disk in bytes, with header and padding.
 func (h recordHeader) size() int64 { return recordSize(len(h.ETag), h.bodyLen) }
 
 // appendRecordHeader encodes a record's header and tag.
--- a/internal/diskcache/inspect.go
+++ b/internal/diskcache/inspect.go
@@ -21,7 +21,10 @@
 	toolPurgeLimit = 1 << 30
 )
 
-// Inspection says what a folder holds. The JSON keys are part of the output of tier inspect.
+// Inspection says what a folder holds. The JSON keys are part of the output of `disk-cache inspect --json`:
+//
+//	Followed: the last event; Doubted: the last unconfirmed sequence number; Floor: the purge floor;
+//	OldestDated: the oldest issue time; Uses: the usage of segments; Voided, Sound: invalidated and valid chunks
 type Inspection struct {
 	RecoveryReport
 	Objects        int
@@ -38,7 +41,7 @@
 	FaultsByCode   map[FaultCode]int
 	IndexBytes     int64
 	Invalidated    int `json:"Voided"` // chunks that a purge invalidates, counted by Verify
-	Valid          int `json:"Sound"`  // the other whole chunks, counted by Verify
+	Valid          int `json:"Sound"`  // the other readable chunks, counted by Verify
 }
 
 // folder is an opened folder with what an inspection needs.
@@ -57,10 +60,10 @@
 	dir := vfs.Dir(path)
 	names, err := dir.List()
 	if err != nil {
-		return f, fmt.Errorf("reading the folder: %w", err)
+		return f, fmt.Errorf("read folder %s: %w", path, err)
 	}
 	if !slices.Contains(names, formatName) {
-		return f, fmt.Errorf("%s is no folder of a disk tier: it holds no %s", path, formatName)
+		return f, fmt.Errorf("open %s: %w: no file %s", path, ErrNoDiskCache, formatName)
 	}
 	store, report, err := OpenStore(dir, StoreOptions{}, true, func(fault StoreError) {
 		f.inspection.FaultsByCode[fault.Code]++
@@ -124,7 +127,7 @@
 	return out
 }
 
-// Verify reads every chunk whole and calls onFault for each record that cannot be used. It returns the number of
+// Verify reads all of every chunk and calls onFault for each record that cannot be used. It returns the number of
 // faults. progress may be nil.
 func Verify(path string, onFault func(StoreError), progress func(done, all int)) (Inspection, int, error) {
 	faults := 0
@@ -193,30 +196,31 @@
 	})
 }
 
-// Export writes every chunk that no purge invalidates to a tar archive, named OBJECT/CHUNK, with group, tag and issue
+// Export writes every chunk that no purge invalidates to a tar file, named OBJECT/CHUNK, with group, tag and issue
 // time as PAX records.
 func Export(path string, w io.Writer) (chunks int, err error) {
 	f, err := openFolder(path, ignoreFault)
 	if err != nil {
 		return 0, err
 	}
-	archive := tar.NewWriter(w)
+	tarWriter := tar.NewWriter(w)
 	for _, key := range f.store.keys() {
 		chunk, err := f.store.Get(key)
 		if err != nil || purged(f.tracker, chunk.Meta) {
 			continue
 		}
-		if err := exportChunk(archive, chunk); err != nil {
-			err = fmt.Errorf("writing part %d of object %016x: %w", key.Chunk, key.Object, err)
+		if err := exportChunk(tarWriter, chunk); err != nil {
+			err = fmt.Errorf("export chunk %d of object %016x: %w", key.Chunk, key.Object, err)
 			return chunks, errors.Join(err, f.store.Close())
 		}
 		chunks++
 	}
-	return chunks, errors.Join(archive.Close(), f.store.Close())
+	return chunks, errors.Join(tarWriter.Close(), f.store.Close())
 }
 
-func exportChunk(archive *tar.Writer, chunk Chunk) error {
+func exportChunk(tarWriter *tar.Writer, chunk Chunk) error {
 	const exportMode = 0o640
+	// The names of the records are part of the export: "tag" is the ETag, "dated" the issue time.
 	header := &tar.Header{
 		Name:    fmt.Sprintf("%016x/%d", chunk.Object, chunk.Chunk),
 		Mode:    exportMode,
@@ -229,9 +233,9 @@
 			"CAIRNFRONT.dated": fmt.Sprint(chunk.IssuedAt),
 		},
 	}
-	if err := archive.WriteHeader(header); err != nil {
+	if err := tarWriter.WriteHeader(header); err != nil {
 		return err
 	}
-	_, err := archive.Write(chunk.Body)
+	_, err := tarWriter.Write(chunk.Body)
 	return err
 }
--- a/internal/diskcache/powerloss.go
+++ b/internal/diskcache/powerloss.go
@@ -15,23 +15,23 @@
 
 // PowerLossResult says what a power-loss run showed.
 type PowerLossResult struct {
-	Ops        int      // disk operations of the first life
+	Ops        int      // disk operations up to the first restart
 	Checked    int      // chunks read after a restart
-	Recovered  int      // of them whole
+	Recovered  int      // of them intact
 	Purges     int      // acknowledged before the power loss
 	Violations []string // what broke, one line each
 }
 
 // Size of the script that a power-loss run plays.
 const (
-	powerLossLives   = 3
+	powerLossStarts  = 3
 	powerLossSteps   = 45
 	powerLossObjects = 8
 	powerLossChunks  = 3 // of an object
 )
 
 // powerLossRun plays a script of puts, purges, compactions and snapshots on a faulty disk whose power fails in the
-// middle, and checks what is there after each restart. Tests and the lab use it.
+// middle, and checks the content after each restart. Tests and the lab use it.
 type powerLossRun struct {
 	seed uint64
 	cut  int // operation at which the power fails, 0 for the end
@@ -43,8 +43,8 @@
 	rnd      *rand.Rand
 	fs       *vfs.FaultFS
 	options  StoreOptions
-	clock    int64 // Unix ms
-	life     int
+	clock    int64                             // Unix ms
+	start    int                               // number of the current one, from 0
 	versions map[eviction.Key]map[int64][]byte // every version ever put; only one of these may be served
 	purgedAt map[uint64]int64                  // acknowledged purges
 	synced   map[eviction.Key]int64            // newest version that a sync has covered, unless deleted
@@ -71,10 +71,10 @@
 	p.purgedAt = map[uint64]int64{}
 	p.synced = map[eviction.Key]int64{}
 	p.clock = 1000
-	for p.life = range powerLossLives {
+	for p.start = range powerLossStarts {
 		p.fs.PowerLossAfter = p.powerLossAfter()
-		p.live()
-		if p.life == 0 {
+		p.playSession()
+		if p.start == 0 {
 			p.result.Ops = p.fs.OpCount()
 		}
 		p.fs.Restart()
@@ -82,10 +82,10 @@
 	return p.result
 }
 
-// powerLossAfter is the operation at which the power fails in this life: the given one in the first, one during or soon
-// after recovery in the second, none in the third.
+// powerLossAfter is the operation at which the power fails in this session: the given one in the first, one during or
+// soon after recovery in the second, none in the third.
 func (p *powerLossRun) powerLossAfter() int {
-	switch p.life {
+	switch p.start {
 	case 0:
 		return p.cut
 	case 1:
@@ -95,30 +95,30 @@
 }
 
 func (p *powerLossRun) violation(format string, args ...any) {
-	line := fmt.Sprintf("life %d: ", p.life) + fmt.Sprintf(format, args...)
+	line := fmt.Sprintf("start %d: ", p.start) + fmt.Sprintf(format, args...)
 	p.result.Violations = append(p.result.Violations, line)
 }
 
-// powerLossLife is the time between two restarts.
-type powerLossLife struct {
+// powerLossSession is the time between two restarts.
+type powerLossSession struct {
 	*powerLossRun
 	store    *Store
 	tracker  *validity.Tracker
 	restored []validity.Record
-	log      []validity.Record      // appended in this life
+	log      []validity.Record      // appended in this session
 	current  map[eviction.Key]int64 // the version of each chunk that the index names
 }
 
-// live opens the folder, checks what is there and continues the script until the power fails or the script ends.
-func (p *powerLossRun) live() {
+// playSession opens the folder, checks its content and continues the script until the power fails or the script ends.
+func (p *powerLossRun) playSession() {
 	store, report, err := OpenStore(p.fs, p.options, true, nil)
 	if err != nil {
 		if !errors.Is(err, vfs.ErrPowerLoss) {
-			p.violation("can't be opened: %v", err)
+			p.violation("open: %v", err)
 		}
 		return
 	}
-	l := &powerLossLife{
+	l := &powerLossSession{
 		powerLossRun: p,
 		store:        store,
 		tracker:      validity.NewTracker(0),
@@ -133,7 +133,7 @@
 	_ = store.Close()
 }
 
-func (l *powerLossLife) step() {
+func (l *powerLossSession) step() {
 	l.clock += int64(1 + l.rnd.IntN(3))
 	key := eviction.Key{
 		Object: uint64(l.rnd.IntN(powerLossObjects)),
@@ -167,7 +167,7 @@
 	}
 }
 
-func (l *powerLossLife) purge(object uint64) {
+func (l *powerLossSession) purge(object uint64) {
 	record := validity.Record{Kind: validity.PurgeObject, Object: object, PurgedAt: l.clock}
 	l.log = append(l.log, record)
 	if l.unsyncedLog {
@@ -184,13 +184,13 @@
 }
 
 // shortLog is the shortest log that restores the purges so far.
-func (l *powerLossLife) shortLog() []validity.Record {
+func (l *powerLossSession) shortLog() []validity.Record {
 	tracker := validity.NewTracker(0)
 	tracker.Restore(append(l.restored, l.log...), 0, l.clock)
 	return tracker.Records(l.clock)
 }
 
-func (l *powerLossLife) put(key eviction.Key) {
+func (l *powerLossSession) put(key eviction.Key) {
 	body := make([]byte, 20+l.rnd.IntN(700))
 	for i := range body {
 		body[i] = byte(l.rnd.Uint32())
@@ -206,9 +206,9 @@
 
 func versionTag(version int64) string { return fmt.Sprint("v", version) }
 
-// check reads every chunk and returns the versions served. Each must be, whole, a version that was put under that name.
+// check reads every chunk and returns the versions served. Each must be all of a version that was put under that name.
 // afterRestart also checks that nothing synced is gone and no acknowledged purge forgotten.
-func (l *powerLossLife) check(afterRestart bool) map[eviction.Key]int64 {
+func (l *powerLossSession) check(afterRestart bool) map[eviction.Key]int64 {
 	served := map[eviction.Key]int64{}
 	for object := range uint64(powerLossObjects) {
 		for chunk := range uint32(powerLossChunks) {
@@ -226,7 +226,9 @@
 }
 
 // checkChunk checks one chunk and reports whether the power is still on.
-func (l *powerLossLife) checkChunk(key eviction.Key, afterRestart bool, served map[eviction.Key]int64) (powerOn bool) {
+func (l *powerLossSession) checkChunk(
+	key eviction.Key, afterRestart bool, served map[eviction.Key]int64,
+) (powerOn bool) {
 	chunk, err := l.store.Get(key)
 	if l.uncheckedBody && err != nil {
 		err = l.ignoreBadBody(key, err)
@@ -253,7 +255,7 @@
 }
 
 // ignoreBadBody plays a store that does not check bodies: what it would serve torn is a violation.
-func (l *powerLossLife) ignoreBadBody(key eviction.Key, err error) error {
+func (l *powerLossSession) ignoreBadBody(key eviction.Key, err error) error {
 	var fault StoreError
 	if errors.As(err, &fault) && fault.Code == CodeBadBody {
 		l.violation("object %d chunk %d: torn bytes", key.Object, key.Chunk)
--- a/internal/diskcache/powerloss_test.go
+++ b/internal/diskcache/powerloss_test.go
@@ -8,7 +8,7 @@
 )
 
 // powerLoss plays the script drawn from the seed with a power loss at the operation numbered cut and requires that
-// nothing broke. It returns the number of operations of the first life.
+// nothing broke. It returns the number of operations up to the first restart.
 func powerLoss(t require.TestingT, seed uint64, cut int) (ops int) {
 	out := RunPowerLoss(seed, cut)
 	require.Empty(t, out.Violations, "seed %d, cut at %d", seed, cut)
--- a/internal/diskcache/purgelog.go
+++ b/internal/diskcache/purgelog.go
@@ -24,7 +24,7 @@
 	for s.purgeLogSize < size {
 		n, err := s.purgeLog.ReadAt(buf[:min(int64(len(buf)), size-s.purgeLogSize)], s.purgeLogSize)
 		if err != nil && !errors.Is(err, io.EOF) {
-			return nil, fmt.Errorf("reading %s at %d: %w", purgeLogName, s.purgeLogSize, err)
+			return nil, fmt.Errorf("read %s at %d: %w", purgeLogName, s.purgeLogSize, err)
 		}
 		for b := buf[:n]; len(b) > 0; b = b[validity.RecordSize:] {
 			record, err := validity.ParseRecord(b)
@@ -53,18 +53,18 @@
 		}
 	}
 	if err != nil {
-		return 0, fmt.Errorf("opening %s: %w", purgeLogName, err)
+		return 0, fmt.Errorf("open %s: %w", purgeLogName, err)
 	}
 	s.purgeLog = file
 	if size, err = file.Size(); err != nil {
-		return 0, fmt.Errorf("reading %s: %w", purgeLogName, err)
+		return 0, fmt.Errorf("read %s: %w", purgeLogName, err)
 	}
 	return size, nil
 }
 
 func (s *Store) truncatePurgeLog() error {
 	if err := errors.Join(s.purgeLog.Truncate(s.purgeLogSize), s.purgeLog.Sync()); err != nil {
-		return fmt.Errorf("cutting %s off at %d: %w", purgeLogName, s.purgeLogSize, err)
+		return fmt.Errorf("truncate %s at %d: %w", purgeLogName, s.purgeLogSize, err)
 	}
 	return nil
 }
--- a/internal/diskcache/purgequeue.go
+++ b/internal/diskcache/purgequeue.go
@@ -14,7 +14,7 @@
 type purgeQueue struct {
 	mu         sync.Mutex
 	pending    []validity.Record
-	rewriteLog bool          // too many waited, or the log has grown: the whole log is written again
+	rewriteLog bool          // too many waited, or the log has grown: the complete log is written again
 	writing    bool          // a write is under way
 	ready      chan struct{} // wakes the writer
 	written    sync.Cond     // of mu
@@ -31,7 +31,7 @@
 	return len(w.pending)
 }
 
-// enqueue appends records to the queue. A full queue is replaced by a rewrite of the whole log.
+// enqueue appends records to the queue. A full queue is replaced by a rewrite of the complete log.
 func (w *purgeQueue) enqueue(records []validity.Record) {
 	if len(records) == 0 {
 		return
--- a/internal/diskcache/recovery.go
+++ b/internal/diskcache/recovery.go
@@ -12,7 +12,8 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// RecoveryReport says what opening a folder found. The JSON keys are part of the output of tier inspect.
+// RecoveryReport says what opening a folder found. The JSON keys are part of the output of
+// `disk-cache inspect --json`.
 type RecoveryReport struct {
 	Chunks       int `json:"Parts"`
 	Segments     int
@@ -31,7 +32,7 @@
 func (s *Store) recover(report *RecoveryReport, withHistory bool) error {
 	names, err := s.fs.List()
 	if err != nil {
-		return fmt.Errorf("listing the folder: %w", err)
+		return fmt.Errorf("list folder: %w", err)
 	}
 	if err := s.checkFormat(names, report); err != nil {
 		return err
@@ -67,7 +68,7 @@
 	if slices.Contains(names, formatName) {
 		version, parsed, err := s.readFormat()
 		if err != nil {
-			return fmt.Errorf("reading %s: %w", formatName, err)
+			return fmt.Errorf("read %s: %w", formatName, err)
 		}
 		if parsed && version == formatVersion {
 			return nil
@@ -79,11 +80,11 @@
 		}
 		// The file was torn by a power loss at the first start. It is written again.
 	} else if i := slices.IndexFunc(names, holdsData); i >= 0 {
-		return fmt.Errorf("%w: it holds %s and no %s", ErrUnsupportedFormat, names[i], formatName)
+		return fmt.Errorf("%w: file %s without a file %s", ErrUnsupportedFormat, names[i], formatName)
 	}
 	report.Created = true
 	if err := s.replaceFile(formatName, fmt.Appendf(nil, formatText, formatVersion)); err != nil {
-		return fmt.Errorf("writing %s: %w", formatName, err)
+		return fmt.Errorf("write %s: %w", formatName, err)
 	}
 	return nil
 }
@@ -107,7 +108,7 @@
 	return strings.HasPrefix(name, segmentPrefix) || name == purgeLogName
 }
 
-// replaceFile writes a small file whole or not at all.
+// replaceFile writes all of a small file or nothing.
 func (s *Store) replaceFile(name string, content []byte) error {
 	file, err := s.fs.Create(name + newSuffix)
 	if err != nil {
--- a/internal/diskcache/scan.go
+++ b/internal/diskcache/scan.go
@@ -25,9 +25,9 @@
 }
 
 // scan enters a segment's records from an offset on into the index and returns the bytes it read. After bytes that are
-// no record it goes on at the next record: a disk may have kept later writes and lost earlier ones. verifyBodies is set
-// for the last segment, the only one that can hold unsynced records: their bodies are read too, so that a torn new copy
-// does not hide a whole older one.
+// no record it goes on at the next record: a power loss may lose earlier writes and leave later ones. verifyBodies is
+// set for the last segment, the only one that can hold unsynced records: their bodies are read too, so that a torn new
+// copy does not hide an intact older one.
 func (s *Store) scan(seg *segment, from int64, verifyBodies bool) (int64, error) {
 	c := &segmentScan{
 		store:   s,
@@ -104,7 +104,7 @@
 			File:   c.segment.name,
 			Offset: offset,
 			Key:    h.Key,
-			Err:    errors.New("the file ends within the part"),
+			Err:    errors.New("file ends within the record"),
 		}
 	}
 	return h, nil
--- a/internal/diskcache/segment.go
+++ b/internal/diskcache/segment.go
@@ -33,7 +33,7 @@
 // Put writes a chunk and returns the sequence number that the store gave it. A failed write is a StoreError.
 func (s *Store) Put(m Meta, body []byte) (uint64, error) {
 	if len(m.ETag) > maxTagBytes || len(body) > maxBodyBytes {
-		return 0, fmt.Errorf("a tag of %d and a body of %d bytes are too long", len(m.ETag), len(body))
+		return 0, fmt.Errorf("write chunk: tag of %d or body of %d bytes is too long", len(m.ETag), len(body))
 	}
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
--- a/internal/diskcache/snapshot.go
+++ b/internal/diskcache/snapshot.go
@@ -167,7 +167,7 @@
 }
 
 // readSnapshot enters what the snapshot names into the index and returns the offset up to which it covers each segment.
-// A snapshot that cannot be used is ignored as a whole.
+// Nothing is taken from a snapshot that cannot be used.
 func (s *Store) readSnapshot(report *RecoveryReport, withHistory bool) map[uint32]int64 {
 	file, err := s.fs.Open(snapshotName)
 	if err != nil {
@@ -245,7 +245,7 @@
 		return err
 	}
 	if binary.LittleEndian.Uint32(b) != sum {
-		return errors.New("its checksum does not hold")
+		return errors.New("checksum of the snapshot does not hold")
 	}
 	r.store.lastSeq = max(r.store.lastSeq, lastSeq)
 	return nil
@@ -265,7 +265,7 @@
 	want := snapshotHeaderSize + int64(segments)*snapshotSegmentSize +
 		int64(min(entries, maxSnapshotEntries))*snapshotEntrySize + snapshotChecksumSize
 	if err != nil || size != want {
-		return 0, 0, 0, fmt.Errorf("%d bytes do not fit what its head says", size)
+		return 0, 0, 0, fmt.Errorf("size of %d bytes does not fit the header", size)
 	}
 	return segments, entries, lastSeq, nil
 }
@@ -283,7 +283,7 @@
 		r.store.onFault(StoreError{
 			Code: CodeMissingSegment,
 			File: segmentName(id),
-			Err:  errors.New("the snapshot names it: lost, or compacted since"),
+			Err:  errors.New("named by the snapshot: lost, or compacted since"),
 		})
 		return nil
 	}
@@ -296,7 +296,7 @@
 			Code:   CodeTruncated,
 			File:   seg.name,
 			Offset: seg.size,
-			Err:    fmt.Errorf("it was %d bytes long", upTo),
+			Err:    fmt.Errorf("segment was %d bytes long", upTo),
 		})
 	}
 	seg.oldestIssuedAt = int64(le.Uint64(b[24:]))
@@ -322,13 +322,13 @@
 	missing := r.missing[loc.segment]
 	const maxRecordSize = recordHeaderSize + maxTagBytes + maxBodyBytes + grain
 	if !exists && !missing || loc.size < recordHeaderSize || loc.size > maxRecordSize {
-		return errors.New("an entry can't be")
+		return errors.New("entry of an impossible size or segment")
 	}
 	if missing || loc.offset()+int64(loc.size) > covered {
 		return nil
 	}
 	if r.store.index.find(loc.key()) != nil {
-		return errors.New("a part stands there twice")
+		return errors.New("chunk is listed twice")
 	}
 	r.store.segments[loc.segment].liveBytes += int64(loc.size)
 	r.store.index.put(loc)
--- a/internal/diskcache/store.go
+++ b/internal/diskcache/store.go
@@ -5,8 +5,8 @@
 // package owns the folder on the disk, which docs/disk-format.md describes byte by byte. It does not fetch, serve or
 // interpret chunks.
 //
-// Durability: a chunk survives a power loss once the Sync after its Put has returned. Before that it survives whole or
-// not at all; half a chunk is never served. Purge records survive once AppendPurgeRecords has returned. A deleted chunk
+// Durability: a chunk survives a power loss once the Sync after its Put has returned. Before that all of it survives or
+// nothing; half a chunk is never served. Purge records survive once AppendPurgeRecords has returned. A deleted chunk
 // may reappear after a restart, where a logged purge invalidates it as before.
 package diskcache
 
@@ -91,7 +91,7 @@
 	report := RecoveryReport{}
 	unlock, err := fs.Lock(lockName)
 	if err != nil {
-		return nil, report, fmt.Errorf("opening the folder: %w", err)
+		return nil, report, fmt.Errorf("open disk cache: %w", err)
 	}
 	s := &Store{
 		fs:       fs,
@@ -227,7 +227,7 @@
 	if h.struck || h.Key != loc.key() || h.Seq != loc.seq || h.size() != int64(loc.size) {
 		return Chunk{}, corruptRecord{
 			CodeBadHeader,
-			fmt.Errorf("another part stands there: object %016x part %d", h.Object, h.Chunk),
+			fmt.Errorf("record of another chunk: object %016x chunk %d", h.Object, h.Chunk),
 		}
 	}
 	body := buf[recordHeaderSize+len(h.ETag):][:h.bodyLen:h.bodyLen]
--- a/internal/diskcache/store_test.go
+++ b/internal/diskcache/store_test.go
@@ -64,7 +64,7 @@
 }
 
 func TestChunksSurviveReopeningRealFolder(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "tier")
+	path := filepath.Join(t.TempDir(), "cache")
 	d, err := vfs.MakeDir(path)
 	require.NoError(t, err)
 	for _, snapshot := range []bool{false, true} {
--- a/internal/diskcache/validity/record.go
+++ b/internal/diskcache/validity/record.go
@@ -33,7 +33,8 @@
 	PurgeFloor // purges up to PurgedAt were forgotten
 )
 
-// Record is a state change that must survive a power loss. The JSON keys are part of the output of tier inspect.
+// Record is a state change that must survive a power loss. The JSON keys are part of the output of
+// `disk-cache inspect --json`: At is the purge's time, Sum the checksum, Heard the time of writing.
 type Record struct {
 	Kind      Kind
 	Group     uint16
--- a/internal/diskcache/validity/tracker.go
+++ b/internal/diskcache/validity/tracker.go
@@ -39,7 +39,7 @@
 	t.pristine = lastSeq == 0 && t.number == 0
 	var out []Record
 	clockSetBack := now < t.clockHighWater-clockSlackMS
-	if lastSeq > 0 && clockSetBack { // the age of copies cannot be told
+	if lastSeq > 0 && clockSetBack { // the age of copies is not known
 		out = append(out, t.suspect(lastSeq, now))
 	}
 	return append(out, t.trimPurges(now)...)
--- a/internal/diskcache/validity/validity.go
+++ b/internal/diskcache/validity/validity.go
@@ -38,7 +38,7 @@
 // Event is one event of the discovery service's stream.
 type Event struct {
 	Number     uint64
-	Checksum   uint32 // of the whole event
+	Checksum   uint32 // of the event as received
 	Heartbeat  bool   // nothing new; the receiver has caught up
 	Purge      bool
 	WholeGroup bool // a purge of Group instead of Object
--- a/internal/diskcache/vfs/dir.go
+++ b/internal/diskcache/vfs/dir.go
@@ -21,7 +21,7 @@
 // MakeDir creates a directory, with its parents, if it does not exist.
 func MakeDir(path string) (Dir, error) {
 	if err := os.MkdirAll(path, dirMode); err != nil {
-		return "", fmt.Errorf("making the folder: %w", err)
+		return "", fmt.Errorf("create folder: %w", err)
 	}
 	return Dir(path), nil
 }
--- a/internal/diskcache/vfs/faultfile.go
+++ b/internal/diskcache/vfs/faultfile.go
@@ -2,7 +2,7 @@
 
 import "io"
 
-// sectorBytes is what a disk writes whole or not at all.
+// sectorBytes is the size of what a disk writes completely or not at all.
 const sectorBytes = 512
 
 // inode is the content of a file.
--- a/internal/diskcache/vfs/faultfs.go
+++ b/internal/diskcache/vfs/faultfs.go
@@ -140,7 +140,7 @@
 
 // restore settles which unsynced writes of a file are on the medium.
 func (f *FaultFS) restore(node *inode) {
-	survival := [3]float64{0, 0.5, 1}[f.rnd.IntN(3)] // all lost, some kept, all kept
+	survival := [3]float64{0, 0.5, 1}[f.rnd.IntN(3)] // none, some or all survive
 	for _, w := range node.pending {
 		node.commit(w, func() bool { return f.rnd.Float64() < survival })
 	}
--- a/internal/diskcache/vfs/vfs_test.go
+++ b/internal/diskcache/vfs/vfs_test.go
@@ -73,7 +73,7 @@
 		assert.ErrorIs(t, err, ErrPowerLoss)
 		fs.Restart()
 		content := string(fs.Contents("file"))
-		assert.Contains(t, []string{"synced", "UNSYNC"}, content, "a sector is whole")
+		assert.Contains(t, []string{"synced", "UNSYNC"}, content, "a sector is written completely or not at all")
 		lost = lost || content == "synced"
 	}
 	assert.True(t, lost, "an unsynced write can be lost")
--- a/internal/edgecache/conn.go
+++ b/internal/edgecache/conn.go
@@ -43,7 +43,7 @@
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			s.Telemetry.Log.Warn("accept", "err", err.Error())
+			s.Telemetry.Log.Warn("accept failed", "error", err.Error())
 			time.Sleep(acceptRetryPause)
 			continue
 		}
@@ -77,7 +77,7 @@
 			defer cancel()
 			defer func() {
 				if cause := recover(); cause != nil {
-					s.logPanic("asker", cause)
+					s.logPanic("edge_cache", cause)
 					c.conn.Close(netconn.Panic, nil)
 				}
 			}()
--- a/internal/edgecache/discovery.go
+++ b/internal/edgecache/discovery.go
@@ -55,7 +55,7 @@
 	event := validityEvent(ev)
 	if s.validity.Apply(event) {
 		s.Telemetry.Inc(telemetry.CacheDiscoveryRestarts)
-		s.Telemetry.Log.Warn("box", "code", "board-anew", "event", ev.Revision)
+		s.Telemetry.Log.Warn("discovery revisions restarted", "revision", ev.Revision)
 		return discovery.ErrRevisionGap
 	}
 	if event.Purge {
--- a/internal/edgecache/handler/action.go
+++ b/internal/edgecache/handler/action.go
@@ -46,7 +46,7 @@
 	Epoch uint16
 }
 
-// TouchDisk tells the disk's eviction policy of a request that memory answered.
+// TouchDisk counts a request that memory answered in the disk's eviction policy.
 type TouchDisk struct{ Copy *Copy }
 
 // DeleteFromDisk deletes a chunk from the disk.
--- a/internal/edgecache/loop.go
+++ b/internal/edgecache/loop.go
@@ -19,7 +19,7 @@
 type event interface{ edgeCacheEvent() }
 
 type (
-	// requestReceived is a request with its whole body.
+	// requestReceived is a request with its complete body.
 	requestReceived struct{ request *openRequest }
 	// requestCancelled is a client's cancel of a request.
 	requestCancelled struct {
@@ -110,15 +110,16 @@
 func (s *Server) recovering(f func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			s.logPanic("box", cause)
+			s.logPanic("edge_cache", cause)
 		}
 	}()
 	f()
 }
 
-func (s *Server) logPanic(where string, cause any) {
+func (s *Server) logPanic(component string, cause any) {
 	s.Telemetry.Inc(telemetry.Panics)
-	s.Telemetry.Log.Error("panic", "where", where, "what", fmt.Sprint(cause), "stack", string(debug.Stack()))
+	s.Telemetry.Log.Error("panic recovered",
+		"component", component, "error", fmt.Sprint(cause), "stack", string(debug.Stack()))
 }
 
 func (s *Server) handle(ev event) {
--- a/internal/edgecache/origin.go
+++ b/internal/edgecache/origin.go
@@ -40,7 +40,7 @@
 	return tag, validity.UnknownGroup, body, true
 }
 
-var errReadOnlyOrigin = errors.New("this origin runs no writes")
+var errReadOnlyOrigin = errors.New("origin is read-only")
 
 // Execute implements Origin.
 func (d DirOrigin) Execute(string, string, string, eviction.Key, string) error {
--- a/internal/edgecache/perform.go
+++ b/internal/edgecache/perform.go
@@ -183,7 +183,7 @@
 	if body := ev.End.Body; body != nil {
 		result.Body = body.Bytes
 		s.Telemetry.IncBy(telemetry.CacheFetchedBytes, int64(len(result.Body)))
-		body.Free() // from here on the memory cache's limit counts what is kept of it
+		body.Free() // from here on the memory cache's limit counts what is stored of it
 	}
 	s.perform(s.handler.HandleFetched(now, fill, result))
 }
--- a/internal/edgecache/serve.go
+++ b/internal/edgecache/serve.go
@@ -15,9 +15,9 @@
 )
 
 // errNoClasses reports a configuration without request classes.
-var errNoClasses = errors.New("box.rules: an edge cache needs the request classes that it serves")
+var errNoClasses = errors.New(config.KeyEdgeCacheClasses + ": an edge cache needs the request classes that it serves")
 
-// DiskCacheConfig returns the disk cache's configuration in the operators' file.
+// DiskCacheConfig returns the disk cache's configuration in the configuration file.
 func DiskCacheConfig(c config.DiskCache) diskcache.Config {
 	return diskcache.Config{
 		SpaceBytes:       int64(c.CapacityMB * bytesPerMB),
@@ -35,7 +35,7 @@
 	}
 }
 
-// Serve runs a server configured by the operators' file until the context ends. Log lines go to out. The counters
+// Serve runs a server configured by the configuration file until the context ends. Log lines go to out. The counters
 // follow at the end, and whenever dump receives.
 func Serve(ctx context.Context, file config.File, out io.Writer, dump <-chan struct{}) error {
 	metrics := telemetry.New(out, file.EdgeCache.ID)
@@ -49,18 +49,18 @@
 	} else if file.DiskCache.Directory != "" {
 		disk, err := openDisk(file.DiskCache, metrics)
 		if err != nil {
-			return fmt.Errorf("tier.folder: %w", err)
+			return fmt.Errorf("%s: %w", config.KeyDiskCacheFolder, err)
 		}
 		s.Disk = disk
 		defer func() {
 			if err := disk.Close(); err != nil {
-				metrics.Log.Error("tier", "code", "close-failed", "err", err.Error())
+				metrics.Log.Error("disk cache close failed", "error", err.Error())
 			}
 		}()
 	}
 	ln, err := net.Listen("tcp", s.Config.Listen)
 	if err != nil {
-		return fmt.Errorf("box.listen: %w", err)
+		return fmt.Errorf("%s: %w", config.KeyEdgeCacheListen, err)
 	}
 	done := make(chan struct{})
 	defer close(done)
@@ -94,9 +94,13 @@
 	if err != nil {
 		return nil, err
 	}
-	metrics.Log.Info("tier", "code", "opened", "parts", report.Chunks, "bytes", report.Bytes,
-		"segments", report.Segments, "faults", report.Faults, "snapshot", report.SnapshotUsed,
-		"took_s", report.Took.Seconds())
+	metrics.Log.Info("disk cache opened",
+		"chunks", report.Chunks,
+		"bytes", report.Bytes,
+		"segments", report.Segments,
+		"faults", report.Faults,
+		"snapshot_used", report.SnapshotUsed,
+		"duration_seconds", report.Took.Seconds())
 	return disk, nil
 }
 
@@ -117,8 +121,14 @@
 
 func (s *Server) logDiskStatus() {
 	status := s.Disk.Status()
-	s.Telemetry.Log.Info("tier", "code", "state", "parts", status.Chunks, "live", status.LiveBytes,
-		"on_disk", status.DiskBytes, "certain", status.UpToDate, "followed", status.Number,
-		"purges", status.Purges, "doubted_up_to", status.SuspectUpTo, "writes_waiting", status.PendingWrites,
-		"notes_waiting", status.PendingRecords)
+	s.Telemetry.Log.Info("disk cache state",
+		"chunks", status.Chunks,
+		"live_bytes", status.LiveBytes,
+		"disk_bytes", status.DiskBytes,
+		"up_to_date", status.UpToDate,
+		"revision", status.Number,
+		"purges", status.Purges,
+		"unconfirmed_up_to", status.SuspectUpTo,
+		"queued_writes", status.PendingWrites,
+		"queued_purge_records", status.PendingRecords)
 }
--- a/internal/edgecache/server.go
+++ b/internal/edgecache/server.go
@@ -98,7 +98,10 @@
 	}
 	var clients sync.WaitGroup
 	clients.Go(func() { s.accept(serving, ln, &clients) })
-	s.Telemetry.Log.Info("serving", "listen", ln.Addr().String(), "id", s.Config.ID, "role", s.Config.Role)
+	s.Telemetry.Log.Info("serving",
+		"address", ln.Addr().String(),
+		"endpoint", s.Config.ID,
+		"role", s.Config.Role)
 	select {
 	case <-ctx.Done():
 	case <-serving.Done():
--- a/internal/edgecache/synthetic.go
+++ b/internal/edgecache/synthetic.go
@@ -93,11 +93,11 @@
 	if o.executed != nil && now.Sub(o.sweptAt) <= o.KeyRetention {
 		return
 	}
-	kept := map[string]time.Time{}
+	recent := map[string]time.Time{}
 	for key, at := range o.executed {
 		if now.Sub(at) <= o.KeyRetention {
-			kept[key] = at
+			recent[key] = at
 		}
 	}
-	o.executed, o.sweptAt = kept, now
+	o.executed, o.sweptAt = recent, now
 }
--- a/internal/lab/fleet_log.go
+++ b/internal/lab/fleet_log.go
@@ -6,6 +6,8 @@
 	"os"
 	"strings"
 	"time"
+
+	"cairnfront/internal/membership/partition"
 )
 
 // maxLogLineBytes is the longest line of a router's log that is read.
@@ -62,13 +64,17 @@
 // addLogLine keeps what a line says of a peer, of the partition state or of a panic.
 func (router *fleetRouter) addLogLine(fields map[string]string, at float64, peers map[string]int) {
 	switch fields["msg"] {
-	case "peer":
-		event := peerEvent{at: at, peer: peers[fields["peer"]], state: fields["code"]}
-		_, _ = fmt.Sscan(fields["life"], &event.incarnation)
+	case "peer state changed":
+		event := peerEvent{at: at, peer: peers[fields["peer"]], state: fields["state"]}
+		_, _ = fmt.Sscan(fields["incarnation"], &event.incarnation)
 		router.peerEvents = append(router.peerEvents, event)
-	case "standing":
-		router.partitionEvents = append(router.partitionEvents, partitionEvent{at, fields["code"]})
-	case "panic":
+	case "partition state changed":
+		event := partitionEvent{at: at, state: fields["state"]}
+		if event.state == partition.Complete.String() {
+			event.state = partitionWhole // reports have another name for it
+		}
+		router.partitionEvents = append(router.partitionEvents, event)
+	case "panic recovered":
 		router.peerEvents = append(router.peerEvents, peerEvent{at: at, state: statePanic})
 	}
 }
--- a/internal/lab/verify_fleet_test.go
+++ b/internal/lab/verify_fleet_test.go
@@ -61,14 +61,13 @@
 	for i := range fleetSize {
 		for o := range fleetSize {
 			if o != i {
-				const alive = "msg=peer code=alive peer=%s from=unknown why=\"its newer claim\" life=5 beat=0"
-				say(i, -2, fmt.Sprintf(alive, fleet.names[o]))
+				say(i, -2, peerChanged(fleet.names[o], "alive", "unknown", 5, 0))
 			}
 		}
-		say(i, -1, "msg=standing code=whole from=alone epoch=2")
+		say(i, -1, "msg=\"partition state changed\" state=complete previous_state=alone epoch=2")
 		if i != 3 {
-			say(i, 3, "msg=peer code=failed peer=n4 from=suspect why=x life=5 beat=0 took_s=1.2")
-			say(i, 8.5, "msg=peer code=alive peer=n4 from=failed why=x life=6 beat=0")
+			say(i, 3, peerChanged("n4", "failed", "suspect", 5, 0)+" duration_seconds=1.2")
+			say(i, 8.5, peerChanged("n4", "alive", "failed", 6, 0))
 		}
 	}
 	box := &clusterEndpoint{id: "s-00000001"}
@@ -95,6 +94,14 @@
 	return r
 }
 
+// peerChanged is a router's log line on a peer's new state.
+func peerChanged(peer, state, previous string, incarnation uint64, refutations int) string {
+	return fmt.Sprintf(
+		"msg=\"peer state changed\" peer=%s state=%s previous_state=%s reason=newer_record incarnation=%d refutations=%d",
+		peer, state, previous, incarnation, refutations,
+	)
+}
+
 // TestFleetChecksSeeWhatIsBroken: each check of the fleet is shown to fail where what it looks for is so, and to
 // hold where it is not.
 func TestFleetChecksSeeWhatIsBroken(t *testing.T) {
@@ -105,29 +112,29 @@
 	}{
 		"all well": {func(say, *routerFleet) {}, ""},
 		"a healthy peer dropped": {func(s say, _ *routerFleet) {
-			s(5, 12, "msg=peer code=failed peer=n8 from=suspect life=5 beat=0")
+			s(5, 12, peerChanged("n8", "failed", "suspect", 5, 0))
 		}, "n6 dropped n8 at 12.00 s, which ran"},
 		"a drop that the cut explains": {func(s say, _ *routerFleet) {
-			s(5, 17, "msg=peer code=failed peer=n1 from=suspect life=5 beat=0")
-			s(5, 20.5, "msg=peer code=alive peer=n1 from=failed life=5 beat=1")
+			s(5, 17, peerChanged("n1", "failed", "suspect", 5, 0))
+			s(5, 20.5, peerChanged("n1", "alive", "failed", 5, 1))
 		}, ""},
 		"never found out": {func(_ say, fleet *routerFleet) {
 			fleet.script.Faults[0].From = []int{9}
 		}, "n1 never dropped n10, killed at 1.0 s"},
 		"a forgery taken": {func(s say, _ *routerFleet) {
-			s(2, 12, fmt.Sprintf("msg=peer code=alive peer=n8 from=suspect life=%d beat=0", uint64(forgedIncarnation)))
+			s(2, 12, peerChanged("n8", "alive", "suspect", forgedIncarnation, 0))
 		}, "n3 took a forged life of n8"},
 		"no agreement after a cut": {func(s say, _ *routerFleet) {
-			s(5, 17, "msg=peer code=failed peer=n1 from=suspect life=5 beat=0")
+			s(5, 17, peerChanged("n1", "failed", "suspect", 5, 0))
 		}, "not all agreed"},
 		"found out late": {func(_ say, fleet *routerFleet) {
 			fleet.script.Faults[0].Start = -6
 		}, "9.0 s until all knew of a kill"},
 		"agreement late after a cut": {func(s say, _ *routerFleet) {
-			s(5, 17, "msg=peer code=failed peer=n1 from=suspect life=5 beat=0")
-			s(5, 28.5, "msg=peer code=alive peer=n1 from=failed life=5 beat=1")
+			s(5, 17, peerChanged("n1", "failed", "suspect", 5, 0))
+			s(5, 28.5, peerChanged("n1", "alive", "failed", 5, 1))
 		}, "s after a cut until all agreed"},
-		"a panic": {func(s say, _ *routerFleet) { s(5, 17, "msg=panic where=peers") }, "a panic"},
+		"a panic": {func(s say, _ *routerFleet) { s(5, 17, "msg=\"panic recovered\" component=membership") }, "a panic"},
 		"a healthy box left out": {func(_ say, fleet *routerFleet) {
 			fleet.cluster.requests = fleet.cluster.requests[:12]
 		}, "box s-00000001 was asked nothing from 12.5 to 15.0 s"},
--- a/internal/membership/actions.go
+++ b/internal/membership/actions.go
@@ -1,7 +1,7 @@
 package membership
 
 import (
-	"fmt"
+	"math"
 
 	"cairnfront/internal/membership/observation"
 	"cairnfront/internal/membership/partition"
@@ -19,11 +19,10 @@
 		case swim.StateChange:
 			n.recordStateChange(action)
 		case swim.NameConflict:
+			// Two processes that answer under one name would end each other's suspicions: only the newer one sends.
 			n.silent = true
 			n.metrics.Inc(telemetry.PeerNameYielded)
-			n.metrics.Log.Error("peers", "code", "twin",
-				"what", "a newer process has this router's name; this one sends nothing more to peers",
-				"birth", action.InstanceID)
+			n.metrics.Log.Error("peer name conflict", "instance_id", action.InstanceID)
 		}
 	}
 	n.updatePartition(now)
@@ -40,31 +39,39 @@
 	}
 	state, epoch, _ := n.partition.Current()
 	n.metrics.Inc(telemetry.PartitionStateChanges.With(state.String()))
-	n.metrics.Log.Info("standing", "code", state.String(), "from", before.String(), "epoch", epoch,
-		"there", present, "roster", roster, "stuck", stuck)
+	n.metrics.Log.Info("partition state changed",
+		"state", state.String(),
+		"previous_state", before.String(),
+		"epoch", epoch,
+		"present", present,
+		"roster", roster,
+		"stuck", stuck)
 }
 
 func (n *Node) recordStateChange(c swim.StateChange) {
 	n.metrics.Inc(telemetry.PeerStateChanges.With(c.To.String()))
 	attributes := []any{
-		"code", c.To.String(),
 		"peer", n.codec.Name(c.Member),
-		"from", c.From.String(),
-		"why", c.Reason.String(),
-		"life", c.Incarnation.StartMillis,
-		"beat", c.Incarnation.Refutations,
+		"state", c.To.String(),
+		"previous_state", c.From.String(),
+		"reason", c.Reason.String(),
+		"incarnation", c.Incarnation.StartMillis,
+		"refutations", c.Incarnation.Refutations,
 	}
 	if c.To == swim.Failed && c.SuspectedSeconds > 0 {
 		_ = n.detectionTimes.RecordValue(int64(c.SuspectedSeconds * 1000)) // over the bound it is not counted
-		attributes = append(attributes, "took_s", fmt.Sprintf("%.2f", c.SuspectedSeconds))
+		attributes = append(attributes, "duration_seconds", roundToHundredth(c.SuspectedSeconds))
 	}
 	if !c.To.Present() {
 		n.partition.Forget(c.Member)
 	}
-	n.metrics.Log.Info("peer", attributes...)
+	n.metrics.Log.Info("peer state changed", attributes...)
 }
 
-// handleDoubts tells the routing module of doubts, where the partition state lets it act on other members'
+// roundToHundredth rounds a figure for the log: its further digits say nothing.
+func roundToHundredth(figure float64) float64 { return math.Round(figure*100) / 100 }
+
+// handleDoubts passes doubts to the routing module, where the partition state lets it act on other members'
 // observations, and signs own observations that wait.
 func (n *Node) handleDoubts(doubts []observation.Doubt) {
 	now := n.now()
@@ -75,8 +82,10 @@
 		}
 		seconds := max(d.Until-now, 0)
 		n.metrics.Inc(telemetry.PeerDoubts)
-		n.metrics.Log.Info("member", "code", "doubted", "member", string(d.Endpoint),
-			"doubt", fmt.Sprintf("%.2f", d.Level), "for_s", fmt.Sprintf("%.1f", seconds))
+		n.metrics.Log.Info("endpoint health doubted",
+			"endpoint", string(d.Endpoint),
+			"doubt", roundToHundredth(d.Level),
+			"valid_seconds", roundToHundredth(seconds))
 		if n.OnDoubt != nil {
 			n.OnDoubt(d.Endpoint, d.Level, seconds)
 		}
@@ -92,7 +101,7 @@
 func (n *Node) passOnOwn(o observation.Observation) {
 	signed, err := n.codec.SignObservation(o)
 	if err != nil {
-		n.metrics.Log.Error("peers", "code", "unsealed", "err", err.Error())
+		n.metrics.Log.Error("datagram encode failed", "error", err.Error())
 		return
 	}
 	o.Signed = signed
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -18,7 +18,7 @@
 	eventLoopProbeEach = 500 * time.Millisecond // between probes of the router's event loop
 	eventLoopStuckAt   = 2 * time.Second        // without an answer to a probe the event loop is stuck
 	expireEach         = time.Second            // between checks for expired observations
-	staleAnswerEach    = time.Second            // between answers to a member that sends as of an earlier life
+	staleAnswerEach    = time.Second            // between answers to a member that sends as of an earlier start
 	minTimer           = time.Millisecond
 	longestDetection   = 600_000 // ms, the bound of the histogram
 	detectionDigits    = 2       // significant digits of the histogram
@@ -28,7 +28,7 @@
 // Only the lab sets it.
 const ClockOffsetVariable = "CAIRNFRONT_LAB_CLOCK_S"
 
-// RosterEntry is a member of the roster, as the operators' file has it.
+// RosterEntry is a member of the roster in the configuration file.
 type RosterEntry struct {
 	Name    string
 	Key     ed25519.PublicKey
--- a/internal/membership/datagram/codec.go
+++ b/internal/membership/datagram/codec.go
@@ -14,7 +14,7 @@
 const maxVerified = 4096
 
 // ErrKeyMismatch means that a codec's private key does not belong to the public key in the roster.
-var ErrKeyMismatch = errors.New("the own key is not the one in the roster")
+var ErrKeyMismatch = errors.New("datagram codec: the private key is not that of this router in the roster")
 
 // Identity is a member of the roster.
 type Identity struct {
@@ -46,7 +46,8 @@
 // New makes the codec of the member self, with its private key, the address at which it is reached, and its zone.
 func New(self swim.MemberID, key ed25519.PrivateKey, address, zone string, roster []Identity) (*Codec, error) {
 	if len(address) > maxAddressBytes || len(zone) > maxNameBytes {
-		return nil, fmt.Errorf("the address %q or the zone %q is too long", address, zone)
+		return nil, fmt.Errorf("datagram codec: address %q or zone %q: over %d and %d bytes",
+			address, zone, maxAddressBytes, maxNameBytes)
 	}
 	c := &Codec{
 		self:     self,
@@ -90,10 +91,10 @@
 		return fmt.Errorf("peer %q: its key has %d bytes, not %d",
 			identity.Name, len(identity.Key), ed25519.PublicKeySize)
 	case i < len(c.identities) && c.identities[i].Name != identity.Name:
-		return fmt.Errorf("peer %q stands where %q did", identity.Name, c.identities[i].Name)
+		return fmt.Errorf("peer %q: in the place of %q in the roster", identity.Name, c.identities[i].Name)
 	}
 	if other, known := c.byName[identity.Name]; known && int(other) != i {
-		return fmt.Errorf("peer %q stands twice", identity.Name)
+		return fmt.Errorf("peer %q: more than once in the roster", identity.Name)
 	}
 	return nil
 }
--- a/internal/membership/datagram/decode.go
+++ b/internal/membership/datagram/decode.go
@@ -19,7 +19,7 @@
 }
 
 // Decode verifies a datagram: it has to be addressed to us by another member of the roster, signed, of its present
-// life and not replayed. isNewer reports whether a record would be news; the signature of one that would not be is
+// start and not replayed. isNewer reports whether a record would be news; the signature of one that would not be is
 // not verified. With ErrStaleIncarnation the result names the sender.
 func (c *Codec) Decode(raw []byte, isNewer func(swim.MemberID, swim.Incarnation) bool) (Received, error) {
 	from, e, err := c.openEnvelope(raw)
@@ -42,7 +42,7 @@
 	return r, nil
 }
 
-// openEnvelope verifies that a datagram is for us and signed by its sender, and that it is not of an earlier life.
+// openEnvelope verifies that a datagram is for us and signed by its sender, and that it is not of an earlier start.
 func (c *Codec) openEnvelope(raw []byte) (swim.MemberID, *envelope, error) {
 	if len(raw) < signatureSize || len(raw) > MaxSize {
 		return 0, nil, ErrMalformed
@@ -212,7 +212,7 @@
 	}, true
 }
 
-// RecordLocation is the address and the zone that a signed record tells of its member.
+// RecordLocation is the address and the zone of a member in its signed record.
 func RecordLocation(signed []byte) (address, zone string) {
 	var w wireRecord
 	if len(signed) > signatureSize && decMode.Unmarshal(signed[signatureSize:], &w) == nil {
--- a/internal/membership/datagram/replay.go
+++ b/internal/membership/datagram/replay.go
@@ -1,16 +1,16 @@
 package datagram
 
-// replayWindow is how many counters behind the highest are still told apart.
+// replayWindow is how many counters behind the highest are still distinguished.
 const replayWindow = 256
 
-// replayGuard remembers which counters of a sender's life were seen: 48 bytes a member.
+// replayGuard remembers which counters were seen since a sender's start: 48 bytes a member.
 type replayGuard struct {
 	startMillis uint64
 	highest     uint64
 	seen        [replayWindow / 64]uint64
 }
 
-// accept notes a counter of a life. It returns ErrStaleIncarnation or ErrReplayed if it is not new.
+// accept notes a counter of a start. It returns ErrStaleIncarnation or ErrReplayed if it is not new.
 func (g *replayGuard) accept(startMillis, counter uint64) error {
 	if startMillis < g.startMillis {
 		return ErrStaleIncarnation
--- a/internal/membership/datagram/wire.go
+++ b/internal/membership/datagram/wire.go
@@ -25,7 +25,8 @@
 	signatureSize   = ed25519.SignatureSize
 )
 
-// What is signed begins with its purpose, so that a signature for one purpose does not hold for another.
+// What is signed begins with its purpose, so that a signature for one purpose does not hold for another. The texts
+// are part of the wire format: "claim" is a record, "charge" an accusation, "rumour" an observation.
 const (
 	purposeDatagram    = "cairnfront peers 1 datagram\x00"
 	purposeRecord      = "cairnfront peers 1 claim\x00"
@@ -42,7 +43,7 @@
 	ErrWrongRecipient     = errors.New("datagram: addressed to another member")
 	ErrBadSignature       = errors.New("datagram: signature does not verify")
 	ErrReplayed           = errors.New("datagram: counter already seen")
-	ErrStaleIncarnation   = errors.New("datagram: from an earlier life of its sender")
+	ErrStaleIncarnation   = errors.New("datagram: from an earlier start of its sender")
 )
 
 const maxNestedElements = 64
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -26,7 +26,7 @@
 
 // Node is one router in the group. Its methods may be called from any goroutine.
 type Node struct {
-	// ProbeEventLoop asks the router's event loop to call done. OnDoubt is told how much an endpoint's health is
+	// ProbeEventLoop asks the router's event loop to call done. OnDoubt receives how much an endpoint's health is
 	// doubted, and for how many seconds. Both are set before Run and called from goroutines of the node.
 	ProbeEventLoop func(done func())
 	OnDoubt        func(endpoint routing.EndpointID, level, seconds float64)
@@ -51,7 +51,7 @@
 	sendLimiter       *ratelimit.Limiter
 	locations         []location // by member
 	eventLoopProbedAt time.Time  // zero while no probe is unanswered
-	silent            bool       // another process has our name
+	silent            bool       // another process has our name; nothing is sent any more
 	detectionTimes    *hdrhistogram.Histogram
 	receivedTotal     traffic
 	sentTotal         traffic
@@ -68,7 +68,7 @@
 func New(config Config, metrics *telemetry.Metrics) (*Node, error) {
 	self := slices.IndexFunc(config.Roster, func(entry RosterEntry) bool { return entry.Name == config.Name })
 	if self < 0 {
-		return nil, fmt.Errorf("peers: this router's name %q is not in the roster", config.Name)
+		return nil, fmt.Errorf("peers.roster: %w: %q", ErrNotInRoster, config.Name)
 	}
 	conn, err := listen(config.Listen)
 	if err != nil {
@@ -116,7 +116,7 @@
 	return uint64(clock.UnixMillis(wall))
 }
 
-// newInstanceID tells this process from others under the same name.
+// newInstanceID draws a number by which this process differs from others of the same name.
 func newInstanceID() uint64 {
 	const pidShift = 44 // above the bits of the clock that differ between two starts
 	return uint64(clock.Now()) ^ uint64(os.Getpid())<<pidShift
@@ -128,7 +128,7 @@
 // now is the node's clock: seconds since it was made, monotonic.
 func (n *Node) now() float64 { return time.Since(n.created).Seconds() }
 
-// ReportAttempt tells how an attempt at an endpoint ended. It never waits.
+// ReportAttempt reports how an attempt at an endpoint ended. It never waits.
 func (n *Node) ReportAttempt(endpoint routing.EndpointID, health observation.Health) {
 	select {
 	case n.attempts <- attemptEnd{endpoint: endpoint, health: health}:
@@ -188,7 +188,8 @@
 	defer func() {
 		if p := recover(); p != nil {
 			n.metrics.Inc(telemetry.Panics)
-			n.metrics.Log.Error("panic", "where", "peers", "what", fmt.Sprint(p), "stack", string(debug.Stack()))
+			n.metrics.Log.Error("panic recovered",
+				"component", "membership", "error", fmt.Sprint(p), "stack", string(debug.Stack()))
 		}
 	}()
 	f()
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -4,11 +4,14 @@
 	"context"
 	"fmt"
 	"io"
+	"strings"
 	"testing"
 	"time"
 
 	"cairnfront/internal/membership/datagram"
+	"cairnfront/internal/membership/partition"
 	"cairnfront/internal/membership/ratelimit"
+	"cairnfront/internal/membership/swim"
 	"cairnfront/internal/telemetry"
 
 	"github.com/stretchr/testify/assert"
@@ -65,7 +68,8 @@
 		require.NoError(t, err)
 		return r
 	}
-	require.Eventually(t, func() bool { return report().PartitionState == "whole" }, testPatience, 10*time.Millisecond)
+	isComplete := func() bool { return report().PartitionState == partition.Complete.WireName() }
+	require.Eventually(t, isComplete, testPatience, 10*time.Millisecond)
 	require.Len(t, report().Members, 2)
 	assert.Equal(t, "zone-1", report().Members[1].Zone)
 	assert.Equal(t, second.Addr(), report().Members[1].Address, "learnt from its record")
@@ -75,8 +79,8 @@
 	changed, err := datagram.ParsePublicKey(other)
 	require.NoError(t, err)
 	roster := []RosterEntry{first.config.Roster[0], {Name: "router-1", Key: changed}}
-	assert.ErrorContains(t, first.UpdateRoster(ctx, roster), "can't change")
-	assert.ErrorContains(t, first.UpdateRoster(ctx, roster[1:1]), "is not in it")
+	assert.ErrorIs(t, first.UpdateRoster(ctx, roster), ErrKeyChanged)
+	assert.ErrorIs(t, first.UpdateRoster(ctx, roster[1:1]), ErrNotInRoster)
 
 	require.NoError(t, second.Leave(ctx))
 	require.Eventually(t, func() bool { return report().Roster == 1 }, testPatience, 10*time.Millisecond)
@@ -90,6 +94,47 @@
 	assert.Error(t, second.Leave(expired))
 }
 
+// TestLogLinesOfNode holds the lines that a node writes of a peer, of the partition state and of a name conflict.
+func TestLogLinesOfNode(t *testing.T) {
+	first, second := testNodes(t)
+	require.NoError(t, second.conn.Close())
+	defer func() { _ = first.conn.Close() }()
+	var log strings.Builder
+	first.metrics = telemetry.New(&log, "")
+	record := second.view.SelfRecord()
+	message := swim.Message{Kind: swim.Push, Records: []swim.MemberRecord{record}}
+	first.carryOut(first.view.HandleMessage(0, second.self, message))
+	first.updatePartition(first.now() + 2)
+	assert.Contains(t, log.String(), fmt.Sprintf(`msg="peer state changed" peer=router-1 state=alive `+
+		`previous_state=unknown reason=newer_record incarnation=%d refutations=0`, record.Incarnation.StartMillis))
+	assert.Contains(t, log.String(),
+		`msg="partition state changed" state=complete previous_state=alone epoch=2 present=2 roster=2 stuck=0`)
+	first.recordStateChange(swim.StateChange{
+		Member:           second.self,
+		From:             swim.Suspect,
+		To:               swim.Failed,
+		Reason:           swim.ReasonProbesFailed,
+		SuspectedSeconds: 1.23456,
+	})
+	assert.Contains(t, log.String(), "reason=probes_failed incarnation=0 refutations=0 duration_seconds=1.23\n")
+	first.carryOut([]swim.Action{swim.NameConflict{InstanceID: 5}})
+	assert.Contains(t, log.String(), `msg="peer name conflict" instance_id=5`)
+	first.recovering(func() { panic("on purpose") })
+	assert.Contains(t, log.String(), `msg="panic recovered" component=membership error="on purpose" stack=`)
+}
+
+// TestReasonsOfStateChangesAreDistinct holds that each reason has a text in snake_case that no other has.
+func TestReasonsOfStateChangesAreDistinct(t *testing.T) {
+	seen := map[string]bool{}
+	for reason := swim.ReasonNotInRoster; reason <= swim.ReasonPreloaded; reason++ {
+		text := reason.String()
+		assert.Regexp(t, "^[a-z]+(_[a-z]+)*$", text)
+		assert.False(t, seen[text], text)
+		seen[text] = true
+	}
+	assert.Len(t, seen, 14)
+}
+
 func TestRefusalReasonsAreDistinct(t *testing.T) {
 	seen := map[string]bool{}
 	for _, reason := range refusalReasons {
--- a/internal/membership/observation/observation.go
+++ b/internal/membership/observation/observation.go
@@ -29,8 +29,8 @@
 // Observation is what one witness observed of one endpoint.
 type Observation struct {
 	Witness            swim.MemberID
-	WitnessStartMillis uint64 // the life of the witness
-	Sequence           uint32 // of the witness's observations in that life
+	WitnessStartMillis uint64 // the start of the witness, Unix ms
+	Sequence           uint32 // of the witness's observations since that start
 	Endpoint           routing.EndpointID
 	Health             Health
 	Zone               string // of the witness
@@ -44,7 +44,7 @@
 	Until    float64 // on the tracker's clock, s
 }
 
-// Classify tells what the end of an attempt says about its endpoint, if anything. An answer is late after the
+// Classify is what the end of an attempt says about its endpoint, if anything. An answer is late after the
 // latency objective of its request. What the request or its client caused says nothing; an overloaded endpoint is
 // slow, not failing.
 func Classify(result routing.AttemptResult, late bool) (health Health, ok bool) {
--- a/internal/membership/observation/receive.go
+++ b/internal/membership/observation/receive.go
@@ -8,7 +8,7 @@
 )
 
 // HandleObservation takes an observation whose signature the caller has verified. It is not fresh, and ignored, if
-// its witness said something later, or if it is of an earlier life of the witness.
+// its witness said something later, or if it is from an earlier start of the witness.
 func (t *Tracker) HandleObservation(now float64, o Observation) (doubts []Doubt, fresh bool) {
 	if o.Witness == t.self || !o.Health.valid() || o.Endpoint == "" {
 		return nil, false
@@ -70,8 +70,8 @@
 	older := slices.IndexFunc(list, func(h heldObservation) bool { return h.Witness == o.Witness })
 	if older >= 0 {
 		h := &list[older]
-		sameLife := h.WitnessStartMillis == o.WitnessStartMillis
-		if sameLife && h.Sequence >= o.Sequence || h.WitnessStartMillis > o.WitnessStartMillis {
+		sameStart := h.WitnessStartMillis == o.WitnessStartMillis
+		if sameStart && h.Sequence >= o.Sequence || h.WitnessStartMillis > o.WitnessStartMillis {
 			return false
 		}
 		list = slices.Delete(list, older, older+1)
--- a/internal/membership/observation/tracker.go
+++ b/internal/membership/observation/tracker.go
@@ -16,7 +16,7 @@
 	maxEndpoints   = 1024 // with observations, and with own evidence
 	maxPerEndpoint = 24   // observations
 	maxHeld        = 4096 // observations in all, about 300 bytes each with their signed encodings
-	// that a witness may advance by one observation: a life's numbers are not used up at once
+	// that a witness may advance by one observation: the numbers of a start are not used up at once
 	maxSequenceAhead    = 100000
 	maxSequenceBehind   = 64  // that an observation may arrive late by
 	witnessVerifiedWith = 3.0 // the age up to which an own attempt confirms or refutes a witness
@@ -149,7 +149,7 @@
 	}
 }
 
-// worthReporting reports whether enough attempts in a row agree and others have not been told lately. Good health
+// worthReporting reports whether enough attempts in a row agree and the same was not reported lately. Good health
 // is worth reporting only to take back another report.
 func (e *localEvidence) worthReporting(now float64) bool {
 	if e.reported == e.last && now < e.reportedAt+repeatAfter {
@@ -218,6 +218,3 @@
 	}
 	return list
 }
-
-// Sizes are how many observations are held and how many wait to be passed on, for tests of the bounds.
-func (t *Tracker) Sizes() (held, queued int) { return t.heldCount, len(t.queue) }
--- a/internal/membership/observation/tracker_test.go
+++ b/internal/membership/observation/tracker_test.go
@@ -85,7 +85,7 @@
 	for name, o := range map[string]Observation{
 		"the same":       {Witness: 1, WitnessStartMillis: 5, Sequence: 9, Endpoint: "e", Health: Failing},
 		"an older one":   {Witness: 1, WitnessStartMillis: 5, Sequence: 8, Endpoint: "e", Health: Healthy},
-		"an older life":  {Witness: 1, WitnessStartMillis: 4, Sequence: 99, Endpoint: "f", Health: Failing},
+		"an older start": {Witness: 1, WitnessStartMillis: 4, Sequence: 99, Endpoint: "f", Health: Failing},
 		"our own":        {Witness: 0, WitnessStartMillis: 9, Sequence: 1, Endpoint: "e", Health: Failing},
 		"too far ahead":  {Witness: 1, WitnessStartMillis: 5, Sequence: tooFar, Endpoint: "e", Health: Failing},
 		"unknown health": {Witness: 2, WitnessStartMillis: 1, Sequence: 1, Endpoint: "e", Health: 9},
@@ -127,6 +127,9 @@
 	assert.LessOrEqual(t, len(tracker.TakeUnsigned()), int(reportBurst))
 }
 
+// Sizes are how many observations are held and how many wait to be passed on.
+func (t *Tracker) Sizes() (held, queued int) { return t.heldCount, len(t.queue) }
+
 func TestHeldObservationsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := New(0, "z", 1, 1)
--- a/internal/membership/partition/state.go
+++ b/internal/membership/partition/state.go
@@ -10,15 +10,23 @@
 	Minority                 // at most half of the roster is present and working
 	Disagreeing              // more members than may be byzantine have another view
 	Majority                 // most of the roster is present and working
-	Whole                    // all of the roster is present and working
+	Complete                 // all of the roster is present and working
 )
 
-var stateNames = [...]string{"alone", "minority", "disagreeing", "majority", "whole"}
+var stateNames = [...]string{"alone", "minority", "disagreeing", "majority", "complete"}
 
+// String is the state's name in logs, counters and printed text.
 func (s State) String() string { return stateNames[s] }
 
-// MayGrant reports whether a router may grant or use what needs the agreement of a majority.
-func (s State) MayGrant() bool { return s >= Majority }
+// WireName is the state's name in the JSON of reports. It is String, except for
+//
+//	complete: whole
+func (s State) WireName() string {
+	if s == Complete {
+		return "whole"
+	}
+	return s.String()
+}
 
 // MayGossip reports whether the router's own observations of endpoints are passed on. Alone there is no receiver.
 func (s State) MayGossip() bool { return s > Alone }
--- a/internal/membership/partition/tracker.go
+++ b/internal/membership/partition/tracker.go
@@ -116,7 +116,7 @@
 	case v.Present < v.Roster || v.Stuck > 0:
 		return Majority
 	}
-	return Whole
+	return Complete
 }
 
 // NextDeadline is when Update is to be called again although nothing was received; 0 for never.
--- a/internal/membership/ratelimit/limiter.go
+++ b/internal/membership/ratelimit/limiter.go
@@ -20,7 +20,7 @@
 
 const (
 	burstSeconds      = 1.0  // of the rate that may come at once
-	maxSources        = 4096 // source addresses told apart; 150 bytes each
+	maxSources        = 4096 // source addresses distinguished; 150 bytes each
 	reservedShare     = 0.3  // of the total that only probes and acks may use: push-pull has to yield to the detection
 	minBurstDatagrams = 3.0  // of the longest size, which always fit a burst
 	maxDatagramBytes  = 1400
--- a/internal/membership/report.go
+++ b/internal/membership/report.go
@@ -64,7 +64,7 @@
 	present, roster, _ := n.view.Counts()
 	return Report{
 		Name:                n.config.Name,
-		PartitionState:      state.String(),
+		PartitionState:      state.WireName(),
 		Epoch:               epoch,
 		SinceSeconds:        now - since,
 		Present:             present,
--- a/internal/membership/requests.go
+++ b/internal/membership/requests.go
@@ -16,6 +16,12 @@
 	ErrNoAnswer = errors.New("membership: the node did not answer in time")
 )
 
+// Why a roster is refused.
+var (
+	ErrNotInRoster = errors.New("this router's name is not in the roster")
+	ErrKeyChanged  = errors.New("its key cannot change while the router runs: give the machine a new name")
+)
+
 // request is a call from another goroutine, handled by the one that owns the cores.
 type request interface{ isRequest() }
 
@@ -45,7 +51,7 @@
 	return err
 }
 
-// UpdateRoster takes a roster that was read anew. Added members get places behind the others; missing ones are
+// UpdateRoster takes a roster that was read again. Added members get places behind the others; missing ones are
 // removed.
 func (n *Node) UpdateRoster(ctx context.Context, roster []RosterEntry) error {
 	r := rosterRequest{roster: roster, reply: make(chan error, 1)}
@@ -99,7 +105,7 @@
 		listed[entry.Name] = true
 	}
 	if !listed[n.config.Name] {
-		return fmt.Errorf("peers.roster: this router's name %q is not in it", n.config.Name)
+		return fmt.Errorf("peers.roster: %w: %q", ErrNotInRoster, n.config.Name)
 	}
 	if err := n.codec.SetRoster(identitiesOf(merged)); err != nil {
 		return err
@@ -129,8 +135,7 @@
 		case i < 0:
 			merged = append(merged, entry)
 		case !merged[i].Key.Equal(entry.Key):
-			return nil, fmt.Errorf("peers.roster: the key of %q can't change while the router runs: "+
-				"give the machine a new name", entry.Name)
+			return nil, fmt.Errorf("peers.roster: peer %q: %w", entry.Name, ErrKeyChanged)
 		default:
 			merged[i].Address = entry.Address
 		}
--- a/internal/membership/socket.go
+++ b/internal/membership/socket.go
@@ -17,9 +17,9 @@
 // location is where a member is reached.
 type location struct {
 	address         netip.AddrPort
-	configured      bool             // the address is of the operators' file
-	incarnation     swim.Incarnation // of the record that told the address
-	staleAnsweredAt time.Time        // when a datagram of an earlier life was answered last
+	configured      bool             // the address is from the configuration file
+	incarnation     swim.Incarnation // of the record that the address is from
+	staleAnsweredAt time.Time        // when a datagram of an earlier start was answered last
 }
 
 func listen(address string) (*net.UDPConn, error) {
@@ -102,7 +102,8 @@
 	return state.Present()
 }
 
-// answerStale sends a member its own record of a later life, which it may not know of.
+// answerStale sends a member its own record of a later start. A member whose clock was set back between two starts
+// does not know of that record: its datagrams are refused as stale by all, until it adopts a higher incarnation.
 func (n *Node) answerStale(id swim.MemberID) {
 	l := &n.locations[id]
 	if time.Since(l.staleAnsweredAt) <= staleAnswerEach {
@@ -117,7 +118,7 @@
 	}}})
 }
 
-// addressOf is a member's address: of the operators' file, or else as its record says. It is invalid while none is
+// addressOf is a member's address: from the configuration file, or else from its record. It is invalid while none is
 // known.
 func (n *Node) addressOf(id swim.MemberID) netip.AddrPort {
 	l := &n.locations[id]
@@ -146,7 +147,7 @@
 	}
 	raw, err := n.codec.Encode(n.view.SelfRecord().Incarnation.StartMillis, s.To, s.Message, signed)
 	if err != nil {
-		n.metrics.Log.Error("peers", "code", "unsent", "to", n.codec.Name(s.To), "err", err.Error())
+		n.metrics.Log.Error("datagram send failed", "peer", n.codec.Name(s.To), "error", err.Error())
 		return
 	}
 	lowPriority := s.Kind >= swim.PushPullRequest
--- a/internal/membership/swim/action.go
+++ b/internal/membership/swim/action.go
@@ -28,42 +28,42 @@
 func (StateChange) isAction()  {}
 func (NameConflict) isAction() {}
 
-// Reason tells why a member's state changed.
+// Reason is why a member's state changed. Its text is the log's.
 type Reason uint8
 
 // The reasons.
 const (
-	ReasonRemoved Reason = iota + 1
-	ReasonProbesFailed
-	ReasonManyAccusers
-	ReasonDeadMessage
-	ReasonNoAck
-	ReasonAccused
-	ReasonAcked
-	ReasonRefuted
-	ReasonNewerRecord
-	ReasonLeft
-	ReasonStuck
-	ReasonOwnWork
-	ReasonLeaving
-	ReasonPreloaded
+	ReasonNotInRoster    Reason = iota + 1 // it was taken out of the roster
+	ReasonProbesFailed                     // own probes failed and it did not refute
+	ReasonManyAccusers                     // accused by more members than may be byzantine
+	ReasonFailureMessage                   // declared failed by another member; only with Config.PublishedSWIM
+	ReasonNoAck                            // no ack to an own probe
+	ReasonAccused                          // accused by another member
+	ReasonAcked                            // it acked a probe
+	ReasonRefuted                          // it refuted the accusations
+	ReasonNewerRecord                      // a newer record of it
+	ReasonLeft                             // its record says that it left
+	ReasonStuck                            // its record says that its event loop is stuck
+	ReasonOwnWork                          // this router's event loop is stuck, or runs again
+	ReasonLeaving                          // this router leaves
+	ReasonPreloaded                        // known from before the start
 )
 
 var reasonTexts = [...]string{
-	ReasonRemoved:      "not in the roster",
-	ReasonProbesFailed: "own probes failed and it did not refute",
-	ReasonManyAccusers: "accused by more members than may be byzantine",
-	ReasonDeadMessage:  "declared failed by another member",
-	ReasonNoAck:        "no ack to own probes",
-	ReasonAccused:      "accused by another member",
-	ReasonAcked:        "it acked a probe",
-	ReasonRefuted:      "it refuted",
-	ReasonNewerRecord:  "its newer record",
-	ReasonLeft:         "it left",
-	ReasonStuck:        "it reports that its event loop is stuck",
-	ReasonOwnWork:      "own event loop stuck or running again",
-	ReasonLeaving:      "this member leaves",
-	ReasonPreloaded:    "preloaded",
+	ReasonNotInRoster:    "not_in_roster",
+	ReasonProbesFailed:   "probes_failed",
+	ReasonManyAccusers:   "many_accusers",
+	ReasonFailureMessage: "failure_message",
+	ReasonNoAck:          "no_ack",
+	ReasonAccused:        "accused",
+	ReasonAcked:          "acked",
+	ReasonRefuted:        "refuted",
+	ReasonNewerRecord:    "newer_record",
+	ReasonLeft:           "left",
+	ReasonStuck:          "stuck",
+	ReasonOwnWork:        "own_work",
+	ReasonLeaving:        "leaving",
+	ReasonPreloaded:      "preloaded",
 }
 
 func (r Reason) String() string { return reasonTexts[r] }
--- a/internal/membership/swim/config.go
+++ b/internal/membership/swim/config.go
@@ -47,7 +47,7 @@
 	maxHealthScore     = 8    // Lifeguard's bound on the health multiplier
 	selfAccusationsFor = 5.0  // for which an accusation against us counts towards our health score
 	refuteInterval     = 1.0  // intervals between two refutations: a byzantine member must not make us gossip
-	adoptWithin        = 20.0 // after the start, in which the incarnation of an earlier life is taken over
+	adoptWithin        = 20.0 // after the start, in which the incarnation of an earlier start is adopted
 
 	// Reputation of accusers.
 	minRefuted         = 4.0  // refuted accusations before an accuser may be ignored
--- a/internal/membership/swim/core.go
+++ b/internal/membership/swim/core.go
@@ -32,7 +32,7 @@
 	refutedTotal   float64 // refuted accusations of all, decayed
 	refutedTotalAt float64
 
-	adoptedIncarnation bool // of an earlier life, once in a life
+	adoptedIncarnation bool // of an earlier start; at most once
 	conflicted         bool // another process has our name
 	leaving            bool
 
@@ -104,7 +104,7 @@
 	}
 	if removed {
 		c.endSuspicion(id)
-		c.setState(now, id, Unknown, ReasonRemoved)
+		c.setState(now, id, Unknown, ReasonNotInRoster)
 	}
 	m.removed = removed
 	c.removed += boolToInt(removed) - boolToInt(!removed)
--- a/internal/membership/swim/gossip.go
+++ b/internal/membership/swim/gossip.go
@@ -58,7 +58,7 @@
 	return newest != nil && newest.number == g.number
 }
 
-// countEcho notes that another member told us what we pass on ourselves. After some echoes it is known well enough.
+// countEcho notes that another member sent us what we pass on ourselves. After some echoes it is known well enough.
 func (q *gossipQueue) countEcho(s gossipSubject, config Config) {
 	newest := q.newest[s]
 	if newest == nil || config.PublishedSWIM {
@@ -117,7 +117,7 @@
 	}
 }
 
-// addAccusationOfReceiver tells a suspected or failed receiver that it is accused, so that it can refute:
+// addAccusationOfReceiver sends a suspected or failed receiver an accusation against itself, so that it can refute:
 // Lifeguard's buddy system.
 func (c *Core) addAccusationOfReceiver(to MemberID, m *Message) {
 	receiver := &c.members[to]
@@ -144,7 +144,7 @@
 // dropped.
 func (c *Core) takeGossip(level int, to MemberID, m *Message, recordLimit int) (sent []gossip) {
 	list := c.gossip.levels[level]
-	var kept []gossip
+	var remaining []gossip
 	next := 0
 	for ; next < len(list) && !m.isFull(recordLimit); next++ {
 		g := list[next]
@@ -158,11 +158,11 @@
 			m.Accusations = append(m.Accusations, g.accusation)
 			sent = append(sent, g)
 		default:
-			kept = append(kept, g)
+			remaining = append(remaining, g)
 		}
 	}
-	if len(kept) > 0 {
-		c.gossip.levels[level] = append(kept, list[next:]...)
+	if len(remaining) > 0 {
+		c.gossip.levels[level] = append(remaining, list[next:]...)
 	} else {
 		c.gossip.levels[level] = list[next:]
 	}
--- a/internal/membership/swim/helpers_test.go
+++ b/internal/membership/swim/helpers_test.go
@@ -58,3 +58,9 @@
 }
 
 func allAck(Send) bool { return true }
+
+// Reputation is how many accusations of a member were refuted and confirmed, decayed, and whether they are ignored.
+func (c *Core) Reputation(id MemberID) (refuted, confirmed float64, ignored bool) {
+	r := &c.members[id].reputation
+	return r.refuted, r.confirmed, c.isIgnored(id)
+}
--- a/internal/membership/swim/interleaving_test.go
+++ b/internal/membership/swim/interleaving_test.go
@@ -31,7 +31,7 @@
 func choiceLose(id int) int { return 2 + 2*id }
 
 // TestAllInterleavings walks every order in which messages of three members arrive or are lost, with one of them
-// killed at any moment, to a depth of six choices: from the start, and from just before the first failure of a
+// killed at any step, to a depth of six choices: from the start, and from just before the first failure of a
 // member that is cut off. In each, a failed member comes back only by a higher incarnation, and none fails but on
 // own failed probes.
 func TestAllInterleavings(t *testing.T) {
--- a/internal/membership/swim/member.go
+++ b/internal/membership/swim/member.go
@@ -23,7 +23,7 @@
 // Present reports whether a member in this state counts as present.
 func (s State) Present() bool { return s == Alive || s == Stuck || s == Suspect }
 
-// Incarnation numbers the lives of a member and its refutations in each. Only the member itself raises it.
+// Incarnation numbers the starts of a member and its refutations since each. Only the member itself raises it.
 type Incarnation struct {
 	StartMillis uint64 // Unix time in ms at which the process started
 	Refutations uint32 // since that start
@@ -54,7 +54,7 @@
 	Member       MemberID
 	Incarnation  Incarnation
 	Dead         bool   // only with Config.PublishedSWIM: the accuser declares the member failed, and receivers follow
-	FromPushPull bool   // derived from a push-pull entry, which its sender signed as a whole; it is not passed on
+	FromPushPull bool   // derived from a push-pull entry, which its sender signed with the message; it is not passed on
 	Signed       []byte // the signed encoding, opaque to this package; nil for an own accusation
 }
 
--- a/internal/membership/swim/probe.go
+++ b/internal/membership/swim/probe.go
@@ -13,7 +13,7 @@
 	order          []MemberID // of the round, shuffled anew for each
 	position       int        // in the order
 	probes         []probe
-	missed         []probe // probes that failed; a late ack still tells the round trip time
+	missed         []probe // probes that failed; a late ack still gives the round trip time
 	suspectQueue   []MemberID
 	nextSuspectsAt float64 // of the next probes of suspects
 	lastNonce      uint64
@@ -238,12 +238,12 @@
 	c.accuse(now, Accusation{Accuser: c.self, Member: p.target, Incarnation: m.record.Incarnation})
 	if m.suspicion != nil {
 		m.suspicion.nextProbeAt = now
-		// A probe whose timeout was long because of our health score tells of the time when it pinged.
+		// A probe whose timeout was long because of our health score says how the member was when it pinged.
 		m.suspicion.lastFailedAt = min(now, p.retriedAt+2*c.ackTimeout())
 	}
 }
 
-// acknowledge takes the proof that a member received a ping of ours. A late one proves the same, and tells the
+// acknowledge takes the proof that a member received a ping of ours. A late one proves the same, and gives the
 // round trip time. It reports whether the ack belongs to a probe.
 func (c *Core) acknowledge(now float64, id MemberID, nonce uint64) bool {
 	matches := func(p probe) bool { return p.acknowledgedBy(id, nonce) }
--- a/internal/membership/swim/pushpull.go
+++ b/internal/membership/swim/pushpull.go
@@ -84,7 +84,7 @@
 				answer.Entries = append(answer.Entries, c.entryOf(e.Member))
 			}
 		case e.State == Failed && m.state.Present():
-			// The sender signed the whole message: its entry is its accusation.
+			// The sender signed the message with its entries: an entry is its accusation.
 			c.handleAccusation(now, Accusation{
 				Accuser:      from,
 				Member:       e.Member,
--- a/internal/membership/swim/reputation.go
+++ b/internal/membership/swim/reputation.go
@@ -42,9 +42,3 @@
 	threshold := minRefuted + refutedOverMean*c.refutedTotal/c.size()
 	return !c.config.PublishedSWIM && r.refuted > r.confirmed && r.refuted > threshold
 }
-
-// Reputation is how many accusations of a member were refuted and confirmed, decayed, and whether they are ignored.
-func (c *Core) Reputation(id MemberID) (refuted, confirmed float64, ignored bool) {
-	r := &c.members[id].reputation
-	return r.refuted, r.confirmed, c.isIgnored(id)
-}
--- a/internal/membership/swim/self.go
+++ b/internal/membership/swim/self.go
@@ -8,9 +8,8 @@
 	at      float64
 }
 
-// handleOwnRecord takes a record under our own name: of this life, of an earlier one, or of another process with
-// our key. An earlier life can be ahead of us after the clock was set back; its incarnation is taken over once,
-// shortly after the start.
+// handleOwnRecord takes a record under our own name: of this start, of an earlier one, or of another process with
+// our key.
 func (c *Core) handleOwnRecord(now float64, record MemberRecord) {
 	if !c.members[c.self].record.Incarnation.Less(record.Incarnation) {
 		return
@@ -35,7 +34,7 @@
 func (c *Core) handleSelfAccusation(now float64, a Accusation) {
 	current := c.members[c.self].record.Incarnation
 	if a.Incarnation != current {
-		return // an earlier life, or an incarnation that never was
+		return // an earlier incarnation, or one that never was
 	}
 	c.countSelfAccuser(now, a.Accuser)
 	if c.leaving || now < c.refutedAt+refuteInterval*c.config.ProbeIntervalSeconds {
@@ -58,7 +57,7 @@
 	}
 }
 
-// SetWorking tells whether this router's event loop makes progress. The record says Stuck while it does not.
+// SetWorking takes whether this router's event loop makes progress. The record says Stuck while it does not.
 func (c *Core) SetWorking(now float64, working bool) []Action {
 	record := &c.members[c.self].record
 	state := Alive
--- a/internal/membership/swim/self_test.go
+++ b/internal/membership/swim/self_test.go
@@ -23,7 +23,7 @@
 	other := MemberRecord{Member: 0, Incarnation: Incarnation{StartMillis: 200}, InstanceID: 9, State: Alive}
 	c.HandleMessage(1, 1, pushRecord(other))
 	assert.Equal(t, Incarnation{StartMillis: 201}, c.SelfRecord().Incarnation,
-		"it may be its own earlier life, by a clock that was set back")
+		"it may be its own earlier start, by a clock that was set back")
 	other.Incarnation.StartMillis = 300
 	actions := c.HandleMessage(2, 1, pushRecord(other))
 	assert.Contains(t, actions, NameConflict{InstanceID: 9})
--- a/internal/membership/swim/snapshot.go
+++ b/internal/membership/swim/snapshot.go
@@ -14,7 +14,7 @@
 	ViewDiffers          bool
 }
 
-// Snapshot is the whole view, in the order of the roster.
+// Snapshot is what the view holds of each member, in the order of the roster.
 func (c *Core) Snapshot(now float64) []MemberInfo {
 	var list []MemberInfo
 	for i := range c.members {
--- a/internal/membership/swim/suspicion.go
+++ b/internal/membership/swim/suspicion.go
@@ -23,12 +23,12 @@
 		return
 	}
 	if a.Incarnation != m.record.Incarnation {
-		return // against an incarnation that no signed record told of
+		return // against an incarnation that no signed record has shown
 	}
 	if c.config.PublishedSWIM && a.Dead {
 		c.endSuspicion(a.Member)
 		c.queueAccusation(a)
-		c.setState(now, a.Member, Failed, ReasonDeadMessage)
+		c.setState(now, a.Member, Failed, ReasonFailureMessage)
 		return
 	}
 	own := a.Accuser == c.self
--- a/internal/membership/swim/trace_test.go
+++ b/internal/membership/swim/trace_test.go
@@ -19,20 +19,20 @@
 
 // traceReasons numbers the reasons of state changes, so that the trace does not depend on their texts.
 var traceReasons = map[Reason]int{
-	ReasonRemoved:      1,
-	ReasonProbesFailed: 2,
-	ReasonManyAccusers: 3,
-	ReasonDeadMessage:  4,
-	ReasonNoAck:        5,
-	ReasonAccused:      6,
-	ReasonAcked:        7,
-	ReasonRefuted:      8,
-	ReasonNewerRecord:  9,
-	ReasonLeft:         10,
-	ReasonStuck:        11,
-	ReasonOwnWork:      12,
-	ReasonLeaving:      13,
-	ReasonPreloaded:    14,
+	ReasonNotInRoster:    1,
+	ReasonProbesFailed:   2,
+	ReasonManyAccusers:   3,
+	ReasonFailureMessage: 4,
+	ReasonNoAck:          5,
+	ReasonAccused:        6,
+	ReasonAcked:          7,
+	ReasonRefuted:        8,
+	ReasonNewerRecord:    9,
+	ReasonLeft:           10,
+	ReasonStuck:          11,
+	ReasonOwnWork:        12,
+	ReasonLeaving:        13,
+	ReasonPreloaded:      14,
 }
 
 const (
@@ -150,7 +150,7 @@
 	return ""
 }
 
-// advance lets time pass until a moment: deliveries and ticks in the order of their times.
+// advance lets time pass until a given time: deliveries and ticks in the order of their times.
 func (p *tracePlay) advance(until float64) {
 	for {
 		at, instance, flight := until, -1, -1
--- a/internal/replication/history/history.go
+++ b/internal/replication/history/history.go
@@ -1,5 +1,5 @@
-// Package history checks what clients of a shard were told against what a shard without faults
-// could have told them.
+// Package history checks the answers that clients of a shard got against those that a shard without
+// faults could have given.
 //
 // Its model is a register a key: the first group that reserves the key keeps it, and reads tell
 // that group. It is for tests and simulations; it plays nothing itself.
@@ -17,7 +17,7 @@
 	Key, Group string
 }
 
-// Output is what the client was told.
+// Output is the answer that the client got.
 type Output struct {
 	Answered bool // false where no answer came: the request may have been carried out or not
 	Granted  bool
--- a/internal/replication/history/history_test.go
+++ b/internal/replication/history/history_test.go
@@ -19,17 +19,17 @@
 	return operations
 }
 
-func reserve(group string, granted bool, told string) porcupine.Operation {
+func reserve(group string, granted bool, answered string) porcupine.Operation {
 	return porcupine.Operation{
 		Input:  Input{Key: "k", Group: group},
-		Output: Output{Answered: true, Granted: granted, Group: told},
+		Output: Output{Answered: true, Granted: granted, Group: answered},
 	}
 }
 
-func read(found bool, told string) porcupine.Operation {
+func read(found bool, answered string) porcupine.Operation {
 	return porcupine.Operation{
 		Input:  Input{Read: true, Key: "k"},
-		Output: Output{Answered: true, Granted: found, Group: told},
+		Output: Output{Answered: true, Granted: found, Group: answered},
 	}
 }
 
--- a/internal/replication/node.go
+++ b/internal/replication/node.go
@@ -1,9 +1,3 @@
-// Package replication is a router's part in the replicated record of reservations.
-//
-// A Node is one goroutine that owns the router's replicas, their rebalancer and the write-ahead
-// log, and the connections to the other routers. What is decided is decided in the cores (packages
-// shard, statemachine, placement and reservation). The node carries it out in the order that they
-// need: first to disk, then sent, then believed. The design is in docs/ledger.md.
 package replication
 
 import (
@@ -46,9 +40,9 @@
 // ErrStaleFolder says that the folder is a copy from an earlier time: this replica may have voted
 // otherwise since.
 var ErrStaleFolder = errors.New(
-	"the ledger's folder is an old copy: its disk was seen to start more often than it remembers")
+	"write-ahead log is an old copy: peers have seen a higher start count than it holds")
 
-// Config is what a router is told of its part.
+// Config is what an installation sets for a router's part.
 type Config struct {
 	Name, Zone          string
 	ReplicaCount        int      // of each shard
@@ -172,7 +166,7 @@
 			err = n.failure
 		}
 		if err != nil {
-			n.config.Logger.Error("replication ended", "error", err.Error())
+			n.config.Logger.Error("replication stopped", "error", err.Error())
 			return err
 		}
 	}
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -57,7 +57,7 @@
 	return frame
 }
 
-// sendHelloToAll tells all connected peers what is held here now.
+// sendHelloToAll sends all connected peers what is held here now.
 func (n *Node) sendHelloToAll() {
 	for peer, connected := range n.connected {
 		if connected {
@@ -116,7 +116,7 @@
 	if replica == nil {
 		var err error
 		if replica, err = shard.New(frame.Shard, n.replicaID, shard.PersistentState{}, nil); err != nil {
-			n.config.Logger.Error("cannot make a replica", "shard", frame.Shard, "error", err.Error())
+			n.config.Logger.Error("replica creation failed", "shard", frame.Shard, "error", err.Error())
 			return
 		}
 		n.replicas[frame.Shard] = replica
@@ -156,7 +156,7 @@
 	if n.failure = n.addInitialReplicas(begun); n.failure != nil {
 		return
 	}
-	n.config.Logger.Info("shards begun", "shards", len(begun), "replica", n.replicaID)
+	n.config.Logger.Info("shards initialized", "shards", len(begun), "replica", n.replicaID)
 	n.sendHelloToAll()
 }
 
--- a/internal/replication/replicas.go
+++ b/internal/replication/replicas.go
@@ -42,10 +42,10 @@
 		if n.replicas[change.Shard].ProposeConfChange(change.Add, change.Remove) != nil {
 			continue // decided anew at the next interval
 		}
-		n.config.Logger.Info("change of members proposed",
+		n.config.Logger.Info("configuration change proposed",
 			"shard", change.Shard,
-			"added", n.statuses[change.Add].Node,
-			"removed", n.statuses[change.Remove].Node)
+			"added_peer", n.statuses[change.Add].Node,
+			"removed_peer", n.statuses[change.Remove].Node)
 	}
 }
 
--- a/internal/replication/report.go
+++ b/internal/replication/report.go
@@ -21,7 +21,10 @@
 	HealthBearsZoneLoss Health = "bears the loss of a zone"
 )
 
-// ShardReport is a shard as operators see it. Its JSON keys are those of the first version.
+// ShardReport is a shard as operators see it. Its JSON keys are those of the first version:
+//
+//	slice: the shard; holders: its voters; coming: its learners; promises: its reservations;
+//	bears_machines, bears_zones: the losses that it tolerates
 type ShardReport struct {
 	Shard    int      `json:"slice"`
 	IsLeader bool     `json:"leads"`
@@ -35,7 +38,10 @@
 	TolerableZoneLosses int    `json:"bears_zones"`
 }
 
-// Report is what a router knows of its shards. Its JSON keys are those of the first version.
+// Report is what a router knows of its shards. Its JSON keys are those of the first version:
+//
+//	holder: the replica; boots: the start count; up: the connected peers; slices: the shards;
+//	claims: the proposals
 type Report struct {
 	Name       string        `json:"name"`
 	Replica    uint64        `json:"holder"`
--- a/internal/replication/requests.go
+++ b/internal/replication/requests.go
@@ -13,7 +13,7 @@
 // others are tried.
 const maxHintedAttempts = 2
 
-// readRequesterPrefix tells the requesters of reads from those of commands, which name themselves.
+// readRequesterPrefix distinguishes the requesters of reads from those of commands, which name themselves.
 const readRequesterPrefix = "read/"
 
 // pendingRequest is a request of this router without an outcome.
@@ -177,7 +177,7 @@
 }
 
 // serve proposes a command or read to this router's replica. Where that does not lead, a peer is
-// told who does; a request of this router is sent again later.
+// sent the leader's name; a request of this router is sent again later.
 func (n *Node) serve(frame transport.Frame, requester pendingRequester) {
 	requester.receivedAt = time.Now()
 	err := shard.ErrNotLeader
--- a/internal/replication/reservation/actions.go
+++ b/internal/replication/reservation/actions.go
@@ -53,7 +53,7 @@
 	Index     int
 }
 
-// ReportLocation tells the routing decisions in which group the request's key was attempted before.
+// ReportLocation gives the routing decisions the group in which the request's key was attempted before.
 type ReportLocation struct {
 	RequestID RequestID
 	Group     string
@@ -88,21 +88,21 @@
 	ReasonResultTooLate                          // the result left too little time for the attempt
 )
 
-// String describes the reason for logs and responses.
+// String is the reason's text in logs and responses.
 func (r RejectReason) String() string {
 	switch r {
 	case ReasonUnreachable:
-		return "reservations cannot be reached"
+		return "unreachable"
 	case ReasonTooLittleTime:
-		return "too little time for a reservation"
+		return "too_little_time"
 	case ReasonTooManyPending:
-		return "too many reservations are pending"
+		return "too_many_pending"
 	case ReasonDisplaced:
-		return "reservations of higher priority are pending"
+		return "displaced"
 	case ReasonNoResult:
-		return "no result of the reservation in time"
+		return "no_result"
 	case ReasonResultTooLate:
-		return "the result of the reservation came too late"
+		return "result_too_late"
 	}
-	return fmt.Sprintf("reason-%d", uint8(r))
+	return fmt.Sprintf("reason_%d", uint8(r))
 }
--- a/internal/replication/reservation/core.go
+++ b/internal/replication/reservation/core.go
@@ -31,7 +31,7 @@
 	maxResubmitSeconds   = 1.0   // between two submissions, as the wait doubles
 	maxResubmitDoublings = 4     // of the wait between submissions
 	attemptSeconds       = 0.15  // that an attempt needs before its request's deadline
-	minRetryAfterSeconds = 0.5   // that a rejected client is told to wait: an election
+	minRetryAfterSeconds = 0.5   // that a rejected client is asked to wait: an election
 	maxRetryAfterSeconds = 2.0   // the same, at most
 	maxAbandoned         = 4096  // abandoned reservations whose result may still come, 100 bytes each
 	maxRemembered        = 65536 // keys whose location is remembered, 120 bytes each
@@ -71,8 +71,8 @@
 	Expired         int // reservations whose deadline passed first
 }
 
-// New makes the core of a router. The start count tells its reservations from those of the router's
-// earlier runs.
+// New makes the core of a router. By the start count its reservations differ from those of the
+// router's earlier runs.
 func New(config Config, router string, seed, startCount uint64) *Core {
 	return &Core{
 		config:       config,
--- a/internal/replication/reservation/pending.go
+++ b/internal/replication/reservation/pending.go
@@ -82,7 +82,7 @@
 func (c *Core) submit(now float64, p *pendingReservation) {
 	doublings := min(p.retries, maxResubmitDoublings)
 	wait := min(resubmitSeconds*float64(int(1)<<doublings), maxResubmitSeconds)
-	// The wait is spread, so that reservations of one moment do not stay together.
+	// The wait is spread, so that reservations made at the same time are not submitted together again.
 	p.resubmitAt = now + wait*(0.75+0.5*c.rnd.Float64())
 	c.emit(SubmitCommand{
 		Number: p.number,
--- a/internal/replication/shard/replica_test.go
+++ b/internal/replication/shard/replica_test.go
@@ -14,7 +14,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// playFaults plays a number of faults and checks what clients were told.
+// playFaults plays a number of faults and checks the answers that clients got.
 func playFaults(t *testing.T, seed uint64, faults int, defect defect) (linearizable bool, c *cluster) {
 	c = newCluster(t, seed, 3+2*int(seed%2), defect)
 	c.run(200)
@@ -26,7 +26,7 @@
 }
 
 // TestHistoriesAreLinearizable plays losses of power, routers lost with their disks and cuts, and
-// checks what clients were told.
+// checks the answers that clients got.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	answered, requested := 0, 0
 	for seed := range uint64(12) {
--- a/internal/replication/statemachine/command.go
+++ b/internal/replication/statemachine/command.go
@@ -51,7 +51,7 @@
 }
 
 // Result is what became of a command, or what a read found. The keys on the wire are those of the
-// first version.
+// first version: Promise is the reservation, Left its remaining time.
 type Result struct {
 	Granted     bool        `cbor:"Granted"` // the reservation was written, or was found by a read
 	Reservation Reservation `cbor:"Promise"` // as it stands now
--- a/internal/replication/statemachine/reservation.go
+++ b/internal/replication/statemachine/reservation.go
@@ -11,7 +11,7 @@
 	KindRequestOutcome                  // how a caller's request ended
 	KindPurge                           // a purge that was acknowledged to an operator
 	KindDrain                           // a drain that was acknowledged to an operator
-	KindReturnTime                      // a time to come back that a client was told, with a place kept for it
+	KindReturnTime                      // a time to retry after that a client was given, with capacity reserved for it
 	KindOperatorOrder                   // an operator's order to all routers
 	kindEnd
 )
@@ -59,7 +59,7 @@
 	MaxValueBytes = 1024
 	// MaxKeyBytes bounds a key and a group's name. A client's idempotency key has 32 bytes.
 	MaxKeyBytes = 128
-	// maxGrants is how many grants of one key are told apart: retries of a client at several routers.
+	// maxGrants is how many grants of one key are distinguished: retries of a client at several routers.
 	maxGrants = 8
 )
 
@@ -76,8 +76,8 @@
 	Value     []byte  `cbor:"7,keyasint,omitempty"`
 	Revision  uint64  `cbor:"8,keyasint"` // of the command that wrote it
 	// Grants are the requests for an open attempt location on which an attempt may have run, by a
-	// hash of requester and number. Only when each was settled as not executed is the whole so.
-	// Beyond maxGrants they can't be told apart, GrantsOverflowed is set, and the location stays
+	// hash of requester and number. Only when each was settled as not executed is the location so.
+	// Beyond maxGrants they are not distinguished, GrantsOverflowed is set, and the location stays
 	// open until it expires.
 	Grants           []uint64 `cbor:"9,keyasint,omitempty"`
 	GrantsOverflowed bool     `cbor:"10,keyasint,omitempty"`
--- a/internal/replication/statemachine/snapshot.go
+++ b/internal/replication/statemachine/snapshot.go
@@ -10,7 +10,7 @@
 )
 
 // A snapshot is a line that names the format, the encoded state, and a CRC32C of both in big-endian
-// order.
+// order. The line is part of the format on disk: "ledger slice" is a shard of this package.
 const (
 	snapshotMagic   = "cairnfront ledger slice\n"
 	snapshotVersion = 1
--- a/internal/replication/statemachine/state_test.go
+++ b/internal/replication/statemachine/state_test.go
@@ -78,7 +78,7 @@
 	for i := range maxGrants + 2 {
 		s.Apply(uint64(100+i), settle(100, "g", "a", uint64(i), StatusNotExecuted))
 	}
-	assert.False(t, s.Apply(200, reserve(100, "k", "other", "b", 1)).Granted, "more grants than are told apart")
+	assert.False(t, s.Apply(200, reserve(100, "k", "other", "b", 1)).Granted, "more grants than are distinguished")
 }
 
 func TestTimeNeverGoesBack(t *testing.T) {
@@ -144,7 +144,7 @@
 }
 
 // TestReplicasWithTheSameCommandsAreEqual: two replicas with the same commands, one of them
-// restored from a snapshot at any moment, have the same bytes; no key is granted to two groups
+// restored from a snapshot at any point, have the same bytes; no key is granted to two groups
 // while an attempt on an earlier grant may have run.
 func TestReplicasWithTheSameCommandsAreEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/replication/transport/frame.go
+++ b/internal/replication/transport/frame.go
@@ -28,7 +28,7 @@
 	KindPropose                        // a command for a shard
 	KindRead                           // a read of a shard
 	KindResult                         // the result of a command or read
-	KindNotLeader                      // tells who leads instead
+	KindNotLeader                      // names the replica that leads
 	KindHeartbeat                      // keeps an idle connection open
 )
 
--- a/internal/replication/transport/tls.go
+++ b/internal/replication/transport/tls.go
@@ -12,7 +12,7 @@
 )
 
 // protocolName is agreed on in the handshake, so that another version is refused before a frame is
-// read.
+// read. It is part of the wire format.
 const protocolName = "cairnfront-ledger/1"
 
 // certificateEnd is after the end of any router's certificate's use, in Unix seconds.
--- a/internal/replication/wal/file.go
+++ b/internal/replication/wal/file.go
@@ -7,7 +7,7 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// readFile reads a file whole.
+// readFile reads all of a file.
 func readFile(fs vfs.FS, name string) ([]byte, error) {
 	file, err := fs.Open(name)
 	if err != nil {
@@ -27,16 +27,16 @@
 	return content, nil
 }
 
-// replaceFile writes a file whole or not at all. The new content outlasts a loss of power.
+// replaceFile writes all of a file or nothing. The new content outlasts a loss of power.
 func replaceFile(fs vfs.FS, name string, content []byte) error {
 	if err := writeTemporary(fs, name+temporarySuffix, content); err != nil {
-		return fmt.Errorf("writing %s: %w", name, err)
+		return fmt.Errorf("write %s: %w", name, err)
 	}
 	if err := fs.Rename(name+temporarySuffix, name); err != nil {
-		return fmt.Errorf("writing %s: %w", name, err)
+		return fmt.Errorf("write %s: %w", name, err)
 	}
 	if err := fs.SyncDir(); err != nil {
-		return fmt.Errorf("writing %s: %w", name, err)
+		return fmt.Errorf("write %s: %w", name, err)
 	}
 	return nil
 }
--- a/internal/replication/wal/identity.go
+++ b/internal/replication/wal/identity.go
@@ -29,13 +29,13 @@
 	case errors.Is(err, vfs.ErrNotExist):
 		w.identity = Identity{ID: drawID() | 1, Owner: owner} // never 0, which raft takes for none
 	case err != nil:
-		return fmt.Errorf("the ledger's folder: %w", err)
+		return fmt.Errorf("read identity of write-ahead log: %w", err)
 	default:
 		if w.identity, err = parseIdentity(content); err != nil {
 			return err
 		}
 		if w.identity.Owner != owner {
-			return fmt.Errorf("%w: it is %q's, this is %q", ErrForeignOwner, w.identity.Owner, owner)
+			return fmt.Errorf("%w: %q, this router is %q", ErrForeignOwner, w.identity.Owner, owner)
 		}
 	}
 	w.identity.StartCount++
@@ -53,10 +53,10 @@
 func parseIdentity(content []byte) (Identity, error) {
 	body, ok := cutChecksum(content)
 	if !ok || len(body) < identityOwnerOffset {
-		return Identity{}, fmt.Errorf("%w: the file %s", ErrCorrupt, identityFile)
+		return Identity{}, fmt.Errorf("%w: file %s", ErrCorrupt, identityFile)
 	}
 	if body[0] > formatVersion {
-		return Identity{}, fmt.Errorf("%w: %d, this program reads %d", ErrNewerVersion, body[0], formatVersion)
+		return Identity{}, fmt.Errorf("%w: version %d, this program reads %d", ErrNewerVersion, body[0], formatVersion)
 	}
 	return Identity{
 		ID:         binary.BigEndian.Uint64(body[identityIDOffset:]),
--- a/internal/replication/wal/record.go
+++ b/internal/replication/wal/record.go
@@ -56,7 +56,7 @@
 	return b
 }
 
-// parseRecord reads the record that b begins with; ok is false where there is none, or its checksum
+// parseRecord reads the record that b begins with; ok is false where none begins, or its checksum
 // does not match.
 func parseRecord(b []byte) (r record, ok bool) {
 	if len(b) < recordHeaderBytes {
--- a/internal/replication/wal/replay.go
+++ b/internal/replication/wal/replay.go
@@ -14,10 +14,10 @@
 func (w *WAL) replay(name string, truncate bool) error {
 	content, err := readFile(w.fs, name)
 	if err != nil {
-		return fmt.Errorf("%s: %w", name, err)
+		return fmt.Errorf("read %s: %w", name, err)
 	}
 	if _, err := fmt.Sscanf(name, logNameFormat, &w.number); err != nil {
-		return fmt.Errorf("%w: a file with the name %s", ErrCorrupt, name)
+		return fmt.Errorf("%w: file name %s", ErrCorrupt, name)
 	}
 	end, err := w.replayRecords(name, content)
 	if err != nil {
@@ -31,7 +31,7 @@
 			return nil
 		}
 		if err := w.truncate(name, int64(end)); err != nil {
-			return fmt.Errorf("cutting the torn end of %s: %w", name, err)
+			return fmt.Errorf("truncate torn end of %s: %w", name, err)
 		}
 	}
 	w.size = int64(end)
@@ -58,7 +58,7 @@
 		end += r.size
 	}
 	if end < base || end == 0 {
-		return end, fmt.Errorf("%w: %s at byte %d of %d that it begins with", ErrCorrupt, name, end, base)
+		return end, fmt.Errorf("%w: %s at byte %d, the first %d were synced", ErrCorrupt, name, end, base)
 	}
 	return end, nil
 }
@@ -66,10 +66,11 @@
 // parseFileHeader reads the bytes of what a file begins with.
 func parseFileHeader(name string, r record) (base int, err error) {
 	if r.kind != kindFileHeader || len(r.payload) < fileHeaderBytes {
-		return 0, fmt.Errorf("%w: %s does not begin as a log", ErrCorrupt, name)
+		return 0, fmt.Errorf("%w: %s has no file header", ErrCorrupt, name)
 	}
 	if r.payload[0] > formatVersion {
-		return 0, fmt.Errorf("%w: %s has %d, this program reads %d", ErrNewerVersion, name, r.payload[0], formatVersion)
+		return 0, fmt.Errorf("%w: %s has version %d, this program reads %d",
+			ErrNewerVersion, name, r.payload[0], formatVersion)
 	}
 	return int(binary.BigEndian.Uint64(r.payload[1:])), nil
 }
--- a/internal/replication/wal/snapshot.go
+++ b/internal/replication/wal/snapshot.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// SaveSnapshot keeps a snapshot that a replica made of itself. Entries up to its index no longer count.
+// SaveSnapshot stores a snapshot that a replica made of itself. Entries up to its index no longer count.
 func (w *WAL) SaveSnapshot(shard int, snapshot *pb.Snapshot) error {
 	if w.failure != nil {
 		return w.failure
@@ -57,10 +57,11 @@
 	}
 	body, ok := cutChecksum(content)
 	if !ok {
-		return nil, fmt.Errorf("%w: the checksum of %s", ErrCorrupt, name)
+		return nil, fmt.Errorf("%w: checksum of %s does not match", ErrCorrupt, name)
 	}
 	if body[0] > formatVersion {
-		return nil, fmt.Errorf("%w: %s has %d, this program reads %d", ErrNewerVersion, name, body[0], formatVersion)
+		return nil, fmt.Errorf("%w: %s has version %d, this program reads %d",
+			ErrNewerVersion, name, body[0], formatVersion)
 	}
 	snapshot := &pb.Snapshot{}
 	if err := proto.Unmarshal(body[1:], snapshot); err != nil {
--- a/internal/replication/wal/wal.go
+++ b/internal/replication/wal/wal.go
@@ -2,13 +2,13 @@
 // in one file, so that one sync serves them all, and a snapshot file a shard.
 //
 // It owns the files of one folder, which belongs to one router for good. The format is in
-// docs/ledger-format.md. It uses the file layer of the disk cache (package vfs) and has no
+// docs/replication-format.md. It uses the file layer of the disk cache (package vfs) and has no
 // goroutine.
 //
 // What was synced is believed only if its checksums match. A torn end, as a loss of power leaves
 // it, is cut off, since nothing of it was acknowledged. Damage to what was synced is refused: a
 // replica that forgot a vote could vote twice. Each batch says up to where the file was synced
-// before it, which tells the two apart; only damage to the very last batch looks like a torn end.
+// before it, which shows which of the two it is; only damage to the very last batch looks like a torn end.
 package wal
 
 import (
@@ -25,7 +25,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Files of the folder. Their names are part of the format.
+// Files of the folder. Their names are part of the format: the file "holder" has the identity of the
+// replica, a file "slice-..." the snapshot of a shard.
 const (
 	formatVersion      = 1
 	identityFile       = "holder"
@@ -39,11 +40,11 @@
 
 const rotateBytes = 16 << 20 // of a log file, after which the next one begins with what still counts
 
-// Errors that a caller tells apart.
+// Errors that a caller may test for.
 var (
-	ErrCorrupt      = errors.New("the ledger's folder is damaged")
-	ErrNewerVersion = errors.New("the ledger's folder was written by a later version")
-	ErrForeignOwner = errors.New("the ledger's folder is another router's")
+	ErrCorrupt      = errors.New("write-ahead log is damaged")
+	ErrNewerVersion = errors.New("write-ahead log was written by a newer version")
+	ErrForeignOwner = errors.New("write-ahead log belongs to another router")
 )
 
 // WAL is an open log. It belongs to one goroutine.
@@ -102,7 +103,7 @@
 func Open(fs vfs.FS, owner string, drawID func() uint64) (*WAL, map[int]shard.PersistentState, error) {
 	release, err := fs.Lock(lockFile)
 	if err != nil {
-		return nil, nil, fmt.Errorf("the ledger's folder: %w", err)
+		return nil, nil, fmt.Errorf("lock write-ahead log: %w", err)
 	}
 	w := &WAL{fs: fs, release: release, shards: map[int]*shardLog{}}
 	saved, err := w.open(owner, drawID)
@@ -119,10 +120,10 @@
 	}
 	names, err := w.fs.List()
 	if err != nil {
-		return nil, fmt.Errorf("the ledger's folder: %w", err)
+		return nil, fmt.Errorf("list write-ahead log: %w", err)
 	}
 	if err := w.openLog(names); err != nil {
-		return nil, fmt.Errorf("the ledger's log: %w", err)
+		return nil, fmt.Errorf("open write-ahead log: %w", err)
 	}
 	return w.persistentStates()
 }
@@ -163,7 +164,7 @@
 func Inspect(fs vfs.FS) (Identity, map[int]shard.PersistentState, error) {
 	content, err := readFile(fs, identityFile)
 	if err != nil {
-		return Identity{}, nil, fmt.Errorf("the ledger's folder: %w", err)
+		return Identity{}, nil, fmt.Errorf("read write-ahead log: %w", err)
 	}
 	w := &WAL{fs: fs, shards: map[int]*shardLog{}}
 	if w.identity, err = parseIdentity(content); err != nil {
@@ -171,11 +172,11 @@
 	}
 	names, err := fs.List()
 	if err != nil {
-		return w.identity, nil, fmt.Errorf("the ledger's folder: %w", err)
+		return w.identity, nil, fmt.Errorf("list write-ahead log: %w", err)
 	}
 	name := newestLog(names)
 	if name == "" {
-		return w.identity, nil, fmt.Errorf("%w: it has no log", ErrCorrupt)
+		return w.identity, nil, fmt.Errorf("%w: no log file", ErrCorrupt)
 	}
 	if err := w.replay(name, false); err != nil {
 		return w.identity, nil, err
@@ -240,7 +241,7 @@
 // appendReady adds the records of one shard to the batch. A snapshot's file is written at once.
 func (w *WAL) appendReady(ready shard.Ready) error {
 	log := w.shardLog(ready.Shard)
-	if ready.Snapshot != nil { // of a leader: it replaces the whole log
+	if ready.Snapshot != nil { // of a leader: it replaces all entries
 		index := binary.BigEndian.AppendUint64(nil, ready.Snapshot.GetMetadata().GetIndex())
 		w.buffer = appendRecord(w.buffer, kindTruncate, ready.Shard, index)
 		if err := w.writeSnapshot(ready.Shard, ready.Snapshot); err != nil {
@@ -274,7 +275,7 @@
 
 // fail ends the writing for good.
 func (w *WAL) fail(err error) error {
-	w.failure = fmt.Errorf("the ledger's disk: %w", err)
+	w.failure = fmt.Errorf("write to write-ahead log: %w", err)
 	return w.failure
 }
 
@@ -300,24 +301,6 @@
 	return nil
 }
 
-// RemoveShard drops a shard that this router no longer holds.
-func (w *WAL) RemoveShard(number int) error {
-	if w.failure != nil {
-		return w.failure
-	}
-	snapshotIndex := w.shardLog(number).snapshotIndex
-	w.buffer = appendRecord(w.buffer[:0], kindRemoveShard, number, nil)
-	delete(w.shards, number)
-	err := w.flush(true)
-	if err == nil && snapshotIndex > 0 {
-		err = w.fs.Remove(fmt.Sprintf(snapshotNameFormat, number, snapshotIndex))
-	}
-	if err != nil {
-		return w.fail(err)
-	}
-	return nil
-}
-
 // Close closes the files and unlocks the folder.
 func (w *WAL) Close() {
 	if w.file != nil {
--- a/internal/replication/wal/wal_test.go
+++ b/internal/replication/wal/wal_test.go
@@ -41,6 +41,25 @@
 	}
 }
 
+// RemoveShard writes the record of a shard that this router no longer holds. The format has it and replay reads it;
+// no program writes it.
+func (w *WAL) RemoveShard(number int) error {
+	if w.failure != nil {
+		return w.failure
+	}
+	snapshotIndex := w.shardLog(number).snapshotIndex
+	w.buffer = appendRecord(w.buffer[:0], kindRemoveShard, number, nil)
+	delete(w.shards, number)
+	err := w.flush(true)
+	if err == nil && snapshotIndex > 0 {
+		err = w.fs.Remove(fmt.Sprintf(snapshotNameFormat, number, snapshotIndex))
+	}
+	if err != nil {
+		return w.fail(err)
+	}
+	return nil
+}
+
 func TestWrittenStateIsReadAfterReopening(t *testing.T) {
 	fs, err := vfs.MakeDir(t.TempDir())
 	require.NoError(t, err)
@@ -158,7 +177,7 @@
 	})
 }
 
-// TestLeadersSnapshotEndsLaterEntriesOnDisk: a snapshot that a leader sent replaces the whole log, also after a
+// TestLeadersSnapshotEndsLaterEntriesOnDisk: a snapshot that a leader sent replaces all entries, also after a
 // reopening.
 func TestLeadersSnapshotEndsLaterEntriesOnDisk(t *testing.T) {
 	fs := vfs.NewFaultFS(5)
