--- a/internal/lab/simulation/mutants_test.go
+++ b/internal/lab/simulation/mutants_test.go
@@ -39,8 +39,8 @@
 	},
 	{
 		name:  "a member that was stopped blames the others",
-		file:  "internal/membership/swim/core.go",
-		edits: [][2]string{{"if c.config.PublishedSWIM || late < pauseThreshold {", "if true {"}},
+		file:  "internal/membership/swim/health.go",
+		edits: [][2]string{{"if c.config.PublishedSWIM || paused == 0 {", "if true {"}},
 		play:  []string{"--seeds", "1..40", "--acts", "8", "--peers", "20"},
 	},
 	{
--- a/internal/lab/verify_fleet_test.go
+++ b/internal/lab/verify_fleet_test.go
@@ -97,7 +97,8 @@
 // peerChanged is a router's log line on a peer's new state.
 func peerChanged(peer, state, previous string, incarnation uint64, refutations int) string {
 	return fmt.Sprintf(
-		"msg=\"peer state changed\" peer=%s state=%s previous_state=%s reason=newer_record incarnation=%d refutations=%d",
+		"msg=\"peer state changed\" peer=%s state=%s previous_state=%s reason=newer_record "+
+			"incarnation=%d refutations=%d",
 		peer, state, previous, incarnation, refutations,
 	)
 }
@@ -134,7 +135,9 @@
 			s(5, 17, peerChanged("n1", "failed", "suspect", 5, 0))
 			s(5, 28.5, peerChanged("n1", "alive", "failed", 5, 1))
 		}, "s after a cut until all agreed"},
-		"a panic": {func(s say, _ *routerFleet) { s(5, 17, "msg=\"panic recovered\" component=membership") }, "a panic"},
+		"a panic": {func(s say, _ *routerFleet) {
+			s(5, 17, "msg=\"panic recovered\" component=membership")
+		}, "a panic"},
 		"a healthy box left out": {func(_ say, fleet *routerFleet) {
 			fleet.cluster.requests = fleet.cluster.requests[:12]
 		}, "box s-00000001 was asked nothing from 12.5 to 15.0 s"},
--- a/internal/membership/datagram/golden_test.go
+++ b/internal/membership/datagram/golden_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// TestGoldenKeys holds the form of the keys in the operators' file.
+// TestGoldenKeys holds the form of the keys in the configuration file.
 func TestGoldenKeys(t *testing.T) {
 	key, err := ParsePrivateKey("YWFhYWFhYWFhYWFhYWFhYWFhYWFhYWFhYWFhYWFhYWE=")
 	require.NoError(t, err)
--- a/internal/membership/observation/doubt.go
+++ b/internal/membership/observation/doubt.go
@@ -8,6 +8,13 @@
 	"cairnfront/routing"
 )
 
+const (
+	sameZoneFactor = 0.5 // of a witness's weight for each earlier one of its zone: they share a switch
+	doubtPerWeight = 2.0 // halvings of the remaining trust by a witness of weight 1
+	minDoubtChange = 0.1 // that is given
+	minUntilChange = 2.5 // that is given, s
+)
+
 // updateDoubt computes the doubt about an endpoint and gives it if it changed. Byzantine witnesses alone raise
 // none, however many observations they make.
 func (t *Tracker) updateDoubt(now float64, endpoint routing.EndpointID) []Doubt {
--- a/internal/membership/observation/gossip.go
+++ b/internal/membership/observation/gossip.go
@@ -8,6 +8,13 @@
 	"cairnfront/internal/membership/swim"
 )
 
+const (
+	gossipFactor     = 2.0 // times log2 of the members: how often an observation is passed on
+	minTransmissions = 2
+	maxQueue         = 256 // observations that wait to be passed on
+	maxPerDatagram   = 3   // observations
+)
+
 // queuedObservation is an observation that is passed on, and how often it was sent.
 type queuedObservation struct {
 	Observation
--- a/internal/membership/observation/receive.go
+++ b/internal/membership/observation/receive.go
@@ -7,6 +7,14 @@
 	"cairnfront/routing"
 )
 
+const (
+	// maxSequenceAhead is by how much a witness may advance with one observation: the numbers of a start are not used
+	// up at once.
+	maxSequenceAhead = 100000
+	// maxSequenceBehind is by how many observations of its witness one may arrive late.
+	maxSequenceBehind = 64
+)
+
 // HandleObservation takes an observation whose signature the caller has verified. It is not fresh, and ignored, if
 // its witness said something later, or if it is from an earlier start of the witness.
 func (t *Tracker) HandleObservation(now float64, o Observation) (doubts []Doubt, fresh bool) {
--- a/internal/membership/observation/tracker.go
+++ b/internal/membership/observation/tracker.go
@@ -2,47 +2,30 @@
 
 import (
 	"maps"
+	"math"
 	"slices"
 
 	"cairnfront/internal/membership/swim"
 	"cairnfront/routing"
 )
 
-// Times in seconds unless a constant says otherwise.
+// What is held. Times in seconds unless a constant says otherwise.
 const (
-	// What is held.
 	expiry         = 10.0 // of an observation: an endpoint that still fails is observed again by then
 	localExpiry    = 60.0 // of own evidence, after the last attempt
 	maxEndpoints   = 1024 // with observations, and with own evidence
 	maxPerEndpoint = 24   // observations
 	maxHeld        = 4096 // observations in all, about 300 bytes each with their signed encodings
-	// that a witness may advance by one observation: the numbers of a start are not used up at once
-	maxSequenceAhead    = 100000
-	maxSequenceBehind   = 64  // that an observation may arrive late by
-	witnessVerifiedWith = 3.0 // the age up to which an own attempt confirms or refutes a witness
+)
 
-	// Own observations.
+// Own observations. Times in seconds unless a constant says otherwise.
+const (
 	failuresToReport  = 2    // failed attempts in a row: one is chance
 	slowToReport      = 4    // late attempts in a row
 	successesToReport = 3    // good attempts in a row before an own report is taken back
 	repeatAfter       = 6.0  // after which an observation that still holds is reported again
 	reportsPerSecond  = 4.0  // own ones: more is a storm
 	reportBurst       = 16.0 // own ones
-
-	// Gossip.
-	gossipFactor     = 2.0 // times log2 of the members: how often an observation is passed on
-	minTransmissions = 2
-	maxQueue         = 256 // observations that wait to be passed on
-	maxPerDatagram   = 3   // observations
-
-	// Doubt.
-	sameZoneFactor  = 0.5 // of a witness's weight for each earlier one of its zone: they share a switch
-	doubtPerWeight  = 2.0 // halvings of the remaining trust by a witness of weight 1
-	minDoubtChange  = 0.1 // that is given
-	minUntilChange  = 2.5 // that is given
-	trustHalfLife   = 120.0
-	minRefuted      = 2.5 // refuted observations before a witness may be ignored
-	refutedOverTrue = 2.0 // times the confirmed ones
 )
 
 // heldObservation is an observation until it expires.
@@ -155,15 +138,23 @@
 	if e.reported == e.last && now < e.reportedAt+repeatAfter {
 		return false
 	}
-	switch e.last {
+	if e.last == Healthy && (e.reported == 0 || e.reported == Healthy) {
+		return false
+	}
+	return e.run >= attemptsToReport(e.last)
+}
+
+// attemptsToReport is how many attempts in a row have to agree before they are reported.
+func attemptsToReport(health Health) int {
+	switch health {
 	case Failing:
-		return e.run >= failuresToReport
+		return failuresToReport
 	case Slow:
-		return e.run >= slowToReport
+		return slowToReport
 	case Healthy:
-		return e.run >= successesToReport && e.reported != 0 && e.reported != Healthy
+		return successesToReport
 	}
-	return false
+	return math.MaxInt
 }
 
 // Tick drops what has expired and gives the doubts that changed by it, in the order of their endpoints.
--- a/internal/membership/observation/witness.go
+++ b/internal/membership/observation/witness.go
@@ -7,6 +7,13 @@
 	"cairnfront/routing"
 )
 
+const (
+	witnessVerifiedWith = 3.0   // the age in seconds up to which an own attempt confirms or refutes a witness
+	trustHalfLife       = 120.0 // of the counts, s
+	minRefuted          = 2.5   // refuted observations before a witness may be ignored
+	refutedOverTrue     = 2.0   // times the confirmed ones
+)
+
 // witness is what is known of a member as a witness: 40 bytes. The counts decay with trustHalfLife.
 type witness struct {
 	startMillis uint64
--- a/internal/membership/partition/tracker.go
+++ b/internal/membership/partition/tracker.go
@@ -12,7 +12,7 @@
 	reportExpiry  = 3.0 // after which a member's last report on its view is stale
 )
 
-// View is what the membership view shows at a moment.
+// View is what the membership view shows at a given time.
 type View struct {
 	Roster  int // members that should be present, this one among them
 	Present int // members that are, this one among them
--- a/internal/membership/report.go
+++ b/internal/membership/report.go
@@ -8,7 +8,11 @@
 	"cairnfront/internal/membership/swim"
 )
 
-// MemberReport is a member as operators see it.
+// MemberReport is a member as operators see it. Its JSON keys are those of the first version:
+//
+//	life, beat: the incarnation (start and refutations); own_fails: own failed probes;
+//	wrong, right: refuted and confirmed accusations; words_wrong, words_right: the same of observations;
+//	voice: whether its observations count; differs: whether its view is another one
 type MemberReport struct {
 	Name                  string   `json:"name"`
 	State                 string   `json:"state"`
@@ -28,14 +32,17 @@
 	Trusted               bool     `json:"voice"` // its observations count
 }
 
-// EndpointDoubt is a doubt about an endpoint, with what each witness observed.
+// EndpointDoubt is a doubt about an endpoint, with what each witness observed. The JSON key "member" is the endpoint.
 type EndpointDoubt struct {
 	Endpoint  string   `json:"member"`
 	Level     float64  `json:"doubt"`
 	Witnesses []string `json:"witnesses"`
 }
 
-// Report is what a node knows.
+// Report is what a node knows. Its JSON keys are those of the first version:
+//
+//	standing: the partition state; there: the members present; held_back: datagrams dropped by the limit on sending;
+//	detected, detect_p50_s, detect_p99_s: failures, and the times from suspicion to failure
 type Report struct {
 	Name                string          `json:"name"`
 	PartitionState      string          `json:"standing"`
--- a/internal/membership/swim/core.go
+++ b/internal/membership/swim/core.go
@@ -14,11 +14,12 @@
 	dueTick   float64 // when the last tick asked to be called again
 	suspects  []MemberID
 
-	prober   prober
-	gossip   gossipQueue
-	pushPull pushPullSchedule
+	prober     prober
+	roundTrips roundTrips
+	gossip     gossipQueue
+	pushPull   pushPullSchedule
 
-	healthScore  int
+	health       healthScore
 	selfAccusers []selfAccusation
 	refutedAt    float64
 
@@ -152,25 +153,6 @@
 	return max(next, c.lastTick)
 }
 
-// detectPause finds out whether this process was stopped. Then no other member is to blame for acks that did not
-// come.
-func (c *Core) detectPause(now float64) {
-	late := now - max(c.dueTick, c.lastTick)
-	if c.config.PublishedSWIM || late < pauseThreshold {
-		return
-	}
-	c.prober.forget()
-	c.raiseHealthScore(2)
-	c.prober.nextAt = now
-	c.pushPull.nextAt = max(c.pushPull.nextAt, now)
-	for _, id := range c.suspects {
-		s := c.members[id].suspicion
-		s.startedAt += late
-		s.nextProbeAt = now
-		s.failedProbes = 0
-	}
-}
-
 // setState is the only place where a member's state changes.
 func (c *Core) setState(now float64, id MemberID, to State, reason Reason) {
 	m := &c.members[id]
@@ -211,8 +193,6 @@
 
 func (c *Core) inRoster(id MemberID) bool { return int(id) < len(c.members) }
 
-func (c *Core) raiseHealthScore(by int) { c.healthScore = min(c.healthScore+by, maxHealthScore) }
-
 func (c *Core) shuffle(list []MemberID) {
 	c.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
--- a/internal/membership/swim/gossip.go
+++ b/internal/membership/swim/gossip.go
@@ -5,6 +5,15 @@
 	"slices"
 )
 
+const (
+	gossipFactor          = 2 // times log2 of the members: how often a piece is passed on
+	minTransmissions      = 3
+	maxEchoes             = 3 // receptions of what we pass on ourselves before we stop; push-pull finds who lacks it
+	maxRecords            = 5 // a message: with accusations and entries it stays under 1,400 bytes
+	maxRecordsWithEntries = 3 // a message that has entries
+	maxAccusations        = 3 // a message
+)
+
 // noAccuser marks the subject of a member's own record.
 const noAccuser MemberID = -1
 
@@ -103,7 +112,7 @@
 	if len(m.Entries) > 0 {
 		recordLimit = maxRecordsWithEntries
 	}
-	transmissions := max(int(gossipFactor*math.Ceil(math.Log2(c.size()+1))), minTransmissions)
+	transmissions := gossipTransmissions(c.size())
 	var sent [][]gossip
 	for level := range c.gossip.levels {
 		if m.isFull(recordLimit) {
@@ -117,6 +126,12 @@
 	}
 }
 
+// gossipTransmissions is how often a piece of gossip is sent, by the number of members present: the published SWIM's
+// multiple of the logarithm, after which all have it with a high probability.
+func gossipTransmissions(present float64) int {
+	return max(int(gossipFactor*math.Ceil(math.Log2(present+1))), minTransmissions)
+}
+
 // addAccusationOfReceiver sends a suspected or failed receiver an accusation against itself, so that it can refute:
 // Lifeguard's buddy system.
 func (c *Core) addAccusationOfReceiver(to MemberID, m *Message) {
--- a/internal/membership/swim/probe.go
+++ b/internal/membership/swim/probe.go
@@ -2,10 +2,24 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 )
 
+const (
+	indirectProbes     = 3 // members asked to ping on our behalf: SWIM's k
+	indirectCandidates = 9 // drawn, of which the indirectProbes heard last are asked
+	// retryTimeouts is how many ack timeouts the second ping and the indirect ones have: an indirect ack takes two
+	// round trips.
+	retryTimeouts   = 2
+	maxProbes       = 64 // under way, and as many missed ones whose ack may still come
+	absentPingEvery = 2  // probes between pings of a member that is not present: the way back after a partition
+	leftPingEvery   = 16 // probes between pings that may go to a member that left
+	// minSpacingDivisor of the probe interval is the shortest time between two probes, after one that was late.
+	minSpacingDivisor        = 2
+	suspectProbesPerInterval = 3  // more would make the failure of many members a storm
+	maxSuspectProbes         = 64 // waiting
+)
+
 // prober schedules probes and holds those under way.
 type prober struct {
 	nextAt         float64    // of the next probe in turn
@@ -17,10 +31,6 @@
 	suspectQueue   []MemberID
 	nextSuspectsAt float64 // of the next probes of suspects
 	lastNonce      uint64
-
-	rtt          float64 // smoothed time from ping to ack, s; 0: unknown
-	rttDeviation float64 // s
-	lossRate     float64 // smoothed share of first pings that were lost, at members that acked the second
 }
 
 // probe is one probe of a member: a ping, and after the timeout a second one together with indirect pings.
@@ -65,14 +75,11 @@
 	if now < c.prober.nextAt {
 		return
 	}
-	interval := c.config.ProbeIntervalSeconds
-	if !c.config.PublishedSWIM {
-		interval *= float64(1 + c.healthScore)
-	}
+	interval := c.probeInterval()
 	if c.prober.count == 0 {
 		c.prober.nextAt = now + interval*c.random.Float64() // routers that start together do not probe together
 	} else {
-		c.prober.nextAt = max(c.prober.nextAt+interval, now+interval/2)
+		c.prober.nextAt = nextProbeAt(now, c.prober.nextAt, interval)
 	}
 	c.prober.count++
 	if c.prober.count%absentPingEvery == 0 {
@@ -85,6 +92,19 @@
 	}
 }
 
+// probeInterval is the time between two probes in turn, in seconds, longer with our health score.
+func (c *Core) probeInterval() float64 {
+	if c.config.PublishedSWIM {
+		return c.config.ProbeIntervalSeconds
+	}
+	return c.config.ProbeIntervalSeconds * c.health.multiplier()
+}
+
+// nextProbeAt is when the next probe in turn is due. After a late one it catches up, without a burst.
+func nextProbeAt(now, previousDue, interval float64) float64 {
+	return max(previousDue+interval, now+interval/minSpacingDivisor)
+}
+
 // pickInTurn is the next present member of the round. It begins a new round at the end of one.
 func (c *Core) pickInTurn() (MemberID, bool) {
 	for range 2 {
@@ -107,7 +127,8 @@
 	return 0, false
 }
 
-// pickAbsent draws a member of the roster that is not present. Members that left are drawn more rarely.
+// pickAbsent draws a member of the roster that is not present. After a partition both sides hold each other failed and
+// probe only their own: without these pings they would never meet again.
 func (c *Core) pickAbsent() (MemberID, bool) {
 	first := c.random.IntN(len(c.members))
 	for i := range c.members {
@@ -116,13 +137,19 @@
 		if id == c.self || m.removed {
 			continue
 		}
-		if m.state == Failed || m.state == Unknown || m.state == Left && c.prober.count%leftPingEvery == 0 {
+		if mayPingAbsent(m.state, c.prober.count) {
 			return id, true
 		}
 	}
 	return 0, false
 }
 
+// mayPingAbsent says whether a member that is not present may be pinged. One that left is pinged more rarely: it
+// comes back by itself.
+func mayPingAbsent(state State, probeCount int) bool {
+	return state == Failed || state == Unknown || state == Left && probeCount%leftPingEvery == 0
+}
+
 // probeSuspects probes some of the suspects that wait, at any health score: an ack is what saves a suspect.
 func (c *Core) probeSuspects(now float64) {
 	p := &c.prober
@@ -187,12 +214,12 @@
 	p.retried = true
 	p.retryNonce = c.prober.nextNonce()
 	p.retriedAt = now
-	p.deadline = now + 2*c.ackTimeout()
+	p.deadline = now + retryTimeouts*c.ackTimeout()
 	if !c.config.PublishedSWIM {
 		c.send(p.target, Message{Kind: Ping, Nonce: p.retryNonce, Requester: c.self})
 		s := c.members[p.target].suspicion
-		if s != nil && c.trustedAccusers(s) > c.config.MaxByzantine {
-			return // at least one accuser is honest and has asked others already: our own pings are enough
+		if s != nil && hasHonestAccuser(c.trustedAccusers(s), c.config.MaxByzantine) {
+			return // that accuser has asked others already: our own pings are enough
 		}
 	}
 	for _, id := range c.pickRelays(p.target) {
@@ -201,6 +228,9 @@
 	}
 }
 
+// hasHonestAccuser says that more members accuse than may be byzantine, so that at least one of them is honest.
+func hasHonestAccuser(accusers, maxByzantine int) bool { return accusers > maxByzantine }
+
 // pickRelays draws members for indirect pings. Of some drawn at random it takes those heard last: in a partition
 // they are on this side.
 func (c *Core) pickRelays(target MemberID) []MemberID {
@@ -231,15 +261,14 @@
 		c.prober.missed = slices.Delete(c.prober.missed, 0, 1)
 	}
 	c.prober.missed = append(c.prober.missed, p)
-	// Where most relays did not even accept, our own network or process is the likelier cause.
-	if p.indirectAsked > 0 && p.indirectTaken < (p.indirectAsked+1)/2 {
-		c.raiseHealthScore(1)
+	if relaysUnreachable(p.indirectAsked, p.indirectTaken) {
+		c.health.raise(faultPenalty)
 	}
 	c.accuse(now, Accusation{Accuser: c.self, Member: p.target, Incarnation: m.record.Incarnation})
 	if m.suspicion != nil {
 		m.suspicion.nextProbeAt = now
 		// A probe whose timeout was long because of our health score says how the member was when it pinged.
-		m.suspicion.lastFailedAt = min(now, p.retriedAt+2*c.ackTimeout())
+		m.suspicion.lastFailedAt = min(now, p.retriedAt+retryTimeouts*c.ackTimeout())
 	}
 }
 
@@ -259,19 +288,20 @@
 	p := (*list)[i]
 	*list = slices.Delete(*list, i, i+1)
 	if p.nonce == nonce {
-		c.prober.sampleRTT(now - p.sentAt)
+		c.roundTrips.sampleTime(now - p.sentAt)
 	}
 	if c.members[id].suspicion == nil && !late {
-		c.prober.sampleLoss(p.retried && p.retryNonce == nonce)
+		c.roundTrips.sampleLoss(p.retried && p.retryNonce == nonce)
 	}
-	if c.healthScore > 0 && !late && !p.retried {
-		c.healthScore--
+	if !late && !p.retried {
+		c.health.lower()
 	}
 	return true
 }
 
-// proveAlive ends a suspicion of a member that proved that it received a ping. A failed or unknown member needs a
-// newer incarnation as well.
+// proveAlive ends a suspicion of a member that proved that it received a ping. A failed or unknown member stays so:
+// the ack may be older than the failure, and others would go on holding the member failed. Only a newer record, which
+// spreads as gossip, brings it back everywhere.
 func (c *Core) proveAlive(now float64, id MemberID) {
 	m := &c.members[id]
 	if m.state == Failed || m.state == Unknown {
@@ -279,30 +309,3 @@
 	}
 	c.clearSuspicion(now, id, ReasonAcked)
 }
-
-// ackTimeout is how long an ack may take: the smoothed round trip time and four deviations, longer with our health
-// score.
-func (c *Core) ackTimeout() float64 {
-	timeout := initialAckTimeout
-	if c.prober.rtt > 0 {
-		timeout = min(max(c.prober.rtt+4*c.prober.rttDeviation, minAckTimeout), maxAckTimeout)
-	}
-	if c.config.PublishedSWIM {
-		return timeout
-	}
-	return max(timeout, min(timeout*float64(1+c.healthScore), maxScaledAckTimeout))
-}
-
-func (p *prober) sampleRTT(seconds float64) {
-	if p.rtt == 0 {
-		p.rtt = seconds
-		p.rttDeviation = seconds / 2
-		return
-	}
-	p.rttDeviation += (math.Abs(seconds-p.rtt) - p.rttDeviation) * deviationGain
-	p.rtt += (seconds - p.rtt) * rttGain
-}
-
-func (p *prober) sampleLoss(lost bool) {
-	p.lossRate += (float64(boolToInt(lost)) - p.lossRate) * lossGain
-}
--- a/internal/membership/swim/pushpull.go
+++ b/internal/membership/swim/pushpull.go
@@ -1,5 +1,16 @@
 package swim
 
+// Times in seconds unless a constant says otherwise.
+const (
+	pushPullInterval          = 4.0  // while all views agree
+	pushPullIntervalDiffering = 0.5  // while some view differs
+	viewSettleFor             = 0.75 // after an own change, before a different view is worth a push-pull
+	pushPullJitterMin         = 0.75 // of the interval
+	pushPullJitterRange       = 0.5  // of the interval
+	maxPingsPerPushPull       = 3    // of members that we hold failed and the sender holds present
+	maxEntries                = 24   // a message
+)
+
 // pushPullSchedule says when the next push-pull is due and where in the table it begins.
 type pushPullSchedule struct {
 	nextAt float64
@@ -15,8 +26,7 @@
 			continue
 		}
 		present = append(present, id)
-		settled := m.heardAt > c.viewChangedAt+viewSettleFor
-		if settled && now-m.heardAt < pushPullInterval && m.viewHash != c.viewHash {
+		if m.viewHash != c.viewHash && isViewComparable(now, m.heardAt, c.viewChangedAt) {
 			differing = append(differing, id)
 		}
 	}
@@ -32,6 +42,13 @@
 	c.send(to, Message{Kind: PushPullRequest, Entries: c.nextEntries()})
 }
 
+// isViewComparable says whether a view that was heard at a time can be compared with ours, which changed last at
+// another. One heard before an own change has settled differs because the news is under way, not because a message was
+// lost.
+func isViewComparable(now, heardAt, ownChangedAt float64) bool {
+	return heardAt > ownChangedAt+viewSettleFor && now-heardAt < pushPullInterval
+}
+
 // nextEntries is the next part of the table.
 func (c *Core) nextEntries() []PushPullEntry {
 	var entries []PushPullEntry
--- a/internal/membership/swim/snapshot.go
+++ b/internal/membership/swim/snapshot.go
@@ -65,9 +65,6 @@
 	return id != c.self && m.state.Present() && recent && m.viewHash != c.viewHash
 }
 
-// HealthScore is Lifeguard's health multiplier, from 0 to 8: how much more slowly this member judges others.
-func (c *Core) HealthScore() int { return c.healthScore }
-
 // QueueLength is the number of pieces of gossip that wait, for tests of its bound.
 func (c *Core) QueueLength() int { return len(c.gossip.newest) }
 
--- a/internal/membership/swim/suspicion.go
+++ b/internal/membership/swim/suspicion.go
@@ -5,6 +5,22 @@
 	"slices"
 )
 
+// Times in seconds unless a constant says otherwise; "intervals" are probe intervals.
+const (
+	suspicionFactor          = 3.5  // intervals times log10 of the members: until a refutation reached all
+	suspicionRange           = 6    // times the shortest, while nobody else suspects: Lifeguard's beta
+	confirmations            = 3    // independent accusers that bring the timeout down to the shortest: Lifeguard's K
+	publishedSuspicionFactor = 5    // PublishedSWIM: intervals times log2 of the members
+	roundTripsOfTimeout      = 2    // round trips in the shortest timeout: an indirect ack takes two
+	accusersOnlyFactor       = 2    // times the longest timeout, after which accusers alone suffice
+	minFailedProbes          = 2    // own failed probes, each direct and indirect, before a member is declared failed
+	maxFailedProbes          = 8    // own failed probes that suffice at any loss rate
+	chanceThreshold          = 1e-3 // probability below which failed probes are no longer put down to loss
+	maxLossRate              = 0.9  // of round trips, in calculations
+	failureFreshFor          = 1.5  // for which a failed probe may end in a failure; later the member is probed again
+	maxAccusers              = 8    // held of a suspect
+)
+
 // suspicion is what is held against a member: about 200 bytes, and 200 bytes an accusation with its signed
 // encoding.
 type suspicion struct {
@@ -19,11 +35,11 @@
 // accuse takes an accusation of another member, or our own after a failed probe.
 func (c *Core) accuse(now float64, a Accusation) {
 	m := &c.members[a.Member]
-	if a.Member == c.self || m.removed || m.state == Unknown || m.state == Left || m.state == Failed {
+	if a.Member == c.self || m.removed || !m.state.Present() {
 		return
 	}
 	if a.Incarnation != m.record.Incarnation {
-		return // against an incarnation that no signed record has shown
+		return // against an incarnation that no signed record has shown, or one that was refuted
 	}
 	if c.config.PublishedSWIM && a.Dead {
 		c.endSuspicion(a.Member)
@@ -61,7 +77,8 @@
 func (c *Core) countFailedProbe(now float64, s *suspicion, a Accusation) {
 	s.failedProbes++
 	s.lastFailedAt = now
-	if !s.announced && s.failedProbes >= c.requiredFailures() && len(s.accusations) <= confirmations {
+	explained := s.failedProbes < c.requiredFailures()
+	if !s.announced && !explained && len(s.accusations) <= confirmations {
 		s.announced = true
 		c.queueAccusation(a)
 	}
@@ -108,7 +125,46 @@
 	c.suspects = slices.DeleteFunc(c.suspects, func(other MemberID) bool { return other == id })
 }
 
-// checkSuspicions declares suspects failed whose timeout is over, and has the others probed again.
+// suspicionDecision is what becomes of a suspicion.
+type suspicionDecision uint8
+
+const (
+	keepSuspecting suspicionDecision = iota // its timeout is not over, or too few own probes failed
+	probeAgain                              // enough own probes failed, but the last one is too old
+	declareFailure
+)
+
+// suspicionEvidence is what the decision on a suspicion depends on. Times are in seconds of the core's clock.
+type suspicionEvidence struct {
+	startedAt      float64
+	deadline       float64 // when the suspicion times out
+	longestTimeout float64 // s
+	failedProbes   int     // own ones
+	requiredProbes int     // own failed probes that chance does not explain
+	lastFailedAt   float64 // of the last own failed probe
+	accusers       int     // independent ones, this router among them
+}
+
+// decideSuspicion decides on a suspicion. A byzantine accuser, or one with a bad network, must not have a healthy
+// member declared failed: it takes own failed probes, of which the last one is recent, or more accusers than may be
+// byzantine over a long time. The latter is the way for a router that is too busy to probe by itself.
+func decideSuspicion(now float64, config Config, e suspicionEvidence) suspicionDecision {
+	switch {
+	case now < e.deadline:
+		return keepSuspecting
+	case config.PublishedSWIM:
+		return declareFailure
+	case e.accusers > config.MaxByzantine+1 && now >= e.startedAt+accusersOnlyFactor*e.longestTimeout:
+		return declareFailure
+	case e.failedProbes < max(minFailedProbes, e.requiredProbes):
+		return keepSuspecting
+	case now > e.lastFailedAt+failureFreshFor:
+		return probeAgain
+	}
+	return declareFailure
+}
+
+// checkSuspicions decides on each suspicion, and has the suspects probed at the probe interval.
 func (c *Core) checkSuspicions(now float64) {
 	for _, id := range slices.Clone(c.suspects) {
 		s := c.members[id].suspicion
@@ -116,21 +172,27 @@
 			s.nextProbeAt = now + c.config.ProbeIntervalSeconds
 			c.prober.enqueueSuspect(id)
 		}
-		if now < c.suspicionDeadline(s) {
-			continue
-		}
-		if c.config.PublishedSWIM || c.accusersSuffice(now, s) {
-			c.declareFailed(now, id)
-			continue
-		}
-		if s.failedProbes < max(minFailedProbes, c.requiredFailures()) {
-			continue
-		}
-		if now > s.lastFailedAt+failureFreshFor {
+		switch decideSuspicion(now, c.config, c.evidence(s)) {
+		case keepSuspecting:
+		case probeAgain:
 			c.prober.enqueueSuspect(id)
-			continue
+		case declareFailure:
+			c.declareFailed(now, id)
 		}
-		c.declareFailed(now, id)
+	}
+}
+
+func (c *Core) evidence(s *suspicion) suspicionEvidence {
+	shortest, longest := suspicionTimeouts(c.config, c.size(), c.roundTrips.mean)
+	accusers := c.independentAccusers(s)
+	return suspicionEvidence{
+		startedAt:      s.startedAt,
+		deadline:       s.startedAt + suspicionTimeout(shortest, longest, c.present, accusers),
+		longestTimeout: longest,
+		failedProbes:   s.failedProbes,
+		requiredProbes: c.requiredFailures(),
+		lastFailedAt:   s.lastFailedAt,
+		accusers:       accusers,
 	}
 }
 
@@ -150,44 +212,47 @@
 	}
 }
 
-// suspicionTimeouts are the shortest and the longest time of a suspicion, in seconds.
-func (c *Core) suspicionTimeouts() (shortest, longest float64) {
-	if c.config.PublishedSWIM {
-		t := publishedSuspicionFactor * math.Log2(c.size()) * c.config.ProbeIntervalSeconds
+// suspicionTimeouts are the shortest and the longest time of a suspicion, in seconds, by the number of members present
+// and the mean round trip time.
+func suspicionTimeouts(config Config, size, roundTripSeconds float64) (shortest, longest float64) {
+	if config.PublishedSWIM {
+		t := publishedSuspicionFactor * math.Log2(size) * config.ProbeIntervalSeconds
 		return t, t
 	}
-	scale := max(math.Log10(c.size()), 1)
-	shortest = suspicionFactor*scale*c.config.ProbeIntervalSeconds + 2*max(c.prober.rtt, 0)
+	scale := max(math.Log10(size), 1)
+	shortest = suspicionFactor*scale*config.ProbeIntervalSeconds + roundTripsOfTimeout*max(roundTripSeconds, 0)
 	return shortest, suspicionRange * shortest
 }
 
-// suspicionDeadline is when a suspicion times out. Each independent accuser brings it nearer, as in Lifeguard.
-func (c *Core) suspicionDeadline(s *suspicion) float64 {
-	shortest, timeout := c.suspicionTimeouts()
-	k := float64(min(confirmations, max(c.present-2, 1)))
-	n := min(float64(c.independentAccusers(s)), k+1)
-	if n > 1 {
-		timeout = max(shortest, timeout-(timeout-shortest)*math.Log(n)/math.Log(k+1))
+// suspicionTimeout is the time of a suspicion, in seconds: the longest for one accuser, less for each further
+// independent one, as in Lifeguard. A member that only one router cannot reach has time to refute; one that nobody
+// reaches is failed soon.
+func suspicionTimeout(shortest, longest float64, present, accusers int) float64 {
+	k := float64(min(confirmations, max(present-2, 1)))
+	n := min(float64(accusers), k+1)
+	if n <= 1 {
+		return longest
 	}
-	return s.startedAt + timeout
+	return max(shortest, longest-(longest-shortest)*math.Log(n)/math.Log(k+1))
 }
 
-// accusersSuffice reports whether more accusers than may be byzantine hold out for twice the longest timeout: the
-// way for a router that is too busy to probe by itself.
-func (c *Core) accusersSuffice(now float64, s *suspicion) bool {
-	_, longest := c.suspicionTimeouts()
-	return c.independentAccusers(s) > c.config.MaxByzantine+1 && now >= s.startedAt+2*longest
+// requiredFailures is how many own probes have to fail before we accuse or declare a failure.
+func (c *Core) requiredFailures() int {
+	if c.config.PublishedSWIM {
+		return 1
+	}
+	return failuresBeyondChance(c.roundTrips.lossRate)
 }
 
-// requiredFailures is how many own probes have to fail before we accuse or declare a failure: so many that at the
-// observed loss rate, chance alone does it with a probability under chanceThreshold. A probe fails by chance if two
-// pings and the indirect ones are lost, each of the latter over two round trips. Lifeguard's health score does the
-// same for late acks.
-func (c *Core) requiredFailures() int {
-	if c.config.PublishedSWIM || c.prober.lossRate <= 0 {
+// failuresBeyondChance is the number of failed probes that at a loss rate chance alone gives with a probability under
+// chanceThreshold. On a network with loss, members would else be suspected all the time. A probe fails by chance if two
+// pings and the indirect ones are lost, each of the latter over two round trips. Lifeguard's health score does the same
+// for late acks.
+func failuresBeyondChance(lossRate float64) int {
+	if lossRate <= 0 {
 		return 1
 	}
-	loss := min(c.prober.lossRate, maxLossRate)
+	loss := min(lossRate, maxLossRate)
 	chance := loss * loss * math.Pow(1-(1-loss)*(1-loss), indirectProbes)
 	return min(max(int(math.Ceil(math.Log(chanceThreshold)/math.Log(chance))), 1), maxFailedProbes)
 }
--- a/internal/membership/swim/suspicion_test.go
+++ b/internal/membership/swim/suspicion_test.go
@@ -70,5 +70,49 @@
 	for id := MemberID(1); id < 4; id++ {
 		assert.Equal(t, Alive, stateOf(c, id))
 	}
-	assert.Positive(t, c.HealthScore(), "and it judges others more slowly for a while")
+	assert.Positive(t, c.HealthScore(), "and it waits longer for others for a while")
+}
+
+// TestDecisionOnSuspicion holds each rule of the decision: the timeout, own failed probes of which the last one is
+// recent, or more accusers than may be byzantine for twice the longest timeout.
+func TestDecisionOnSuspicion(t *testing.T) {
+	const startedAt, deadline, longest = 100.0, 102.0, 6.0
+	base := suspicionEvidence{
+		startedAt:      startedAt,
+		deadline:       deadline,
+		longestTimeout: longest,
+		failedProbes:   3,
+		requiredProbes: 3,
+		lastFailedAt:   deadline,
+		accusers:       1,
+	}
+	with := func(change func(*suspicionEvidence)) suspicionEvidence {
+		evidence := base
+		change(&evidence)
+		return evidence
+	}
+	tooFew := with(func(e *suspicionEvidence) { e.failedProbes = 2 })
+	oneProbe := with(func(e *suspicionEvidence) { e.failedProbes, e.requiredProbes = 1, 1 })
+	accused := with(func(e *suspicionEvidence) { e.failedProbes, e.accusers = 0, 3 })
+	accusedOnce := with(func(e *suspicionEvidence) { e.failedProbes, e.accusers = 0, 2 })
+	for name, test := range map[string]struct {
+		now      float64
+		config   Config
+		evidence suspicionEvidence
+		want     suspicionDecision
+	}{
+		"before the deadline":           {deadline - 0.1, Config{}, base, keepSuspecting},
+		"own probes failed":             {deadline, Config{}, base, declareFailure},
+		"chance explains the failures":  {deadline, Config{}, tooFew, keepSuspecting},
+		"one failed probe":              {deadline, Config{}, oneProbe, keepSuspecting},
+		"the last failure is recent":    {deadline + failureFreshFor, Config{}, base, declareFailure},
+		"the last failure is too old":   {deadline + failureFreshFor + 0.1, Config{}, base, probeAgain},
+		"accusers alone, early":         {startedAt + 2*longest - 1, Config{MaxByzantine: 1}, accused, keepSuspecting},
+		"accusers alone, late":          {startedAt + 2*longest, Config{MaxByzantine: 1}, accused, declareFailure},
+		"as many as may be byzantine":   {startedAt + 2*longest, Config{MaxByzantine: 1}, accusedOnce, keepSuspecting},
+		"the published protocol, early": {deadline - 0.1, Config{PublishedSWIM: true}, oneProbe, keepSuspecting},
+		"the published protocol":        {deadline, Config{PublishedSWIM: true}, oneProbe, declareFailure},
+	} {
+		assert.Equal(t, test.want, decideSuspicion(test.now, test.config, test.evidence), name)
+	}
 }
