--- a/internal/replication/reservation/core.go
+++ b/internal/replication/reservation/core.go
@@ -27,19 +27,11 @@
 }
 
 const (
-	resubmitSeconds      = 0.25  // until a second submission; an election takes 0.3 to 1.5 s
-	maxResubmitSeconds   = 1.0   // between two submissions, as the wait doubles
-	maxResubmitDoublings = 4     // of the wait between submissions
-	attemptSeconds       = 0.15  // that an attempt needs before its request's deadline
-	minRetryAfterSeconds = 0.5   // that a rejected client is asked to wait: an election
-	maxRetryAfterSeconds = 2.0   // the same, at most
-	maxAbandoned         = 4096  // abandoned reservations whose result may still come, 100 bytes each
-	maxRemembered        = 65536 // keys whose location is remembered, 120 bytes each
-	ownGrantSeconds      = 2.0   // for which an own grant allows a further attempt into the same group
-
-	// bootNumberBits is how far the boot count is shifted, so that the numbers of two runs of a
+	// attemptSeconds is what an attempt needs before its request's deadline.
+	attemptSeconds = 0.15
+	// startCountNumberBits is how far the start count is shifted, so that the numbers of two runs of a
 	// router differ.
-	bootNumberBits = 20
+	startCountNumberBits = 20
 	// rndStream separates the core's random numbers from others drawn from the same seed.
 	rndStream = 0xc1a1
 )
@@ -78,7 +70,7 @@
 		config:       config,
 		router:       router,
 		rnd:          rand.New(rand.NewPCG(seed, rndStream)),
-		lastNumber:   startCount << bootNumberBits,
+		lastNumber:   startCount << startCountNumberBits,
 		pending:      map[uint64]*pendingReservation{},
 		pendingByKey: map[string]*pendingReservation{},
 		abandoned:    map[uint64]keyGroup{},
@@ -110,6 +102,9 @@
 	return c.takeActions()
 }
 
+// leavesTime says whether an attempt that is sent now can be answered before its request's deadline.
+func leavesTime(now, deadline float64) bool { return now+attemptSeconds <= deadline }
+
 // RequestAttempt takes an attempt that the routing decisions want to send. It is allowed or denied
 // at once, or later.
 func (c *Core) RequestAttempt(now float64, attempt Attempt) []Action {
@@ -120,7 +115,7 @@
 		c.emit(AllowAttempt{attempt.RequestID, attempt.Index})
 	case !c.reachable:
 		c.rejectAttempt(attempt, ReasonUnreachable)
-	case now+attemptSeconds > attempt.Deadline:
+	case !leavesTime(now, attempt.Deadline):
 		c.rejectAttempt(attempt, ReasonTooLittleTime)
 	default:
 		c.reserve(now, attempt)
@@ -131,18 +126,19 @@
 // decideByLocation decides an attempt whose key's location is known, and says whether it did.
 func (c *Core) decideByLocation(now float64, attempt Attempt) bool {
 	known, ok := c.locations[attempt.Key]
-	if !ok || now >= known.expiresAt {
+	if !ok {
 		return false
 	}
-	if known.completed || known.group != attempt.Group {
-		c.deny(attempt.RequestID, attempt.Index)
-		c.emit(ReportLocation{attempt.RequestID, known.group, known.expiresAt, known.completed})
-		return true
-	}
-	if known.isOwn() && now < known.recordedAt+ownGrantSeconds {
+	switch decideKnownLocation(now, known, attempt.Group) {
+	case allowByLocation:
 		c.addUser(attempt.Key, known, attempt.RequestID)
 		c.emit(AllowAttempt{attempt.RequestID, attempt.Index})
 		return true
+	case denyByLocation:
+		c.deny(attempt.RequestID, attempt.Index)
+		c.emit(ReportLocation{attempt.RequestID, known.group, known.expiresAt, known.completed})
+		return true
+	case askShard:
 	}
 	return false
 }
@@ -181,7 +177,8 @@
 }
 
 // settleAbandoned settles a reservation that was granted after it was given up: no attempt was sent
-// on it, and none will be.
+// on it, and none will be. Without this the key would be held for its group until its window ends,
+// and a retry of the client at another group would be denied.
 func (c *Core) settleAbandoned(number uint64, result statemachine.Result) {
 	reserved, ok := c.abandoned[number]
 	if !ok || !result.Granted {
@@ -202,7 +199,7 @@
 	}
 	var late []waiter
 	for _, w := range p.waiters {
-		if now+attemptSeconds > w.deadline {
+		if !leavesTime(now, w.deadline) {
 			late = append(late, w)
 			continue
 		}
@@ -272,7 +269,7 @@
 func (c *Core) Tick(now float64) []Action {
 	for _, p := range c.pendingInOrder() {
 		switch {
-		case now+attemptSeconds > p.Deadline:
+		case !leavesTime(now, p.Deadline):
 			c.Expired++
 			c.abandon(p)
 			c.rejectWaiters(p.waiters, ReasonNoResult)
--- a/internal/replication/reservation/core_test.go
+++ b/internal/replication/reservation/core_test.go
@@ -249,3 +249,29 @@
 		}
 	})
 }
+
+// TestKnownLocationDecidesAttempt holds that only a recent own grant for the same group allows an attempt, and that a
+// completed key or another group denies it until the location expires.
+func TestKnownLocationDecidesAttempt(t *testing.T) {
+	own := location{group: "a", expiresAt: 10, number: 7, recordedAt: 0}
+	others := location{group: "a", expiresAt: 10}
+	completed := location{group: "a", expiresAt: 10, number: 7, completed: true}
+	for _, test := range []struct {
+		now   float64
+		known location
+		group string
+		want  locationDecision
+	}{
+		{1, own, "a", allowByLocation},
+		{ownGrantSeconds, own, "a", askShard},
+		{1, own, "b", denyByLocation},
+		{1, others, "a", askShard},
+		{1, others, "b", denyByLocation},
+		{1, completed, "a", denyByLocation},
+		{10, completed, "a", askShard},
+		{10, own, "b", askShard},
+	} {
+		got := decideKnownLocation(test.now, test.known, test.group)
+		assert.Equal(t, test.want, got, "%+v at %g s for group %s", test.known, test.now, test.group)
+	}
+}
--- a/internal/replication/reservation/location.go
+++ b/internal/replication/reservation/location.go
@@ -6,6 +6,38 @@
 	"cairnfront/internal/replication/statemachine"
 )
 
+const (
+	// maxRemembered is the number of keys whose location is remembered, 120 bytes each.
+	maxRemembered = 65536
+	// ownGrantSeconds is for how long an own grant allows a further attempt into the same group. It is
+	// short against a group's window, of which it uses up a part.
+	ownGrantSeconds = 2.0
+)
+
+// locationDecision is what the known location of a key means for an attempt.
+type locationDecision uint8
+
+const (
+	askShard        locationDecision = iota // nothing that counts is known
+	allowByLocation                         // an own grant for the attempt's group is recent
+	denyByLocation                          // the key completed, or is recorded in another group
+)
+
+// decideKnownLocation decides an attempt into a group by what is known of its key. The failure that
+// it guards against is a request that runs twice: two groups of endpoints do not drop each other's
+// repeats, and a completed request's retry may find that its group has forgotten the key.
+func decideKnownLocation(now float64, known location, group string) locationDecision {
+	switch {
+	case now >= known.expiresAt:
+		return askShard
+	case known.completed || known.group != group:
+		return denyByLocation
+	case known.isOwn() && now < known.recordedAt+ownGrantSeconds:
+		return allowByLocation
+	}
+	return askShard
+}
+
 // keyGroup is a key and the group that it was reserved for.
 type keyGroup struct{ key, group string }
 
--- a/internal/replication/reservation/pending.go
+++ b/internal/replication/reservation/pending.go
@@ -7,6 +7,17 @@
 	"cairnfront/internal/replication/statemachine"
 )
 
+const (
+	resubmitSeconds      = 0.25 // until a second submission; an election takes 0.3 to 1.5 s
+	maxResubmitSeconds   = 1.0  // between two submissions, as the wait doubles
+	maxResubmitDoublings = 4    // of the wait between submissions
+	resubmitJitterMin    = 0.75 // of the wait
+	resubmitJitterRange  = 0.5  // of the wait
+	minRetryAfterSeconds = 0.5  // that a rejected client is asked to wait: an election
+	maxRetryAfterSeconds = 2.0  // the same, at most
+	maxAbandoned         = 4096 // abandoned reservations whose result may still come, 100 bytes each
+)
+
 // pendingReservation is a submitted reservation without a result.
 type pendingReservation struct {
 	Attempt    // the attempt that it was made for
@@ -53,7 +64,7 @@
 		}
 	}
 	c.Shed++
-	if least == nil || least.PriorityWeight >= attempt.PriorityWeight {
+	if least == nil || !mayDisplace(attempt.PriorityWeight, least.PriorityWeight) {
 		c.rejectAttempt(attempt, ReasonTooManyPending)
 		return false
 	}
@@ -62,6 +73,10 @@
 	return true
 }
 
+// mayDisplace says whether an attempt takes the place of a pending reservation of the least weight.
+// Of equal weights the older one stays: it is nearer to its result.
+func mayDisplace(weight, leastPending float64) bool { return leastPending < weight }
+
 // comparePriority orders reservations by weight, and the younger before the older.
 func comparePriority(a, b *pendingReservation) int {
 	return cmp.Or(cmp.Compare(a.PriorityWeight, b.PriorityWeight), cmp.Compare(b.number, a.number))
@@ -80,10 +95,7 @@
 // submit proposes a reservation. A repeated submission is the same command, which the shard carries
 // out once.
 func (c *Core) submit(now float64, p *pendingReservation) {
-	doublings := min(p.retries, maxResubmitDoublings)
-	wait := min(resubmitSeconds*float64(int(1)<<doublings), maxResubmitSeconds)
-	// The wait is spread, so that reservations made at the same time are not submitted together again.
-	p.resubmitAt = now + wait*(0.75+0.5*c.rnd.Float64())
+	p.resubmitAt = now + resubmitWait(p.retries, c.rnd.Float64())
 	c.emit(SubmitCommand{
 		Number: p.number,
 		Retry:  p.retries,
@@ -99,6 +111,14 @@
 	p.retries++
 }
 
+// resubmitWait is the time until a reservation is submitted again, in seconds. random is from 0 to 1
+// and spreads the wait, so that reservations made at the same time are not submitted together again.
+func resubmitWait(retries int, random float64) float64 {
+	doublings := min(retries, maxResubmitDoublings)
+	wait := min(resubmitSeconds*float64(int(1)<<doublings), maxResubmitSeconds)
+	return wait * (resubmitJitterMin + resubmitJitterRange*random)
+}
+
 // settle records how the attempts on an own reservation ended.
 func (c *Core) settle(reserved keyGroup, number uint64, status statemachine.Status) {
 	c.emit(SubmitCommand{Command: statemachine.Command{
@@ -145,8 +165,13 @@
 }
 
 func (c *Core) reject(request RequestID, reason RejectReason) {
-	retryAfter := minRetryAfterSeconds + (maxRetryAfterSeconds-minRetryAfterSeconds)*c.rnd.Float64()
-	c.emit(RejectRequest{request, retryAfter, reason})
+	c.emit(RejectRequest{request, retryAfter(c.rnd.Float64()), reason})
+}
+
+// retryAfter is for how long a rejected client is asked to wait, in seconds. random is from 0 to 1, so
+// that clients that were rejected together do not come back together.
+func retryAfter(random float64) float64 {
+	return minRetryAfterSeconds + (maxRetryAfterSeconds-minRetryAfterSeconds)*random
 }
 
 func (c *Core) rejectAttempt(attempt Attempt, reason RejectReason) {
--- a/internal/replication/statemachine/reservation.go
+++ b/internal/replication/statemachine/reservation.go
@@ -44,7 +44,7 @@
 )
 
 const (
-	// ClockSkewSeconds is how far two routers' clocks may be apart. A reservation lives that much
+	// ClockSkewSeconds is how far two routers' clocks may be apart. A reservation lasts that much
 	// longer than it says, by the clock of whoever leads. Clocks are held to half of it, so that
 	// two of them may be off in either direction.
 	ClockSkewSeconds = 4.0
