--- a/internal/diskcache/cache_write.go
+++ b/internal/diskcache/cache_write.go
@@ -34,7 +34,7 @@
 // Admit offers a chunk that was fetched. If the eviction policy admits it, it is written in the background. epoch is
 // what Epoch returned when the source was asked: a copy requested before purges may have been missed is not stored.
 func (c *Cache) Admit(m Meta, body []byte, epoch uint16) (admitted bool) {
-	if c.Epoch() != epoch || int64(c.now()) < c.writesPausedUntil.Load() {
+	if c.Epoch() != epoch || c.writesPaused() {
 		return false
 	}
 	c.Delete(m.Key) // an older copy, if any
@@ -59,6 +59,10 @@
 	}
 }
 
+// writesPaused says that a write failed just now. While a disk is full or broken, each further write would fail after a
+// wait; chunks are not offered to it for retryPause.
+func (c *Cache) writesPaused() bool { return int64(c.now()) < c.writesPausedUntil.Load() }
+
 // Delete removes a chunk.
 func (c *Cache) Delete(key eviction.Key) {
 	c.store.Delete(key)
--- a/internal/diskcache/compaction.go
+++ b/internal/diskcache/compaction.go
@@ -37,11 +37,16 @@
 			id, lowest = u.ID, share
 		}
 	}
-	limit := sparseShare
-	if float64(used) > tightShare*float64(spaceBytes) {
-		limit = denseShare
+	return id, lowest < maxLiveShare(used, spaceBytes)
+}
+
+// maxLiveShare is the share of live bytes under which a segment is rewritten. It is higher while the space is tight:
+// without room for the next segment chunks could not be written at all.
+func maxLiveShare(usedBytes, spaceBytes int64) float64 {
+	if float64(usedBytes) > tightShare*float64(spaceBytes) {
+		return denseShare
 	}
-	return id, lowest < limit
+	return sparseShare
 }
 
 // SegmentUsage says how full each segment is.
--- a/internal/diskcache/eviction/cafe.go
+++ b/internal/diskcache/eviction/cafe.go
@@ -12,6 +12,7 @@
 	treeDegree        = 32   // children of a tree node: two cache lines of pointers are searched at once
 	maxComparedChunks = 64   // of an object, for the gap of an unseen one: bounds the work
 	minGap            = 1e-9 // seconds, avoids a division by zero
+	fillingDivisor    = 2    // of the capacity: while fewer bytes are cached, the disk counts as filling
 )
 
 // Config configures a Cafe policy.
@@ -84,12 +85,16 @@
 	if e, ok := c.cached.Min(); ok {
 		age = max(age, e.gap(now))
 	}
-	if !math.IsNaN(c.firstRequest) && c.bytes < c.config.CapacityBytes/2 {
+	if !math.IsNaN(c.firstRequest) && c.isFilling() {
 		age = max(age, now-c.firstRequest)
 	}
 	return age
 }
 
+// isFilling says that the disk is less than half full. The gap of its worst chunk then says nothing of how long a chunk
+// would stay.
+func (c *Cafe) isFilling() bool { return c.bytes < c.config.CapacityBytes/fillingDivisor }
+
 // Gap returns the mean gap between requests of a chunk in seconds (Eq. 8). For an unseen chunk it is the largest gap of
 // its object's cached chunks, infinite if there are none.
 func (c *Cafe) Gap(now float64, key Key) float64 {
@@ -148,15 +153,14 @@
 	if c.budget.available(now) < float64(size) {
 		return false, nil
 	}
-	cheapest := min(c.fillCost, c.redirectCost)
-	fill := float64(size) * c.fillCost * (1 + c.budget.surcharge())
-	redirect := float64(size) * (c.redirectCost + age/gap*cheapest)
+	fill := c.costOfFill(size)
+	redirect := c.costOfRedirect(size, age, gap)
 	needed := size - (c.config.CapacityBytes - c.bytes)
 	c.cached.Ascend(func(victim *entry) bool {
 		if needed <= 0 || fill >= redirect {
 			return false
 		}
-		fill += float64(min(victim.size, needed)) * age / max(victim.gap(now), minGap) * cheapest
+		fill += c.costOfEviction(min(victim.size, needed), age, victim.gap(now))
 		needed -= victim.size
 		displaced = append(displaced, victim)
 		return true
@@ -164,6 +168,22 @@
 	return needed <= 0 && fill < redirect, displaced
 }
 
+// costOfFill is the cost of writing a chunk of a size, without that of what it displaces (Eq. 6, first term). It is
+// higher while little is left of the write budget.
+func (c *Cafe) costOfFill(size int64) float64 {
+	return float64(size) * c.fillCost * (1 + c.budget.surcharge())
+}
+
+// costOfRedirect is the cost of passing on this request and those expected while the chunk would be cached (Eq. 7).
+func (c *Cafe) costOfRedirect(size int64, age, gap float64) float64 {
+	return float64(size) * (c.redirectCost + age/gap*min(c.fillCost, c.redirectCost))
+}
+
+// costOfEviction is the cost of the requests expected for so many bytes of an evicted chunk (Eq. 6, second term).
+func (c *Cafe) costOfEviction(size int64, age, gap float64) float64 {
+	return float64(size) * age / max(gap, minGap) * min(c.fillCost, c.redirectCost)
+}
+
 // recordAccess updates a chunk's gap and its place in the order.
 func (c *Cafe) recordAccess(e *entry, now float64) {
 	if e.cached {
--- a/internal/diskcache/eviction/xlru.go
+++ b/internal/diskcache/eviction/xlru.go
@@ -4,8 +4,8 @@
 
 const (
 	// viewPause is the pause in seconds after which a request for an object begins a new view. The paper's requests are
-	// complete ranges. Here a view requests chunk by chunk, and without the pause its second chunk would count as a second
-	// view.
+	// complete ranges. Here a view requests chunk by chunk, and without the pause its second chunk would count as a
+	// second view.
 	viewPause = 30.0
 	// minSweepPause is the least time in seconds between two sweeps of old views.
 	minSweepPause = 60.0
--- a/internal/diskcache/validity/tracker.go
+++ b/internal/diskcache/validity/tracker.go
@@ -38,13 +38,16 @@
 	}
 	t.pristine = lastSeq == 0 && t.number == 0
 	var out []Record
-	clockSetBack := now < t.clockHighWater-clockSlackMS
-	if lastSeq > 0 && clockSetBack { // the age of copies is not known
+	if lastSeq > 0 && clockWasSetBack(now, t.clockHighWater) {
 		out = append(out, t.suspect(lastSeq, now))
 	}
 	return append(out, t.trimPurges(now)...)
 }
 
+// clockWasSetBack says whether the clock shows an earlier time than it did before, both in Unix ms. Copies would look
+// younger than they are, and purges older than they are; so all copies on the disk have to be confirmed.
+func clockWasSetBack(now, clockHighWater int64) bool { return now < clockHighWater-clockSlackMS }
+
 func (t *Tracker) restoreRecord(r Record) {
 	switch r.Kind {
 	case PurgeObject:
@@ -186,7 +189,7 @@
 func (t *Tracker) PrunePurges(oldest int64) { t.purges.prune(oldest) }
 
 // UpToDate reports whether no purge can have been missed: the stream was caught up with and is not silent. Otherwise
-// every copy is unconfirmed.
+// every copy is unconfirmed. A connection that hangs looks like one without news; the missing heartbeats show it.
 func (t *Tracker) UpToDate(now int64) bool { return t.caughtUp && now-t.lastEventAt <= maxSilenceMS }
 
 // Evaluate says how a copy may be used now.
@@ -194,17 +197,24 @@
 	if t.IsInvalidated(c) {
 		return Invalidated
 	}
-	suspect := c.Seq == 0 || c.Seq <= t.suspectUpTo
-	switch {
-	case !t.UpToDate(now),
-		c.IssuedAt <= t.purges.floor,
-		c.IssuedAt > now+clockSlackMS, // dated in the future
-		suspect && c.ConfirmedEpoch != t.epoch:
+	if !t.UpToDate(now) || t.mayHaveMissedPurge(c) || isFromFuture(now, c) {
 		return Unconfirmed
 	}
 	return Valid
 }
 
+// mayHaveMissedPurge says whether a copy may be older than a purge that is not known: one that was forgotten, or one of
+// a gap in the event stream. A copy in memory or from before a gap counts again once its source has confirmed it in the
+// present epoch.
+func (t *Tracker) mayHaveMissedPurge(c Copy) bool {
+	beforeGap := c.Seq == 0 || c.Seq <= t.suspectUpTo
+	return c.IssuedAt <= t.purges.floor || beforeGap && c.ConfirmedEpoch != t.epoch
+}
+
+// isFromFuture says whether a copy's issue time is later than the clock, in Unix ms. Such a copy would seem to be newer
+// than every purge.
+func isFromFuture(now int64, c Copy) bool { return c.IssuedAt > now+clockSlackMS }
+
 // IsInvalidated reports whether a known purge invalidates a copy.
 func (t *Tracker) IsInvalidated(c Copy) bool { return t.purges.covers(c) }
 
