--- a/internal/edgecache/handler/fill.go
+++ b/internal/edgecache/handler/fill.go
@@ -40,21 +40,23 @@
 	Body        []byte
 }
 
-// fetch joins a suitable fill or starts one. base is the copy to be confirmed, nil for none.
+// fetch joins a suitable fill, starts one, or fails the request. base is the copy to be confirmed, nil for none.
 func (h *Handler) fetch(r Request, base *Copy, refills int) {
-	if f := h.fillByKey[r.Key]; f != nil && h.mayJoin(f, r) {
+	f := h.fillByKey[r.Key]
+	switch {
+	case f != nil && h.mayJoin(f, r):
 		f.waiting = append(f.waiting, r)
 		h.fillByRequest[r.ID] = f
-		return
-	}
-	if r.Source == "" {
+	case r.Source == "":
 		h.fail(r, routing.CacheMiss)
-		return
-	}
-	if len(h.fills) >= h.limits.MaxFills {
+	case h.fillsExhausted():
 		h.fail(r, routing.Overloaded)
-		return
+	default:
+		h.startFill(r, base, refills)
 	}
+}
+
+func (h *Handler) startFill(r Request, base *Copy, refills int) {
 	h.lastFill++
 	f := &fill{
 		id:          h.lastFill,
@@ -74,12 +76,18 @@
 		f.waiting = []Request{r}
 		h.fillByRequest[r.ID] = f
 	}
-	if !f.passThrough && (r.JoinFill || r.ID == 0) {
+	if mayBeJoined(f) {
 		h.fillByKey[r.Key] = f
 	}
 	h.do(h.fetchAction(f))
 }
 
+// mayBeJoined says whether later requests may wait for a fill: it brings a copy, and its own request, if there is one,
+// allowed that too.
+func mayBeJoined(f *fill) bool {
+	return !f.passThrough && (f.first.JoinFill || f.first.ID == 0)
+}
+
 // mayJoin reports whether a request may wait for a fill: its result has to be young enough and still to come.
 func (h *Handler) mayJoin(f *fill, r Request) bool {
 	return r.Class.Cacheable && r.JoinFill && r.ID != 0 && f.first.maxAge() <= r.maxAge() && f.deadline > h.now
@@ -92,7 +100,7 @@
 		Key:            r.Key,
 		Class:          r.Class.Name,
 		Source:         r.Source,
-		TimeoutSeconds: max(f.deadline-h.now-returnSeconds, returnSeconds),
+		TimeoutSeconds: sourceTimeout(f.deadline - h.now),
 		CacheOnly:      r.CacheOnly,
 		NoStore:        r.NoStore,
 	}
@@ -114,6 +122,9 @@
 	return action
 }
 
+// sourceTimeout is the time that a source has to respond, in seconds, of what is left until the fill's deadline.
+func sourceTimeout(remaining float64) float64 { return max(remaining-returnSeconds, returnSeconds) }
+
 func (h *Handler) removeFill(f *fill) {
 	delete(h.fills, f.id)
 	if h.fillByKey[f.key] == f {
@@ -175,7 +186,9 @@
 // handleFilled takes a chunk that a source delivered or confirmed.
 func (h *Handler) handleFilled(f *fill, result FetchResult) {
 	c := f.copyOf(result)
-	if h.env.Evaluate(c.validityCopy()) == validity.Invalidated { // a purge overtook the fetch
+	// A purge that arrived while the source answered may be newer than the copy. Such a copy must not be stored: the
+	// purge has passed and would not remove it.
+	if h.env.Evaluate(c.validityCopy()) == validity.Invalidated {
 		h.memory.remove(f.key)
 		h.do(DeleteFromDisk{f.key})
 		for _, r := range f.waiting {
@@ -255,9 +268,15 @@
 
 // refillOrFail fetches once more for a request, or fails it with a code.
 func (h *Handler) refillOrFail(f *fill, r Request, code routing.AttemptResult) {
-	if f.refills < maxRefills && r.Deadline > h.now {
+	if mayRefill(f.refills, r.Deadline, h.now) {
 		h.fetch(r, nil, f.refills+1)
 		return
 	}
 	h.fail(r, code)
 }
+
+// mayRefill says whether a request fetches once more because what was fetched is purged or too old. Where purges follow
+// each other faster than a fetch takes, it would else fetch until its deadline.
+func mayRefill(refills int, deadline, now float64) bool {
+	return refills < maxRefills && deadline > now
+}
--- a/internal/edgecache/handler/handler.go
+++ b/internal/edgecache/handler/handler.go
@@ -117,37 +117,64 @@
 // ageOf is the age of a copy in seconds.
 func (h *Handler) ageOf(c *Copy) float64 { return h.now - float64(c.IssuedAt)/1000 }
 
-// evaluate decides whether a copy satisfies a request. fromMemory says that it was in memory already.
+// copyUse is what is done with a copy that was found for a request.
+type copyUse uint8
+
+const (
+	serveFresh  copyUse = iota // complete the request with it
+	serveStale                 // the same, and renew it if the request asks for that
+	confirmCopy                // ask the source whether it is current
+	discardCopy                // a purge invalidates it: delete it and fetch another one
+)
+
+// decideCopyUse decides on a copy by its verdict and its age in seconds. maxAge and freshSeconds are of the request and
+// its class; a class with freshSeconds 0 is always fresh. An unconfirmed copy may be older than a purge that was missed
+// while the discovery service was silent: only its source can say.
+func decideCopyUse(verdict validity.Verdict, age, maxAge, freshSeconds float64) copyUse {
+	switch {
+	case verdict == validity.Invalidated:
+		return discardCopy
+	case verdict == validity.Unconfirmed || age > maxAge:
+		return confirmCopy
+	case freshSeconds > 0 && age > freshSeconds:
+		return serveStale
+	}
+	return serveFresh
+}
+
+// evaluate uses a copy for a request. fromMemory says that it was in memory already.
 func (h *Handler) evaluate(r Request, c *Copy, fromMemory bool) {
-	switch h.env.Evaluate(c.validityCopy()) {
-	case validity.Invalidated:
+	verdict := h.env.Evaluate(c.validityCopy())
+	switch decideCopyUse(verdict, h.ageOf(c), r.maxAge(), r.Class.FreshSeconds) {
+	case discardCopy:
 		h.memory.remove(c.Key)
 		h.do(DeleteFromDisk{c.Key})
 		h.fetch(r, nil, 0)
-		return
-	case validity.Unconfirmed:
-		h.fetch(r, c, 0) // only its source can confirm it
-		return
-	}
-	age := h.ageOf(c)
-	if age > r.maxAge() {
+	case confirmCopy:
 		h.fetch(r, c, 0)
-		return
-	}
-	stale := r.Class.FreshSeconds > 0 && age > r.Class.FreshSeconds
-	if !stale {
+	case serveFresh:
 		h.serve(r, c, routing.CacheHit, fromMemory)
-		return
-	}
-	h.serve(r, c, routing.StaleHit, fromMemory)
-	if r.Revalidate && r.Source != "" && h.fillByKey[r.Key] == nil && len(h.fills) < h.limits.MaxFills {
-		renewal := r
-		renewal.ID = 0
-		renewal.Deadline = h.now + h.limits.FillTimeoutSeconds
-		h.fetch(renewal, c, 0)
+	case serveStale:
+		h.serve(r, c, routing.StaleHit, fromMemory)
+		if h.mayRenew(r) {
+			renewal := r
+			renewal.ID = 0
+			renewal.Deadline = h.now + h.limits.FillTimeoutSeconds
+			h.fetch(renewal, c, 0)
+		}
 	}
 }
 
+// mayRenew says whether a stale copy is renewed beside the response. A renewal waits for nobody, so it takes no place
+// that a request could need, and there is at most one for a chunk.
+func (h *Handler) mayRenew(r Request) bool {
+	return r.Revalidate && r.Source != "" && h.fillByKey[r.Key] == nil && !h.fillsExhausted()
+}
+
+// fillsExhausted says that as many fetches are under way as may be. Without this bound a source that hangs would have
+// every request of the edge cache wait for it.
+func (h *Handler) fillsExhausted() bool { return len(h.fills) >= h.limits.MaxFills }
+
 // serve completes a request with a copy. touchDisk says that the disk's eviction policy is to count the request.
 func (h *Handler) serve(r Request, c *Copy, detail routing.ResultDetail, touchDisk bool) {
 	h.memory.touch(c.Key)
--- a/internal/edgecache/handler/handler_test.go
+++ b/internal/edgecache/handler/handler_test.go
@@ -287,3 +287,27 @@
 	assert.Nil(t, d.memory.entries[eviction.Key{Object: 3}], "the least recently used one")
 	assert.NotNil(t, d.memory.entries[eviction.Key{Object: 1}])
 }
+
+// TestCopyUseByVerdictAndAge holds that a purge counts first, then an unconfirmed copy or one that is too old, then
+// freshness.
+func TestCopyUseByVerdictAndAge(t *testing.T) {
+	const maxAge, fresh = 20.0, 10.0
+	for _, test := range []struct {
+		verdict validity.Verdict
+		age     float64
+		fresh   float64
+		want    copyUse
+	}{
+		{validity.Valid, 10, fresh, serveFresh},
+		{validity.Valid, 10.1, fresh, serveStale},
+		{validity.Valid, 20, 0, serveFresh},
+		{validity.Valid, 20.1, fresh, confirmCopy},
+		{validity.Valid, 20.1, 0, confirmCopy},
+		{validity.Unconfirmed, 1, fresh, confirmCopy},
+		{validity.Invalidated, 1, fresh, discardCopy},
+		{validity.Invalidated, 30, fresh, discardCopy},
+	} {
+		got := decideCopyUse(test.verdict, test.age, maxAge, test.fresh)
+		assert.Equal(t, test.want, got, "%s at the age of %g s, fresh for %g s", test.verdict, test.age, test.fresh)
+	}
+}
--- a/internal/edgecache/server_test.go
+++ b/internal/edgecache/server_test.go
@@ -82,9 +82,9 @@
 
 func start(t *testing.T, b *discoveryStub, change func(*Server)) *testServer {
 	t.Helper()
-	const operators = "box: {rules: [{name: video}, {name: page, fresh_s: 10, stale_s: 10}, " +
+	const configuration = "box: {rules: [{name: video}, {name: page, fresh_s: 10, stale_s: 10}, " +
 		"{name: order, kept: false, effect: keyed}]}"
-	rules, err := config.Parse("test", []byte(operators))
+	rules, err := config.Parse("test", []byte(configuration))
 	require.NoError(t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
