--- a/internal/diskcache/format.go
+++ b/internal/diskcache/format.go
@@ -9,8 +9,8 @@
 	"cairnfront/internal/diskcache/eviction"
 )
 
-// The format on the disk; docs/disk-cache-format.md names every byte. All numbers are little-endian. Names and magic numbers
-// are part of it: a "disk tier" is the disk cache, "PART" a chunk, "notices.log" the purge log.
+// The format on the disk; docs/disk-cache-format.md names every byte. All numbers are little-endian. Names and magic
+// numbers are part of it: a "disk tier" is the disk cache, "PART" a chunk, "notices.log" the purge log.
 const (
 	formatVersion = 1
 	formatText    = "cairnfront disk tier %d\n"
