--- a/internal/diskcache/store.go
+++ b/internal/diskcache/store.go
@@ -2,8 +2,8 @@
 //
 // [Store] is a log-structured store: append-only segments, an index in memory, an index snapshot and a purge log.
 // [Cache] puts it into the path of requests: bounded queues, the eviction policy and the validity of copies. The
-// package owns the folder on the disk, which docs/disk-cache-format.md describes byte by byte. It does not fetch, serve or
-// interpret chunks.
+// package owns the folder on the disk, which docs/disk-cache-format.md describes byte by byte. It does not fetch,
+// serve or interpret chunks.
 //
 // Durability: a chunk survives a power loss once the Sync after its Put has returned. Before that all of it survives or
 // nothing; half a chunk is never served. Purge records survive once AppendPurgeRecords has returned. A deleted chunk
--- a/internal/edgecache/request.go
+++ b/internal/edgecache/request.go
@@ -25,13 +25,15 @@
 // handleRequest admits a request and models its work.
 func (s *Server) handleRequest(now float64, r *openRequest) {
 	conn := r.conn
-	if conn.gone || conn.requests[r.command.ID] != nil || len(conn.requests) >= s.Config.StreamsPerConnection {
+	if conn.gone {
 		r.body.Free()
-		if !conn.gone {
-			s.Telemetry.Inc(telemetry.CacheRequestsRejected)
-			reply := cacheproto.AttemptReply{Result: routing.Overloaded}
-			conn.send(outgoing{head: cacheproto.AppendAttemptReply(nil, r.command.ID, reply)})
-		}
+		return
+	}
+	if !conn.mayOpen(r.command.ID, s.Config.StreamsPerConnection) {
+		r.body.Free()
+		s.Telemetry.Inc(telemetry.CacheRequestsRejected)
+		reply := cacheproto.AttemptReply{Result: routing.Overloaded}
+		conn.send(outgoing{head: cacheproto.AppendAttemptReply(nil, r.command.ID, reply)})
 		return
 	}
 	if s.OnRequest != nil {
@@ -59,6 +61,12 @@
 	s.handleAt(doneAt, workDone{r})
 }
 
+// mayOpen says whether a connection may open a request. The responses to two of one id could not be distinguished,
+// and without the bound one client could hold all memory of the cache.
+func (c *clientConn) mayOpen(id string, maxOpen int) bool {
+	return c.requests[id] == nil && len(c.requests) < maxOpen
+}
+
 // isOpen reports whether a request has neither been answered nor cancelled.
 func (s *Server) isOpen(r *openRequest) bool { return s.requests[r.number] == r }
 
--- a/internal/replication/placement/rebalancer.go
+++ b/internal/replication/placement/rebalancer.go
@@ -11,7 +11,7 @@
 	// leaves the network to reservations.
 	maxConcurrentChanges = 4
 	// changeIntervalSeconds is the time between two proposals for a shard. Whether a learner has
-	// caught up is looked at this often.
+	// caught up is checked this often.
 	changeIntervalSeconds = 0.5
 )
 
@@ -103,7 +103,7 @@
 		v.byID[status.ID] = status
 	}
 	for _, status := range statuses {
-		if !status.Up && now-status.LastSeen >= r.replaceAfterSeconds {
+		if isLost(now, status, r.replaceAfterSeconds) {
 			continue
 		}
 		known, found := v.current[status.Node]
@@ -117,6 +117,12 @@
 	return v
 }
 
+// isLost says that a replica was away for so long that others take its place. Replacing it sooner would copy all its
+// shards at each restart of a router.
+func isLost(now float64, status ReplicaStatus, replaceAfterSeconds float64) bool {
+	return !status.Up && now-status.LastSeen >= replaceAfterSeconds
+}
+
 // isUp says that a replica is up and counts for its node.
 func (v *view) isUp(id uint64) bool {
 	status := v.byID[id]
@@ -143,7 +149,7 @@
 }
 
 // nextChange is the next change of one shard's members, if there is one. A replica is added before
-// another is removed.
+// another is removed, so that the shard bears as many losses meanwhile as before.
 func nextChange(shard LedShard, preferred []uint64, v *view) (ConfChange, bool) {
 	if len(shard.Learners) > 0 { // the first is made a voter or removed before anything else changes
 		learner := shard.Learners[0]
--- a/internal/replication/requests.go
+++ b/internal/replication/requests.go
@@ -149,7 +149,7 @@
 	}
 	request.attempts++
 	to := n.leaderHints[number]
-	if to == 0 || !n.statuses[to].Up || request.attempts > maxHintedAttempts {
+	if !mayFollowHint(to != 0 && n.statuses[to].Up, request.attempts) {
 		candidates := n.reachableVoters(number)
 		if len(candidates) == 0 {
 			return // sent again once a replica is up
@@ -159,6 +159,12 @@
 	n.config.Transport.Send(n.statuses[to].Node, request.frame)
 }
 
+// mayFollowHint says whether a request is sent to the replica that is said to lead. Two replicas that each take the
+// other for the leader would hand a request to and fro until its deadline.
+func mayFollowHint(hintedIsUp bool, attempts int) bool {
+	return hintedIsUp && attempts <= maxHintedAttempts
+}
+
 // reachableVoters are the voters of a shard that are up, without this router's replica.
 func (n *Node) reachableVoters(number int) []uint64 {
 	voters := n.shardVoters[number]
--- a/internal/replication/shard/proposal.go
+++ b/internal/replication/shard/proposal.go
@@ -113,16 +113,21 @@
 		change = &pb.ConfChangeSingle{Type: kind.Enum(), NodeId: proto.Uint64(add)}
 	}
 	if err := r.node.ProposeConfChange(&pb.ConfChangeV2{Changes: []*pb.ConfChangeSingle{change}}); err != nil {
-		return fmt.Errorf("shard %d: propose change of members: %w", r.shard, err)
+		return fmt.Errorf("shard %d: propose configuration change: %w", r.shard, err)
 	}
 	r.pendingConfChanges++
 	return nil
 }
 
-// hasCaughtUp says whether a learner has nearly all that the leader has.
 func (r *Replica) hasCaughtUp(id uint64) bool {
 	progress, ok := r.node.Status().Progress[id]
-	return ok && progress.Match+maxLearnerLag >= r.applied && progress.Match > 0
+	return ok && learnerHasCaughtUp(progress.Match, r.applied)
+}
+
+// learnerHasCaughtUp says whether a learner has nearly all that the leader has applied. With a vote before that, the
+// shard could need it for a majority and wait until it has the rest.
+func learnerHasCaughtUp(match, applied uint64) bool {
+	return match > 0 && match+maxLearnerLag >= applied
 }
 
 // Lag is how many entries each member lacks as the leader knows it; empty where this replica does
--- a/internal/replication/shard/ready.go
+++ b/internal/replication/shard/ready.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Ready is what has to be on disk before its messages are sent and its responses are believed.
+// Ready is what has to be on disk before its messages are sent and its responses are given out.
 type Ready struct {
 	Shard     int
 	HardState *pb.HardState
@@ -120,7 +120,7 @@
 func (r *Replica) applyConfChange(entry *pb.Entry) error {
 	var change pb.ConfChangeV2
 	if err := proto.Unmarshal(entry.GetData(), &change); err != nil {
-		return fmt.Errorf("shard %d: decode change of members: %w", r.shard, err)
+		return fmt.Errorf("shard %d: decode configuration change: %w", r.shard, err)
 	}
 	r.members = r.node.ApplyConfChange(&change)
 	r.pendingConfChanges = max(r.pendingConfChanges-1, 0)
@@ -135,11 +135,16 @@
 	return nil
 }
 
-// Compact makes a snapshot once enough entries came since the last one, and drops the entries
-// before it from memory. It returns nil where none is due. The snapshot has to be on disk before
-// the entries there are dropped.
+// snapshotIsDue says whether enough entries came since the last snapshot. Without one the log would grow without a
+// bound, and a restart would replay all of it.
+func snapshotIsDue(applied, lastSnapshot uint64) bool {
+	return applied >= lastSnapshot+snapshotInterval
+}
+
+// Compact makes a snapshot if one is due, and drops the entries before it from memory, else it returns nil. The
+// snapshot has to be on disk before the entries there are dropped.
 func (r *Replica) Compact() (*pb.Snapshot, error) {
-	if r.applied < r.snapshotIndex+snapshotInterval {
+	if !snapshotIsDue(r.applied, r.snapshotIndex) {
 		return nil, nil
 	}
 	data, err := r.state.Snapshot()
@@ -151,9 +156,9 @@
 		return nil, fmt.Errorf("shard %d: create snapshot: %w", r.shard, err)
 	}
 	r.snapshotIndex = r.applied
-	firstKept := r.applied - min(r.applied, keptEntriesAfterSnapshot)
-	if firstKept > 1 {
-		if err := r.storage.Compact(firstKept); err != nil && !errors.Is(err, raft.ErrCompacted) {
+	firstIndex := r.applied - min(r.applied, trailingEntries)
+	if firstIndex > 1 {
+		if err := r.storage.Compact(firstIndex); err != nil && !errors.Is(err, raft.ErrCompacted) {
 			return nil, fmt.Errorf("shard %d: compact log: %w", r.shard, err)
 		}
 	}
--- a/internal/replication/shard/replica.go
+++ b/internal/replication/shard/replica.go
@@ -32,19 +32,19 @@
 	// electionTicks of silence lead to an election. Raft draws one to two times as many, 0.5 to 1 s.
 	electionTicks = 10
 
-	heartbeatTicks           = 2       // between a leader's heartbeats
-	maxInflightMessages      = 64      // under way to a replica
-	maxMessageBytes          = 1 << 18 // of entries in a message
-	maxUncommittedBytes      = 4 << 20 // of entries; beyond it a proposal is refused with ErrBusy
-	snapshotInterval         = 4096    // entries between two snapshots
-	keptEntriesAfterSnapshot = 512     // so that a replica that lags a little needs no snapshot
-	maxLearnerLag            = 128     // entries that a learner may lack when it gets its vote
+	heartbeatTicks      = 2       // between a leader's heartbeats
+	maxInflightMessages = 64      // under way to a replica
+	maxMessageBytes     = 1 << 18 // of entries in a message
+	maxUncommittedBytes = 4 << 20 // of entries; beyond it a proposal is refused with ErrBusy
+	snapshotInterval    = 4096    // entries between two snapshots
+	trailingEntries     = 512     // that stay in memory after a snapshot: a replica that lags a little needs none
+	maxLearnerLag       = 128     // entries that a learner may lack when it gets its vote
 )
 
 // Errors of proposals and reads. After either nothing was written.
 var (
 	ErrNotLeader = errors.New("another replica leads the shard")
-	ErrBusy      = errors.New("too much of the shard is uncommitted")
+	ErrBusy      = errors.New("shard is busy")
 )
 
 // PersistentState is what of a replica is on disk: where it was when it ended.
