--- a/internal/diskcache/cache_test.go
+++ b/internal/diskcache/cache_test.go
@@ -81,7 +81,7 @@
 
 	x, _, _ = running(t, fs, testConfig)
 	x.Apply(validity.Event{Number: 2, Purge: true, Object: 1, PurgedAt: 150})
-	x.Apply(validity.Event{Number: 3, Purge: true, WholeGroup: true, Group: 2, PurgedAt: 150})
+	x.Apply(validity.Event{Number: 3, Purge: true, ByGroup: true, Group: 2, PurgedAt: 150})
 	_, _, err = x.Get(k(1, 0))
 	assert.ErrorIs(t, err, ErrInvalidated)
 	_, _, err = x.Get(k(2, 0))
--- a/internal/diskcache/eviction/cafe_test.go
+++ b/internal/diskcache/eviction/cafe_test.go
@@ -74,7 +74,7 @@
 	assert.LessOrEqual(t, c.Ghosts(), 100, "ghosts are bounded")
 }
 
-func TestWriteBudgetIsKept(t *testing.T) {
+func TestWriteBudgetLimitsWrites(t *testing.T) {
 	daily := int64(24 * 1000) // a burst of 1000 bytes
 	c := NewCafe(Config{Alpha: 1, CapacityBytes: 1e6, MaxGhosts: 1000, DailyWriteBytes: daily})
 	wrote := int64(0)
--- a/internal/diskcache/validity/golden_test.go
+++ b/internal/diskcache/validity/golden_test.go
@@ -51,7 +51,7 @@
 	apply := func(event Event) {
 		records, again := tracker.Apply(now, top, event)
 		fmt.Fprintf(&out, "event %d beat=%v purge=%v all=%v -> again=%v\n",
-			event.Number, event.Heartbeat, event.Purge, event.WholeGroup, again)
+			event.Number, event.Heartbeat, event.Purge, event.ByGroup, again)
 		write(records)
 		if again {
 			tracker.StreamOpened()
@@ -63,13 +63,13 @@
 		case choice < 6:
 			number++
 			apply(Event{
-				Number:     number,
-				Checksum:   uint32(number) * 7,
-				Purge:      true,
-				WholeGroup: rnd.IntN(5) == 0,
-				Object:     uint64(rnd.IntN(60)),
-				Group:      uint16(rnd.IntN(6)),
-				PurgedAt:   now - int64(rnd.IntN(3000)),
+				Number:   number,
+				Checksum: uint32(number) * 7,
+				Purge:    true,
+				ByGroup:  rnd.IntN(5) == 0,
+				Object:   uint64(rnd.IntN(60)),
+				Group:    uint16(rnd.IntN(6)),
+				PurgedAt: now - int64(rnd.IntN(3000)),
 			})
 		case choice < 8:
 			number++
--- a/internal/diskcache/validity/tracker.go
+++ b/internal/diskcache/validity/tracker.go
@@ -140,7 +140,7 @@
 		return r
 	}
 	r.Object, r.Group, r.PurgedAt = event.Object, event.Group, event.PurgedAt
-	if event.WholeGroup {
+	if event.ByGroup {
 		r.Kind = PurgeGroup
 		t.purges.addGroup(event.Group, event.PurgedAt)
 	} else {
--- a/internal/diskcache/validity/tracker_test.go
+++ b/internal/diskcache/validity/tracker_test.go
@@ -38,7 +38,7 @@
 	assert.Equal(t, Invalidated, c.Evaluate(startMS, olderCopy), "the same millisecond")
 	assert.Equal(t, Valid, c.Evaluate(startMS, Copy{Object: 1, Group: 3, IssuedAt: startMS - 4999, Seq: 4}))
 	assert.Equal(t, Valid, c.Evaluate(startMS, Copy{Object: 2, Group: 3, IssuedAt: startMS - 9000, Seq: 4}))
-	c.Apply(startMS, 10, Event{Number: 9, Purge: true, WholeGroup: true, Group: 3, PurgedAt: startMS - 4000})
+	c.Apply(startMS, 10, Event{Number: 9, Purge: true, ByGroup: true, Group: 3, PurgedAt: startMS - 4000})
 	assert.Equal(t, Invalidated, c.Evaluate(startMS, Copy{Object: 2, Group: 3, IssuedAt: startMS - 4500, Seq: 4}))
 	assert.Equal(
 		t,
--- a/internal/diskcache/validity/validity.go
+++ b/internal/diskcache/validity/validity.go
@@ -37,14 +37,14 @@
 
 // Event is one event of the discovery service's stream.
 type Event struct {
-	Number     uint64
-	Checksum   uint32 // of the event as received
-	Heartbeat  bool   // nothing new; the receiver has caught up
-	Purge      bool
-	WholeGroup bool // a purge of Group instead of Object
-	Object     uint64
-	Group      uint16
-	PurgedAt   int64 // Unix ms
+	Number    uint64
+	Checksum  uint32 // of the event as received
+	Heartbeat bool   // nothing new; the receiver has caught up
+	Purge     bool
+	ByGroup   bool // a purge of Group instead of Object
+	Object    uint64
+	Group     uint16
+	PurgedAt  int64 // Unix ms
 }
 
 // Status describes a tracker for operators.
--- a/internal/diskcache/vfs/vfs_test.go
+++ b/internal/diskcache/vfs/vfs_test.go
@@ -79,7 +79,7 @@
 	assert.True(t, lost, "an unsynced write can be lost")
 }
 
-func TestFaultsAreTold(t *testing.T) {
+func TestFaultsAreReturned(t *testing.T) {
 	fs := NewFaultFS(1)
 	file := writeFile(t, fs, "file", "0123456789")
 	fs.CapacityBytes = 12
--- a/internal/edgecache/discovery.go
+++ b/internal/edgecache/discovery.go
@@ -66,15 +66,15 @@
 
 func validityEvent(ev discovery.Event) validity.Event {
 	event := validity.Event{
-		Number:     ev.Revision,
-		Checksum:   ev.Checksum,
-		Heartbeat:  ev.Kind == discovery.Heartbeat,
-		Purge:      ev.IsPurge(),
-		WholeGroup: ev.Kind == discovery.PurgeGroup,
-		Group:      uint16(ev.Purge.Group),
-		PurgedAt:   int64(ev.Purge.PurgedAt*msPerSecond + 0.5),
+		Number:    ev.Revision,
+		Checksum:  ev.Checksum,
+		Heartbeat: ev.Kind == discovery.Heartbeat,
+		Purge:     ev.IsPurge(),
+		ByGroup:   ev.Kind == discovery.PurgeGroup,
+		Group:     uint16(ev.Purge.Group),
+		PurgedAt:  int64(ev.Purge.PurgedAt*msPerSecond + 0.5),
 	}
-	if event.Purge && !event.WholeGroup {
+	if event.Purge && !event.ByGroup {
 		event.Object, _ = strconv.ParseUint(ev.Purge.Object, 16, 64)
 	}
 	return event
--- a/internal/edgecache/handler/handler_test.go
+++ b/internal/edgecache/handler/handler_test.go
@@ -176,7 +176,7 @@
 	assert.Empty(t, d.memory.entries)
 }
 
-func TestMaxAgeIsKept(t *testing.T) {
+func TestMaxAgeLimitsCopies(t *testing.T) {
 	for _, c := range []struct {
 		rule          Class
 		age, most     float64
