--- a/internal/diskcache/cache.go
+++ b/internal/diskcache/cache.go
@@ -128,9 +128,9 @@
 }
 
 func (c *Cache) reportFault(fault StoreError) {
-	c.counter.Inc(telemetry.DiskFaults.With(string(fault.Code)))
+	c.counter.Inc(telemetry.DiskFaults.With(fault.Code))
 	c.log.Warn("disk cache fault",
-		"reason", string(fault.Code),
+		"reason", fault.Code.String(),
 		"file", fault.File,
 		"offset", fault.Offset,
 		"error", fault.Err.Error())
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -9,6 +9,19 @@
 	"cairnfront/routing"
 )
 
+// attemptState is the state of an attempt. It changes in the order of the constants and may skip attemptCancelled:
+//
+//	attemptOpen       -> attemptCancelled   cancelAttempt: the decisions gave it up, or its deadline passed
+//	attemptOpen       -> attemptEnded       finishAttempt: its connection reported its end, or it could not be sent
+//	attemptCancelled  -> attemptEnded       finishAttempt: its connection reported its end, or will not report one
+type attemptState uint8
+
+const (
+	attemptOpen attemptState = iota
+	attemptCancelled
+	attemptEnded
+)
+
 // attempt is one try of a request at an endpoint.
 type attempt struct {
 	request    *openRequest
@@ -18,8 +31,7 @@
 	sent       *upstream.Attempt    // nil if it could not be sent, and once it has ended
 	connection *upstream.Connection // nil if it could not be sent
 
-	ended         bool
-	cancelled     bool
+	state         attemptState
 	stallReported bool // the decisions know that its connection is silent
 }
 
@@ -34,19 +46,6 @@
 	ElapsedSeconds float64
 }
 
-// resultNames are the results of attempts in the names of counters.
-var resultNames = map[routing.AttemptResult]string{
-	routing.Completed:        "completed",
-	routing.ServerError:      "errored",
-	routing.Overloaded:       "busy",
-	routing.TimedOut:         "timed-out",
-	routing.ConnectFailed:    "no-connect",
-	routing.ConnectionBroken: "broken",
-	routing.Cancelled:        "cancelled",
-	routing.NotSent:          "moot",
-	routing.CacheMiss:        "miss",
-}
-
 // startAttempt sends a request to an endpoint. An attempt that can't be sent ends as NotSent after the event in hand.
 func (d *Dispatcher) startAttempt(o *openRequest, action routing.StartAttempt) {
 	a := &attempt{
@@ -70,7 +69,7 @@
 	case o.request.Cancelled(): // its cancellation is not handled yet
 		d.runNext(requestDisconnected{o})
 	case !o.ended && deadline > d.now:
-		d.Metrics.Inc(telemetry.AttemptsSent.With(o.request.ClassName))
+		d.Metrics.Inc(telemetry.AttemptsSent.With(telemetry.Class(o.request.ClassName)))
 		a.sent = d.Pool.Send(cacheproto.Attempt{
 			Request:      o.request,
 			FillSource:   d.fillSource(action),
@@ -102,16 +101,17 @@
 
 // finishAttempt handles the end of an attempt, once. The first one that completed answers the request.
 func (d *Dispatcher) finishAttempt(a *attempt, end request.AttemptEnd) {
-	if a.ended {
+	if a.state == attemptEnded {
 		end.Body.Free()
 		return
 	}
 	o := a.request
-	a.ended = true
+	a.state = attemptEnded
 	a.sent = nil // it holds the body, and a timer still holds the attempt
 	o.running--
 	elapsed := d.now - a.startedAt
-	d.Metrics.Inc(telemetry.AttemptsEnded.With(o.request.ClassName, resultNames[end.Result]))
+	class := telemetry.Class(o.request.ClassName)
+	d.Metrics.Inc(telemetry.AttemptsEnded.With(class, request.ResultLabel(end.Result)))
 	if end.Result == routing.Completed {
 		d.respond(o, request.Response{
 			Result:      request.Completed,
@@ -142,13 +142,13 @@
 	d.forgetIfDone(o)
 }
 
-// cancelAttempt gives an attempt up. Its end is reported once its endpoint was told. If the endpoint can't know of the
-// attempt, its end is handled after the event in hand.
+// cancelAttempt gives an attempt up. Its end is reported once its endpoint was sent the cancel. If the endpoint can't
+// know of the attempt, its end is handled after the event in hand.
 func (d *Dispatcher) cancelAttempt(a *attempt, result routing.AttemptResult) {
-	if a.ended || a.cancelled || a.sent == nil { // one that was not sent is about to end
+	if a.state != attemptOpen || a.sent == nil { // one that was not sent is about to end
 		return
 	}
-	a.cancelled = true
+	a.state = attemptCancelled
 	if result, atOnce := d.Pool.Cancel(a.sent, result); atOnce {
 		d.runNext(attemptFinished{a, request.AttemptEnd{Result: result}})
 	}
@@ -159,7 +159,7 @@
 func (d *Dispatcher) reportStalled(stalled []*upstream.Attempt) {
 	for _, sent := range stalled {
 		a, ok := sent.Owner.(*attempt)
-		if !ok || a.ended || a.stallReported {
+		if !ok || a.state == attemptEnded || a.stallReported {
 			continue
 		}
 		a.stallReported = true
--- a/internal/membership/actions.go
+++ b/internal/membership/actions.go
@@ -21,7 +21,7 @@
 		case swim.NameConflict:
 			// Two processes that answer under one name would end each other's suspicions: only the newer one sends.
 			n.silent = true
-			n.metrics.Inc(telemetry.PeerNameYielded)
+			n.metrics.Inc(telemetry.PeerNameConflicts)
 			n.metrics.Log.Error("peer name conflict", "instance_id", action.InstanceID)
 		}
 	}
@@ -38,7 +38,7 @@
 		return
 	}
 	state, epoch, _ := n.partition.Current()
-	n.metrics.Inc(telemetry.PartitionStateChanges.With(state.String()))
+	n.metrics.Inc(telemetry.PartitionStateChanges.With(state))
 	n.metrics.Log.Info("partition state changed",
 		"state", state.String(),
 		"previous_state", before.String(),
@@ -49,7 +49,7 @@
 }
 
 func (n *Node) recordStateChange(c swim.StateChange) {
-	n.metrics.Inc(telemetry.PeerStateChanges.With(c.To.String()))
+	n.metrics.Inc(telemetry.PeerStateChanges.With(c.To))
 	attributes := []any{
 		"peer", n.codec.Name(c.Member),
 		"state", c.To.String(),
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -6,30 +6,45 @@
 	"cairnfront/internal/membership/datagram"
 )
 
-// refusalReasonUnspecified is the reason of refusals that refusalReasons does not list.
-const refusalReasonUnspecified = "other"
+// refusalReason says why a datagram was refused. Its text is a label of the counter of refused datagrams.
+type refusalReason uint8
 
-var refusalReasons = []struct {
+const (
+	refusedOther refusalReason = iota // an error that refusalReasons does not list
+	refusedMalformed
+	refusedUnsupportedVersion
+	refusedUnknownMember
+	refusedWrongRecipient
+	refusedBadSignature
+	refusedReplayed
+	refusedStaleIncarnation
+)
+
+var refusalReasons = [...]struct {
 	err  error
-	name string
+	text string
 }{
-	{datagram.ErrMalformed, "shape"},
-	{datagram.ErrUnsupportedVersion, "version"},
-	{datagram.ErrUnknownMember, "name"},
-	{datagram.ErrWrongRecipient, "not-me"},
-	{datagram.ErrBadSignature, "signature"},
-	{datagram.ErrReplayed, "replay"},
-	{datagram.ErrStaleIncarnation, "old-life"},
+	refusedOther:              {nil, "other"},
+	refusedMalformed:          {datagram.ErrMalformed, "malformed"},
+	refusedUnsupportedVersion: {datagram.ErrUnsupportedVersion, "unsupported_version"},
+	refusedUnknownMember:      {datagram.ErrUnknownMember, "unknown_member"},
+	refusedWrongRecipient:     {datagram.ErrWrongRecipient, "wrong_recipient"},
+	refusedBadSignature:       {datagram.ErrBadSignature, "bad_signature"},
+	refusedReplayed:           {datagram.ErrReplayed, "replayed"},
+	refusedStaleIncarnation:   {datagram.ErrStaleIncarnation, "stale_incarnation"},
 }
 
-// refusalReason names why a datagram was refused, for its counter.
-func refusalReason(err error) string {
-	for _, reason := range refusalReasons {
-		if errors.Is(err, reason.err) {
-			return reason.name
+// String returns the reason's text.
+func (r refusalReason) String() string { return refusalReasons[r].text }
+
+// classifyRefusal returns the reason for an error of decoding a datagram.
+func classifyRefusal(err error) refusalReason {
+	for reason := refusedMalformed; int(reason) < len(refusalReasons); reason++ {
+		if errors.Is(err, refusalReasons[reason].err) {
+			return reason
 		}
 	}
-	return refusalReasonUnspecified
+	return refusedOther
 }
 
 // traffic counts datagrams and their bytes.
--- a/internal/upstream/addresses.go
+++ b/internal/upstream/addresses.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"cairnfront/internal/cacheproto"
 	"cairnfront/internal/clock"
 	"cairnfront/internal/telemetry"
 	"cairnfront/internal/upstream/address"
@@ -104,7 +105,7 @@
 	}
 }
 
-// CheckAddresses looks for connections on which an attempt waits in silence, and probes addresses whose cooldown is
+// CheckAddresses finds connections on which an attempt waits in silence, and probes addresses whose cooldown is
 // over. It returns the attempts whose address is silent while their endpoint responds over another one. It is to be
 // called every few dozen milliseconds where endpoints have several addresses.
 func (p *Pool) CheckAddresses(now clock.Instant) (stalled []*Attempt) {
@@ -149,7 +150,7 @@
 		c := p.newConnection(e)
 		c.dialPlan = []address.PlannedDial{{Addr: probe.Addr}}
 		if probe.HealthCheck {
-			c.add(p.newHealthCheck("look", false))
+			c.add(p.newHealthCheck(cacheproto.AddressProbeIDPrefix, false))
 		}
 		p.run(e, c)
 	}
--- a/internal/upstream/lifecycle.go
+++ b/internal/upstream/lifecycle.go
@@ -3,10 +3,8 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"maps"
 	"net"
-	"runtime/debug"
 	"slices"
 	"time"
 
@@ -89,11 +87,17 @@
 		unsent = routing.NotSent
 	}
 	c.endAttempts(conn, unsent)
-	conn.LogEnd(c.pool.Metrics, telemetrySide, c.peerName())
+	conn.LogEnd(c.pool.Metrics, c.remote())
 }
 
-// peerName is the connection's peer in the log.
-func (c *Connection) peerName() string { return string(c.endpointID) + "@" + c.dialedAddr() }
+// remote is the connection's other end in log lines and counters.
+func (c *Connection) remote() telemetry.Remote {
+	return telemetry.Remote{
+		Side:     telemetry.SideEndpoint,
+		Endpoint: string(c.endpointID),
+		Address:  c.dialedAddr(),
+	}
+}
 
 // failedToConnect ends a connection that was not established.
 func (c *Connection) failedToConnect(ctx context.Context, began time.Time, cause error) {
@@ -108,7 +112,7 @@
 	conn.SetStartTime(began)
 	conn.Close(code, cause)
 	c.endAttempts(nil, result)
-	conn.LogEnd(c.pool.Metrics, telemetrySide, c.peerName())
+	conn.LogEnd(c.pool.Metrics, c.remote())
 }
 
 // noSocket stands for the socket of a connection that was never established.
@@ -136,9 +140,6 @@
 			conn.CloseGracefully(netconn.Shutdown, nil, lingerTimeout, lingerBytes)
 			return errConnectionEnded
 		}
-		if code == netconn.SlowReader { // a read deadline that passed
-			code = netconn.StalledResponse
-		}
 		conn.Close(code, err)
 		return errConnectionEnded
 	})
@@ -156,11 +157,7 @@
 // recoverPanic ends the connection after a panic of one of its goroutines, and logs the stack. It has to be deferred.
 func (c *Connection) recoverPanic(conn *netconn.Conn, stop context.CancelFunc) {
 	if p := recover(); p != nil {
-		c.pool.Metrics.Inc(telemetry.Panics)
-		c.pool.Metrics.Log.Error("panic",
-			"where", telemetrySide,
-			"what", fmt.Sprint(p),
-			"stack", string(debug.Stack()))
+		c.pool.Metrics.RecordPanic(telemetry.ComponentUpstream, p)
 		conn.Close(netconn.Panic, nil)
 		stop()
 	}
--- a/internal/upstream/retrybudget/budget_test.go
+++ b/internal/upstream/retrybudget/budget_test.go
@@ -15,7 +15,7 @@
 	for range 11 {
 		b.RecordAttempt(100.6, 0, "b", true)
 	}
-	assert.Equal(t, []Change{{Scope{-1, "b"}, false}}, b.TakeChanges(), "b had no first attempt: its minimum is spent")
+	assert.Equal(t, []Change{{Scope{-1, "b"}, false}}, b.TakeChanges(), "b had no first attempt: it has the minimum")
 	b.RecordAttempt(100.6, 0, "c", true)
 	assert.Equal(t, []Change{{Scope{0, ""}, false}}, b.TakeChanges())
 	b.Advance(102)
@@ -34,12 +34,12 @@
 	assert.Empty(t, b.windows)
 }
 
-// TestRetriesStayWithinTheBudget tests that while no retry is sent on a spent budget, the retries in any window stay
-// within it.
+// TestRetriesStayWithinTheBudget tests that while no retry is sent on an exhausted budget, the retries in any window
+// stay within it.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Limits{RetryRatio: 0.25, MinRetries: 3})
-		now, spent := 50.0, map[Scope]bool{}
+		now, exhausted := 50.0, map[Scope]bool{}
 		type attempt struct {
 			at      float64
 			isRetry bool
@@ -49,12 +49,12 @@
 			now += rapid.Float64Range(0, 0.1).Draw(t, "dt")
 			isRetry := rapid.Bool().Draw(t, "isRetry")
 			b.Advance(now)
-			if !isRetry || (!spent[Scope{0, ""}] && !spent[Scope{-1, "a"}]) {
+			if !isRetry || (!exhausted[Scope{0, ""}] && !exhausted[Scope{-1, "a"}]) {
 				b.RecordAttempt(now, 0, "a", isRetry)
 				all = append(all, attempt{now, isRetry})
 			}
 			for _, c := range b.TakeChanges() {
-				spent[c.Scope] = !c.Available
+				exhausted[c.Scope] = !c.Available
 			}
 			firstAttempts, retries := 0.0, 0.0
 			for _, a := range all {
