--- a/internal/diskcache/validity/tracker.go
+++ b/internal/diskcache/validity/tracker.go
@@ -88,16 +88,7 @@
 func (t *Tracker) Apply(now int64, lastSeq uint64, event Event) (write []Record, reconnect bool) {
 	t.clockHighWater = max(t.clockHighWater, now)
 	if !t.continuous {
-		if t.isLastApplied(event) {
-			t.continuous = true
-			if !t.UpToDate(now) { // events that were missed in the silence follow
-				t.caughtUp = false
-			}
-			t.lastEventAt = now
-			return nil, false
-		}
-		t.number, t.checksum = 0, 0
-		return t.missedEvents(lastSeq, now), true
+		return t.verifyContinuity(now, lastSeq, event)
 	}
 	t.lastEventAt = now
 	if event.Heartbeat {
@@ -115,6 +106,22 @@
 	return append(write, t.trimPurges(now)...), false
 }
 
+// verifyContinuity takes the first event of a connection. The last event that was applied, sent once more, shows that
+// the stream continues. Another one shows that the service was set up anew and numbers its events from the start:
+// purges that it announced meanwhile are not known here, and their numbers would be taken for old ones.
+func (t *Tracker) verifyContinuity(now int64, lastSeq uint64, event Event) (write []Record, reconnect bool) {
+	if !t.isLastApplied(event) {
+		t.number, t.checksum = 0, 0
+		return t.missedEvents(lastSeq, now), true
+	}
+	t.continuous = true
+	if !t.UpToDate(now) { // events that were missed in the silence follow
+		t.caughtUp = false
+	}
+	t.lastEventAt = now
+	return nil, false
+}
+
 // isLastApplied reports whether the event is the last one applied, sent once more.
 func (t *Tracker) isLastApplied(event Event) bool {
 	return !event.Heartbeat && event.Number == t.number && event.Checksum == t.checksum
