--- a/routing/cachestate.go
+++ b/routing/cachestate.go
@@ -2,29 +2,17 @@
 
 import (
 	"cmp"
-	"maps"
 	"slices"
 )
 
 // cachedChunk is a chunk that answers showed to be at a cache.
 type cachedChunk struct {
-	chunk    *chunk
-	sizeKB   float64
-	gapKey   float64 // orders chunks by their gaps, see chunk.gapKey
-	lastUsed float64
-	filledAt float64
-	sequence uint64 // orders chunks of the same gap key
-}
-
-// purgeKey names what a purge invalidates: an object, or a group where there is none.
-type purgeKey struct {
-	object string
-	group  int
-}
-
-// gapKey orders chunks by their gaps, largest first. The order is the same at any time.
-func (c *chunk) gapKey() float64 {
-	return newestGapWeight*c.lastRequest - (1-newestGapWeight)*c.averageGap
+	chunk      *chunk
+	sizeKB     float64
+	gapKey     float64 // orders chunks by their gaps, see chunk.gapKey
+	lastUsedAt float64
+	filledAt   float64
+	sequence   uint64 // orders chunks of the same gap key
 }
 
 func compareGapKeys(a, b *cachedChunk) int {
@@ -37,29 +25,29 @@
 	at, _ := slices.BinarySearchFunc(e.byGap, c, compareGapKeys)
 	e.byGap = slices.Insert(e.byGap, at, c)
 	if e.cached[c.chunk] == nil {
-		c.chunk.addHolder(e)
+		c.chunk.addCache(e)
 	}
 	e.cached[c.chunk] = c
 }
 
-// addHolder notes that a cache has the chunk.
-func (c *chunk) addHolder(e *endpoint) {
-	if at, found := slices.BinarySearchFunc(c.holders, e.ID, compareIDs); !found {
-		c.holders = slices.Insert(c.holders, at, e)
+// addCache notes that a cache has the chunk.
+func (c *chunk) addCache(e *endpoint) {
+	if at, found := slices.BinarySearchFunc(c.cachedBy, e.ID, compareIDs); !found {
+		c.cachedBy = slices.Insert(c.cachedBy, at, e)
 	}
 }
 
-// removeHolder notes that a cache does not have the chunk.
-func (c *chunk) removeHolder(e *endpoint) {
-	if at, found := slices.BinarySearchFunc(c.holders, e.ID, compareIDs); found {
-		c.holders = slices.Delete(c.holders, at, at+1)
+// removeCache notes that a cache does not have the chunk.
+func (c *chunk) removeCache(e *endpoint) {
+	if at, found := slices.BinarySearchFunc(c.cachedBy, e.ID, compareIDs); found {
+		c.cachedBy = slices.Delete(c.cachedBy, at, at+1)
 	}
 }
 
 // forgetCached forgets all that is thought cached at an endpoint.
 func (e *endpoint) forgetCached() {
 	for c := range e.cached {
-		c.removeHolder(e)
+		c.removeCache(e)
 	}
 	clear(e.cached)
 	e.byGap = nil
@@ -76,17 +64,17 @@
 	}
 	if forget {
 		delete(e.cached, c)
-		c.removeHolder(e)
+		c.removeCache(e)
 	}
 }
 
 // setGap notes a request for a chunk, with its mean gap, and moves the chunk in the caches' orders.
 func (r *Router) setGap(c *chunk, gap float64) {
-	for _, e := range c.holders {
+	for _, e := range c.cachedBy {
 		e.removeCached(c, false)
 	}
-	c.requested, c.averageGap, c.lastRequest = true, gap, r.now
-	for _, e := range c.holders {
+	c.requested, c.averageGapSeconds, c.lastRequestAt = true, gap, r.now
+	for _, e := range c.cachedBy {
 		e.addCached(e.cached[c], c.gapKey())
 	}
 }
@@ -99,81 +87,12 @@
 	return copied
 }
 
-// findOrAddObject finds an object, or adds it.
-func (r *Router) findOrAddObject(id string, group int) *object {
-	if r.objects[id] == nil {
-		r.objects[id] = &object{id: id, group: group}
-	}
-	return r.objects[id]
-}
-
-// findOrAddChunk finds a chunk of the object, or adds it.
-func (o *object) findOrAddChunk(index int) *chunk {
-	at, found := slices.BinarySearchFunc(o.chunks, index, func(c *chunk, index int) int {
-		return cmp.Compare(c.index, index)
-	})
-	if !found {
-		o.chunks = slices.Insert(o.chunks, at, &chunk{index: index})
-	}
-	return o.chunks[at]
-}
-
-// recordPurge remembers a purge and forgets what was thought cached of it.
-func (r *Router) recordPurge(p Purge) {
-	key := purgeKey{object: p.Object}
-	if p.Object == "" {
-		key.group = p.ObjectGroup
-	}
-	r.purges[key] = max(r.purges[key], r.now-p.AgeSeconds)
-	if len(r.purges) > maxPurges {
-		r.forgetOldestPurges()
-	}
-	if p.Object != "" {
-		if o := r.objects[p.Object]; o != nil {
-			o.dropCached()
-		}
-		return
-	}
-	for _, o := range r.objects {
-		if o.group == p.ObjectGroup {
-			o.dropCached()
-		}
-	}
-}
-
-// forgetOldestPurges drops an eighth of the purges, so that it is not done for each one.
-func (r *Router) forgetOldestPurges() {
-	times := make([]float64, 0, len(r.purges))
-	for _, at := range r.purges {
-		times = append(times, at)
-	}
-	slices.Sort(times)
-	r.purgesForgottenUntil = max(r.purgesForgottenUntil, times[len(times)/8])
-	maps.DeleteFunc(r.purges, func(_ purgeKey, at float64) bool { return at <= r.purgesForgottenUntil })
-}
-
 // dropCached forgets what is thought cached of an object.
 func (o *object) dropCached() {
 	for _, c := range o.chunks {
 		c.filledByParent = false
-		for len(c.holders) > 0 {
-			c.holders[len(c.holders)-1].removeCached(c, true)
-		}
-	}
-}
-
-// forgetIdleObjects forgets objects that were idle for long, sooner if there are too many.
-func (r *Router) forgetIdleObjects() {
-	if r.now < r.sweptAt+sweepInterval && len(r.objects) < maxObjects {
-		return
-	}
-	r.sweptAt = r.now
-	for age := forgetAfter; age == forgetAfter || len(r.objects) > maxObjects/2; age /= 2 {
-		for id, o := range r.objects {
-			if r.now-o.lastRequest >= age {
-				o.dropCached()
-				delete(r.objects, id)
-			}
+		for len(c.cachedBy) > 0 {
+			c.cachedBy[len(c.cachedBy)-1].removeCached(c, true)
 		}
 	}
 }
--- a/routing/hashorder_test.go
+++ b/routing/hashorder_test.go
@@ -38,7 +38,7 @@
 }
 
 // TestOrdersFollowTheListLikeASort draws changes of the list: caches that come, go, drain and change their weight, many
-// at once or few. The repaired orders of several objects have to be those that a sort of the whole list gives.
+// at once or few. The repaired orders of several objects have to be those that a sort of the full list gives.
 func TestOrdersFollowTheListLikeASort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := New(7, testSettings(Idempotent))
@@ -70,7 +70,7 @@
 }
 
 func checkOrder(t *rapid.T, c candidates) {
-	want := referenceOrder(c.object, c.list.members)
+	want := referenceOrder(c.object, c.list.endpoints)
 	want = want[:min(len(want), maxCandidates)]
 	first := c.at(0)
 	if len(want) > 0 && first != want[0] {
@@ -80,8 +80,8 @@
 		t.Fatalf("%d endpoints are not in the order of a sort", len(want))
 	}
 	c.release()
-	if len(c.order.best) > keptCandidates {
-		t.Fatalf("%d endpoints are kept", len(c.order.best))
+	if len(c.order.best) > storedCandidates {
+		t.Fatalf("%d endpoints are stored", len(c.order.best))
 	}
 }
 
@@ -95,7 +95,7 @@
 			parents = append(parents, e)
 		}
 	}
-	if !slices.Equal(caches, r.caches.members) || !slices.Equal(parents, r.parents.members) {
+	if !slices.Equal(caches, r.caches.endpoints) || !slices.Equal(parents, r.parents.endpoints) {
 		t.Fatalf("the lists are not those of the ready endpoints by id")
 	}
 }
@@ -109,8 +109,8 @@
 		held := 0
 		for _, o := range r.objects {
 			for _, c := range o.chunks {
-				held += len(c.holders)
-				for _, e := range c.holders {
+				held += len(c.cachedBy)
+				for _, e := range c.cachedBy {
 					assert.NotNil(t, e.cached[c])
 				}
 			}
@@ -124,7 +124,7 @@
 	}
 	for i := range 40 {
 		c := r.findOrAddObject(fmt.Sprint(i%10), i%2).findOrAddChunk(i % 4)
-		cache := r.caches.members[i%3]
+		cache := r.caches.endpoints[i%3]
 		if cache.cached[c] == nil {
 			r.addCopy(cache, c)
 		}
@@ -135,13 +135,13 @@
 	check(36)
 	r.Decide(101, Purge{ObjectGroup: 1})
 	check(20)
-	onFirst := len(r.caches.members[0].cached)
+	onFirst := len(r.caches.endpoints[0].cached)
 	r.Decide(102, EndpointUpdate{Endpoints: []Endpoint{{ID: "c0", Zone: 1, Weight: 4, StartedAt: 101}}})
 	check(20 - onFirst)
-	onSecond := len(r.caches.members[1].cached)
+	onSecond := len(r.caches.endpoints[1].cached)
 	r.Decide(103, EndpointUpdate{Endpoints: []Endpoint{{ID: "c1", Zone: 1, Weight: 4, Status: Removed}}})
 	check(20 - onFirst)
-	r.Decide(103+forgetAfter, EndpointUpdate{})
+	r.Decide(103+forgetEndpointSeconds, EndpointUpdate{})
 	check(20 - onFirst - onSecond)
 	assert.Nil(t, r.findEndpoint("c1"))
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -1,17 +1,17 @@
 package routing
 
-import (
-	"cmp"
-	"math"
-)
+import "cmp"
 
 const (
-	deadlineMargin  = 0.006 // s before the deadline at which a request is given up: a few ticks of the clock
-	queuedSendTimes = 2.0   // sending times that a queued request's attempt needs: the paths are full then
-	maxQueueRetries = 12    // queued requests planned after each end of an attempt: bounds the work
+	deadlineMarginSeconds = 0.006 // time before the deadline at which a request is given up: a few ticks of the clock
+	queueShare            = 0.8   // share of the objective by which a queued request's attempt has to end
+	queuedSendTimes       = 2.0   // sending times that a queued request's attempt needs: the paths are full then
+	queueRecheckSeconds   = 0.1   // time between plans of a queued request that nothing else wakes
+	maxQueueRetries       = 12    // queued requests planned after each end of an attempt: bounds its work
+	unknownSizeKB         = 1.0   // size of a chunk where sizes are not known: chunks are counted then
 )
 
-// updateEndpoints takes news of the endpoints. One that started again is empty, cold and unjudged.
+// updateEndpoints takes news of the endpoints. One that started again is empty, cold and without results.
 func (r *Router) updateEndpoints(update EndpointUpdate) {
 	if update.Kind == Unavailable || (update.Kind == Restored && r.subscribesOnRequest()) {
 		r.actions = append(r.actions, SubscribeEndpoints{})
@@ -26,15 +26,15 @@
 
 // requestArrived takes a request and decides its first attempt.
 func (r *Router) requestArrived(arrived RequestArrived) {
-	arrived.SizeKB = cmp.Or(max(arrived.SizeKB, 0), 1) // where sizes are not known chunks are counted
+	arrived.SizeKB = cmp.Or(max(arrived.SizeKB, 0), unknownSizeKB)
 	class := r.class(arrived.Class)
 	req := &request{RequestArrived: arrived, arrivedAt: r.now}
 	if pace := r.number(SettingTransferRate, 0); pace > 0 {
 		req.sendSeconds = arrived.SizeKB / pace
 	}
-	req.objective = class.objective + req.sendSeconds*class.objectiveStretch
+	req.objectiveSeconds = class.objectiveSeconds + req.sendSeconds*class.objectiveStretch
 	req.priorityPerKB = class.priority / arrived.SizeKB
-	class.sendSamples = appendSample(class.sendSamples, req.sendSeconds, longSamples)
+	class.sendSecondsSamples = appendSample(class.sendSecondsSamples, req.sendSeconds, maxSendSamples)
 	r.forgetIdleObjects()
 	r.addRequest(req)
 	r.plan(req)
@@ -42,39 +42,85 @@
 
 // plan decides what is wanted for a request now and reconciles it with what is under way.
 func (r *Router) plan(req *request) {
-	if !req.done && req.finalAction == nil {
-		r.updateWanted(req)
+	var final Action
+	if req.state != requestEnded {
+		final = r.updateWanted(req)
 	}
-	r.reconcile(req)
+	r.reconcile(req, final)
 }
 
-// updateWanted sets a request's wanted attempts, final action, place in the queue and wake time.
-func (r *Router) updateWanted(req *request) {
-	req.queued = false
-	req.wakeAt = req.Deadline - deadlineMargin
-	if r.now >= req.wakeAt {
+// updateWanted decides what a request gets next: it adds its next attempt, moves it into the queue or out of it and
+// sets its wake time. It returns the final action of a request that is given up.
+func (r *Router) updateWanted(req *request) Action {
+	req.wakeAt = answerBy(req)
+	step, next := r.nextStep(req)
+	switch step {
+	case awaitAttempts:
+		r.moveRequest(req, requestOpen)
+	case sendAttempt:
+		r.moveRequest(req, requestOpen)
+		r.addAttempt(req, next)
+	case queueRequest:
+		r.moveRequest(req, requestQueued)
+		req.wakeAt = min(req.wakeAt, max(queueUntil(req), r.now+queueRecheckSeconds))
+	case giveUp:
 		r.penalizeUnanswered(req)
-		r.giveUp(req)
-		return
+		return r.chooseFinalAction(req)
+	}
+	return nil
+}
+
+// nextStep is what a request gets next.
+type nextStep int
+
+const (
+	awaitAttempts nextStep = iota // nothing but the ends of its attempts
+	sendAttempt                   // an attempt more
+	queueRequest                  // a place in the queue, until an endpoint has room
+	giveUp                        // a final action without a response
+)
+
+// nextStep decides what a request gets next, and its attempt where that is one. A request is given up when its time is
+// over, or when nothing is in flight for it and no attempt may follow or could still be in time.
+func (r *Router) nextStep(req *request) (nextStep, *attempt) {
+	if r.now >= answerBy(req) {
+		return giveUp, nil
 	}
 	inFlight, waiting := r.reviewAttempts(req)
 	if waiting || (inFlight && !r.settings.Bool(SettingHedging)) {
-		return
+		return awaitAttempts, nil
 	}
-	if !r.mayRetry(req) {
-		if !inFlight {
-			r.giveUp(req)
+	retry := r.mayRetry(req)
+	if retry {
+		if next := r.chooseAttempt(req); next != nil {
+			return sendAttempt, next
 		}
-		return
 	}
-	if next := r.chooseAttempt(req); next != nil {
-		r.addAttempt(req, next)
-		return
+	switch {
+	case retry && (inFlight || r.worthQueueing(req)):
+		return queueRequest, nil
+	case inFlight:
+		return awaitAttempts, nil
 	}
-	r.queueOrGiveUp(req, inFlight)
+	return giveUp, nil
 }
 
-// addAttempt wants another attempt and decides how old its copy may be and whether a filled one is kept.
+// answerBy is when a request is given up, so that its final action is out before the client's deadline.
+func answerBy(req *request) float64 { return req.Deadline - deadlineMarginSeconds }
+
+// queueUntil is until when an attempt on full paths that begins then is still in time.
+func queueUntil(req *request) float64 {
+	return req.arrivedAt + queueShare*req.objectiveSeconds - queuedSendTimes*req.sendSeconds
+}
+
+// worthQueueing says whether a request that no endpoint has room for may wait for room. It guards against attempts that
+// are sent too late to be of use and fill the paths of others, which show as late answers after a burst is over. Until
+// queueUntil an attempt that takes as long as on full paths is still in time.
+func (r *Router) worthQueueing(req *request) bool {
+	return r.now < queueUntil(req) && len(r.caches.endpoints) > 0
+}
+
+// addAttempt adds an attempt to a request, with how old its copy may be and whether a filled one is stored.
 func (r *Router) addAttempt(req *request, next *attempt) {
 	if next.target.role == edgeCache && r.shouldStore(req, next.target) {
 		next.retentionRank = storedRank
@@ -82,43 +128,30 @@
 	if len(req.attempts) == 0 {
 		r.updateGap(req, next.target)
 	}
-	next.maxAge = r.maxCopyAge(req, next)
-	next.wanted = true
-	next.suspectAt = r.now + suspectShare*r.class(req.Class).objective + suspectSendTimes*req.sendSeconds
+	next.maxAgeSeconds = r.maxCopyAge(req, next)
+	next.suspectAt = suspectTime(r.now, r.class(req.Class).objectiveSeconds, req.sendSeconds)
 	req.attempts = append(req.attempts, next)
 	req.wakeAt = min(req.wakeAt, next.suspectAt)
 }
 
-// queueOrGiveUp queues a request that nobody has room for while an attempt on full paths could still be in
-// time. One sent later would only fill the paths of others.
-func (r *Router) queueOrGiveUp(req *request, inFlight bool) {
-	giveUpAt := req.arrivedAt + timelyShare*req.objective - queuedSendTimes*req.sendSeconds
-	if !inFlight && (r.now >= giveUpAt || len(r.caches.members) == 0) {
-		r.giveUp(req)
-		return
-	}
-	req.queued = true
-	req.wakeAt = min(req.wakeAt, max(giveUpAt, r.now+recheckInterval))
-}
-
-// reconcile emits the difference between what is wanted for a request and what is under way.
-func (r *Router) reconcile(req *request) {
-	ended := req.done || req.finalAction != nil
+// reconcile emits the difference between what is wanted for a request and what is under way, and the final action of a
+// request that is given up. Each request ends once, so it gets one final action at most.
+func (r *Router) reconcile(req *request, final Action) {
+	ended := req.state == requestEnded || final != nil
 	for i, a := range req.attempts {
-		if a.inFlight && (ended || !a.wanted) && !a.cancelled && r.settings.Bool(SettingCancellation) {
-			a.cancelled = true
+		mayCancel := (ended || a.state == attemptAbandoned) && r.settings.Bool(SettingCancellation)
+		if mayCancel && a.move(attemptCancelled) {
 			r.actions = append(r.actions, CancelAttempt{Request: req.Request, Attempt: i})
 		}
-		if a.wanted && !a.started && !ended {
+		if a.state == attemptPlanned && !ended {
 			r.startAttempt(req, a)
 		}
 	}
-	r.setQueued(req, req.queued && !ended)
-	if req.finalAction != nil && !req.done {
-		req.done = true
-		r.actions = append(r.actions, req.finalAction)
+	if final != nil {
+		r.moveRequest(req, requestEnded)
+		r.actions = append(r.actions, final)
 	}
-	if req.done {
+	if ended {
 		r.removeUnlessInFlight(req)
 	} else if req.timerAt == 0 || req.wakeAt < req.timerAt {
 		req.timerAt = req.wakeAt
@@ -128,36 +161,32 @@
 
 // startAttempt emits an attempt and counts it at the limiters and at the cold endpoints that it loads.
 func (r *Router) startAttempt(req *request, a *attempt) {
-	a.started, a.inFlight, a.sentAt = true, true, r.now
+	a.move(attemptAwaited)
+	a.sentAt = r.now
 	a.sendBefore = r.sendBefore(req)
 	join, revalidate := r.settings.Bool(SettingFillJoining), r.class(req.Class).freshSeconds > 0
 	r.actions = append(r.actions, a.startAction(req, join, revalidate))
-	a.target.inFlight++
+	a.target.limiter.inFlight++
 	for _, l := range a.fillLimiters {
 		l.inFlight += a.expectedFills
 	}
-	for _, e := range [2]*endpoint{a.target, a.source} {
-		if r.warmShare(e) < 1 && (e == a.target || a.expectMiss) {
-			e.recentWork = append(e.recentWork, workSample{at: r.now, seconds: r.workOf(req, e)})
-		}
-	}
+	r.recordColdWork(req, a)
 }
 
-// reviewAttempts finds lost attempts and tells whether any is in flight, and whether one is waited for. A
-// lost one stays wanted beside its successor where two may run, and where a second run would do harm.
+// reviewAttempts finds lost attempts and tells whether any is in flight, and whether one is waited for.
 func (r *Router) reviewAttempts(req *request) (inFlight, waiting bool) {
 	for _, a := range req.attempts {
-		if !a.inFlight {
+		if !a.state.inFlight() {
 			continue
 		}
 		inFlight = true
-		if a.wanted && (a.stalled || (r.now >= a.suspectAt && r.isSilent(a))) {
-			a.wanted = r.settings.Bool(SettingHedging) || r.class(req.Class).effect == NonIdempotent
-			a.suspectAt, a.stalled = math.Inf(1), false
+		suspected := a.state == attemptAwaited && r.now >= a.suspectAt
+		if a.state == attemptStalled || (suspected && r.reviewSuspected(a)) {
+			a.move(r.stateOfLost(req))
 		}
-		if a.wanted && !math.IsInf(a.suspectAt, 1) {
+		if a.state == attemptAwaited {
 			waiting = true
-			req.wakeAt = min(req.wakeAt, max(a.suspectAt, r.now+recheckInterval))
+			req.wakeAt = min(req.wakeAt, max(a.suspectAt, r.now+suspectRecheckSeconds))
 		}
 	}
 	return inFlight, waiting
