--- a/cmd/cairnfront/reach_test.go
+++ b/cmd/cairnfront/addresses_test.go
@@ -17,24 +17,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEndpointWithTwoAddressesIsReachedByEither has a cache listen on a Unix socket too. The router uses that
-// first, an operator disables and reinstates the address, and SIGHUP reads the file again without losing a request.
+// TestEndpointWithTwoAddressesIsReachedByEither has a cache listen on a Unix socket too. The router uses that first, an
+// operator puts the address into cooldown and reinstates it, and SIGHUP reads the file again without losing a request.
 func TestEndpointWithTwoAddressesIsReachedByEither(t *testing.T) {
 	dir := t.TempDir()
 	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
-	sock := filepath.Join(dir, "box.sock")
-	ln, err := net.Listen("unix", sock)
+	cacheSocket := filepath.Join(dir, "cache.sock")
+	ln, err := net.Listen("unix", cacheSocket)
 	require.NoError(t, err)
 	m.accept(t, ln)
-	file, door := filepath.Join(dir, "operators.yaml"), filepath.Join(dir, "door.sock")
+	file, socket := filepath.Join(dir, "config.yaml"), filepath.Join(dir, "admin.sock")
 	write := func(list string) {
 		require.NoError(t, os.WriteFile(file,
-			[]byte(fmt.Sprintf("router:\n  socket: %q\n  addresses:\n    - {member: s-00000001, list: [%s]}\n", door,
+			[]byte(fmt.Sprintf("router:\n  socket: %q\n  addresses:\n    - {member: s-00000001, list: [%s]}\n", socket,
 				list)), 0o600))
 	}
 	tcp := m.Addr().String()
-	write(fmt.Sprintf("%q, \"unix:%s\"", tcp, sock))
-	s := startRouterWith(t, []string{"--operators", file}, 192, m, m)
+	write(fmt.Sprintf("%q, \"unix:%s\"", tcp, cacheSocket))
+	s := startRouterWith(t, []string{"--config", file}, 192, m, m)
 	over := func() string {
 		c := s.dial(t)
 		c.send("page", objectID, "")
@@ -43,16 +43,16 @@
 		return m.lastAttempt().conn.LocalAddr().Network()
 	}
 	assert.Equal(t, "unix", over())
-	out, errs, code := runCommand(t, "reach", "--socket", door)
+	out, errs, code := runCommand(t, "addresses", "--socket", socket)
 	assert.Equal(t, 0, code, errs)
-	assert.Contains(t, out, "unix:"+sock)
-	_, errs, code = runCommand(t, "reach", "--socket", door, "rest", "s-00000001", "unix:"+sock)
+	assert.Contains(t, out, "unix:"+cacheSocket)
+	_, errs, code = runCommand(t, "addresses", "--socket", socket, "cooldown", "s-00000001", "unix:"+cacheSocket)
 	assert.Equal(t, 0, code, errs)
 	assert.Equal(t, "tcp", over())
-	_, errs, code = runCommand(t, "reach", "--socket", door, "rest", "s-00000001", tcp)
+	_, errs, code = runCommand(t, "addresses", "--socket", socket, "cooldown", "s-00000001", tcp)
 	assert.Equal(t, 1, code)
-	assert.Contains(t, errs, "the last that is not at rest")
-	_, _, code = runCommand(t, "reach", "--socket", door, "unrest", "s-00000001", "unix:"+sock)
+	assert.Contains(t, errs, "last address that is not in cooldown")
+	_, _, code = runCommand(t, "addresses", "--socket", socket, "reinstate", "s-00000001", "unix:"+cacheSocket)
 	assert.Equal(t, 0, code)
 	assert.Equal(t, "unix", over())
 
@@ -60,15 +60,14 @@
 	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool {
 		return strings.Contains(s.log.String(), "neither IP:PORT nor unix:/PATH") || strings.Contains(s.log.String(),
-			"kept-old")
+			"configuration reload failed")
 	}, patience, 5*time.Millisecond)
-	assert.Equal(t, "unix", over(), "a file that can't be used leaves the old one in force")
+	assert.Equal(t, "unix", over(), "an invalid file changes nothing")
 	write(fmt.Sprintf("%q", tcp))
 	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-	require.Eventually(t, func() bool { return strings.Contains(s.log.String(), "code=addresses") }, patience,
-		5*time.Millisecond)
+	s.waitForLog(t, "endpoint addresses reloaded")
 	require.Eventually(t, func() bool { return over() == "tcp" }, patience, 5*time.Millisecond)
-	out, _, _ = runCommand(t, "reach", "--socket", door, "--json")
+	out, _, _ = runCommand(t, "addresses", "--socket", socket, "--json")
 	var list []address.Status
 	require.NoError(t, json.Unmarshal([]byte(out), &list))
 	for _, x := range list {
@@ -76,7 +75,7 @@
 			assert.Equal(t, address.Addr(tcp), x.Addr)
 		}
 	}
-	info, err := os.Stat(door)
+	info, err := os.Stat(socket)
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm())
 	require.NoError(t, s.stop(t, syscall.SIGTERM))
--- /dev/null
+++ b/cmd/cairnfront/aliases.go
@@ -0,0 +1,45 @@
+package main
+
+import (
+	"strings"
+
+	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
+)
+
+// This file has the earlier names of commands and flags. They work as the current names do and are in no help text.
+
+// flagAliases has the current name of each flag that had another one.
+var flagAliases = map[string]string{
+	"acts":      "faults",
+	"lasts":     "duration",
+	"operators": "config",
+	"slices":    "shards",
+}
+
+// aliasedCommands returns the commands of the top level under their earlier names.
+func aliasedCommands() []*cobra.Command {
+	return []*cobra.Command{
+		alias("box", edgeCacheCommand()),
+		alias("ledger", replicationCommand()),
+		alias("operators", configCommand()),
+		alias("reach", addressesCommand()),
+		alias("tier", diskCacheCommand()),
+	}
+}
+
+// alias gives a command an earlier name and hides it from help and completion.
+func alias(name string, c *cobra.Command) *cobra.Command {
+	_, arguments, _ := strings.Cut(c.Use, " ")
+	c.Use = strings.TrimSpace(name + " " + arguments)
+	c.Hidden = true
+	return c
+}
+
+// currentFlagName returns the current name of a flag.
+func currentFlagName(_ *pflag.FlagSet, name string) pflag.NormalizedName {
+	if current, ok := flagAliases[name]; ok {
+		name = current
+	}
+	return pflag.NormalizedName(name)
+}
--- /dev/null
+++ b/cmd/cairnfront/aliases_test.go
@@ -0,0 +1,212 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"cairnfront/internal/admin"
+	"cairnfront/internal/upstream/address"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// assertSameCommand runs the program with the arguments of an earlier version and with the current ones, and checks
+// that both print the same and end with the same code. It returns what was printed to standard output, and the code.
+func assertSameCommand(t *testing.T, earlier, current []string) (out string, code int) {
+	t.Helper()
+	earlierOut, earlierErrs, earlierCode := runCommand(t, earlier...)
+	out, errs, code := runCommand(t, current...)
+	assert.Equal(t, code, earlierCode, "%v: %s", earlier, earlierErrs)
+	assert.Equal(t, elapsed.ReplaceAllString(out, "ELAPSED"), elapsed.ReplaceAllString(earlierOut, "ELAPSED"), earlier)
+	assert.Equal(t, errs, earlierErrs, earlier)
+	return out, code
+}
+
+func TestOperatorsIsAnAliasOfConfig(t *testing.T) {
+	_, code := assertSameCommand(t, []string{"operators", "defaults"}, []string{"config", "defaults"})
+	assert.Equal(t, exitOK, code)
+	_, code = assertSameCommand(t, []string{"operators", "schema"}, []string{"config", "schema"})
+	assert.Equal(t, exitOK, code)
+	file := "../../deploy/operators.yaml"
+	out, code := assertSameCommand(t, []string{"operators", "check", file}, []string{"config", "check", file})
+	assert.Equal(t, exitOK, code)
+	assert.Contains(t, out, "edge cache s-00000001 (role cache, 0 request classes)")
+}
+
+func TestTierIsAnAliasOfDiskCache(t *testing.T) {
+	for _, args := range [][]string{
+		{"inspect"}, {"inspect", "--json"}, {"verify"}, {"export", "--to", os.DevNull}, {"compact"},
+	} {
+		var paths [2]string // a tool may change its directory
+		for i := range paths {
+			paths[i] = filepath.Join(t.TempDir(), "disk")
+			require.NoError(t, os.CopyFS(paths[i], os.DirFS("../../internal/diskcache/testdata/golden/folder")))
+		}
+		earlier := append(append([]string{"tier"}, args...), paths[0])
+		current := append(append([]string{"disk-cache"}, args...), paths[1])
+		_, code := assertSameCommand(t, earlier, current)
+		assert.Equal(t, exitOK, code, args)
+	}
+}
+
+func TestLedgerIsAnAliasOfReplication(t *testing.T) {
+	log := "../../internal/replication/wal/testdata/folder-r1"
+	out, code := assertSameCommand(t, []string{"ledger", "verify", log}, []string{"replication", "verify", log})
+	assert.Equal(t, exitOK, code)
+	assert.Contains(t, out, "3 shards, 10 reservations")
+}
+
+// TestBoxIsAnAliasOfEdgeCache compares the errors for a file that does not exist, whose path shows that the flag was
+// read, under each combination of command and flag.
+func TestBoxIsAnAliasOfEdgeCache(t *testing.T) {
+	missing := filepath.Join(t.TempDir(), "none.yaml")
+	current := []string{"edge-cache", "--config", missing}
+	for _, earlier := range [][]string{
+		{"box", "--operators", missing}, {"box", "--config", missing}, {"edge-cache", "--operators", missing},
+	} {
+		_, code := assertSameCommand(t, earlier, current)
+		assert.Equal(t, exitFailure, code)
+		_, errs, _ := runCommand(t, earlier...)
+		assert.Contains(t, errs, "read configuration file: open "+missing)
+	}
+}
+
+func TestOperatorsFlagOfServeIsAnAliasOfConfig(t *testing.T) {
+	m := startCache(t, nil)
+	bootstrapPath := filepath.Join(t.TempDir(), "bootstrap.json")
+	text := bootstrapFile("127.0.0.1:0", m.Addr().String(), 192, m, m)
+	require.NoError(t, os.WriteFile(bootstrapPath, text, 0o600))
+	t.Setenv("LB_CONFIG", bootstrapPath)
+	missing := filepath.Join(t.TempDir(), "none.yaml")
+	for _, flag := range []string{"--operators", "--config"} {
+		_, errs, code := runCommand(t, "serve", flag, missing)
+		assert.Equal(t, exitFailure, code)
+		assert.Contains(t, errs, "read configuration file: open "+missing, flag)
+	}
+}
+
+// adminStub serves the admin socket's requests about addresses and records them.
+func adminStub(t *testing.T, statuses []address.Status) (socket string, received *[]string) {
+	t.Helper()
+	socket = filepath.Join(t.TempDir(), "admin.sock")
+	received = &[]string{}
+	record := func(name admin.RequestName, result any) admin.Handler {
+		return func(_ context.Context, args map[string]string) (any, error) {
+			*received = append(*received, fmt.Sprint(name, args))
+			return result, nil
+		}
+	}
+	server := &admin.Server{Handlers: map[admin.RequestName]admin.Handler{
+		admin.ShowAddresses:    record(admin.ShowAddresses, statuses),
+		admin.CooldownAddress:  record(admin.CooldownAddress, "done"),
+		admin.ReinstateAddress: record(admin.ReinstateAddress, "done"),
+	}}
+	ln, err := admin.Listen(socket)
+	require.NoError(t, err)
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- server.Run(ctx, ln) }()
+	t.Cleanup(func() {
+		cancel()
+		assert.NoError(t, <-done)
+	})
+	return socket, received
+}
+
+func TestReachIsAnAliasOfAddresses(t *testing.T) {
+	socket, received := adminStub(t, []address.Status{{Endpoint: "s-1", Addr: "127.0.0.1:1", Condition: "well"}})
+	for _, names := range [][2]string{
+		{"reach", "addresses"},
+		{"reach rest e a", "addresses cooldown e a"},
+		{"reach unrest e a", "addresses reinstate e a"},
+		{"addresses rest e a", "addresses cooldown e a"},
+	} {
+		*received = nil
+		withSocket := func(command string) []string { return append(strings.Fields(command), "--socket", socket) }
+		_, code := assertSameCommand(t, withSocket(names[0]), withSocket(names[1]))
+		assert.Equal(t, exitOK, code, names)
+		require.Len(t, *received, 2, names)
+		assert.Equal(t, (*received)[0], (*received)[1], names)
+	}
+}
+
+// TestAddressesPrintsTheTermsForWireNames checks the term of each condition, which has another name in the response.
+func TestAddressesPrintsTheTermsForWireNames(t *testing.T) {
+	terms := map[string]string{
+		"well": "healthy", "refused": "connect_refused", "hung": "connect_timed_out",
+		"broken": "connection_broken", "quiet": "unresponsive", "by-hand": "disabled", "later": "later",
+	}
+	var statuses []address.Status
+	for name := range terms {
+		statuses = append(statuses, address.Status{Endpoint: "s-1", Addr: address.Addr("at-" + name), Condition: name})
+	}
+	socket, _ := adminStub(t, statuses)
+	out, errs, code := runCommand(t, "addresses", "--socket", socket)
+	assert.Equal(t, exitOK, code, errs)
+	for name, term := range terms {
+		assert.Regexp(t, `s-1 +0 at-`+name+` +`+term+` +for 0 s, cooldown 0\.0 s`, out)
+	}
+	out, _, _ = runCommand(t, "addresses", "--socket", socket, "--json")
+	for name := range terms {
+		assert.Contains(t, out, `"state":"`+name+`"`)
+	}
+}
+
+// tookSeconds matches the figure of a report that differs from run to run.
+var tookSeconds = regexp.MustCompile(`"took_s": ?[0-9.e-]+`)
+
+func TestEarlierNamesOfSimulations(t *testing.T) {
+	for _, names := range [][2]string{
+		{"peers --seeds 1..1 --acts 2 --peers 5", "membership --seeds 1..1 --faults 2 --peers 5"},
+		{"ledger --seeds 1..1 --slices 1 --lasts 30", "replication --seeds 1..1 --shards 1 --duration 30"},
+	} {
+		var reports [2]string
+		for i, name := range names {
+			out, errs, code := runCommand(t, append([]string{"lab", "sim"}, strings.Fields(name+" --json -")...)...)
+			require.Equal(t, exitOK, code, "%s: %s", name, errs)
+			reports[i] = tookSeconds.ReplaceAllString(out, "TOOK")
+		}
+		assert.Equal(t, reports[1], reports[0], names)
+	}
+}
+
+// TestHelpShowsOnlyCurrentNames reads the help of every command for earlier names and other withdrawn words.
+func TestHelpShowsOnlyCurrentNames(t *testing.T) {
+	withdrawn := regexp.MustCompile(`(?i)--operators|\n +operators|\b(box|tier|reach|rest|unrest|ledger|slices?|acts|` +
+		`lasts|members?|hops?|txns?|rules?|board|promises?|judged?|parts?|start file|stands?|told)\b`)
+	commands := 0
+	var read func(path []string)
+	read = func(path []string) {
+		commands++
+		out, errs, code := runCommand(t, append(path, "--help")...)
+		require.Equal(t, exitOK, code, errs)
+		assert.Empty(t, withdrawn.FindAllString(out, -1), "%v: %s", path, out)
+		for _, name := range subcommands(out) {
+			read(append(path[:len(path):len(path)], name))
+		}
+	}
+	read(nil)
+	assert.GreaterOrEqual(t, commands, 25)
+}
+
+// subcommands returns the commands that a help text lists, without those of cobra.
+func subcommands(help string) []string {
+	_, list, found := strings.Cut(help, "Available Commands:\n")
+	if !found {
+		return nil
+	}
+	list, _, _ = strings.Cut(list, "\n\n")
+	var names []string
+	for line := range strings.Lines(list) {
+		if name := strings.Fields(line)[0]; name != "help" && name != "completion" {
+			names = append(names, name)
+		}
+	}
+	return names
+}
--- a/cmd/cairnfront/check.go
+++ b/cmd/cairnfront/check.go
@@ -9,7 +9,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check [FILE]",
-		Short: "Check a start file, by default the one that " + bootstrap.PathVariable + " names",
+		Short: "Check a bootstrap file, by default the one that " + bootstrap.PathVariable + " names",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			load := bootstrap.LoadFromEnv
@@ -20,7 +20,8 @@
 			if err != nil {
 				return err
 			}
-			printf(cmd, "%s on %s: %d remap rules, %d records, %d events of the notice board, %d MB, %d sockets\n",
+			printf(cmd, "router %s, listen address %s: %d request classes, %d settings, %d known discovery events, "+
+				"memory limit %d MB, limit of %d sockets\n",
 				c.Name, c.ListenAddress, len(c.ClassNames), len(c.Settings), len(c.KnownEvents),
 				c.MemoryMB, c.MaxSockets)
 			return nil
--- a/cmd/cairnfront/commands_test.go
+++ b/cmd/cairnfront/commands_test.go
@@ -30,7 +30,7 @@
 	}{
 		{[]string{"version"}, "", true, "cairnfront"},
 		{[]string{"--help"}, "", true, "serve"},
-		{[]string{"check", write("good", good)}, "", true, "3 remap rules"},
+		{[]string{"check", write("good", good)}, "", true, "3 request classes"},
 		{[]string{"check"}, write("bad", "{"), false, "JSON"},
 		{[]string{"serve"}, "", false, "LB_CONFIG is not set"},
 		{[]string{"serve"}, filepath.Join(dir, "absent"), false, "no such file"},
--- a/cmd/cairnfront/operators.go
+++ b/cmd/cairnfront/config.go
@@ -6,12 +6,12 @@
 	"github.com/spf13/cobra"
 )
 
-func operatorsCommand() *cobra.Command {
-	c := &cobra.Command{Use: "operators", Short: "The operators' file"}
+func configCommand() *cobra.Command {
+	c := &cobra.Command{Use: "config", Short: "Print or check the configuration file"}
 	c.AddCommand(
 		&cobra.Command{
 			Use:   "defaults",
-			Short: "Print a file that says every default",
+			Short: "Print a configuration file with the default, unit and meaning of every key",
 			Args:  cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error {
 				_, err := cmd.OutOrStdout().Write(config.Defaults())
@@ -20,7 +20,7 @@
 		},
 		&cobra.Command{
 			Use:   "schema",
-			Short: "Print the JSON Schema of the file",
+			Short: "Print the JSON Schema of the configuration file",
 			Args:  cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error {
 				_, err := cmd.OutOrStdout().Write(config.Schema)
@@ -29,14 +29,15 @@
 		},
 		&cobra.Command{
 			Use:   "check FILE",
-			Short: "Check a file; every mistake is named with line and column",
+			Short: "Check a configuration file; print each mistake with its line and column",
 			Args:  cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				file, err := config.Read(args[0])
 				if err != nil {
 					return err
 				}
-				printf(cmd, "%s: box %s (%s, %d remap rules), disk %q, peers at %q (%d in the roster)\n",
+				printf(cmd, "%s: edge cache %s (role %s, %d request classes), disk cache directory %q, "+
+					"peer address %q (%d routers in the roster)\n",
 					args[0], file.EdgeCache.ID, file.EdgeCache.Role, len(file.EdgeCache.Classes),
 					file.DiskCache.Directory, file.Membership.Listen, len(file.Membership.Roster))
 				return nil
--- a/cmd/cairnfront/tier_golden_test.go
+++ b/cmd/cairnfront/diskcache_golden_test.go
@@ -16,9 +16,9 @@
 // elapsed is what differs from run to run in the tools' output.
 var elapsed = regexp.MustCompile(`opened     in [0-9.]+ s|"Took":[0-9]+`)
 
-// The tools print the same for a folder of an earlier version, whole and damaged, as the program that wrote
-// testdata/tier.txt did.
-func TestTierToolsPrintTheSame(t *testing.T) {
+// TestDiskCacheToolsPrintTheGoldenText compares what the tools print for a folder of an earlier version, intact and
+// damaged, with testdata/disk-cache.txt.
+func TestDiskCacheToolsPrintTheGoldenText(t *testing.T) {
 	var text strings.Builder
 	for _, name := range []string{"folder", "damaged"} {
 		golden := filepath.Join("..", "..", "internal", "diskcache", "testdata", "golden", name)
@@ -29,7 +29,8 @@
 			if _, err := os.Stat(path); err != nil {
 				require.NoError(t, os.CopyFS(path, os.DirFS(golden)))
 			}
-			out, errs, code := runCommand(t, append(append([]string{"tier"}, args...), path)...)
+			out, errs, code := runCommand(t, append(append([]string{"disk-cache"}, args...), path)...)
+			errs = strings.ReplaceAll(errs, scratch, "SCRATCH")
 			fmt.Fprintf(&text, "== %s %s\n%s%sexit %d\n", name, args[0], out, errs, code)
 		}
 		run("1", "inspect")
@@ -42,7 +43,11 @@
 		run("5", "compact")
 		run("5", "verify")
 	}
-	want, err := os.ReadFile("testdata/tier.txt")
+	got := elapsed.ReplaceAllString(text.String(), "ELAPSED")
+	if *update {
+		require.NoError(t, os.WriteFile("testdata/disk-cache.txt", []byte(got), 0o600))
+	}
+	want, err := os.ReadFile("testdata/disk-cache.txt")
 	require.NoError(t, err)
-	assert.Equal(t, string(want), elapsed.ReplaceAllString(text.String(), "ELAPSED"))
+	assert.Equal(t, string(want), got)
 }
--- a/cmd/cairnfront/tier_test.go
+++ b/cmd/cairnfront/diskcache_test.go
@@ -30,7 +30,8 @@
 	return a.String(), b.String(), c.ProcessState.ExitCode()
 }
 
-// stoppedCacheDirectory is one of a stopped box: twenty parts, one of them purged since.
+// stoppedCacheDirectory returns the disk cache of a stopped edge cache: twenty chunks of ten objects, of
+// which one was purged.
 func stoppedCacheDirectory(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "disk")
 	d, err := vfs.MakeDir(path)
@@ -52,74 +53,74 @@
 	return path
 }
 
-func TestTierCommandsOnAStoppedCache(t *testing.T) {
+func TestDiskCacheCommandsOnAStoppedCache(t *testing.T) {
 	path := stoppedCacheDirectory(t)
-	out, _, code := runCommand(t, "tier", "inspect", path)
+	out, _, code := runCommand(t, "disk-cache", "inspect", path)
 	assert.Equal(t, 0, code)
 	assert.Contains(t, out, "20 of 10 objects")
-	assert.Contains(t, out, "notice 7 followed")
-	out, _, code = runCommand(t, "tier", "inspect", "--json", path)
+	assert.Contains(t, out, "discovery revision 7")
+	out, _, code = runCommand(t, "disk-cache", "inspect", "--json", path)
 	var in map[string]any
 	require.NoError(t, json.Unmarshal([]byte(out), &in))
 	assert.Equal(t, 20.0, in["Parts"])
 	assert.Equal(t, 0, code)
-	out, _, code = runCommand(t, "tier", "verify", path)
+	out, _, code = runCommand(t, "disk-cache", "verify", path)
 	assert.Equal(t, 0, code, out)
-	assert.Contains(t, out, "20 parts are whole, 2 of them voided by a purge; 0 bad")
+	assert.Contains(t, out, "20 chunks are readable, 2 of them invalidated by a purge; 0 bad records")
 	tar := filepath.Join(t.TempDir(), "x.tar")
-	_, errs, code := runCommand(t, "tier", "export", "--to", tar, path)
-	assert.Equal(t, "18 parts\n", errs)
+	_, errs, code := runCommand(t, "disk-cache", "export", "--to", tar, path)
+	assert.Equal(t, "18 chunks\n", errs)
 	assert.Equal(t, 0, code)
-	out, _, code = runCommand(t, "tier", "compact", path)
+	out, _, code = runCommand(t, "disk-cache", "compact", path)
 	assert.Equal(t, 0, code, out)
-	out, _, _ = runCommand(t, "tier", "verify", path)
-	assert.Contains(t, out, "18 parts are whole, 0 of them voided")
+	out, _, _ = runCommand(t, "disk-cache", "verify", path)
+	assert.Contains(t, out, "18 chunks are readable, 0 of them invalidated")
 
 	names, _ := filepath.Glob(filepath.Join(path, "seg-*"))
 	b, err := os.ReadFile(names[len(names)-1])
 	require.NoError(t, err)
 	b[len(b)/2] ^= 4
 	require.NoError(t, os.WriteFile(names[len(names)-1], b, 0o600))
-	out, _, code = runCommand(t, "tier", "verify", path)
+	out, _, code = runCommand(t, "disk-cache", "verify", path)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "bad-body seg-")
-	_, errs, code = runCommand(t, "tier", "inspect", t.TempDir())
+	_, errs, code = runCommand(t, "disk-cache", "inspect", t.TempDir())
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "is no folder of a disk tier")
 }
 
-func TestBoxLocksItsFolderAndDrains(t *testing.T) {
+func TestEdgeCacheLocksItsFolderAndDrains(t *testing.T) {
 	path := stoppedCacheDirectory(t)
 	file := filepath.Join(t.TempDir(), "o.yaml")
 	require.NoError(t, os.WriteFile(file,
 		[]byte(fmt.Sprintf("box:\n  rules: [{name: video}]\n  drain_s: 0.1\ntier:\n  folder: %q\n", path)), 0o600))
-	_, errs, code := runCommand(t, "box", "--operators", filepath.Join(t.TempDir(), "none.yaml"))
+	_, errs, code := runCommand(t, "edge-cache", "--config", filepath.Join(t.TempDir(), "none.yaml"))
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "none.yaml")
-	c := exec.Command(program, "box", "--operators", file)
+	c := exec.Command(program, "edge-cache", "--config", file)
 	log := &logBuffer{}
 	c.Stderr = log
 	require.NoError(t, c.Start())
 	require.Eventually(t, func() bool { return bytes.Contains([]byte(log.String()), []byte("serving")) }, patience,
 		5*time.Millisecond, log)
-	_, errs, code = runCommand(t, "tier", "verify", path)
+	_, errs, code = runCommand(t, "disk-cache", "verify", path)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "in use by another process")
 	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, c.Wait(), log.String())
-	out, _, code := runCommand(t, "tier", "verify", path)
+	out, _, code := runCommand(t, "disk-cache", "verify", path)
 	assert.Equal(t, 0, code, out)
 }
 
-func TestOperatorsCommandsPrintSchemaDefaultsAndErrors(t *testing.T) {
+func TestConfigCommandsPrintSchemaDefaultsAndErrors(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "o.yaml")
-	out, _, code := runCommand(t, "operators", "defaults")
+	out, _, code := runCommand(t, "config", "defaults")
 	assert.Equal(t, 0, code)
 	require.NoError(t, os.WriteFile(file, []byte(out), 0o600))
-	_, errs, code := runCommand(t, "operators", "check", file)
+	_, errs, code := runCommand(t, "config", "check", file)
 	assert.Equal(t, 0, code, errs)
 	require.NoError(t, os.WriteFile(file, []byte("tier:\n  alpha: dear\n"), 0o600))
-	_, errs, code = runCommand(t, "operators", "check", file)
+	_, errs, code = runCommand(t, "config", "check", file)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "o.yaml:2:10: tier.alpha")
 }
--- a/cmd/cairnfront/drain.go
+++ b/cmd/cairnfront/drain.go
@@ -17,8 +17,8 @@
 	flushTimeout    = 120 * time.Millisecond // for the last responses; connections to endpoints end after it
 )
 
-// drain ends what clients have open. They are told, requests that arrive all the same are served, and each
-// connection is closed once nothing is open on it. Requests that are open when the time is up are aborted.
+// drain ends the clients' connections. Clients are sent GOAWAY, requests that still arrive are served, and each
+// connection is closed once it has no open request. Requests that are open after the timeout are aborted.
 func (r *router) drain(ctx context.Context, timeout time.Duration) {
 	end, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -29,13 +29,14 @@
 	}
 	r.frontend.FinishDrain(end)
 	if r.admission.OpenClients() > 0 {
-		r.endRest(ctx)
+		r.endBusyConnections(ctx)
 	}
 }
 
-// endRest ends the connections that are not idle when the time is up: clients may go on sending until SIGKILL. Requests
-// that come are rejected, open ones aborted, and each connection is closed behind its last response.
-func (r *router) endRest(ctx context.Context) {
+// endBusyConnections ends the connections that have open requests after the drain's timeout, as clients may go on
+// sending until SIGKILL. New requests are rejected, open ones aborted, and each connection is closed after its last
+// response.
+func (r *router) endBusyConnections(ctx context.Context) {
 	r.admission.StartEnding()
 	r.dispatcher.AbortAll()
 	flush, cancel := context.WithTimeout(ctx, flushTimeout)
--- a/cmd/cairnfront/drain_test.go
+++ b/cmd/cairnfront/drain_test.go
@@ -18,8 +18,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSigtermDrainsWhatIsOpen shows that SIGTERM is told on every connection, that requests which come after it are
-// answered, and that open ones are waited for.
+// TestSigtermDrainsWhatIsOpen shows that SIGTERM sends GOAWAY on every connection, that later requests are answered,
+// and that the router waits for open ones.
 func TestSigtermDrainsWhatIsOpen(t *testing.T) {
 	release, _, s, c := routerSignalledDuringRequest(t, syscall.SIGTERM)
 	kind, stream, _ := c.readFrame(t)
@@ -66,17 +66,17 @@
 	for range 30 {
 		c := s.dial(t)
 		all.Go(func() {
-			for asked, told := 0, false; ; {
-				if !told {
+			for asked, notified := 0, false; ; {
+				if !notified {
 					c.send("page", objectID, "")
 					asked++
 				}
 				kind, _, payload := c.readFrame(t)
-				if told = told || kind == clientproto.TypeGoAway; kind == clientproto.TypeResponse {
+				if notified = notified || kind == clientproto.TypeGoAway; kind == clientproto.TypeResponse {
 					asked--
 					assert.EqualValues(t, 1, payload[0])
 				}
-				if told && asked == 0 {
+				if notified && asked == 0 {
 					return
 				}
 				once.Do(func() { assert.NoError(t, s.Process.Signal(syscall.SIGTERM)) })
@@ -99,11 +99,10 @@
 	next := startDiscovery(t)
 	require.NoError(t, os.WriteFile(s.bootstrapPath, bootstrapFile(s.addr, next.Addr().String(), 192, m, m), 0o600))
 	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-	require.Eventually(t, func() bool { return strings.Contains(s.log.String(), "code=followed") }, patience,
-		time.Millisecond)
+	s.waitForLog(t, "configuration reloaded")
 	next.deliver(t, discoveryFrame(2, 2, endpointRecord(1, m, 1)))
 	require.NoError(t, s.Process.Signal(syscall.SIGTERM))
-	require.Eventually(t, func() bool { return strings.Contains(s.log.String(), "again=true") }, patience,
+	require.Eventually(t, func() bool { return strings.Contains(s.log.String(), "repeated=true") }, patience,
 		time.Millisecond)
 	close(release)
 	code, _, _ := c.readResponse(t)
--- a/cmd/cairnfront/extensions.go
+++ b/cmd/cairnfront/extensions.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"maps"
 
 	"cairnfront/internal/admin"
 	"cairnfront/internal/config"
@@ -18,10 +19,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// errAddressesRemoved is returned for a reloaded operators' file without addresses where there were some.
-var errAddressesRemoved = errors.New("router.addresses: the last ones can't go while the router runs")
+// errAddressesRemoved is returned for a reloaded configuration file that has no addresses any more.
+var errAddressesRemoved = errors.New("router.addresses: not all can be removed while the router runs")
 
-// extensions are the parts of a router that its operators' file asks for beside the bootstrap file.
+// extensions are the parts of a router that its configuration file adds to the bootstrap file.
 type extensions struct {
 	path       string
 	node       *membership.Node // nil without membership
@@ -30,7 +31,7 @@
 	metrics    *telemetry.Metrics
 }
 
-// extend adds to the router what the operators' file asks for. It is called before the router is started.
+// extend adds to the router what the configuration file asks for. It is called before the router is started.
 func (r *router) extend(ctx context.Context, g *errgroup.Group, path string) (*extensions, error) {
 	file, err := config.Read(path)
 	if err != nil {
@@ -88,21 +89,19 @@
 	}
 }
 
-// serveAdmin serves the operators' commands on a Unix socket.
+// serveAdmin serves operators' commands on a Unix socket.
 func (e *extensions) serveAdmin(ctx context.Context, g *errgroup.Group, path string) error {
 	ln, err := admin.Listen(path)
 	if err != nil {
 		return err
 	}
 	server := &admin.Server{Metrics: e.metrics, Handlers: addressHandlers(e.dispatcher)}
-	for command, handler := range peerHandlers(e.node) {
-		server.Handlers[command] = handler
-	}
+	maps.Copy(server.Handlers, peerHandlers(e.node))
 	g.Go(func() error { return server.Run(ctx, ln) })
 	return nil
 }
 
-// reload reads the operators' file again. Its addresses and its roster take effect independently.
+// reload reads the configuration file again. Its addresses and its roster take effect independently.
 func (e *extensions) reload(ctx context.Context) error {
 	fresh, err := config.Read(e.path)
 	if err != nil {
@@ -120,6 +119,6 @@
 		return errAddressesRemoved
 	}
 	e.dispatcher.ReplaceAddresses(addressLookup(configured))
-	e.metrics.Log.Info("reload", "code", "addresses", "entries", len(configured))
+	e.metrics.Log.Info("endpoint addresses reloaded", "entries", len(configured))
 	return nil
 }
--- a/cmd/cairnfront/golden_test.go
+++ b/cmd/cairnfront/golden_test.go
@@ -35,12 +35,12 @@
 		}
 		return okResponse(h, "x")
 	})
-	path := filepath.Join(t.TempDir(), "operators.yaml")
+	path := filepath.Join(t.TempDir(), "config.yaml")
 	socket := filepath.Join(t.TempDir(), "admin")
 	text := fmt.Sprintf("router:\n  socket: %s\n  further_share: 0.5\n  addresses:\n"+
 		"  - {member: s-00000001, list: [%q]}\n", socket, cache.Addr())
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-	s := startRouterWith(t, []string{"--operators", path}, 192, cache, cache)
+	s := startRouterWith(t, []string{"--config", path}, 192, cache, cache)
 	c := s.dial(t)
 	for _, class := range []string{"page", "order", "write"} {
 		c.send(class, objectID, "")
@@ -55,16 +55,16 @@
 	bad := s.dial(t)
 	_, _ = bad.Write([]byte(strings.Repeat("\xff", 64)))
 	_, _ = bad.Read(make([]byte, 1))
-	for _, command := range []string{"reach", "rest", "peers", "unknown"} {
-		_, _ = admin.Call(socket, command, nil)
+	for _, request := range []admin.RequestName{
+		admin.ShowAddresses, admin.CooldownAddress, admin.ShowPeers, "unknown",
+	} {
+		_, _ = admin.Call(socket, request, nil)
 	}
 	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-	require.Eventually(t, func() bool { return strings.Contains(s.log.String(), "code=addresses") }, patience,
-		time.Millisecond)
+	s.waitForLog(t, "endpoint addresses reloaded")
 	require.NoError(t, os.WriteFile(path, []byte("router: 1\n"), 0o600))
 	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-	require.Eventually(t, func() bool { return strings.Contains(s.log.String(), "code=kept-old") }, patience,
-		time.Millisecond)
+	s.waitForLog(t, "configuration reload failed")
 	require.NoError(t, s.Process.Signal(syscall.SIGUSR1))
 	require.Eventually(t, func() bool { return strings.Contains(s.log.String(), "counter taken ") }, patience,
 		time.Millisecond)
--- a/cmd/cairnfront/harness_test.go
+++ b/cmd/cairnfront/harness_test.go
@@ -22,8 +22,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// patience bounds the waits of the tests. They start the built program and speak to it over loopback, against stand-ins
-// of caches and the discovery service that are written from the protocol's pages. A wait ends with what it waits for.
+// patience is the timeout of the tests' waits. The tests start the built program and connect to it over loopback, with
+// stand-ins of caches and of the discovery service that follow the protocol's pages. A wait ends as soon as its
+// condition holds.
 const patience = 30 * time.Second
 
 // program is the path of the built program.
@@ -93,7 +94,7 @@
 		}
 		list = append(list, row)
 	}
-	rule := func(name, effect string) map[string]any {
+	class := func(name, effect string) map[string]any {
 		return map[string]any{
 			"name": name, "effect": effect, "group": "all", "on_time_s": 1.0, "aim_stretch": 1.0, "hard_limit_s": 5.0,
 			"window_s": 5.0, "worth": 1.0, "late_worth": 0.5, "streaming": false,
@@ -126,7 +127,7 @@
 				"start_capacity": 0.3, "cold_s": 5.0,
 			},
 			"registry_mode":   "pushed",
-			"request_classes": []any{rule("page", "retryable"), rule("order", "fragile"), rule("write", "dedup")},
+			"request_classes": []any{class("page", "retryable"), class("order", "fragile"), class("write", "dedup")},
 		},
 	})
 	return text
@@ -215,6 +216,18 @@
 	}
 }
 
+// waitForLog waits until the program has logged a message.
+func (s *routerProcess) waitForLog(t *testing.T, message string) {
+	t.Helper()
+	logged := func() bool { return s.logCount(message) > 0 }
+	require.Eventually(t, logged, patience, time.Millisecond, message)
+}
+
+// logCount returns how often the program has logged a message of several words.
+func (s *routerProcess) logCount(message string) int {
+	return strings.Count(s.log.String(), fmt.Sprintf("msg=%q", message))
+}
+
 // dumpCounters has the program print its counters and returns them.
 func (s *routerProcess) dumpCounters(t *testing.T) map[string]int {
 	const lastButFew = "counter process.goroutines"
@@ -225,13 +238,13 @@
 	return s.counters()
 }
 
-// reload has the program read its files again and waits until it has followed them. Two signals that come close
+// reload has the program read its files again and waits until it uses them. Two signals that come close
 // together may reach a process as one.
 func (s *routerProcess) reload(t *testing.T) {
-	followed := func() int { return strings.Count(s.log.String(), "code=followed") }
-	before := followed()
+	reloads := func() int { return s.logCount("configuration reloaded") }
+	before := reloads()
 	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-	require.Eventually(t, func() bool { return followed() == before+1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return reloads() == before+1 }, patience, time.Millisecond)
 }
 
 // counters returns what the program printed last.
--- a/cmd/cairnfront/lab.go
+++ b/cmd/cairnfront/lab.go
@@ -15,8 +15,11 @@
 	"github.com/spf13/cobra"
 )
 
-// errScenarioFailed is returned if a rule or bound of a scenario did not hold.
-var errScenarioFailed = errors.New("the scenario did not hold")
+// errUnknownSize is returned for a size of a scenario other than small or full.
+var errUnknownSize = errors.New("not small or full")
+
+// errScenarioFailed is returned if a check of a scenario failed.
+var errScenarioFailed = errors.New("a check of the scenario failed")
 
 // clearLine is the terminal's sequence that returns to the start of the line and clears it.
 const clearLine = "\r\x1b[K"
@@ -30,7 +33,7 @@
 func labCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "lab",
-		Short: "The laboratory: scenarios on loopback, with faults, judged from what the stand-ins saw",
+		Short: "Run test scenarios with injected faults on loopback, or simulations",
 	}
 	c.AddCommand(labListCommand(), labRunCommand(), simCommand())
 	return c
@@ -39,11 +42,11 @@
 func labListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
-		Short: "List the scenarios",
+		Short: "List the scenarios with what each one tests",
 		Args:  cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
 			for _, s := range lab.Scenarios() {
-				printf(cmd, "%-14s %s\n", s.Name, s.Description)
+				printf(cmd, "%-20s %s\n", s.Name, s.Description)
 			}
 		},
 	}
@@ -55,11 +58,11 @@
 	var outputs reportOutputs
 	c := &cobra.Command{
 		Use:   "run SCENARIO",
-		Short: "Run a scenario; exit 0 only if every rule and bound held",
+		Short: "Run a scenario and print its report; exit 1 if any check fails",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if size != sizeSmall && size != sizeFull {
-				return fmt.Errorf("--size is small or full, not %q", size)
+				return fmt.Errorf("--size %q: %w", size, errUnknownSize)
 			}
 			program, err := os.Executable()
 			if err != nil {
@@ -78,12 +81,12 @@
 		},
 	}
 	flags := c.Flags()
-	flags.Uint64Var(&s.Seed, "seed", 1, "of all chance")
-	flags.StringVar(&size, "size", sizeSmall, "small or full")
+	flags.Uint64Var(&s.Seed, "seed", 1, "seed of the random choices: faults, load, object sizes")
+	flags.StringVar(&size, "size", sizeSmall, "size of the test cluster and the load: small or full")
 	flags.StringVar(&s.Script, "script", "",
-		"file of a fault script to be played instead of the scenario's own, where it has one")
+		"path of a fault script; empty: the scenario's own faults")
 	flags.StringVar(&s.Directory, "folder", "",
-		"folder for files and logs, which are kept; by default one that is removed")
+		"directory for files and logs, not removed after the run; empty: a temporary one")
 	outputs.addFlags(c)
 	return c
 }
@@ -106,12 +109,12 @@
 
 // addFlags adds the flags of the outputs.
 func (o *reportOutputs) addFlags(c *cobra.Command) {
-	c.Flags().StringVar(&o.json, "json", "", "file for the report as JSON, - for standard output")
-	c.Flags().StringVar(&o.html, "html", "", "file for the report as one page")
+	c.Flags().StringVar(&o.json, "json", "", "path for the report as JSON; - for standard output; empty: none")
+	c.Flags().StringVar(&o.html, "html", "", "path for the report as an HTML page; - for standard output; empty: none")
 }
 
 // write writes a report as text, unless its JSON goes to standard output, and to the outputs. It returns
-// errScenarioFailed if the scenario did not hold.
+// errScenarioFailed if a check failed.
 func (o *reportOutputs) write(cmd *cobra.Command, r *report.Report) error {
 	if o.json != "-" {
 		r.WriteText(cmd.OutOrStdout())
--- a/cmd/cairnfront/fleet_test.go
+++ b/cmd/cairnfront/largecluster_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fleetNeeds is what a router needs over one run of the same requests.
-type fleetNeeds struct {
+// resourceUse is what a router uses over one run of the same requests.
+type resourceUse struct {
 	cpuSeconds  float64
 	memoryMB    float64
 	descriptors int
@@ -23,13 +23,13 @@
 	answered    int
 }
 
-// TestNeedsOfARouterGrowLittleWithTheFleet serves the same requests in a fleet of 200 caches in 48 zones and in one of
-// 3,200, while the list changes, and holds the growth to the users' table: so many times as much, and something more
+// TestResourceUseGrowsLittleWithTheCluster serves the same requests in a cluster of 200 caches in 48 zones and in one
+// of 3,200, while the endpoint list changes, and checks the growth against the users' table: a factor, and an allowance
 // for each thousand caches.
-func TestNeedsOfARouterGrowLittleWithTheFleet(t *testing.T) {
+func TestResourceUseGrowsLittleWithTheCluster(t *testing.T) {
 	const usual, wide = 200, 3200
 	thousands := float64(wide) / 1000
-	before, after := needsInFleet(t, usual), needsInFleet(t, wide)
+	before, after := measureResourceUse(t, usual), measureResourceUse(t, wide)
 	t.Logf("%d caches: %+v; %d caches: %+v", usual, before, wide, after)
 	assert.Equal(t, before.answered, after.answered)
 	assert.LessOrEqual(t, after.cpuSeconds, 1.4*before.cpuSeconds+0.02+0.03*thousands)
@@ -38,17 +38,18 @@
 	assert.LessOrEqual(t, float64(after.connections), 2.5*float64(before.connections)+40)
 }
 
-// needsInFleet runs a router in a fleet and returns what it needed from its start until it had answered all.
-func needsInFleet(t *testing.T, caches int) fleetNeeds {
+// measureResourceUse runs a router in a cluster and returns what it used from its start until it had answered every
+// request.
+func measureResourceUse(t *testing.T, caches int) resourceUse {
 	const zones, requests, objects, burst = 48, 300, 300, 6
 	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
 	s := prepareProgram(t, launch{program: program}, 192, m, m)
-	widenFleet(t, s.bootstrapPath, m, caches, zones)
+	enlargeCluster(t, s.bootstrapPath, m, caches, zones)
 	s.start(t)
 	c := s.dial(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	popularity := rand.NewZipf(rng, 1.1, 8, objects-1)
-	needs := fleetNeeds{}
+	use := resourceUse{}
 	for i := range requests {
 		if i%10 == 0 { // caches of this zone come and go
 			record := endpointRecord(uint32(zones*(i/20%(caches/zones))), m, byte(i/10%2))
@@ -60,20 +61,20 @@
 		}
 		for range burst {
 			if code, _, _ := c.readResponse(t); code == 1 {
-				needs.answered++
+				use.answered++
 			}
 		}
 	}
 	counters := s.dumpCounters(t)
-	needs.cpuSeconds = cpuSeconds(t, s.Process.Pid)
-	needs.memoryMB = peakMemoryMB(t, s.Process.Pid)
-	needs.descriptors = counters["process.descriptors"]
-	needs.connections = counters["conn.member.begun"]
-	return needs
+	use.cpuSeconds = cpuSeconds(t, s.Process.Pid)
+	use.memoryMB = peakMemoryMB(t, s.Process.Pid)
+	use.descriptors = counters["process.descriptors"]
+	use.connections = counters["conn.member.begun"]
+	return use
 }
 
-// widenFleet rewrites a bootstrap file: so many caches in zones, one after another, all at the stand-in's address.
-func widenFleet(t *testing.T, path string, m *cacheStub, caches, zones int) {
+// enlargeCluster rewrites a bootstrap file: a number of caches, spread over zones, all at the stand-in's address.
+func enlargeCluster(t *testing.T, path string, m *cacheStub, caches, zones int) {
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	var file map[string]any
--- a/cmd/cairnfront/limits_test.go
+++ b/cmd/cairnfront/limits_test.go
@@ -112,7 +112,7 @@
 	assert.Len(t, body, 240_000, "and it serves")
 }
 
-// TestBadClientsDoNotDisturbAGoodOne shows that a client that breaks the protocol is told so or closed, never
+// TestBadClientsDoNotDisturbAGoodOne shows that a client that violates the protocol gets an error or is closed, never
 // served, and that a good one beside it loses nothing.
 func TestBadClientsDoNotDisturbAGoodOne(t *testing.T) {
 	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
--- a/cmd/cairnfront/listen.go
+++ b/cmd/cairnfront/listen.go
@@ -11,26 +11,25 @@
 	"cairnfront/internal/telemetry"
 )
 
-// A port that is in use at the start, or a call that fails for a moment, is tried again for a bounded time. A restarted
-// process has to be ready soon after the one before has ended, and one that waits for ever would hide that its address
-// is wrong.
+// Listening is tried again for a bounded time if the port is in use or the system lacks resources. A restarted process
+// has to be ready soon after the previous one has ended. One that waits without a bound would hide a wrong address.
 const (
 	portInUseTimeout  = 4 * time.Second
 	portRetryInterval = 20 * time.Millisecond
 )
 
-// listen opens the listener. The process before may still be ending and hold the port, which is waited for. The
-// listener is nil if a signal to end came first.
+// listen opens the listener. It waits while the previous process still holds the port. The listener is nil if a signal
+// to end came first.
 func listen(addr string, signals <-chan os.Signal, metrics *telemetry.Metrics) (net.Listener, error) {
 	start := time.Now()
 	for tries := 0; ; tries++ {
 		ln, err := net.Listen("tcp", addr)
 		waited := time.Since(start)
 		if err == nil && tries > 0 {
-			metrics.Log.Warn("listen", "code", "port-was-in-use", "address", addr, "for_s", waited.Seconds())
+			metrics.Log.Warn("listening address was in use", "address", addr, "duration_seconds", waited.Seconds())
 		}
-		passing := errors.Is(err, syscall.EADDRINUSE) || netconn.IsLocalShortage(err)
-		if err == nil || !passing || waited > portInUseTimeout {
+		temporary := errors.Is(err, syscall.EADDRINUSE) || netconn.IsLocalShortage(err)
+		if err == nil || !temporary || waited > portInUseTimeout {
 			return ln, err
 		}
 		select {
--- a/cmd/cairnfront/main.go
+++ b/cmd/cairnfront/main.go
@@ -1,8 +1,8 @@
-// Command cairnfront is a traffic router for a two-tier cache. It also holds the cache process, the tools for what
-// either leaves on disk, and the laboratory.
+// Command cairnfront is a traffic router for a two-tier cache. It also has the edge cache, the tools for what either
+// writes to disk, and the laboratory.
 //
-// Each command has a file. A command parses its flags, calls into a package and turns its error into one line on
-// standard error and an exit code.
+// Each command has a file, named after it. A command parses its flags, calls into a package and turns its error into
+// one line on standard error and an exit code.
 package main
 
 import (
@@ -24,22 +24,24 @@
 func run() int {
 	root := &cobra.Command{
 		Use:           "cairnfront",
-		Short:         "A traffic router for a two-tier cache",
+		Short:         "Route requests to edge caches, their parent caches and the origin",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	root.AddCommand(
-		boxCommand(),
+		addressesCommand(),
 		checkCommand(),
+		configCommand(),
+		diskCacheCommand(),
+		edgeCacheCommand(),
 		labCommand(),
-		ledgerCommand(),
-		operatorsCommand(),
 		peersCommand(),
-		reachCommand(),
+		replicationCommand(),
 		serveCommand(),
-		tierCommand(),
 		versionCommand(),
 	)
+	root.AddCommand(aliasedCommands()...)
+	root.SetGlobalNormalizationFunc(currentFlagName)
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "cairnfront:", err)
 		return exitFailure
--- a/cmd/cairnfront/main_test.go
+++ b/cmd/cairnfront/main_test.go
@@ -15,19 +15,19 @@
 		code int
 	}{
 		{[]string{"version"}, exitOK},
-		{[]string{"operators", "defaults"}, exitOK},
+		{[]string{"config", "defaults"}, exitOK},
 		{[]string{"lab", "list"}, exitOK},
 		{[]string{"unknown"}, exitFailure},
 		{[]string{"version", "argument"}, exitFailure},
-		{[]string{"operators", "check", missing}, exitFailure},
+		{[]string{"config", "check", missing}, exitFailure},
 		{[]string{"check", missing}, exitFailure},
-		{[]string{"box", "--operators", missing}, exitFailure},
-		{[]string{"reach", "--socket", missing}, exitFailure},
+		{[]string{"edge-cache", "--config", missing}, exitFailure},
+		{[]string{"addresses", "--socket", missing}, exitFailure},
 		{[]string{"peers", "--socket", missing}, exitFailure},
-		{[]string{"tier", "inspect", missing}, exitFailure},
-		{[]string{"ledger", "verify", missing}, exitFailure},
+		{[]string{"disk-cache", "inspect", missing}, exitFailure},
+		{[]string{"replication", "verify", missing}, exitFailure},
 		{[]string{"lab", "run", "unknown"}, exitFailure},
-		{[]string{"lab", "sim", "peers", "--seeds", "2..1"}, exitFailure},
+		{[]string{"lab", "sim", "membership", "--seeds", "2..1"}, exitFailure},
 	} {
 		_, errs, code := runCommand(t, c.args...)
 		assert.Equal(t, c.code, code, "%v: %s", c.args, errs)
--- a/cmd/cairnfront/membership.go
+++ b/cmd/cairnfront/membership.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	// maxQueuedObservations is how many health observations may wait for the event loop. One more is dropped, since an
-	// observation expires by itself.
+	// maxQueuedObservations is how many health observations may wait for the event loop. Further ones are dropped: an
+	// observation expires anyway.
 	maxQueuedObservations = 256
-	// bytesPerKB converts the KB of the operators' file.
+	// bytesPerKB converts the KB of the configuration file.
 	bytesPerKB = 1000
 	// othersMayRead are the permissions that a private key's file must not have.
 	othersMayRead = 0o077
@@ -33,11 +33,12 @@
 
 // Errors of membership commands and reloads.
 var (
-	errNoMembership      = errors.New("this router knows no peers: peers.listen is empty in its operators' file")
-	errMembershipToggled = errors.New("peers.listen: peers can't be taken up or given up while the router runs")
+	errKeyExposed        = errors.New("other users may read the private key")
+	errNoMembership      = errors.New("this router has no peers: peers.listen is empty in its configuration file")
+	errMembershipToggled = errors.New("peers.listen: membership can't be switched on or off while the router runs")
 )
 
-// joinPeers makes the router a member of its peers, if the operators' file says so. The node is nil if it doesn't.
+// joinPeers starts the membership node that the configuration file asks for. The node is nil if it asks for none.
 func (r *router) joinPeers(ctx context.Context, g *errgroup.Group, c config.Membership) (*membership.Node, error) {
 	if c.Listen == "" {
 		return nil, nil
@@ -81,11 +82,11 @@
 	}
 	r.connectMembership(ctx, g, node)
 	g.Go(func() error { return node.Run(ctx) })
-	r.metrics.Log.Info("peers", "code", "joining", "name", name, "listen", node.Addr(), "roster", len(roster))
+	r.metrics.Log.Info("joining peers", "peer", name, "address", node.Addr(), "roster", len(roster))
 	return node, nil
 }
 
-// connectMembership lets the node and the event loop exchange what they observe of endpoints. Neither waits for the
+// connectMembership lets the node and the event loop exchange observations of endpoints' health. Neither blocks on the
 // other.
 func (r *router) connectMembership(ctx context.Context, g *errgroup.Group, node *membership.Node) {
 	node.ProbeEventLoop = r.dispatcher.ProbeLiveness
@@ -117,7 +118,7 @@
 	})
 }
 
-// readPrivateKey reads a private key from a file that nobody else may read.
+// readPrivateKey reads a private key. Other users must not have access to its file.
 func readPrivateKey(path string) (ed25519.PrivateKey, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -125,7 +126,7 @@
 	}
 	info, err := os.Stat(path)
 	if err == nil && info.Mode().Perm()&othersMayRead != 0 {
-		return nil, fmt.Errorf("%s may be read by others (mode %o): chmod 600", path, info.Mode().Perm())
+		return nil, fmt.Errorf("%s: %w: mode is %o, chmod 600", path, errKeyExposed, info.Mode().Perm())
 	}
 	key, err := datagram.ParsePrivateKey(strings.TrimSpace(string(text)))
 	if err != nil {
@@ -134,7 +135,7 @@
 	return key, nil
 }
 
-// parseRoster returns the roster of the operators' file as the node takes it.
+// parseRoster converts the roster of the configuration file.
 func parseRoster(peers []config.Peer) ([]membership.RosterEntry, error) {
 	roster := make([]membership.RosterEntry, len(peers))
 	for i, peer := range peers {
@@ -147,7 +148,7 @@
 	return roster, nil
 }
 
-// reloadRoster follows a roster read again. Membership can't be switched on or off while the router runs.
+// reloadRoster applies the roster of a reloaded file. Membership can't be switched on or off while the router runs.
 func (e *extensions) reloadRoster(ctx context.Context, c config.Membership) error {
 	if (e.node == nil) != (c.Listen == "") {
 		return errMembershipToggled
@@ -162,20 +163,20 @@
 	if err := e.node.UpdateRoster(ctx, roster); err != nil {
 		return err
 	}
-	e.metrics.Log.Info("reload", "code", "roster", "entries", len(roster))
+	e.metrics.Log.Info("roster reloaded", "entries", len(roster))
 	return nil
 }
 
-// peerHandlers are the admin socket's requests about peers. The node is nil without membership.
-func peerHandlers(node *membership.Node) map[string]admin.Handler {
-	return map[string]admin.Handler{
-		"peers": func(ctx context.Context, _ map[string]string) (any, error) {
+// peerHandlers are the handlers of the admin socket's requests about peers. The node is nil without membership.
+func peerHandlers(node *membership.Node) map[admin.RequestName]admin.Handler {
+	return map[admin.RequestName]admin.Handler{
+		admin.ShowPeers: func(ctx context.Context, _ map[string]string) (any, error) {
 			if node == nil {
 				return nil, errNoMembership
 			}
 			return node.Report(ctx)
 		},
-		"peers-leave": func(ctx context.Context, _ map[string]string) (any, error) {
+		admin.LeavePeers: func(ctx context.Context, _ map[string]string) (any, error) {
 			if node == nil {
 				return nil, errNoMembership
 			}
--- a/cmd/cairnfront/peers_test.go
+++ b/cmd/cairnfront/peers_test.go
@@ -26,8 +26,8 @@
 	entries []map[string]string
 }
 
-func (f *peerGroup) operatorsFile(t *testing.T, i int, listen string, entries []map[string]string) string {
-	path := filepath.Join(f.folder, fmt.Sprintf("operators-%d.yaml", i))
+func (f *peerGroup) configFile(t *testing.T, i int, listen string, entries []map[string]string) string {
+	path := filepath.Join(f.folder, fmt.Sprintf("config-%d.yaml", i))
 	text, err := json.Marshal(map[string]any{
 		"router": map[string]any{"socket": f.adminSocket(i)},
 		"peers": map[string]any{
@@ -40,7 +40,9 @@
 	return path
 }
 
-func (f *peerGroup) adminSocket(i int) string { return filepath.Join(f.folder, fmt.Sprint("door-", i)) }
+func (f *peerGroup) adminSocket(i int) string {
+	return filepath.Join(f.folder, fmt.Sprint("admin-", i))
+}
 
 func freePort(t *testing.T) string {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -50,7 +52,7 @@
 }
 
 func (f *peerGroup) report(i int) (r membership.Report) {
-	if data, err := admin.Call(f.adminSocket(i), "peers", nil); err == nil {
+	if data, err := admin.Call(f.adminSocket(i), admin.ShowPeers, nil); err == nil {
 		_ = json.Unmarshal(data, &r)
 	}
 	return r
@@ -75,7 +77,7 @@
 			"address": freePort(t),
 		})
 		_, err = exec.Command(program, "peers", "key", key).Output()
-		assert.Error(t, err, "a key that is there is not written over")
+		assert.Error(t, err, "an existing key is not overwritten")
 	}
 	f.entries[2]["address"] = "" // learnt from the others
 	third := freePort(t)
@@ -86,7 +88,7 @@
 		if i == 2 {
 			listen = third
 		}
-		args := []string{"--operators", f.operatorsFile(t, i, listen, f.entries[:3])}
+		args := []string{"--config", f.configFile(t, i, listen, f.entries[:3])}
 		procs = append(procs, startRouterWith(t, args, 192, m, m))
 	}
 	for i := range 3 {
@@ -99,41 +101,41 @@
 	f.waitForState(t, 1, "whole")
 	out, err := exec.Command(program, "peers", "--socket", f.adminSocket(0)).Output()
 	require.NoError(t, err)
-	assert.Contains(t, string(out), "r0: whole")
-	assert.Contains(t, string(out), third, "the address that r2 told")
+	assert.Contains(t, string(out), "r0: partition state complete")
+	assert.Contains(t, string(out), third, "the address that r2 announced")
 
 	require.NoError(t, exec.Command(program, "peers", "leave", "--socket", f.adminSocket(2)).Run())
 	require.Eventually(t, func() bool { r := f.report(0); return r.Roster == 2 && r.Present == 2 }, patience,
 		20*time.Millisecond)
-	assert.Equal(t, "whole", f.report(0).PartitionState, "who left is not missed")
+	assert.Equal(t, "whole", f.report(0).PartitionState, "a router that left is not counted")
 
-	f.operatorsFile(t, 0, f.entries[0]["address"], append(f.entries[:2:2], f.entries[3]))
+	f.configFile(t, 0, f.entries[0]["address"], append(f.entries[:2:2], f.entries[3]))
 	require.NoError(t, procs[0].Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool { return len(f.report(0).Members) == 3 && f.report(0).Roster == 3 }, patience,
 		20*time.Millisecond, "r3 came, r2 went")
 
 	// A second process under r1's name: the newest goes on, the older one falls silent.
 	f.entries[1]["address"] = freePort(t)
-	twin := filepath.Join(f.folder, "twin")
-	require.NoError(t, os.Mkdir(twin, 0o700))
-	text, err := os.ReadFile(filepath.Join(f.folder, "operators-1.yaml"))
+	conflict := filepath.Join(f.folder, "conflict")
+	require.NoError(t, os.Mkdir(conflict, 0o700))
+	text, err := os.ReadFile(filepath.Join(f.folder, "config-1.yaml"))
 	require.NoError(t, err)
-	file := filepath.Join(twin, "operators.yaml")
-	text = []byte(strings.ReplaceAll(string(text), f.adminSocket(1), filepath.Join(twin, "door")))
-	var book map[string]any
-	require.NoError(t, json.Unmarshal(text, &book))
-	book["peers"].(map[string]any)["listen"] = f.entries[1]["address"]
-	text, err = json.Marshal(book)
+	file := filepath.Join(conflict, "config.yaml")
+	text = []byte(strings.ReplaceAll(string(text), f.adminSocket(1), filepath.Join(conflict, "admin")))
+	var content map[string]any
+	require.NoError(t, json.Unmarshal(text, &content))
+	content["peers"].(map[string]any)["listen"] = f.entries[1]["address"]
+	text, err = json.Marshal(content)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(file, text, 0o600))
 	require.Eventually(t, func() bool { return f.report(1).UptimeSeconds > 21 }, patience, 100*time.Millisecond,
-		"past the time in which it may think of an earlier life")
-	startRouterWith(t, []string{"--operators", file}, 192, m, m)
+		"after the time in which it may take the conflict for its own earlier incarnation")
+	startRouterWith(t, []string{"--config", file}, 192, m, m)
 	require.Eventually(t, func() bool { return f.report(1).Silent }, patience, 20*time.Millisecond)
 	assert.Equal(t, "alone", f.report(1).PartitionState)
 }
 
-// TestInvalidPeerConfigIsRefusedWithPlaceAndReason shows that a mistake in the operators' file ends the start with
+// TestInvalidPeerConfigIsRefusedWithPlaceAndReason shows that a mistake in the configuration file ends the start with
 // one line.
 func TestInvalidPeerConfigIsRefusedWithPlaceAndReason(t *testing.T) {
 	folder := t.TempDir()
@@ -147,28 +149,28 @@
 	start := filepath.Join(folder, "start.json")
 	require.NoError(t, os.WriteFile(start, bootstrapFile("127.0.0.1:0", m.Addr().String(), 192, m, m), 0o600))
 	for text, want := range map[string]string{
-		`{peers: {listen: "127.0.0.1:0"}}`: "operators.yaml:1:9: peers.key_file: needed",
+		`{peers: {listen: "127.0.0.1:0"}}`: "config.yaml:1:9: peers.key_file: required",
 		`{peers: {listen: "127.0.0.1:0", name: a, key_file: KEY, ` +
-			`roster: [{name: a, key: MINE}, {name: b, key: MINE, address: "127.0.0.1:9"}]}}`: "the key of two",
+			`roster: [{name: a, key: MINE}, {name: b, key: MINE, address: "127.0.0.1:9"}]}}`: "duplicate key",
 		`{peers: {listen: "127.0.0.1:0", name: a, key_file: KEY, ` +
 			`roster: [{name: a, key: YOURS}, {name: b, key: MINE, address: "127.0.0.1:9"}]}}`: "the own key is not " +
 			"the one in the roster",
 		`{peers: {listen: "127.0.0.1:0", name: a, key_file: KEY, ` +
-			`roster: [{name: a, key: MINE}, {name: a, key: YOURS, address: "127.0.0.1:9"}]}}`: "stands twice",
+			`roster: [{name: a, key: MINE}, {name: a, key: YOURS, address: "127.0.0.1:9"}]}}`: `duplicate name "a"`,
 		`{peers: {listen: "127.0.0.1:0", name: c, key_file: KEY, ` +
 			`roster: [{name: a, key: MINE}, {name: b, key: YOURS, address: "127.0.0.1:9"}]}}`: "is not in the roster",
 		`{peers: {listen: "127.0.0.1:0", name: a, key_file: KEY, ` +
-			`roster: [{name: a, key: MINE}, {name: b, key: YOURS}]}}`: "nobody could be reached",
+			`roster: [{name: a, key: MINE}, {name: b, key: YOURS}]}}`: "none can be reached",
 		`{peers: {listen: "127.0.0.1:0", name: a, key_file: /nowhere, ` +
 			`roster: [{name: a, key: MINE}, {name: b, key: YOURS, address: "127.0.0.1:9"}]}}`: "key_file",
 		`{peers: {listen: "127.0.0.1:0", name: a, key_file: KEY, liars: 5, ` +
-			`roster: [{name: a, key: MINE}, {name: b, key: YOURS, address: "127.0.0.1:9"}]}}`: "may not lie",
+			`roster: [{name: a, key: MINE}, {name: b, key: YOURS, address: "127.0.0.1:9"}]}}`: "byzantine peers of",
 	} {
 		text = strings.NewReplacer("KEY", key, "MINE", mine, "YOURS", yours).Replace(text)
-		file := filepath.Join(folder, "operators.yaml")
+		file := filepath.Join(folder, "config.yaml")
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		cmd := exec.CommandContext(ctx, program, "serve", "--operators", file)
+		cmd := exec.CommandContext(ctx, program, "serve", "--config", file)
 		cmd.Env = append(os.Environ(), "LB_CONFIG="+start)
 		out, err := cmd.CombinedOutput()
 		cancel()
--- a/cmd/cairnfront/reload.go
+++ b/cmd/cairnfront/reload.go
@@ -9,21 +9,21 @@
 	"cairnfront/internal/telemetry"
 )
 
-// A file that can't be read, as the call failed for a moment, is read again: the discovery service's former address
-// tells nothing any more. One that is read and is not in order is not.
+// A file that can't be read at a reload is read again after an interval, as a system call may fail temporarily and the
+// discovery service's former address may be out of use already. An invalid file is not read again.
 const (
 	maxReloadRetries    = 10
 	reloadRetryInterval = 100 * time.Millisecond
 )
 
-// reloadRetry is a reload that is under way.
+// reloadRetry is a reload that is to be tried again.
 type reloadRetry struct {
 	due  <-chan time.Time // nil for none
 	left int
 }
 
-// reload reads the bootstrap file and the operators' file again. A file that can't be used leaves the old one in
-// force.
+// reload reads the bootstrap file and the configuration file again. After a file that can't be used, the values of
+// the last valid one stay in use.
 func (r *router) reload(ctx context.Context) error {
 	err := r.reloadBootstrap()
 	if r.extensions == nil {
@@ -35,7 +35,7 @@
 	return err
 }
 
-// reloadOrRetry reloads and returns what is left to be tried.
+// reloadOrRetry reloads and returns the retry, if a file could not be read.
 func (r *router) reloadOrRetry(ctx context.Context, retries int) reloadRetry {
 	var unread *fs.PathError
 	if err := r.reload(ctx); retries == 0 || !errors.As(err, &unread) {
@@ -44,7 +44,7 @@
 	return reloadRetry{due: time.After(reloadRetryInterval), left: retries - 1}
 }
 
-// reloadBootstrap reads the bootstrap file again and follows the discovery service's new address.
+// reloadBootstrap reads the bootstrap file again and switches to the discovery service's new address.
 func (r *router) reloadBootstrap() error {
 	fresh, err := r.load()
 	if err == nil {
@@ -55,7 +55,7 @@
 		return err
 	}
 	r.metrics.Inc(telemetry.Reloads)
-	r.metrics.Log.Info("reload", "code", "followed", "board", fresh.DiscoveryAddress)
+	r.metrics.Log.Info("configuration reloaded", "discovery_address", fresh.DiscoveryAddress)
 	if fresh.DiscoveryAddress != r.config.DiscoveryAddress {
 		replaceAddress(r.discovery.AddressChanges, fresh.DiscoveryAddress)
 	}
@@ -63,14 +63,14 @@
 	return nil
 }
 
-// logReloadFailure counts and logs that the old configuration stays in force.
+// logReloadFailure counts and logs a reload that left the configuration unchanged.
 func (r *router) logReloadFailure(err error) {
 	r.metrics.Inc(telemetry.ReloadsFailed)
-	r.metrics.Log.Error("reload", "code", "kept-old", "err", err.Error())
+	r.metrics.Log.Error("configuration reload failed", "error", err.Error())
 }
 
-// replaceAddress puts an address into a channel of capacity 1 in place of an earlier one that was not taken yet. It
-// does not wait, as nobody else writes to the channel.
+// replaceAddress puts an address into a channel of capacity 1, in place of an earlier one that was not received yet. It
+// does not block, as nothing else writes to the channel.
 func replaceAddress(changes chan string, address string) {
 	select {
 	case <-changes:
--- a/cmd/cairnfront/reload_test.go
+++ b/cmd/cairnfront/reload_test.go
@@ -18,7 +18,7 @@
 )
 
 // TestReloadFollowsTheNewFile shows that SIGHUP makes the router follow the discovery service's new address without
-// disturbing an open request, that a file which can't be used leaves the old one in force, and that many signals at
+// disturbing an open request, that a file that can't be used changes nothing, and that many signals at
 // once do no harm.
 func TestReloadFollowsTheNewFile(t *testing.T) {
 	release := make(chan bool)
@@ -34,8 +34,8 @@
 		m)), `"memory_mb":64`, `"memory_mb":65`, 1)} {
 		require.NoError(t, os.WriteFile(s.bootstrapPath, []byte(bad), 0o600))
 		require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-		require.Eventually(t, func() bool { return strings.Count(s.log.String(), "code=kept-old") == i+1 }, patience,
-			time.Millisecond)
+		failed := func() bool { return s.logCount("configuration reload failed") == i+1 }
+		require.Eventually(t, failed, patience, time.Millisecond)
 	}
 	next := startDiscovery(t)
 	require.NoError(t, os.WriteFile(s.bootstrapPath, bootstrapFile(s.addr, next.Addr().String(), 64, m, m), 0o600))
@@ -52,7 +52,7 @@
 		c.send("page", objectID, "")
 		_, _, body := c.readResponse(t)
 		return body == "new"
-	}, patience, time.Millisecond, "the new board's list counts")
+	}, patience, time.Millisecond, "the new discovery service's list counts")
 	assert.NoError(t, s.stop(t, syscall.SIGTERM))
 }
 
@@ -109,7 +109,7 @@
 	assert.Equal(t, "127.0.0.1:3", r.config.DiscoveryAddress)
 }
 
-// TestReloadIsTriedAgainWhereTheFileCannotBeRead takes the file away for a moment around SIGHUP, twice in a row.
+// TestReloadIsTriedAgainWhereTheFileCannotBeRead removes the file for a short time around SIGHUP, twice in a row.
 func TestReloadIsTriedAgainWhereTheFileCannotBeRead(t *testing.T) {
 	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
 	s := startRouter(t, 64, m, m)
@@ -118,9 +118,9 @@
 		fresh := bootstrapFile(s.addr, next.Addr().String(), 64, m, m)
 		require.NoError(t, os.Remove(s.bootstrapPath))
 		require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-		failed := strings.Count(s.log.String(), "code=kept-old")
-		require.Eventually(t, func() bool { return strings.Count(s.log.String(), "code=kept-old") > failed }, patience,
-			time.Millisecond)
+		failed := s.logCount("configuration reload failed")
+		failedAgain := func() bool { return s.logCount("configuration reload failed") > failed }
+		require.Eventually(t, failedAgain, patience, time.Millisecond)
 		require.NoError(t, os.WriteFile(s.bootstrapPath+".new", fresh, 0o600))
 		require.NoError(t, os.Rename(s.bootstrapPath+".new", s.bootstrapPath))
 		next.deliver(t, discoveryFrame(2, 0, nil))
--- a/cmd/cairnfront/requests_test.go
+++ b/cmd/cairnfront/requests_test.go
@@ -197,7 +197,7 @@
 	assert.Zero(t, ask(40, 400)["old"])
 	require.NoError(t, s.Process.Signal(syscall.SIGUSR1))
 	require.Eventually(t, func() bool { return s.counters()["hops.page.sent"] >= 400 }, patience, time.Millisecond)
-	assert.Less(t, s.counters()["hops.page.sent"], 440, "few hops are lost to a cache that is dead and listed")
+	assert.Less(t, s.counters()["hops.page.sent"], 440, "few attempts are lost to a cache that has ended and is listed")
 	ln, err := net.Listen("tcp", addr)
 	require.NoError(t, err)
 	fresh := &cacheStub{
--- a/cmd/cairnfront/restart_test.go
+++ b/cmd/cairnfront/restart_test.go
@@ -48,19 +48,19 @@
 	require.NoError(t, s.Process.Signal(syscall.SIGCONT))
 	for _, c := range []*client{c, late} {
 		code, _, _ := c.readResponse(t)
-		assert.Contains(t, []byte{0, 1}, code, "past its SLA time it may be rejected")
+		assert.Contains(t, []byte{0, 1}, code, "past its latency objective it may be rejected")
 	}
 	require.Eventually(t, func() bool {
 		c.send("page", "0000000000000003", "")
 		_, _, body := c.readResponse(t)
 		return body == "new"
-	}, patience, 10*time.Millisecond, "the list that came meanwhile counts")
+	}, patience, 10*time.Millisecond, "the endpoint list sent meanwhile is used")
 	assert.NoError(t, s.stop(t, syscall.SIGTERM))
 	k := s.counters()
 	assert.Equal(t, []int{k["taken"], 0}, []int{k["answered"], k["open"]})
 }
 
-// TestListenWaitsForAPortInUse has the process before still hold the port. A signal is handled only between two
+// TestListenWaitsForAPortInUse has the previous process still hold the port. A signal is handled only between two
 // tries, so it proves the first.
 func TestListenWaitsForAPortInUse(t *testing.T) {
 	type result struct {
@@ -81,7 +81,7 @@
 		r := <-got
 		require.NoError(t, r.error)
 		if last == syscall.SIGTERM {
-			assert.Nil(t, r.Listener, "it is told to end before it began")
+			assert.Nil(t, r.Listener, "a signal ends it before it listens")
 			continue
 		}
 		assert.NoError(t, r.Close())
@@ -107,6 +107,6 @@
 	select {
 	case next.send <- discoveryFrame(2, 2, endpointRecord(1, m, 0)):
 	case <-time.After(patience):
-		t.Fatal("the new board is not asked")
+		t.Fatal("no connection to the new discovery service")
 	}
 }
--- a/cmd/cairnfront/serve.go
+++ b/cmd/cairnfront/serve.go
@@ -29,18 +29,31 @@
 // readClocks reads the clocks by which Unix times of the discovery service are translated.
 var readClocks = clock.System
 
+const serveHelp = `Run the router with the bootstrap file that ` + bootstrap.PathVariable + ` names.
+
+The bootstrap file (JSON, written by the deployment) has the listening address, the limits of memory and sockets, the
+routing settings, the address of the discovery service and the endpoints known at the start. The configuration file
+(YAML, written by operators, see 'cairnfront config defaults') is optional. It adds endpoints with several addresses,
+a retry budget, membership and the admin socket.
+
+The log goes to standard error. Signals:
+  SIGHUP             read both files again; an invalid one changes nothing
+  SIGUSR1            print the counters
+  SIGTERM, SIGINT    drain: answer the open requests, then exit 0`
+
 // loadBootstrap reads the bootstrap file.
 type loadBootstrap func() (bootstrap.Config, error)
 
 func serveCommand() *cobra.Command {
-	var operatorsPath string
+	var configPath string
 	c := &cobra.Command{
 		Use:   "serve",
-		Short: "Serve as the file that " + bootstrap.PathVariable + " names says",
+		Short: "Run the router with the bootstrap file that " + bootstrap.PathVariable + " names",
+		Long:  serveHelp,
 		Args:  cobra.NoArgs,
-		RunE:  func(*cobra.Command, []string) error { return serve(bootstrap.LoadFromEnv, operatorsPath) },
+		RunE:  func(*cobra.Command, []string) error { return serve(bootstrap.LoadFromEnv, configPath) },
 	}
-	c.Flags().StringVar(&operatorsPath, "operators", "", "the operators' file; none by default")
+	c.Flags().StringVar(&configPath, "config", "", "path of the configuration file; empty: none")
 	return c
 }
 
@@ -54,15 +67,15 @@
 	dispatcher *dispatch.Dispatcher
 	frontend   *frontend.Server
 	discovery  *discovery.Client
-	extensions *extensions // nil without an operators' file
+	extensions *extensions // nil without a configuration file
 }
 
-// serve runs the router until a signal ends it. It reads the bootstrap file, and the operators' file if a path is
+// serve runs the router until a signal ends it. It reads the bootstrap file, and the configuration file if a path is
 // given, at the start and again on SIGHUP.
-func serve(load loadBootstrap, operatorsPath string) error {
+func serve(load loadBootstrap, configPath string) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
-	reloads := make(chan os.Signal, 1) // a channel of its own, so that many of them keep no other signal out
+	reloads := make(chan os.Signal, 1) // a channel of its own: many of them must not displace other signals
 	signal.Notify(reloads, syscall.SIGHUP)
 	c, err := load()
 	if err != nil {
@@ -80,8 +93,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
-	if operatorsPath != "" {
-		if r.extensions, err = r.extend(ctx, g, operatorsPath); err != nil {
+	if configPath != "" {
+		if r.extensions, err = r.extend(ctx, g, configPath); err != nil {
 			return err
 		}
 	}
@@ -163,7 +176,7 @@
 	g.Go(func() error { return r.frontend.Serve(ctx, ln) })
 	pauseOnSignal(ctx, r.dispatcher)
 	r.admission.SetReady()
-	r.metrics.Log.Info("serving", "listen", r.config.ListenAddress, "version", version())
+	r.metrics.Log.Info("serving", "address", r.config.ListenAddress, "version", version())
 }
 
 // handleSignals handles signals until a drain is over, or the context ends because a stage failed. SIGUSR1 dumps the
@@ -186,7 +199,7 @@
 				r.metrics.Dump(os.Stderr)
 				continue
 			}
-			r.metrics.Log.Info("draining", "signal", s.String(), "again", drained != nil)
+			r.metrics.Log.Info("draining", "signal", s.String(), "repeated", drained != nil)
 			if drained != nil { // a further signal does not cut the drain short
 				continue
 			}
--- a/cmd/cairnfront/sim.go
+++ b/cmd/cairnfront/sim.go
@@ -22,23 +22,29 @@
 
 // Errors of flags of the simulations.
 var (
-	errTooFewPeers   = errors.New("at least two peers that are not hostile are needed")
-	errTooFewRouters = errors.New("at least 3 routers, 1 to 64 slices and 30 s are needed")
+	errSeedRange     = errors.New("not a range FIRST..LAST")
+	errTooFewPeers   = errors.New("simulate membership: at least 2 peers are needed, and one that is not hostile")
+	errTooFewRouters = errors.New("simulate replication: at least 3 routers, 1 to 64 shards and 30 s are needed")
 )
 
-// simulate plays seeds and returns a report.
+// simulate runs a simulation for each seed and returns a report.
 type simulate func(ctx context.Context, seeds simulation.Seeds, progress func(string, ...any)) (*report.Report, error)
 
 func simCommand() *cobra.Command {
-	c := &cobra.Command{Use: "sim", Short: "The cores alone, by the thousand, on virtual time"}
-	c.AddCommand(simPeersCommand(), simLedgerCommand())
+	c := &cobra.Command{Use: "sim", Short: "Simulate membership or replication on virtual time"}
+	c.AddCommand(
+		simMembershipCommand(),
+		simReplicationCommand(),
+		alias("peers", simMembershipCommand()),
+		alias("ledger", simReplicationCommand()),
+	)
 	return c
 }
 
-func simPeersCommand() *cobra.Command {
+func simMembershipCommand() *cobra.Command {
 	var m simulation.Membership
-	c := simulationCommand("peers",
-		"Detection, false drops and bytes by size and loss; with --acts, drawn fault scripts held to the invariants",
+	c := simulationCommand("membership",
+		"Measure failure detection by cluster size and packet loss, or check invariants under random faults (--faults)",
 		func(ctx context.Context, seeds simulation.Seeds, progress func(string, ...any)) (*report.Report, error) {
 			m.Seeds = seeds
 			m.Progress = progress
@@ -50,20 +56,21 @@
 			return m.Run(ctx)
 		})
 	flags := c.Flags()
-	flags.IntSliceVar(&m.Sizes, "sizes", []int{20, 100}, "numbers of peers of the curves")
-	flags.Float64SliceVar(&m.Losses, "losses", []float64{0, 0.05, 0.3}, "shares of datagrams lost")
-	flags.IntVar(&m.Acts, "acts", 0, "faults of a script drawn from each seed; 0: the curves")
-	flags.IntVar(&m.Peers, "peers", 50, "peers of a drawn script")
-	flags.IntVar(&m.Hostile, "hostile", 0, "of them hostile")
-	flags.StringVar(&m.Script, "script", "", "file of one script to be played instead")
+	flags.IntSliceVar(&m.Sizes, "sizes", []int{20, 100},
+		"cluster sizes to measure, in peers; unused with --faults or --script")
+	flags.Float64SliceVar(&m.Losses, "losses", []float64{0, 0.05, 0.3},
+		"packet loss to measure, as `shares` of the datagrams from 0 to 1; unused with --faults or --script")
+	flags.IntVar(&m.Acts, "faults", 0, "number of random faults for each seed; 0: measure --sizes and --losses instead")
+	flags.IntVar(&m.Peers, "peers", 50, "peers in the cluster, with --faults")
+	flags.IntVar(&m.Hostile, "hostile", 0, "byzantine peers among them, with --faults or --script; 0: none")
+	flags.StringVar(&m.Script, "script", "", "path of a fault script; empty: faults as the other flags say")
 	return c
 }
 
-func simLedgerCommand() *cobra.Command {
+func simReplicationCommand() *cobra.Command {
 	var r simulation.Replication
-	c := simulationCommand("ledger",
-		"Promises through machines lost with their disks, losses of power, stops and cuts; "+
-			"what clients were told is checked for linearizability",
+	c := simulationCommand("replication",
+		"Check reservations for linearizability under lost disks, power failures, pauses and network partitions",
 		func(ctx context.Context, seeds simulation.Seeds, progress func(string, ...any)) (*report.Report, error) {
 			r.Seeds = seeds
 			r.Progress = progress
@@ -74,15 +81,15 @@
 			return r.Run(ctx)
 		})
 	flags := c.Flags()
-	flags.IntVar(&r.Routers, "routers", 9, "routers, in three zones")
-	flags.IntVar(&r.Shards, "slices", 3, "slices of the ledger that are played")
-	flags.Float64Var(&r.DurationSeconds, "lasts", 60, "s of a play")
-	flags.StringVar(&r.Script, "script", "", "file of one script to be played instead")
+	flags.IntVar(&r.Routers, "routers", 9, "routers, spread over three zones; at least 3")
+	flags.IntVar(&r.Shards, "shards", 3, "shards, each a raft group; 1 to 64")
+	flags.Float64Var(&r.DurationSeconds, "duration", 60, "virtual time of each run in seconds; at least 30")
+	flags.StringVar(&r.Script, "script", "", "path of a fault script; empty: faults as the other flags say")
 	return c
 }
 
-// simulationCommand returns a command that plays a range of seeds and writes the report.
-func simulationCommand(name, short string, play simulate) *cobra.Command {
+// simulationCommand returns a command that runs a simulation for a range of seeds and writes the report.
+func simulationCommand(name, short string, run simulate) *cobra.Command {
 	var seedRange string
 	var outputs reportOutputs
 	c := &cobra.Command{
@@ -95,7 +102,7 @@
 				return err
 			}
 			return withProgress(func(ctx context.Context, progress func(string, ...any)) error {
-				r, err := play(ctx, seeds, progress)
+				r, err := run(ctx, seeds, progress)
 				if err != nil {
 					return err
 				}
@@ -103,16 +110,16 @@
 			})
 		},
 	}
-	c.Flags().StringVar(&seedRange, "seeds", "1..2", "A..B")
+	c.Flags().StringVar(&seedRange, "seeds", "1..2", "range of seeds FIRST..LAST, one run each")
 	outputs.addFlags(c)
 	return c
 }
 
-// parseSeeds parses a range of seeds, A..B.
+// parseSeeds parses a range of seeds, FIRST..LAST.
 func parseSeeds(text string) (simulation.Seeds, error) {
 	var seeds simulation.Seeds
 	if _, err := fmt.Sscanf(text, "%d..%d", &seeds.From, &seeds.To); err != nil || seeds.To < seeds.From {
-		return simulation.Seeds{}, fmt.Errorf("--seeds is A..B, not %q", text)
+		return simulation.Seeds{}, fmt.Errorf("--seeds %q: %w", text, errSeedRange)
 	}
 	return seeds, nil
 }
--- a/cmd/cairnfront/soak_test.go
+++ b/cmd/cairnfront/soak_test.go
@@ -19,9 +19,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The soak plays a few seconds of load on a router from each seed, with troubles of all kinds at once, until SIGKILL at
-// the protocol's earliest moment, and judges it by what clients and caches have recorded. It measures times, so it has
-// a run of its own: .ci/run plays a few seeds of it, beside no other test.
+// The soak runs a few seconds of load on a router for each seed, with failures of all kinds at once, until SIGKILL at
+// the protocol's earliest time, and verifies what clients and caches have recorded. It measures times, so .ci/run runs
+// a few seeds of it without any other test at the same time.
 var (
 	soakSeeds     = flag.Int("soak-seeds", 0, "seeds of the soak")
 	soakFirstSeed = flag.Int("soak-first-seed", 1, "first seed of the soak")
@@ -36,7 +36,7 @@
 	soakCrowd        = 60   // idle connections
 	maxSoakProblems  = 5    // that are printed of a seed
 	maxLogTail       = 3000 // bytes of the router's log that are printed
-	judgeSlack       = 40 * time.Millisecond
+	verifySlack      = 40 * time.Millisecond
 	drainGrace       = time.Second            // stop_sending_within_s of bootstrapFile
 	purgeGrace       = 500 * time.Millisecond // notice_time_s
 	answerGrace      = 500 * time.Millisecond // after the deadline an answer earns nothing; later it is lost
@@ -52,7 +52,7 @@
 			t.Parallel()
 			places <- struct{}{}
 			defer func() { <-places }()
-			newSoak(t, seed).play()
+			newSoak(t, seed).run()
 		})
 	}
 }
@@ -86,8 +86,8 @@
 	return s
 }
 
-// play runs the script and judges it.
-func (s *soak) play() {
+// run runs the script and verifies the journal.
+func (s *soak) run() {
 	for i := range soakClients {
 		s.startClient(i)
 	}
@@ -101,7 +101,7 @@
 	}
 	s.endRouter()
 	s.clients.Wait()
-	for _, problem := range s.journal.judge() {
+	for _, problem := range s.journal.verify() {
 		s.t.Error(problem)
 	}
 }
@@ -111,17 +111,17 @@
 	switch s.rng.IntN(8) {
 	case 0: // a cache begins to drain; the last two stay
 		cache := s.caches[s.rng.IntN(soakCaches-2)]
-		s.tell(2, endpointRecord(uint32(cache.index+1), &cacheStub{Listener: cache.Listener}, 1))
+		s.publish(2, endpointRecord(uint32(cache.index+1), &cacheStub{Listener: cache.Listener}, 1))
 		s.journal.drain(cache)
 	case 1, 2: // a purge
 		object := s.rng.IntN(soakObjects)
 		purgedAt := time.Now()
-		told := purgedAt
+		purgeTime := purgedAt
 		if s.rng.IntN(2) == 0 { // by the router's own clock
-			told = told.Add(time.Duration(s.router.offset * float64(time.Second)))
+			purgeTime = purgeTime.Add(time.Duration(s.router.offset * float64(time.Second)))
 		}
 		payload := binary.BigEndian.AppendUint64(nil, uint64(object))
-		s.tell(3, binary.BigEndian.AppendUint64(payload, uint64(told.UnixMilli())))
+		s.publish(3, binary.BigEndian.AppendUint64(payload, uint64(purgeTime.UnixMilli())))
 		s.journal.purge(soakObject(object), purgedAt)
 	case 3: // caches end their idle connections, or reset all
 		s.caches[s.rng.IntN(len(s.caches))].endConnections(s.rng.IntN(2) == 0)
@@ -136,8 +136,8 @@
 	}
 }
 
-// tell has the discovery service send an event, and waits until a connection has taken it.
-func (s *soak) tell(kind byte, payload []byte) {
+// publish has the discovery service send an event, and waits until a connection has received it.
+func (s *soak) publish(kind byte, payload []byte) {
 	s.revision++
 	s.router.discovery.deliver(s.t, discoveryFrame(s.revision, kind, payload))
 }
--- a/cmd/cairnfront/soak_judge_test.go
+++ b/cmd/cairnfront/soak_verify_test.go
@@ -34,7 +34,7 @@
 	attempts          []*soakAttempt
 }
 
-// soakAttempt is an attempt as a cache received it whole.
+// soakAttempt is an attempt as a cache received it completely.
 type soakAttempt struct {
 	cache      int
 	receivedAt time.Time
@@ -45,8 +45,8 @@
 	overBy     string
 }
 
-// soakPurge is when an object was purged, and when the router was told.
-type soakPurge struct{ purgedAt, toldAt time.Time }
+// soakPurge is when an object was purged, and when the router was notified.
+type soakPurge struct{ purgedAt, notifiedAt time.Time }
 
 // soakJournal has what clients, caches and the script recorded.
 type soakJournal struct {
@@ -122,22 +122,22 @@
 
 func (j *soakJournal) checkArrival(r *soakRequest, a *soakAttempt, now time.Time) {
 	left := r.deadline - now.Sub(r.sendingAt)
-	if time.Duration(a.maxMillis-deadlineSlackMs)*time.Millisecond > left+judgeSlack {
+	if time.Duration(a.maxMillis-deadlineSlackMs)*time.Millisecond > left+verifySlack {
 		j.problem("%s %s: max %d ms with %v left", r.class, r.id, a.maxMillis, left)
 	}
-	if !r.cancelledAt.IsZero() && now.Sub(r.cancelledAt) > cancelGrace+judgeSlack {
+	if !r.cancelledAt.IsZero() && now.Sub(r.cancelledAt) > cancelGrace+verifySlack {
 		j.problem("%s %s: an attempt %v after its client left", r.class, r.id, now.Sub(r.cancelledAt))
 	}
-	if !r.answeredAt.IsZero() && now.Sub(r.answeredAt) > judgeSlack {
+	if !r.answeredAt.IsZero() && now.Sub(r.answeredAt) > verifySlack {
 		j.problem("%s %s: an attempt %v after its answer", r.class, r.id, now.Sub(r.answeredAt))
 	}
-	if drainedAt := j.drains[a.cache]; !drainedAt.IsZero() && now.Sub(drainedAt) > drainGrace+judgeSlack {
+	if drainedAt := j.drains[a.cache]; !drainedAt.IsZero() && now.Sub(drainedAt) > drainGrace+verifySlack {
 		j.problem("%s %s: cache %d drains since %v", r.class, r.id, a.cache, now.Sub(drainedAt))
 	}
 	purge := j.purges[r.object]
-	if !purge.toldAt.IsZero() && now.Sub(purge.toldAt) > purgeGrace && r.class == "page" {
+	if !purge.notifiedAt.IsZero() && now.Sub(purge.notifiedAt) > purgeGrace && r.class == "page" {
 		since := now.Sub(purge.purgedAt)
-		if a.accept == 0 || time.Duration(a.accept)*time.Millisecond > since+judgeSlack {
+		if a.accept == 0 || time.Duration(a.accept)*time.Millisecond > since+verifySlack {
 			j.problem("%s %s: accept %d ms, purged %v ago", r.class, r.id, a.accept, since)
 		}
 	}
@@ -168,12 +168,12 @@
 	j.problems = append(j.problems, fmt.Sprintf(format, arguments...))
 }
 
-// judge returns the problems of the run, the first few of them.
-func (j *soakJournal) judge() []string {
+// verify returns the problems of the run, at most maxSoakProblems of them.
+func (j *soakJournal) verify() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, r := range j.requests {
-		j.judgeRequest(r)
+		j.verifyRequest(r)
 	}
 	if len(j.requests) < 100 || len(j.requests) == 0 {
 		j.problem("only %d requests", len(j.requests))
@@ -185,12 +185,12 @@
 	return j.problems
 }
 
-func (j *soakJournal) judgeRequest(r *soakRequest) {
+func (j *soakJournal) verifyRequest(r *soakRequest) {
 	ran := false
 	for i, a := range r.attempts {
 		ran = ran || a.mayHaveRun
 		if i > 0 {
-			j.judgeOverlap(r, r.attempts[i-1], a)
+			j.verifyOverlap(r, r.attempts[i-1], a)
 		}
 	}
 	switch {
@@ -209,17 +209,17 @@
 	}
 }
 
-// judgeOverlap looks whether two attempts were out at the same time. A cache may read that one is given up a moment
-// after another one has received the next.
-func (j *soakJournal) judgeOverlap(r *soakRequest, earlier, a *soakAttempt) {
-	if earlier.overAt.IsZero() || earlier.overAt.Sub(a.receivedAt) > judgeSlack {
+// verifyOverlap checks that two attempts were not out at the same time. A cache may read the cancel of one up to
+// verifySlack after another cache has received the next.
+func (j *soakJournal) verifyOverlap(r *soakRequest, earlier, a *soakAttempt) {
+	if earlier.overAt.IsZero() || earlier.overAt.Sub(a.receivedAt) > verifySlack {
 		j.problem("%s %s: two attempts are out: at %d %v after the request, over %v later (%s); at %d %v after it",
 			r.class, r.id, earlier.cache, earlier.receivedAt.Sub(r.sendingAt), earlier.overAt.Sub(earlier.receivedAt),
 			earlier.overBy, a.cache, a.receivedAt.Sub(r.sendingAt))
 	}
 }
 
-// soakCache is a stand-in of a cache that answers attempts side by side, and does what its seed says.
+// soakCache is a stand-in of a cache that answers attempts concurrently, and behaves as its seed says.
 type soakCache struct {
 	net.Listener
 	journal *soakJournal
--- a/cmd/cairnfront/stubs_test.go
+++ b/cmd/cairnfront/stubs_test.go
@@ -128,7 +128,7 @@
 	return fmt.Sprintf("%s served digest=d1,dated=%d,remark=h %d\r\n%s\r\n", h.id, now, len(body), body)
 }
 
-// discoveryStub is a stand-in of the discovery service. What it is told to send goes to the router that watches it, and
+// discoveryStub is a stand-in of the discovery service. What it has to send goes to the router that watches it, and
 // again to one that comes later without it.
 type discoveryStub struct {
 	net.Listener
@@ -195,14 +195,14 @@
 		defer close(gone)
 		_, _ = io.Copy(io.Discard, c)
 	}()
-	beat := time.NewTicker(time.Second)
-	defer beat.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	heartbeat := append([]byte{0, 0, 0, 9}, append(last, 0)...)
 	for {
 		select {
 		case <-gone:
 			return
-		case <-beat.C:
+		case <-ticker.C:
 			if _, err := c.Write(heartbeat); err != nil {
 				return
 			}
--- a/cmd/cairnfront/wallclock_test.go
+++ b/cmd/cairnfront/wallclock_test.go
@@ -127,13 +127,13 @@
 	}
 }
 
-// purgeAfterStep tells of a purge in the time of the stepped clock, and looks at the age that a cache may answer from.
+// purgeAfterStep sends a purge with the time of the stepped clock, and reads the age that a cache may answer from.
 func (s *steppedRouter) purgeAfterStep(t *testing.T, c *client, m *cacheStub, revision uint64) {
 	purgedAt := time.Now()
-	told := purgedAt.Add(time.Duration(s.offset * float64(time.Second)))
+	purgeTime := purgedAt.Add(time.Duration(s.offset * float64(time.Second)))
 	object := 0xdd00 + revision
 	payload := binary.BigEndian.AppendUint64(nil, object)
-	payload = binary.BigEndian.AppendUint64(payload, uint64(told.UnixMilli()))
+	payload = binary.BigEndian.AppendUint64(payload, uint64(purgeTime.UnixMilli()))
 	s.discovery.send <- discoveryFrame(revision, 3, payload)
 	require.Eventually(t, func() bool {
 		before := m.attemptCount()
@@ -145,7 +145,7 @@
 		if err != nil { // not heard yet: any copy will do
 			return false
 		}
-		return assert.LessOrEqual(t, accept, int(time.Since(purgedAt).Milliseconds())+1, "told in whole milliseconds")
+		return assert.LessOrEqual(t, accept, int(time.Since(purgedAt).Milliseconds())+1, "sent in milliseconds")
 	}, patience, 5*time.Millisecond)
 }
 
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -37,9 +37,9 @@
 func testServer() *Server {
 	return &Server{
 		Metrics: telemetry.New(&bytes.Buffer{}, ""),
-		Handlers: map[string]Handler{
+		Handlers: map[RequestName]Handler{
 			"echo":  func(_ context.Context, args map[string]string) (any, error) { return args["x"], nil },
-			"fail":  func(context.Context, map[string]string) (any, error) { return nil, errors.New("no such member") },
+			"fail":  func(context.Context, map[string]string) (any, error) { return nil, errors.New("not known") },
 			"panic": func(context.Context, map[string]string) (any, error) { panic("at this") },
 			"large": func(context.Context, map[string]string) (any, error) {
 				return strings.Repeat("x", maxResponseBytes), nil
@@ -57,13 +57,13 @@
 	data, err := Call(path, "echo", map[string]string{"x": "y"})
 	require.NoError(t, err)
 	assert.Equal(t, `"y"`, string(data))
-	for command, want := range map[string]string{
-		"fail":  "no such member",
-		"panic": "failed at this: at this",
+	for name, want := range map[RequestName]string{
+		"fail":  "not known",
+		"panic": "handle request \"panic\": panic: at this",
 		"what":  "unknown request",
-		"large": "ask for less",
+		"large": "response is too long",
 	} {
-		_, err = Call(path, command, nil)
+		_, err = Call(path, name, nil)
 		assert.ErrorContains(t, err, want)
 	}
 	assert.EqualValues(t, 1, server.Metrics.Value("hatch.echo"))
@@ -73,9 +73,9 @@
 func TestMalformedLinesAreAnsweredWithTheReason(t *testing.T) {
 	path := start(t, testServer())
 	for line, want := range map[string]string{
-		"nonsense\n":                           "not a line of JSON",
-		`{"v":9,"do":"echo"}` + "\n":           "version 9",
-		strings.Repeat("x", maxRequestBytes+1): "a line over",
+		"nonsense\n":                           "parse request: not a request in JSON",
+		`{"v":9,"do":"echo"}` + "\n":           "unsupported protocol version 9",
+		strings.Repeat("x", maxRequestBytes+1): "line is too long: over",
 	} {
 		conn, err := net.Dial("unix", path)
 		require.NoError(t, err)
@@ -94,7 +94,7 @@
 	}
 	path := start(t, server)
 	_, err := Call(path, "echo", nil)
-	assert.ErrorContains(t, err, "may not ask here")
+	assert.ErrorContains(t, err, "is not allowed")
 	assert.EqualValues(t, 1, server.Metrics.Value("hatch.refused"))
 }
 
@@ -106,8 +106,8 @@
 	require.NoError(t, err)
 	defer func() { _ = ln.Close() }()
 	for refusal, want := range map[string]string{
-		`{"v":1,"error":"user 7 may not ask here"}` + "\n": "user 7 may not",
-		"": "asking at " + path,
+		`{"v":1,"error":"authorize user 7: not allowed"}` + "\n": "user 7: not allowed",
+		"": "send request to admin socket " + path,
 	} {
 		client, err := net.Dial("unix", path)
 		require.NoError(t, err)
@@ -131,7 +131,7 @@
 	require.NoError(t, os.WriteFile(file, []byte("x"), 0o600))
 	_, err = Listen(file)
 	assert.ErrorIs(t, err, ErrNotASocket)
-	assert.ErrorContains(t, err, "no socket")
+	assert.ErrorContains(t, err, "not a socket")
 	stale, err := net.Listen("unix", file+"2")
 	require.NoError(t, err)
 	stale.(*net.UnixListener).SetUnlinkOnClose(false)
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -2,28 +2,27 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net"
 	"time"
 )
 
-// Call sends one request to a running program and returns the data of its response. The response's error is returned
-// as it came.
-func Call(path, command string, args map[string]string) (json.RawMessage, error) {
+// Call sends one request to the admin socket of a running program and returns the data of its response. It returns a
+// *ResponseError if the program refused or failed the request.
+func Call(path string, name RequestName, args map[string]string) (json.RawMessage, error) {
 	conn, err := net.DialTimeout("unix", path, requestTimeout)
 	if err != nil {
-		return nil, fmt.Errorf("asking at %s: %w", path, err)
+		return nil, fmt.Errorf("connect to admin socket %s: %w", path, err)
 	}
 	defer func() { _ = conn.Close() }()
-	return exchange(conn, path, command, args)
+	return exchange(conn, path, name, args)
 }
 
 // exchange sends a request and reads its response. A server that refuses a client responds and closes without reading,
-// maybe before the request is written. So the response is read even if writing fails.
-func exchange(conn net.Conn, path, command string, args map[string]string) (json.RawMessage, error) {
-	_ = conn.SetDeadline(time.Now().Add(2 * requestTimeout)) // the server's timeout and the way there and back
-	text, err := json.Marshal(Request{Version: Version, Command: command, Args: args})
+// maybe before the request is written. The response is read even if writing fails, as it has the reason.
+func exchange(conn net.Conn, path string, name RequestName, args map[string]string) (json.RawMessage, error) {
+	_ = conn.SetDeadline(time.Now().Add(2 * requestTimeout)) // the server's timeout and as much for the network
+	text, err := json.Marshal(Request{Version: Version, Name: name, Args: args})
 	if err != nil {
 		return nil, err
 	}
@@ -31,12 +30,12 @@
 	var response Response
 	if err := json.NewDecoder(conn).Decode(&response); err != nil {
 		if writeErr != nil {
-			return nil, fmt.Errorf("asking at %s: %w", path, writeErr)
+			return nil, fmt.Errorf("send request to admin socket %s: %w", path, writeErr)
 		}
-		return nil, fmt.Errorf("the answer from %s: %w", path, err)
+		return nil, fmt.Errorf("read response of admin socket %s: %w", path, err)
 	}
 	if !response.OK {
-		return nil, errors.New(response.Error)
+		return nil, &ResponseError{Message: response.Error}
 	}
 	return response.Data, nil
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -19,10 +19,10 @@
 
 // Server answers requests. Its exported fields are set before Run.
 type Server struct {
-	Handlers map[string]Handler // by command
+	Handlers map[RequestName]Handler
 	Metrics  *telemetry.Metrics // nil for none
 
-	allowed func(uid uint32) bool // root and the program's own user where nil
+	allowed func(uid uint32) bool // nil for root and the program's own user
 }
 
 // Listen opens the socket. It replaces a socket that a program which has ended left behind, but no other file.
@@ -46,11 +46,11 @@
 		return nil
 	}
 	if info.Mode()&os.ModeSocket == 0 {
-		return fmt.Errorf("%s is %w", path, ErrNotASocket)
+		return fmt.Errorf("%s: %w", path, ErrNotASocket)
 	}
 	if conn, err := net.DialTimeout("unix", path, requestTimeout); err == nil {
 		_ = conn.Close()
-		return fmt.Errorf("%s is %w", path, ErrSocketInUse)
+		return fmt.Errorf("%s: %w", path, ErrSocketInUse)
 	}
 	return os.Remove(path)
 }
@@ -87,7 +87,8 @@
 	}
 }
 
-// serveConnection answers the requests of one client until it ends, breaks a bound or sends nothing for a while.
+// serveConnection answers the requests of one client until the client closes, exceeds a limit or is idle for
+// requestTimeout.
 func (s *Server) serveConnection(ctx context.Context, conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
@@ -102,7 +103,7 @@
 		_ = conn.SetDeadline(time.Now().Add(requestTimeout))
 		line, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			_ = respond(conn, nil, fmt.Errorf("a line over %d bytes", maxRequestBytes))
+			_ = respond(conn, nil, fmt.Errorf("read request: %w: over %d bytes", ErrRequestTooLong, maxRequestBytes))
 			return
 		}
 		if err != nil {
@@ -122,16 +123,16 @@
 		return fmt.Errorf("read peer credentials: %w", err)
 	}
 	if !s.allowed(uid) {
-		return fmt.Errorf("user %d %w", uid, ErrUserNotAllowed)
+		return fmt.Errorf("authorize user %d: %w", uid, ErrUserNotAllowed)
 	}
 	return nil
 }
 
-// peerUID returns the user of the process on the other side.
+// peerUID returns the user of the client's process.
 func peerUID(conn net.Conn) (uint32, error) {
 	unixConn, ok := conn.(*net.UnixConn)
 	if !ok {
-		return 0, fmt.Errorf("connection of type %T is no Unix socket", conn)
+		return 0, fmt.Errorf("connection of type %T: %w", conn, ErrNotASocket)
 	}
 	raw, err := unixConn.SyscallConn()
 	if err != nil {
@@ -152,28 +153,28 @@
 func (s *Server) handle(ctx context.Context, line []byte) (data any, err error) {
 	var request Request
 	if err := json.Unmarshal(line, &request); err != nil {
-		return nil, fmt.Errorf("not a line of JSON as expected: %w", err)
+		return nil, fmt.Errorf("parse request: %w: %w", ErrMalformedRequest, err)
 	}
 	if request.Version != Version {
-		return nil, fmt.Errorf("version %d, this program speaks %d", request.Version, Version)
+		return nil, fmt.Errorf("parse request: %w %d, not %d", ErrUnsupportedVersion, request.Version, Version)
 	}
-	handler := s.Handlers[request.Command]
+	handler := s.Handlers[request.Name]
 	if handler == nil {
-		return nil, fmt.Errorf("unknown request %.40q", request.Command)
+		return nil, fmt.Errorf("%w %.40q", ErrUnknownRequest, request.Name)
 	}
 	defer func() {
 		if p := recover(); p != nil {
 			s.count(telemetry.Panics)
-			err = fmt.Errorf("the program failed at this: %v", p)
+			err = fmt.Errorf("handle request %q: %w: %v", request.Name, ErrHandlerPanicked, p)
 		}
 	}()
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	s.count(telemetry.AdminRequests.With(request.Command))
+	s.count(telemetry.AdminRequests.With(request.Name.label()))
 	return handler(ctx, request.Args)
 }
 
-// respond writes the response to a request, which failed unless failure is nil. Its error is that of writing.
+// respond writes the response to a request, which failed unless failure is nil. It returns the error of writing.
 func respond(conn net.Conn, data any, failure error) error {
 	response := Response{Version: Version}
 	if failure == nil {
@@ -192,14 +193,14 @@
 	return err
 }
 
-// encodeData encodes what a handler returned, within the bound of a response.
+// encodeData encodes what a handler returned, within maxResponseBytes.
 func encodeData(data any) (json.RawMessage, error) {
 	encoded, err := json.Marshal(data)
 	if err != nil {
 		return nil, err
 	}
 	if len(encoded) > maxResponseBytes {
-		return nil, fmt.Errorf("the answer has %d bytes, over %d: ask for less", len(encoded), maxResponseBytes)
+		return nil, fmt.Errorf("encode response: %w: over %d bytes", ErrResponseTooLong, maxResponseBytes)
 	}
 	return encoded, nil
 }
--- /dev/null
+++ b/internal/admin/wirenames.go
@@ -0,0 +1,71 @@
+package admin
+
+// This file has the names of the admin socket's wire and the terms for them. Clients in use send the wire's names, so
+// these stay as they are; help texts, printed output and counters have the terms.
+
+// RequestName names a request on the wire.
+type RequestName string
+
+// The requests.
+const (
+	ShowAddresses    RequestName = "reach"       // the addresses of all endpoints and their state
+	CooldownAddress  RequestName = "rest"        // takes an address out of use until it is reinstated
+	ReinstateAddress RequestName = "unrest"      // ends the cooldown of an address
+	ShowPeers        RequestName = "peers"       // the membership view
+	LeavePeers       RequestName = "peers-leave" // leaves the membership until the next start
+)
+
+// The arguments of CooldownAddress and ReinstateAddress.
+const (
+	ArgEndpoint = "member"  // id of the endpoint
+	ArgAddress  = "address" // IP:PORT or unix:/PATH
+)
+
+// requestLabels has the label of each request in the counter of requests.
+var requestLabels = map[RequestName]string{
+	ShowAddresses:    "addresses",
+	CooldownAddress:  "cooldown",
+	ReinstateAddress: "reinstate",
+	ShowPeers:        "peers",
+	LeavePeers:       "peers_leave",
+}
+
+// label returns the request's label in the counter of requests: its own name if it is none of this file's.
+func (n RequestName) label() string {
+	if label, ok := requestLabels[n]; ok {
+		return label
+	}
+	return string(n)
+}
+
+// addressConditions has the term for each condition of an address in the response to ShowAddresses.
+var addressConditions = map[string]string{
+	"well":    "healthy",
+	"refused": "connect_refused",
+	"hung":    "connect_timed_out",
+	"broken":  "connection_broken",
+	"quiet":   "unresponsive",
+	"by-hand": "disabled",
+}
+
+// AddressCondition returns the term for a condition of an address in the response to ShowAddresses. A condition that
+// this version doesn't know is returned as it came.
+func AddressCondition(wireName string) string {
+	if term, ok := addressConditions[wireName]; ok {
+		return term
+	}
+	return wireName
+}
+
+// partitionStates has the term for each partition state in the response to ShowPeers that differs from it.
+var partitionStates = map[string]string{
+	"whole": "complete",
+}
+
+// PartitionState returns the term for a partition state in the response to ShowPeers. The other states have one name.
+func PartitionState(wireName string) string {
+	if term, ok := partitionStates[wireName]; ok {
+		return term
+	}
+	return wireName
+}
--- a/internal/bootstrap/config.go
+++ b/internal/bootstrap/config.go
@@ -1,8 +1,8 @@
 // Package bootstrap reads the file that a router is started with: its addresses, limits and settings, and the
 // discovery events known at that time.
 //
-// It owns the form of that file and the checks of its values. It gives the settings the routing module's names but no
-// meaning, and it does not follow the discovery service.
+// It owns the format of the file and the validation of its values. It converts the settings to the names of the routing
+// module, which interprets them. It does not connect to the discovery service.
 package bootstrap
 
 import (
@@ -19,19 +19,19 @@
 // PathVariable is the environment variable that holds the path of the file.
 const PathVariable = "LB_CONFIG"
 
-// Errors that are told apart. All but ErrNoPath are wrapped by a FieldError.
+// Errors that callers can test for. All but ErrNoPath are wrapped by a FieldError.
 var (
 	ErrNoPath         = errors.New(PathVariable + " is not set")
 	ErrMissing        = errors.New("missing")
 	ErrInvalidAddress = errors.New("not an address of the form host:port")
-	ErrInvalidSeed    = errors.New("not a 64-bit hex number")
-	ErrLimitTooLow    = errors.New("missing or too low")
+	ErrInvalidSeed    = errors.New("not a 64-bit hexadecimal number")
+	ErrLimitTooLow    = errors.New("missing or below the minimum")
 	ErrUnnamedClass   = errors.New("request class has no name")
-	ErrNoClasses      = errors.New("no request_classes")
-	ErrFixed          = errors.New("can't change while the router runs")
+	ErrNoClasses      = errors.New("request_classes is missing or empty")
+	ErrFixed          = errors.New("can't change without a restart")
 )
 
-// FieldError names the field of the file that an error is about.
+// FieldError is an error in a field of the file.
 type FieldError struct {
 	Field string
 	Err   error
@@ -41,7 +41,7 @@
 
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// Config is what a router is told at its start.
+// Config is the content of a bootstrap file.
 type Config struct {
 	Name             string
 	ListenAddress    string
@@ -69,17 +69,17 @@
 func LoadFile(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, err
+		return Config{}, fmt.Errorf("read bootstrap file: %w", err)
 	}
 	config, err := Parse(text)
 	if err != nil {
-		return config, fmt.Errorf("%s: %w", path, err)
+		return config, fmt.Errorf("parse bootstrap file %s: %w", path, err)
 	}
 	return config, nil
 }
 
-// CheckReload returns an error, wrapping ErrFixed, if c differs from the running configuration in what cannot change
-// without a restart. The discovery service's address, the seed and the known events may differ.
+// CheckReload returns a FieldError that wraps ErrFixed if c differs from the running configuration in a field that
+// can't change without a restart. The discovery service's address, the seed and the known events may differ.
 func (c Config) CheckReload(running Config) error {
 	sameLimits := c.Cores == running.Cores && c.MemoryMB == running.MemoryMB && c.MaxSockets == running.MaxSockets
 	sameSettings := maps.Equal(c.Settings, running.Settings) && slices.Equal(c.ClassNames, running.ClassNames)
--- a/internal/bootstrap/config_test.go
+++ b/internal/bootstrap/config_test.go
@@ -110,7 +110,7 @@
 			continue
 		}
 		assert.ErrorIs(t, err, ErrFixed)
-		assert.ErrorContains(t, err, c.fixedField+": can't change")
+		assert.ErrorContains(t, err, c.fixedField+": can't change without a restart")
 	}
 }
 
--- a/internal/bootstrap/golden_test.go
+++ b/internal/bootstrap/golden_test.go
@@ -20,7 +20,7 @@
 	line := func(format string, values ...any) { fmt.Fprintf(&out, format+"\n", values...) }
 	line("name %s", c.Name)
 	line("listen %s", c.ListenAddress)
-	line("board %s", c.DiscoveryAddress)
+	line("discovery %s", c.DiscoveryAddress)
 	line("seed %x", c.Seed)
 	line("limits cores=%g memory_mb=%d sockets=%d", c.Cores, c.MemoryMB, c.MaxSockets)
 	for i, name := range c.ClassNames {
--- a/internal/bootstrap/parse.go
+++ b/internal/bootstrap/parse.go
@@ -11,15 +11,15 @@
 	"cairnfront/routing"
 )
 
-// Fields of the file, as errors name them.
+// Fields of the file, as errors name them: the keys of the JSON object.
 const (
-	fieldName     = "name"
-	fieldListen   = "listen"
-	fieldBoard    = "board"
-	fieldSeed     = "seed"
-	fieldLimits   = "limits"
-	fieldSettings = "settings"
-	fieldKnown    = "known"
+	fieldName      = "name"
+	fieldListen    = "listen"
+	fieldDiscovery = "board" // address of the discovery service
+	fieldSeed      = "seed"
+	fieldLimits    = "limits"
+	fieldSettings  = "settings"
+	fieldKnown     = "known" // events of the discovery service
 )
 
 // Settings that the parser itself reads.
@@ -30,7 +30,7 @@
 	settingKinds   = "flavors"
 )
 
-// Least limits that a router can run with.
+// The lowest limits that a router accepts.
 const (
 	minMemoryMB = 32
 	minSockets  = 64
@@ -38,13 +38,13 @@
 
 // file is the JSON form of a Config.
 type file struct {
-	Name     string          `json:"name"`
-	Listen   string          `json:"listen"`
-	Board    string          `json:"board"`
-	Seed     string          `json:"seed"`
-	Limits   fileLimits      `json:"limits"`
-	Settings map[string]any  `json:"settings"`
-	Known    json.RawMessage `json:"known"`
+	Name      string          `json:"name"`
+	Listen    string          `json:"listen"`
+	Discovery string          `json:"board"`
+	Seed      string          `json:"seed"`
+	Limits    fileLimits      `json:"limits"`
+	Settings  map[string]any  `json:"settings"`
+	Known     json.RawMessage `json:"known"`
 }
 
 type fileLimits struct {
@@ -53,7 +53,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Parse reads the text of a file. Its errors are a *FieldError, or one of the JSON itself.
+// Parse parses the text of a file. Its error is a *FieldError, or one of encoding/json for text that is not JSON.
 func Parse(text []byte) (Config, error) {
 	var parsed file
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -68,7 +68,7 @@
 	config := Config{
 		Name:             f.Name,
 		ListenAddress:    f.Listen,
-		DiscoveryAddress: f.Board,
+		DiscoveryAddress: f.Discovery,
 		Cores:            f.Limits.Cores,
 		MemoryMB:         f.Limits.MemoryMB,
 		MaxSockets:       f.Limits.Sockets,
@@ -108,7 +108,7 @@
 func (f *file) checkAddresses() error {
 	for _, field := range []struct{ name, address string }{
 		{fieldListen, f.Listen},
-		{fieldBoard, f.Board},
+		{fieldDiscovery, f.Discovery},
 	} {
 		if _, _, err := net.SplitHostPort(field.address); err != nil {
 			return &FieldError{field.name, fmt.Errorf("%w: %q", ErrInvalidAddress, field.address)}
@@ -124,7 +124,7 @@
 	}
 	names := make([]string, len(classes))
 	for i, class := range classes {
-		names[i], _ = member(class, "name").(string)
+		names[i], _ = lookup(class, "name").(string)
 		if names[i] == "" {
 			return nil, fmt.Errorf("%w: index %d", ErrUnnamedClass, i)
 		}
@@ -132,13 +132,13 @@
 	return names, nil
 }
 
-// member is the value under a key of a JSON object, nil where value is no object.
-func member(value any, key string) any {
+// lookup returns the value of a key of a JSON object, nil if value is no object.
+func lookup(value any, key string) any {
 	object, _ := value.(map[string]any)
 	return object[key]
 }
 
-// stringsOf is the list of strings that value is. What is no string is the empty one.
+// stringsOf converts a JSON list to strings. An item of another type becomes the empty string.
 func stringsOf(value any) []string {
 	list, _ := value.([]any)
 	out := make([]string, len(list))
--- a/internal/bootstrap/settings.go
+++ b/internal/bootstrap/settings.go
@@ -10,8 +10,8 @@
 	"cairnfront/routing"
 )
 
-// flatten adds a JSON value to the settings in the form that the simulator's wire gives them, under the names of the
-// routing module: objects become paths, lists of objects numbered paths, and lists of plain values one text.
+// flatten adds a JSON value to the settings in the form of the simulator's wire and under the names of the routing
+// module: objects become paths, lists of objects numbered paths, and lists of scalars one text.
 func flatten(settings routing.Settings, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -33,12 +33,12 @@
 	}
 }
 
-// isObjectList reports whether a list holds objects with names. Lists that may be empty are known by their paths.
+// isObjectList reports whether a list has objects with names. Lists that may be empty are recognized by their paths.
 func isObjectList(path string, list []any) bool {
 	if path == settingClasses || path == settingTenants {
 		return true
 	}
-	return len(list) > 0 && member(list[0], "name") != nil
+	return len(list) > 0 && lookup(list[0], "name") != nil
 }
 
 func flattenObjectList(settings routing.Settings, path string, list []any) {
@@ -60,10 +60,10 @@
 	settings[name] = value
 }
 
-// separators are the characters that set values apart on the simulator's wire.
+// separators replaces the characters that separate values on the simulator's wire.
 var separators = strings.NewReplacer(" ", "_", ",", "_")
 
-// plainText is the text of a value that is no list and no object.
+// plainText returns the text of a scalar.
 func plainText(value any) string {
 	switch value := value.(type) {
 	case nil:
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -22,7 +22,7 @@
 func TestFileUnderDeployHoldsTheDefaults(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/operators.yaml")
 	require.NoError(t, err)
-	assert.Equal(t, string(Defaults()), string(text), "cairnfront operators defaults > deploy/operators.yaml")
+	assert.Equal(t, string(Defaults()), string(text), "cairnfront config defaults > deploy/operators.yaml")
 }
 
 func TestMistakesAreNamedWithTheirPlace(t *testing.T) {
@@ -31,11 +31,11 @@
 		"tier:\n  space_mb: much\n":          "f:2:13: tier.space_mb: got string, want number",
 		"tier:\n  alpha: 0\n":                "f:2:10: tier.alpha: exclusiveMinimum: got 0, want 0",
 		"box:\n  rules:\n    - kept: true\n": "f:3:7: box.rules.0: missing property 'name'",
-		"box:\n  id: s-1\n  id: s-2\n":       "f:3:3: box: key \"id\" stands twice",
-		"box: [\n":                           "not YAML: did not find",
-		"tier:\n  alpha: .inf\n":             "f:2:10: tier.alpha: +Inf is no number that can be used",
+		"box:\n  id: s-1\n  id: s-2\n":       "f:3:3: box: duplicate key \"id\"",
+		"box: [\n":                           "invalid YAML: did not find",
+		"tier:\n  alpha: .inf\n":             "f:2:10: tier.alpha: +Inf is not a finite number",
 		"box:\n  made: {least_bytes: 900, most_bytes: 100}\n": "f:2:23: " +
-			"box.made.least_bytes: 900 is over most_bytes, 100",
+			"box.made.least_bytes: 900 is greater than most_bytes, 100",
 	} {
 		_, err := Parse("f", []byte(text))
 		require.Error(t, err, text)
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// indent is what the keys of an object stand further in than the object's own.
+// indent is the indentation of an object's keys relative to the key of the object.
 const indent = "  "
 
-// Defaults returns a file that says every default, with what each key means. It is made from the schema, whose order of
-// keys it keeps.
+// Defaults returns a file with the default and the description of every key. It is made from the schema and keeps the
+// schema's order of keys.
 func Defaults() []byte {
 	var out bytes.Buffer
-	out.WriteString("# Every key of the operators' file with its default, its unit and what it is for.\n")
+	out.WriteString("# Configuration file of cairnfront: every key with its default, unit and meaning.\n")
 	writeProperties(&out, decodeOrdered(Schema), 0)
 	return out.Bytes()
 }
 
-// writeProperties writes the keys of an object's schema at a depth of the file.
+// writeProperties writes the keys of an object's schema at a nesting depth.
 func writeProperties(out *bytes.Buffer, schema *orderedObject, depth int) {
 	properties := schema.object("properties")
 	if properties == nil {
@@ -49,7 +49,7 @@
 	properties := items.object("properties")
 	for _, name := range properties.keys {
 		property := properties.object(name)
-		text := []byte("needed")
+		text := []byte("required")
 		if value, ok := property.values["default"]; ok {
 			text = encode(value)
 		}
@@ -83,7 +83,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	object, ok := decodeValue(decoder).(*orderedObject)
 	if !ok {
-		panic("the schema is no object")
+		panic("decode schema: not an object")
 	}
 	return object
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -13,11 +13,11 @@
 	"golang.org/x/text/message"
 )
 
-// FieldError is one mistake in a file.
+// FieldError is one mistake in a file: its place and the reason.
 type FieldError struct {
 	File         string
 	Line, Column int    // from 1
-	Path         string // keys and indexes with dots between them; empty for the whole file
+	Path         string // keys and indexes separated by dots; empty for the whole file
 	Reason       string
 }
 
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -1,11 +1,11 @@
-// Package config reads the operators' configuration file.
+// Package config reads the configuration file of routers and edge caches.
 //
-// The file is YAML. It is validated against a JSON Schema, which is published and holds the default, unit and meaning
-// of each key; no default stands anywhere else. What a schema can't express is checked after it. An error names the
-// file, line and column, and says what was expected there.
+// The file is YAML. It is validated against a JSON Schema, which is published and is the only place with the default,
+// unit and meaning of each key. What a schema can't express is checked after it. An error names the file, line, column
+// and key, and the reason.
 //
-// The package reads and validates only. It doesn't watch the file, and the programs decide what of a changed file takes
-// effect.
+// The package reads and validates only. It doesn't watch the file. The programs decide which changes take effect
+// without a restart. The keys' names are mapped to the field's terms by the struct tags of File.
 package config
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// File is what a configuration file says, with every default filled in.
+// File is the content of a configuration file, with every default filled in.
 type File struct {
 	Router     Router     `json:"router"`
 	Membership Membership `json:"peers"`
@@ -21,23 +21,23 @@
 	DiskCache  DiskCache  `json:"tier"`
 }
 
-// Router is what a router is told beside its bootstrap file.
+// Router is the configuration of a router beside its bootstrap file.
 type Router struct {
 	AdminSocket string              `json:"socket"`        // path; empty for none
 	RetryShare  float64             `json:"further_share"` // retries per first attempt; 0 for no budget
-	RetryFloor  float64             `json:"further_least"` // retries that are always allowed in a window
+	RetryFloor  float64             `json:"further_least"` // retries that are allowed in a window at any load
 	Addresses   []EndpointAddresses `json:"addresses"`
 }
 
-// EndpointAddresses are the addresses of endpoints that listen at several. It names an endpoint by Endpoint, an id or a
-// pattern as of path.Match, by DiscoveryAddress, or by both.
+// EndpointAddresses are the addresses of endpoints that listen on several. It names endpoints by Endpoint, an id or a
+// pattern of path.Match, by DiscoveryAddress, or by both.
 type EndpointAddresses struct {
 	Endpoint         string   `json:"member"`
 	DiscoveryAddress string   `json:"board"`
 	Addresses        []string `json:"list"`
 }
 
-// Matches reports whether the addresses are those of an endpoint with an id and an address that discovery tells.
+// Matches reports whether the addresses are those of an endpoint with an id and an address in the endpoint list.
 func (e EndpointAddresses) Matches(id, discoveryAddress string) bool {
 	if e.DiscoveryAddress != "" && e.DiscoveryAddress != discoveryAddress {
 		return false
@@ -49,7 +49,7 @@
 	return matched
 }
 
-// Membership is what a router is told of the other routers. Limits are per second, KB are of 1000 bytes.
+// Membership is the configuration of a router's membership. Limits are per second, a KB is 1000 bytes.
 type Membership struct {
 	Listen                  string  `json:"listen"`
 	Advertise               string  `json:"advertise"`
@@ -72,7 +72,7 @@
 type Peer struct {
 	Name    string `json:"name"`
 	Key     string `json:"key"`     // public key, base64
-	Address string `json:"address"` // IP:PORT; empty if it is learnt from other peers
+	Address string `json:"address"` // IP:PORT; empty if it is learned from other peers
 }
 
 // EdgeCache is the configuration of a cache process.
@@ -94,7 +94,7 @@
 	Classes              []Class          `json:"rules"`
 }
 
-// CapacityModel limits a cache process as a smaller or slower machine would.
+// CapacityModel limits a cache process as a smaller or slower machine would; its zero value does not.
 type CapacityModel struct {
 	Cores           float64 `json:"cores"`
 	WorkMS          float64 `json:"work_ms"`
@@ -104,7 +104,7 @@
 	ColdSeconds     float64 `json:"cold_s"`
 }
 
-// SyntheticContent says what an origin serves: generated objects, or the files of a directory.
+// SyntheticContent is what an origin serves: generated objects, or the files of a directory.
 type SyntheticContent struct {
 	Seed              uint64  `json:"seed"`
 	Directory         string  `json:"folder"`
@@ -121,7 +121,7 @@
 	EffectNonIdempotent  = "unrepeatable"
 )
 
-// Class is a request class as a cache has to know it.
+// Class is a request class in the configuration of a cache.
 type Class struct {
 	Name         string  `json:"name"`
 	Cacheable    bool    `json:"kept"`
@@ -130,7 +130,7 @@
 	StaleSeconds float64 `json:"stale_s"`
 }
 
-// DiskCache is the configuration of a cache's disk.
+// DiskCache is the configuration of an edge cache's disk cache.
 type DiskCache struct {
 	Directory        string  `json:"folder"`
 	CapacityMB       float64 `json:"space_mb"`
@@ -147,7 +147,7 @@
 	SnapshotInterval Seconds `json:"snapshot_s"`
 }
 
-// Seconds is a duration in seconds, as the file gives it.
+// Seconds is a duration in seconds, the unit of the file.
 type Seconds float64
 
 // Duration returns s as a time.Duration.
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -16,14 +16,13 @@
 func Read(path string) (File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return File{}, fmt.Errorf("reading the operators' file: %w", err)
+		return File{}, fmt.Errorf("read configuration file: %w", err)
 	}
 	return Parse(path, text)
 }
 
-// Parse validates a file's text. Its error joins a FieldError for each mistake, in the order of the file. Mistakes are
-// looked for in steps (YAML, values, schema, then what no schema can express), and those of the first step that finds
-// any are reported.
+// Parse validates a file's text. Its error joins a FieldError for each mistake, in the order of the file. The steps are
+// YAML, values, schema, then what no schema can express. The mistakes of the first step that finds any are reported.
 func Parse(name string, text []byte) (File, error) {
 	root, err := parseYAML(name, text)
 	if err != nil {
@@ -67,7 +66,7 @@
 	return document{name: name, root: &root}, nil
 }
 
-// syntaxError gives an error of the YAML parser the place that it names in its text.
+// syntaxError converts an error of the YAML parser, whose text has the line, to a FieldError.
 func syntaxError(name string, err error) FieldError {
 	mistake := FieldError{File: name, Line: 1, Column: 1, Reason: err.Error()}
 	_, rest, found := strings.Cut(mistake.Reason, "line ")
@@ -77,18 +76,18 @@
 	number, reason, _ := strings.Cut(rest, ": ")
 	if line, err := strconv.Atoi(number); err == nil {
 		mistake.Line = line
-		mistake.Reason = "not YAML: " + reason
+		mistake.Reason = "invalid YAML: " + reason
 	}
 	return mistake
 }
 
-// errorAt returns the mistake at a path, or at the nearest node above it that is there.
+// errorAt returns a mistake with the place of a path, or of the nearest existing node above it.
 func (d document) errorAt(reason string, path ...string) FieldError {
 	n := d.find(path)
 	return FieldError{File: d.name, Line: n.Line, Column: n.Column, Path: strings.Join(path, "."), Reason: reason}
 }
 
-// find returns the node at a path, or the nearest one above it that is there.
+// find returns the node at a path, or the nearest existing one above it.
 func (d document) find(path []string) *yaml.Node {
 	n := d.root
 	if n.Kind == yaml.DocumentNode && len(n.Content) > 0 {
@@ -138,14 +137,14 @@
 	return value, errors.Join(c.mistakes...)
 }
 
-// converter turns YAML nodes into plain values and collects what is not allowed in them: duplicate keys, aliases, and
-// numbers that JSON doesn't have.
+// converter turns YAML nodes into plain values and collects mistakes: duplicate keys, aliases, and numbers that JSON
+// can't represent.
 type converter struct {
 	name     string
 	mistakes []error
 }
 
-// reject notes a mistake.
+// reject adds a mistake.
 func (c *converter) reject(n *yaml.Node, path, reason string) {
 	c.mistakes = append(c.mistakes, FieldError{
 		File:   c.name,
@@ -170,17 +169,17 @@
 	case yaml.ScalarNode:
 		return c.convertScalar(n, path)
 	}
-	c.reject(n, path, "anchors and aliases are not used here")
+	c.reject(n, path, "anchors and aliases are not supported")
 	return nil
 }
 
-// convertMapping returns the plain value of a mapping. Of a duplicate key the last value counts.
+// convertMapping returns the plain value of a mapping, which has the last value of a duplicate key.
 func (c *converter) convertMapping(n *yaml.Node, path string) map[string]any {
 	values := map[string]any{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key := n.Content[i].Value
 		if _, duplicate := values[key]; duplicate {
-			c.reject(n.Content[i], path, fmt.Sprintf("key %q stands twice", key))
+			c.reject(n.Content[i], path, fmt.Sprintf("duplicate key %q", key))
 		}
 		values[key] = c.convert(n.Content[i+1], strings.TrimPrefix(path+"."+key, "."))
 	}
@@ -201,7 +200,7 @@
 	case float64:
 		text := strconv.FormatFloat(v, 'g', -1, 64)
 		if _, err := json.Marshal(v); err != nil {
-			c.reject(n, path, text+" is no number that can be used")
+			c.reject(n, path, text+" is not a finite number")
 			return nil
 		}
 		return json.Number(text)
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -14,10 +14,10 @@
 var Schema []byte
 
 // schemaName is the name of the schema in the validator's errors.
-const schemaName = "operators.json"
+const schemaName = "config.schema.json"
 
-// compiledSchema returns the validator of the schema and the schema as a plain value. It panics if the schema that is
-// part of the program is broken.
+// compiledSchema returns the validator of the schema and the schema as a plain value. It panics if the embedded schema
+// is invalid.
 var compiledSchema = sync.OnceValues(func() (*jsonschema.Schema, any) {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(Schema))
 	if err != nil {
@@ -30,7 +30,7 @@
 	return compiler.MustCompile(schemaName), value
 })
 
-// fillDefaults adds the schema's defaults to a value where it says nothing.
+// fillDefaults adds the schema's defaults for keys that a value doesn't have.
 func fillDefaults(schema, value any) {
 	object, _ := schema.(map[string]any)
 	switch v := value.(type) {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -15,7 +15,7 @@
 // validate checks what the schema can't express. It returns the first mistake.
 func (f File) validate(d document) error {
 	for i, addresses := range f.Router.Addresses {
-		if err := addresses.validate(d, []string{"router", "addresses", strconv.Itoa(i)}); err != nil {
+		if err := addresses.validate(d, []string{keyRouter, keyAddresses, strconv.Itoa(i)}); err != nil {
 			return err
 		}
 	}
@@ -23,24 +23,24 @@
 		return err
 	}
 	if c := f.EdgeCache.Synthetic; c.MinBytes > c.MaxBytes {
-		reason := fmt.Sprintf("%d is over most_bytes, %d", c.MinBytes, c.MaxBytes)
-		return d.errorAt(reason, "box", "made", "least_bytes")
+		reason := fmt.Sprintf("%d is greater than %s, %d", c.MinBytes, keyMaxBytes, c.MaxBytes)
+		return d.errorAt(reason, keyEdgeCache, keySynthetic, keyMinBytes)
 	}
 	return nil
 }
 
-// validate checks that the addresses name an endpoint and can be dialled. At is their path.
+// validate checks that the addresses name an endpoint and can be dialed. At is their path.
 func (e EndpointAddresses) validate(d document, at []string) error {
 	if e.Endpoint == "" && e.DiscoveryAddress == "" {
-		return d.errorAt("it names neither member nor board", at...)
+		return d.errorAt(keyEndpoint+" or "+keyDiscoveryAddress+" is required", at...)
 	}
 	if _, err := path.Match(e.Endpoint, ""); err != nil {
-		return d.errorAt(fmt.Sprintf("%q is no pattern", e.Endpoint), append(at, "member")...)
+		return d.errorAt(fmt.Sprintf("%q is not a valid pattern", e.Endpoint), append(at, keyEndpoint)...)
 	}
 	for i, address := range e.Addresses {
 		if _, err := netip.ParseAddrPort(address); err != nil && !strings.HasPrefix(address, "unix:/") {
 			reason := fmt.Sprintf("%q is neither IP:PORT nor unix:/PATH", address)
-			return d.errorAt(reason, append(at, "list", strconv.Itoa(i))...)
+			return d.errorAt(reason, append(at, keyAddressList, strconv.Itoa(i))...)
 		}
 	}
 	return nil
@@ -57,16 +57,16 @@
 	}
 	switch {
 	case m.KeyFile == "":
-		return d.errorAt("needed where listen is set", "peers", "key_file")
+		return d.errorAt("required if listen is set", keyMembership, keyKeyFile)
 	case len(m.Roster) == 0:
-		return d.errorAt("needed where listen is set", "peers", "roster")
+		return d.errorAt("required if listen is set", keyMembership, keyRoster)
 	case len(m.Roster) > 1 && !reachable:
-		return d.errorAt("none of the others has an address: nobody could be reached", "peers", "roster")
+		return d.errorAt("no other router has an address, so none can be reached", keyMembership, keyRoster)
 	case m.Name != "" && !names[m.Name]:
-		return d.errorAt(fmt.Sprintf("%q is not in the roster", m.Name), "peers", "name")
+		return d.errorAt(fmt.Sprintf("%q is not in the roster", m.Name), keyMembership, keyName)
 	case 3*m.FaultyPeers >= len(m.Roster) && m.FaultyPeers > 1:
-		reason := fmt.Sprintf("%d of %d may not lie: under a third", m.FaultyPeers, len(m.Roster))
-		return d.errorAt(reason, "peers", "liars")
+		reason := fmt.Sprintf("%d byzantine peers of %d: under a third can be tolerated", m.FaultyPeers, len(m.Roster))
+		return d.errorAt(reason, keyMembership, keyFaultyPeers)
 	}
 	return nil
 }
@@ -77,19 +77,19 @@
 	names = map[string]bool{}
 	keys := map[string]bool{}
 	for i, peer := range m.Roster {
-		at := func(key string) []string { return []string{"peers", "roster", strconv.Itoa(i), key} }
+		at := func(key string) []string { return []string{keyMembership, keyRoster, strconv.Itoa(i), key} }
 		if raw, err := base64.StdEncoding.DecodeString(peer.Key); err != nil || len(raw) != publicKeyBytes {
-			return nil, false, d.errorAt("no public key of 32 bytes in base64", at("key")...)
+			return nil, false, d.errorAt("not a public key of 32 bytes in base64", at(keyPublicKey)...)
 		}
 		if names[peer.Name] {
-			return nil, false, d.errorAt(fmt.Sprintf("%q stands twice", peer.Name), at("name")...)
+			return nil, false, d.errorAt(fmt.Sprintf("duplicate name %q", peer.Name), at(keyName)...)
 		}
 		if keys[peer.Key] {
-			return nil, false, d.errorAt("the key of two: each router has its own", at("key")...)
+			return nil, false, d.errorAt("duplicate key: each router needs its own", at(keyPublicKey)...)
 		}
 		if peer.Address != "" {
 			if _, err := netip.ParseAddrPort(peer.Address); err != nil {
-				return nil, false, d.errorAt(fmt.Sprintf("%q is no IP:PORT", peer.Address), at("address")...)
+				return nil, false, d.errorAt(fmt.Sprintf("%q is not IP:PORT", peer.Address), at(keyAddress)...)
 			}
 		}
 		names[peer.Name] = true
--- a/internal/dispatch/addresses.go
+++ b/internal/dispatch/addresses.go
@@ -12,11 +12,11 @@
 // Errors of the operators' commands on addresses.
 var (
 	// ErrNotDisabled is returned for an address that is unknown, or is the last usable one of its endpoint.
-	ErrNotDisabled = errors.New("no such member and address, or the last that is not at rest")
+	ErrNotDisabled = errors.New("unknown endpoint or address, or the endpoint's last address that is not in cooldown")
 	// ErrUnknownAddress is returned for an address that is unknown.
-	ErrUnknownAddress = errors.New("no such member and address")
+	ErrUnknownAddress = errors.New("unknown endpoint or address")
 	// ErrLoopBusy is returned if the loop did not handle a command before its context ended.
-	ErrLoopBusy = errors.New("the program did not come to it in time")
+	ErrLoopBusy = errors.New("the event loop did not handle the command in time")
 )
 
 // AddressLookup returns the configured addresses of an endpoint, none if it has only the one that discovery tells.
--- a/internal/replication/verify.go
+++ b/internal/replication/verify.go
@@ -21,9 +21,8 @@
 	shards map[int]shard.PersistentState
 }
 
-// Verify reads the folders of stopped routers, changes nothing, and writes what each holds and
-// whether they agree. It returns false if any can't be read, or two differ in what was committed.
-// The words of its output are those of the documented command.
+// Verify reads the write-ahead logs of stopped routers, changes nothing, and writes what each holds
+// and whether they agree. It returns false if any can't be read, or two differ in a committed entry.
 func Verify(w io.Writer, paths []string) bool {
 	var folders []inspectedFolder
 	readable := true
@@ -48,7 +47,7 @@
 		}
 	}
 	if len(folders) > 1 {
-		writef(w, "%d slices compared in pairs agree, %d differ\n", same, different)
+		writef(w, "%d shards compared in pairs agree, %d differ\n", same, different)
 	}
 	return readable && different == 0
 }
@@ -64,7 +63,7 @@
 	for number, saved := range shards {
 		state, err := replay(saved)
 		if err != nil {
-			writef(w, "%s: slice %d: %v\n", path, number, err)
+			writef(w, "%s: shard %d: %v\n", path, number, err)
 			restored = false
 			continue
 		}
@@ -72,8 +71,8 @@
 		entries += len(saved.Entries)
 		newest = max(newest, state.Now())
 	}
-	writef(w, "%s: router %s, holder %x, started %d times: ", path, identity.Owner, identity.ID, identity.StartCount)
-	writef(w, "%d slices, %d promises, %d commands in the log, newest at Unix %.0f s\n",
+	writef(w, "%s: router %s, replica %x, started %d times: ", path, identity.Owner, identity.ID, identity.StartCount)
+	writef(w, "%d shards, %d reservations, %d log entries, newest at Unix time %.0f s\n",
 		len(shards), reservations, entries, newest)
 	return restored
 }
@@ -90,7 +89,7 @@
 			same++
 			continue
 		}
-		writef(w, "slice %d: %s and %s differ at command %d: %s\n", number, a.path, b.path, index, reason)
+		writef(w, "shard %d: %s and %s differ at log index %d: %s\n", number, a.path, b.path, index, reason)
 		different++
 	}
 	return same, different
--- a/internal/replication/verify_test.go
+++ b/internal/replication/verify_test.go
@@ -47,10 +47,10 @@
 	a, b, c := stoppedFolder(t, "g1"), stoppedFolder(t, "g1"), stoppedFolder(t, "g2")
 	var out bytes.Buffer
 	assert.True(t, Verify(&out, []string{a, b}), out.String())
-	assert.Contains(t, out.String(), "router r1, holder 5, started 1 times: 1 slices, 1 promises")
-	assert.Contains(t, out.String(), "1 slices compared in pairs agree, 0 differ")
+	assert.Contains(t, out.String(), "router r1, replica 5, started 1 times: 1 shards, 1 reservations")
+	assert.Contains(t, out.String(), "1 shards compared in pairs agree, 0 differ")
 	out.Reset()
 	assert.False(t, Verify(&out, []string{a, c, t.TempDir()}))
-	assert.Contains(t, out.String(), "differ at command 2")
+	assert.Contains(t, out.String(), "differ at log index 2")
 	assert.Contains(t, out.String(), "the ledger's folder")
 }
