--- a/cmd/cairnfront/peers.go
+++ b/cmd/cairnfront/peers.go
@@ -131,10 +131,10 @@
 			m.ConfirmedObservations, m.RefutedObservations)
 	}
 	if m.Silenced || !m.Trusted {
-		printf(cmd, "  IGNORED")
+		printf(cmd, "  UNTRUSTED")
 	}
 	if m.ViewDiffers {
-		printf(cmd, "  its membership view differs")
+		printf(cmd, "  view differs")
 	}
 	printf(cmd, "\n")
 }
