--- a/cmd/cairnfront/aliases_test.go
+++ b/cmd/cairnfront/aliases_test.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"context"
-	"fmt"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -91,36 +89,12 @@
 	}
 }
 
-// adminStub serves the admin socket's requests about addresses and records them.
-func adminStub(t *testing.T, statuses []address.Status) (socket string, received *[]string) {
-	t.Helper()
-	socket = filepath.Join(t.TempDir(), "admin.sock")
-	received = &[]string{}
-	record := func(name admin.RequestName, result any) admin.Handler {
-		return func(_ context.Context, args map[string]string) (any, error) {
-			*received = append(*received, fmt.Sprint(name, args))
-			return result, nil
-		}
-	}
-	server := &admin.Server{Handlers: map[admin.RequestName]admin.Handler{
-		admin.ShowAddresses:    record(admin.ShowAddresses, statuses),
-		admin.CooldownAddress:  record(admin.CooldownAddress, "done"),
-		admin.ReinstateAddress: record(admin.ReinstateAddress, "done"),
-	}}
-	ln, err := admin.Listen(socket)
-	require.NoError(t, err)
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan error, 1)
-	go func() { done <- server.Run(ctx, ln) }()
-	t.Cleanup(func() {
-		cancel()
-		assert.NoError(t, <-done)
-	})
-	return socket, received
-}
-
 func TestReachIsAnAliasOfAddresses(t *testing.T) {
-	socket, received := adminStub(t, []address.Status{{Endpoint: "s-1", Addr: "127.0.0.1:1", Condition: "well"}})
+	socket, received := adminStub(t, map[admin.RequestName]any{
+		admin.ShowAddresses:    []address.Status{{Endpoint: "s-1", Addr: "127.0.0.1:1", Condition: "well"}},
+		admin.CooldownAddress:  "done",
+		admin.ReinstateAddress: "done",
+	})
 	for _, names := range [][2]string{
 		{"reach", "addresses"},
 		{"reach rest e a", "addresses cooldown e a"},
@@ -136,28 +110,6 @@
 	}
 }
 
-// TestAddressesPrintsTheTermsForWireNames checks the term of each condition, which has another name in the response.
-func TestAddressesPrintsTheTermsForWireNames(t *testing.T) {
-	terms := map[string]string{
-		"well": "healthy", "refused": "connect_refused", "hung": "connect_timed_out",
-		"broken": "connection_broken", "quiet": "unresponsive", "by-hand": "disabled", "later": "later",
-	}
-	var statuses []address.Status
-	for name := range terms {
-		statuses = append(statuses, address.Status{Endpoint: "s-1", Addr: address.Addr("at-" + name), Condition: name})
-	}
-	socket, _ := adminStub(t, statuses)
-	out, errs, code := runCommand(t, "addresses", "--socket", socket)
-	assert.Equal(t, exitOK, code, errs)
-	for name, term := range terms {
-		assert.Regexp(t, `s-1 +0 at-`+name+` +`+term+` +for 0 s, cooldown 0\.0 s`, out)
-	}
-	out, _, _ = runCommand(t, "addresses", "--socket", socket, "--json")
-	for name := range terms {
-		assert.Contains(t, out, `"state":"`+name+`"`)
-	}
-}
-
 // tookSeconds matches the figure of a report that differs from run to run.
 var tookSeconds = regexp.MustCompile(`"took_s": ?[0-9.e-]+`)
 
--- /dev/null
+++ b/cmd/cairnfront/print_test.go
@@ -0,0 +1,98 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"path/filepath"
+	"testing"
+
+	"cairnfront/internal/admin"
+	"cairnfront/internal/membership"
+	"cairnfront/internal/upstream/address"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// adminStub serves an admin socket that answers each request with its response. It records the requests.
+func adminStub(t *testing.T, responses map[admin.RequestName]any) (socket string, received *[]string) {
+	t.Helper()
+	socket = filepath.Join(t.TempDir(), "admin.sock")
+	received = &[]string{}
+	server := &admin.Server{Handlers: map[admin.RequestName]admin.Handler{}}
+	for name, response := range responses {
+		server.Handlers[name] = func(_ context.Context, args map[string]string) (any, error) {
+			*received = append(*received, fmt.Sprint(name, args))
+			return response, nil
+		}
+	}
+	ln, err := admin.Listen(socket)
+	require.NoError(t, err)
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- server.Run(ctx, ln) }()
+	t.Cleanup(func() {
+		cancel()
+		assert.NoError(t, <-done)
+	})
+	return socket, received
+}
+
+// TestAddressesPrintsTheTermsForWireNames checks the term of each condition, which has another name in the response.
+func TestAddressesPrintsTheTermsForWireNames(t *testing.T) {
+	terms := map[string]string{
+		"well": "healthy", "refused": "connect_refused", "hung": "connect_timed_out",
+		"broken": "connection_broken", "quiet": "unresponsive", "by-hand": "disabled", "later": "later",
+	}
+	var statuses []address.Status
+	for name := range terms {
+		statuses = append(statuses, address.Status{Endpoint: "s-1", Addr: address.Addr("at-" + name), Condition: name})
+	}
+	socket, _ := adminStub(t, map[admin.RequestName]any{admin.ShowAddresses: statuses})
+	out, errs, code := runCommand(t, "addresses", "--socket", socket)
+	assert.Equal(t, exitOK, code, errs)
+	for name, term := range terms {
+		assert.Regexp(t, `s-1 +0 at-`+name+` +`+term+` +for 0 s, cooldown 0\.0 s`, out)
+	}
+	out, _, _ = runCommand(t, "addresses", "--socket", socket, "--json")
+	for name := range terms {
+		assert.Contains(t, out, `"state":"`+name+`"`)
+	}
+}
+
+// TestPeersPrintsTheReport compares the text for a report with every optional part with the expected one.
+func TestPeersPrintsTheReport(t *testing.T) {
+	report := membership.Report{
+		Name: "r0", PartitionState: "whole", Epoch: 3, SinceSeconds: 12, Present: 2, Roster: 3, Health: 1, Silent: true,
+		UptimeSeconds: 10, InBytes: 1000, InDatagrams: 50, OutBytes: 500, OutDatagrams: 25, SendsDropped: 4,
+		Detections: 2, DetectionP50Seconds: 1.5, DetectionP99Seconds: 2.5,
+		Members: []membership.MemberReport{
+			{
+				Name: "r1", State: "alive", SinceSeconds: 7, Zone: "east", Address: "127.0.0.1:1",
+				StartMillis: 5, Trusted: true,
+			},
+			{
+				Name: "r2", State: "suspect", StartMillis: 6, Refutations: 2,
+				Accusers: []string{"r0", "r1"}, FailedProbes: 3,
+				ConfirmedAccusations: 1, RefutedAccusations: 2, ConfirmedObservations: 3, RefutedObservations: 4,
+				Silenced: true, ViewDiffers: true,
+			},
+		},
+		Doubts: []membership.EndpointDoubt{{Endpoint: "s-1", Level: 0.5, Witnesses: []string{"r1", "r2"}}},
+	}
+	socket, _ := adminStub(t, map[admin.RequestName]any{admin.ShowPeers: report})
+	out, errs, code := runCommand(t, "peers", "--socket", socket)
+	assert.Equal(t, exitOK, code, errs)
+	assert.Equal(t, "r0: partition state complete for 12 s, epoch 3; 2 of 3 routers present, "+
+		"local health score 1 of 8 (0 is healthy)\n"+
+		"received 100 bytes/s, 5.0 datagrams/s; sent 50 bytes/s, 2.5 datagrams/s, 4 not sent (rate limit); "+
+		"2 failures detected, p50 1.5 s, p99 2.5 s\n"+
+		"SILENT: a newer process uses this router's name\n"+
+		"r1               alive    for      7 s  zone east       127.0.0.1:1           incarnation 5.0\n"+
+		"r2               suspect  for      0 s  zone                                  incarnation 6.2"+
+		"  failed probes 3, accused by r0 r1  its accusations: 1.0 confirmed, 2.0 refuted"+
+		"  its endpoint observations: 3.0 confirmed, 4.0 refuted  UNTRUSTED  view differs\n"+
+		"endpoint s-1          doubt 0.50: r1, r2\n", out)
+	out, _, _ = runCommand(t, "peers", "--socket", socket, "--json")
+	assert.Contains(t, out, `"standing":"whole"`)
+}
