--- a/cmd/cairnfront/addresses.go
+++ b/cmd/cairnfront/addresses.go
@@ -75,7 +75,7 @@
 		return addressCommand(&socket, admin.ReinstateAddress,
 			"reinstate", "End an address's cooldown")
 	}
-	c.AddCommand(cooldown(), reinstate(), alias("rest", cooldown()), alias("unrest", reinstate()))
+	c.AddCommand(cooldown(), reinstate(), alias(aliasCooldown, cooldown()), alias(aliasReinstate, reinstate()))
 	return c
 }
 
@@ -103,7 +103,7 @@
 	}
 }
 
-// printAddresses prints the state of addresses, one a line, or as the JSON that came.
+// printAddresses prints the state of addresses, one per line, or the received JSON.
 func printAddresses(cmd *cobra.Command, data json.RawMessage, asJSON bool) error {
 	var addresses []address.Status
 	if err := json.Unmarshal(data, &addresses); err != nil {
--- a/cmd/cairnfront/aliases.go
+++ b/cmd/cairnfront/aliases.go
@@ -9,6 +9,19 @@
 
 // This file has the earlier names of commands and flags. They work as the current names do and are in no help text.
 
+// The earlier names of commands.
+const (
+	aliasAddresses      = "reach"
+	aliasCooldown       = "rest"
+	aliasConfig         = "operators"
+	aliasDiskCache      = "tier"
+	aliasEdgeCache      = "box"
+	aliasReinstate      = "unrest"
+	aliasReplication    = "ledger"
+	aliasSimMembership  = "peers"
+	aliasSimReplication = "ledger"
+)
+
 // flagAliases has the current name of each flag that had another one.
 var flagAliases = map[string]string{
 	"acts":      "faults",
@@ -20,11 +33,11 @@
 // aliasedCommands returns the commands of the top level under their earlier names.
 func aliasedCommands() []*cobra.Command {
 	return []*cobra.Command{
-		alias("box", edgeCacheCommand()),
-		alias("ledger", replicationCommand()),
-		alias("operators", configCommand()),
-		alias("reach", addressesCommand()),
-		alias("tier", diskCacheCommand()),
+		alias(aliasEdgeCache, edgeCacheCommand()),
+		alias(aliasReplication, replicationCommand()),
+		alias(aliasConfig, configCommand()),
+		alias(aliasAddresses, addressesCommand()),
+		alias(aliasDiskCache, diskCacheCommand()),
 	}
 }
 
--- a/cmd/cairnfront/extensions.go
+++ b/cmd/cairnfront/extensions.go
@@ -22,7 +22,7 @@
 // errAddressesRemoved is returned for a reloaded configuration file that has no addresses any more.
 var errAddressesRemoved = errors.New("router.addresses: not all can be removed while the router runs")
 
-// extensions are the parts of a router that its configuration file adds to the bootstrap file.
+// extensions are the parts of a router that only a configuration file switches on.
 type extensions struct {
 	path       string
 	node       *membership.Node // nil without membership
@@ -42,10 +42,8 @@
 		return nil, err
 	}
 	if file.Router.RetryShare > 0 {
-		r.dispatcher.RetryBudget = retrybudget.New(retrybudget.Limits{
-			RetryRatio: file.Router.RetryShare,
-			MinRetries: file.Router.RetryFloor,
-		})
+		limits := retrybudget.Limits{RetryRatio: file.Router.RetryShare, MinRetries: file.Router.RetryFloor}
+		r.dispatcher.RetryBudget = retrybudget.New(limits)
 	}
 	if len(file.Router.Addresses) > 0 {
 		e.addresses = true
--- a/cmd/cairnfront/lab.go
+++ b/cmd/cairnfront/lab.go
@@ -53,44 +53,52 @@
 }
 
 func labRunCommand() *cobra.Command {
-	var s lab.Options
+	var options lab.Options
 	var size string
 	var outputs reportOutputs
 	c := &cobra.Command{
 		Use:   "run SCENARIO",
 		Short: "Run a scenario and print its report; exit 1 if any check fails",
-		Args:  cobra.ExactArgs(1),
+		Long: "Run a scenario and print its report; exit 1 if any check fails.\n\n" +
+			"A scenario starts routers, edge caches and stubs of other services on loopback, sends requests, injects\n" +
+			"faults and checks what clients and stubs recorded. 'cairnfront lab list' lists the scenarios.",
+		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if size != sizeSmall && size != sizeFull {
 				return fmt.Errorf("--size %q: %w", size, errUnknownSize)
 			}
-			program, err := os.Executable()
-			if err != nil {
-				return err
-			}
-			s.Program = program
-			s.Full = size == sizeFull
-			return withProgress(func(ctx context.Context, progress func(string, ...any)) error {
-				s.Progress = progress
-				r, err := lab.Run(ctx, args[0], s)
-				if err != nil {
-					return err
-				}
-				return outputs.write(cmd, r)
-			})
+			options.Full = size == sizeFull
+			return runScenario(cmd, args[0], options, outputs)
 		},
 	}
 	flags := c.Flags()
-	flags.Uint64Var(&s.Seed, "seed", 1, "seed of the random choices: faults, load, object sizes")
+	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the random choices: faults, load, object sizes")
 	flags.StringVar(&size, "size", sizeSmall, "size of the test cluster and the load: small or full")
-	flags.StringVar(&s.Script, "script", "",
+	flags.StringVar(&options.Script, "script", "",
 		"path of a fault script; empty: the scenario's own faults")
-	flags.StringVar(&s.Directory, "folder", "",
+	flags.StringVar(&options.Directory, "folder", "",
 		"directory for files and logs, not removed after the run; empty: a temporary one")
 	outputs.addFlags(c)
 	return c
 }
 
+// runScenario runs a scenario with this program's own executable and writes the report.
+func runScenario(cmd *cobra.Command, name string, options lab.Options, outputs reportOutputs) error {
+	program, err := os.Executable()
+	if err != nil {
+		return fmt.Errorf("run scenario %s: find own executable: %w", name, err)
+	}
+	options.Program = program
+	return withProgress(func(ctx context.Context, progress func(string, ...any)) error {
+		options.Progress = progress
+		r, err := lab.Run(ctx, name, options)
+		if err != nil {
+			return err
+		}
+		return outputs.write(cmd, r)
+	})
+}
+
 // withProgress calls run with a context that ends on SIGTERM or SIGINT, and with a function that shows progress on
 // standard error if that is a terminal and does nothing otherwise.
 func withProgress(run func(ctx context.Context, progress func(format string, args ...any)) error) error {
@@ -104,7 +112,7 @@
 	return run(ctx, progress)
 }
 
-// reportOutputs says where a report is written: a file, "-" for standard output, or empty for nowhere.
+// reportOutputs has the paths that a report is written to: "-" is standard output, empty is none.
 type reportOutputs struct{ json, html string }
 
 // addFlags adds the flags of the outputs.
@@ -113,7 +121,7 @@
 	c.Flags().StringVar(&o.html, "html", "", "path for the report as an HTML page; - for standard output; empty: none")
 }
 
-// write writes a report as text, unless its JSON goes to standard output, and to the outputs. It returns
+// write writes a report to the outputs, and as text to standard output unless its JSON goes there. It returns
 // errScenarioFailed if a check failed.
 func (o *reportOutputs) write(cmd *cobra.Command, r *report.Report) error {
 	if o.json != "-" {
--- a/cmd/cairnfront/membership.go
+++ b/cmd/cairnfront/membership.go
@@ -56,26 +56,16 @@
 		return nil, err
 	}
 	node, err := membership.New(membership.Config{
-		Name:         name,
-		Zone:         c.Zone,
-		Listen:       c.Listen,
-		Advertise:    c.Advertise,
-		Key:          key,
-		Roster:       roster,
-		MaxByzantine: c.FaultyPeers,
-		Seed:         r.config.Seed,
-		ReceiveLimits: ratelimit.Limits{
-			TotalDatagrams:   c.ReceiveDatagrams,
-			TotalBytes:       c.ReceiveKB * bytesPerKB,
-			PerPeerDatagrams: c.ReceiveDatagramsPerPeer,
-			PerPeerBytes:     c.ReceiveKBPerPeer * bytesPerKB,
-		},
-		SendLimits: ratelimit.Limits{
-			TotalDatagrams:   c.SendDatagrams,
-			TotalBytes:       c.SendKB * bytesPerKB,
-			PerPeerDatagrams: c.SendDatagramsPerPeer,
-			PerPeerBytes:     c.SendKBPerPeer * bytesPerKB,
-		},
+		Name:          name,
+		Zone:          c.Zone,
+		Listen:        c.Listen,
+		Advertise:     c.Advertise,
+		Key:           key,
+		Roster:        roster,
+		MaxByzantine:  c.FaultyPeers,
+		Seed:          r.config.Seed,
+		ReceiveLimits: receiveLimits(c),
+		SendLimits:    sendLimits(c),
 	}, r.metrics)
 	if err != nil {
 		return nil, err
@@ -86,6 +76,26 @@
 	return node, nil
 }
 
+// receiveLimits returns the rate limits of received datagrams.
+func receiveLimits(c config.Membership) ratelimit.Limits {
+	return ratelimit.Limits{
+		TotalDatagrams:   c.ReceiveDatagrams,
+		TotalBytes:       c.ReceiveKB * bytesPerKB,
+		PerPeerDatagrams: c.ReceiveDatagramsPerPeer,
+		PerPeerBytes:     c.ReceiveKBPerPeer * bytesPerKB,
+	}
+}
+
+// sendLimits returns the rate limits of sent datagrams.
+func sendLimits(c config.Membership) ratelimit.Limits {
+	return ratelimit.Limits{
+		TotalDatagrams:   c.SendDatagrams,
+		TotalBytes:       c.SendKB * bytesPerKB,
+		PerPeerDatagrams: c.SendDatagramsPerPeer,
+		PerPeerBytes:     c.SendKBPerPeer * bytesPerKB,
+	}
+}
+
 // connectMembership lets the node and the event loop exchange observations of endpoints' health. Neither blocks on the
 // other.
 func (r *router) connectMembership(ctx context.Context, g *errgroup.Group, node *membership.Node) {
--- a/cmd/cairnfront/sim.go
+++ b/cmd/cairnfront/sim.go
@@ -35,8 +35,8 @@
 	c.AddCommand(
 		simMembershipCommand(),
 		simReplicationCommand(),
-		alias("peers", simMembershipCommand()),
-		alias("ledger", simReplicationCommand()),
+		alias(aliasSimMembership, simMembershipCommand()),
+		alias(aliasSimReplication, simReplicationCommand()),
 	)
 	return c
 }
--- a/internal/admin/protocol.go
+++ b/internal/admin/protocol.go
@@ -17,7 +17,7 @@
 // Version is the version of the protocol.
 const Version = 1
 
-// The server's limits. They bound what the admin socket can take from the program that it is part of.
+// The server's limits. They bound what clients of the admin socket can use of the program's memory and descriptors.
 const (
 	maxConnections     = 8
 	maxRequestBytes    = 64 << 10
