--- a/cmd/cairnfront/lab.go
+++ b/cmd/cairnfront/lab.go
@@ -60,8 +60,8 @@
 		Use:   "run SCENARIO",
 		Short: "Run a scenario and print its report; exit 1 if any check fails",
 		Long: "Run a scenario and print its report; exit 1 if any check fails.\n\n" +
-			"A scenario starts routers, edge caches and stubs of other services on loopback, sends requests, injects\n" +
-			"faults and checks what clients and stubs recorded. 'cairnfront lab list' lists the scenarios.",
+			"A scenario starts routers, edge caches and stubs of other services on loopback, sends requests, and\n" +
+			"injects faults. It checks what clients and stubs recorded. 'cairnfront lab list' lists the scenarios.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if size != sizeSmall && size != sizeFull {
