--- a/cmd/cairnfront/aliases_test.go
+++ b/cmd/cairnfront/aliases_test.go
@@ -101,12 +101,12 @@
 		{"reach unrest e a", "addresses reinstate e a"},
 		{"addresses rest e a", "addresses cooldown e a"},
 	} {
-		*received = nil
 		withSocket := func(command string) []string { return append(strings.Fields(command), "--socket", socket) }
 		_, code := assertSameCommand(t, withSocket(names[0]), withSocket(names[1]))
 		assert.Equal(t, exitOK, code, names)
-		require.Len(t, *received, 2, names)
-		assert.Equal(t, (*received)[0], (*received)[1], names)
+		requests := received.take()
+		require.Len(t, requests, 2, names)
+		assert.Equal(t, requests[1], requests[0], names)
 	}
 }
 
--- a/cmd/cairnfront/print_test.go
+++ b/cmd/cairnfront/print_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"path/filepath"
+	"sync"
 	"testing"
 
 	"cairnfront/internal/admin"
@@ -14,15 +15,36 @@
 	"github.com/stretchr/testify/require"
 )
 
+// requestLog has the requests that a server received.
+type requestLog struct {
+	mu       sync.Mutex
+	requests []string
+}
+
+func (l *requestLog) add(name admin.RequestName, args map[string]string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.requests = append(l.requests, fmt.Sprint(name, args))
+}
+
+// take returns the requests and clears the log.
+func (l *requestLog) take() []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	requests := l.requests
+	l.requests = nil
+	return requests
+}
+
 // adminStub serves an admin socket that answers each request with its response. It records the requests.
-func adminStub(t *testing.T, responses map[admin.RequestName]any) (socket string, received *[]string) {
+func adminStub(t *testing.T, responses map[admin.RequestName]any) (socket string, received *requestLog) {
 	t.Helper()
 	socket = filepath.Join(t.TempDir(), "admin.sock")
-	received = &[]string{}
+	received = &requestLog{}
 	server := &admin.Server{Handlers: map[admin.RequestName]admin.Handler{}}
 	for name, response := range responses {
 		server.Handlers[name] = func(_ context.Context, args map[string]string) (any, error) {
-			*received = append(*received, fmt.Sprint(name, args))
+			received.add(name, args)
 			return response, nil
 		}
 	}
