--- a/cmd/cairnfront/addresses_test.go
+++ b/cmd/cairnfront/addresses_test.go
@@ -51,7 +51,7 @@
 	assert.Equal(t, "tcp", over())
 	_, errs, code = runCommand(t, "addresses", "--socket", socket, "cooldown", "s-00000001", tcp)
 	assert.Equal(t, 1, code)
-	assert.Contains(t, errs, "last address that is not in cooldown")
+	assert.Contains(t, errs, "its last address that is not disabled")
 	_, _, code = runCommand(t, "addresses", "--socket", socket, "reinstate", "s-00000001", "unix:"+cacheSocket)
 	assert.Equal(t, 0, code)
 	assert.Equal(t, "unix", over())
--- a/cmd/cairnfront/diskcache_test.go
+++ b/cmd/cairnfront/diskcache_test.go
@@ -83,7 +83,7 @@
 	require.NoError(t, os.WriteFile(names[len(names)-1], b, 0o600))
 	out, _, code = runCommand(t, "disk-cache", "verify", path)
 	assert.Equal(t, 1, code)
-	assert.Contains(t, out, "bad-body seg-")
+	assert.Contains(t, out, "bad_body seg-")
 	_, errs, code = runCommand(t, "disk-cache", "inspect", t.TempDir())
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "is no folder of a disk tier")
--- a/cmd/cairnfront/largecluster_test.go
+++ b/cmd/cairnfront/largecluster_test.go
@@ -68,8 +68,8 @@
 	counters := s.dumpCounters(t)
 	use.cpuSeconds = cpuSeconds(t, s.Process.Pid)
 	use.memoryMB = peakMemoryMB(t, s.Process.Pid)
-	use.descriptors = counters["process.descriptors"]
-	use.connections = counters["conn.member.begun"]
+	use.descriptors = counters["process_open_descriptors"]
+	use.connections = counters.connectionsOpened("endpoint")
 	return use
 }
 
--- a/internal/admin/wirenames.go
+++ b/internal/admin/wirenames.go
@@ -1,5 +1,7 @@
 package admin
 
+import "cairnfront/internal/telemetry"
+
 // This file has the names of the admin socket's wire and the terms for them. Clients in use send the wire's names, so
 // these stay as they are; help texts, printed output and counters have the terms.
 
@@ -22,7 +24,7 @@
 )
 
 // requestLabels has the label of each request in the counter of requests.
-var requestLabels = map[RequestName]string{
+var requestLabels = map[RequestName]telemetry.AdminRequest{
 	ShowAddresses:    "addresses",
 	CooldownAddress:  "cooldown",
 	ReinstateAddress: "reinstate",
@@ -31,11 +33,11 @@
 }
 
 // label returns the request's label in the counter of requests: its own name if it is none of this file's.
-func (n RequestName) label() string {
+func (n RequestName) label() telemetry.AdminRequest {
 	if label, ok := requestLabels[n]; ok {
 		return label
 	}
-	return string(n)
+	return telemetry.AdminRequest(n)
 }
 
 // addressConditions has the term for each condition of an address in the response to ShowAddresses.
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -2,19 +2,24 @@
 
 import "slices"
 
+// localRefusalSeconds is the time in which only the cache itself can have refused a fill: sources are farther away.
+const localRefusalSeconds = 0.004
+
 // attemptEnded learns from the end of an attempt and plans its request and then the first of the queued ones.
 func (r *Router) attemptEnded(end AttemptEnded) {
 	req, a := r.findAttempt(end.Request, end.Attempt)
-	if a == nil || !a.inFlight {
+	if a == nil || !a.move(attemptEnded) {
 		return
 	}
-	a.inFlight, a.wanted, a.result, a.endedAt = false, false, end.Result, r.now
-	a.target.release(r.now, 1, end.ElapsedSeconds, true)
+	a.result, a.endedAt = end.Result, r.now
+	a.target.limiter.release(r.now, 1, end.ElapsedSeconds, true)
 	for _, l := range a.fillLimiters {
 		l.release(r.now, a.expectedFills, end.ElapsedSeconds, !end.answeredFromCache())
 	}
 	r.learn(req, a, end)
-	req.done = req.done || end.RequestDone
+	if end.RequestDone {
+		r.moveRequest(req, requestEnded)
+	}
 	r.plan(req)
 	for _, queued := range slices.Clone(r.queue[:min(len(r.queue), maxQueueRetries)]) {
 		r.plan(queued)
@@ -24,12 +29,9 @@
 // learn takes what an end shows of the attempt's target, its source and the paths between.
 func (r *Router) learn(req *request, a *attempt, end AttemptEnded) {
 	slowness := end.ElapsedSeconds / (a.suspectAt - a.sentAt) // 0 for an attempt that was taken for lost
-	if len(r.slownessSamples) == longSamples && slowness > slices.Max(r.slownessSamples) {
-		unanswered := indicator(end.Result == Cancelled || end.Result == TimedOut)
-		r.unansweredSamples = appendSample(r.unansweredSamples, unanswered, recentSamples)
-	}
+	r.recordSlowest(slowness, end.Result)
 	if end.Result.isAnswer() {
-		a.target.recordSign(r.now)
+		a.target.recordHeard(r.now)
 	}
 	switch end.Result {
 	case Completed:
@@ -37,7 +39,7 @@
 	case ServerError, Overloaded:
 		r.learnFromFailure(req, a, end)
 	case CacheMiss:
-		if a.fromPeer {
+		if a.fill == fillFromPeer {
 			a.source.removeCached(req.chunk, true)
 		}
 	case ConnectFailed, ConnectionBroken:
@@ -45,26 +47,27 @@
 	}
 }
 
-// learnFromSuccess counts a completed attempt, and errors before it: one met everywhere is the request's own.
+// learnFromSuccess counts a completed attempt, and the errors of attempts before it. Errors count only now: a request
+// that cannot be served fails everywhere, and would eject one endpoint after another if each error counted at once.
 func (r *Router) learnFromSuccess(req *request, a *attempt, end AttemptEnded, slowness float64) {
 	for _, earlier := range req.attempts {
-		if earlier.failedAtTarget {
+		if earlier.blame != noBlame {
 			r.recordResult(earlier.target, true)
-			if earlier.sourceMayBeAtFault {
-				r.recordResult(earlier.source, true)
-			}
+		}
+		if earlier.blame == blameTargetAndSource {
+			r.recordResult(earlier.source, true)
 		}
 	}
 	r.recordResult(a.target, false)
-	r.slownessSamples = appendSample(r.slownessSamples, slowness, longSamples)
+	r.slownessSamples = appendSample(r.slownessSamples, slowness, maxSlownessSamples)
 	filled := !end.answeredFromCache()
 	if filled && a.source != a.target {
-		a.source.recordSign(r.now)
+		a.source.recordHeard(r.now)
 		r.recordResult(a.source, false)
 	}
-	req.chunk.filledByParent = req.chunk.filledByParent || filled && !a.fromPeer
-	if a.expectMiss && !a.fromPeer && !a.cacheOnly && a.target.role == edgeCache {
-		r.missSamples = appendSample(r.missSamples, indicator(filled), longSamples)
+	req.chunk.filledByParent = req.chunk.filledByParent || filled && a.fill != fillFromPeer
+	if a.fill == expectFill && a.target.role == edgeCache {
+		r.missSamples = appendSample(r.missSamples, indicator(filled), maxMissSamples)
 	}
 	r.recordCached(req, a, filled)
 	r.adjustLimits(req, a, end, filled)
@@ -74,39 +77,47 @@
 func (r *Router) learnFromFailure(req *request, a *attempt, end AttemptEnded) {
 	switch end.Detail {
 	case SourceRefused, SourceUnreachable, OriginFailed:
-		// A source that was heard since is not the one that failed: the origin behind it is.
-		heardSince := a.originLimiter != nil && a.source.lastHeard() > a.sentAt
-		if end.Detail == OriginFailed || (end.Detail == SourceUnreachable && heardSince) {
-			a.source.recordSign(r.now)
+		if originFailed(a, end.Detail) {
+			a.source.recordHeard(r.now)
 			r.originLimiter().decrease(r.now, true)
 			return
 		}
-		a.source.decrease(r.now, true)
+		a.source.limiter.decrease(r.now, true)
 		if end.Detail == SourceUnreachable {
 			r.recordResult(a.source, true)
 		}
 	case SourceCacheMiss:
-		a.source.recordSign(r.now)
+		a.source.recordHeard(r.now)
 		a.source.removeCached(req.chunk, true)
 	default:
 		r.learnFromUnexplained(a, end)
 	}
 }
 
-// learnFromUnexplained judges a failure that tells nothing of its source, which may be at fault all the same.
+// originFailed says whether a fill failed at the origin and not at its source: a source that was heard since the
+// attempt was sent can be reached.
+func originFailed(a *attempt, detail ResultDetail) bool {
+	heardSince := a.originLimiter != nil && a.source.lastHeardAt() > a.sentAt
+	return detail == OriginFailed || (detail == SourceUnreachable && heardSince)
+}
+
+// learnFromUnexplained takes a failure that says nothing of its source, which may be at fault all the same. A refused
+// fill counts as a failure of the source: one that is lost behind a cache shows as refusals of that cache alone.
 func (r *Router) learnFromUnexplained(a *attempt, end AttemptEnded) {
 	refused := end.Result == Overloaded
-	a.sourceMayBeAtFault = a.expectMiss && a.source != a.target && !r.tellsAll()
-	refusedFill := refused && a.sourceMayBeAtFault
+	sourceMayBeAtFault := a.fill.missExpected() && a.source != a.target && !r.reportsAllDetails()
+	refusedFill := refused && sourceMayBeAtFault
 	switch {
-	case end.Detail == FillSlotsExhausted || refusedFill && end.ElapsedSeconds < localRefusal:
+	case end.Detail == FillSlotsExhausted || refusedFill && end.ElapsedSeconds < localRefusalSeconds:
 		r.zoneLink.decrease(r.now, true) // fills have taken all of the cache's slots
 	case refusedFill:
-		a.source.decrease(r.now, true)
+		a.source.limiter.decrease(r.now, true)
 		r.recordResult(a.source, true)
 	case refused:
-		a.target.decrease(r.now, true)
+		a.target.limiter.decrease(r.now, true)
+	case sourceMayBeAtFault:
+		a.blame = blameTargetAndSource
 	default:
-		a.failedAtTarget = true
+		a.blame = blameTarget
 	}
 }
