--- a/internal/replication/verify.go
+++ b/internal/replication/verify.go
@@ -21,8 +21,8 @@
 	shards map[int]shard.PersistentState
 }
 
-// Verify reads the folders of stopped routers, changes nothing, and writes what each holds and
-// whether they agree. It returns false if any can't be read, or two differ in what was committed.
+// Verify reads the write-ahead logs of stopped routers, changes nothing, and writes what each holds
+// and whether they agree. It returns false if any can't be read, or two differ in a committed entry.
 func Verify(w io.Writer, paths []string) bool {
 	var folders []inspectedFolder
 	readable := true
@@ -72,7 +72,7 @@
 		newest = max(newest, state.Now())
 	}
 	writef(w, "%s: router %s, replica %x, started %d times: ", path, identity.Owner, identity.ID, identity.StartCount)
-	writef(w, "%d shards, %d reservations, %d commands in the log, newest at Unix %.0f s\n",
+	writef(w, "%d shards, %d reservations, %d log entries, newest at Unix time %.0f s\n",
 		len(shards), reservations, entries, newest)
 	return restored
 }
@@ -89,7 +89,7 @@
 			same++
 			continue
 		}
-		writef(w, "shard %d: %s and %s differ at command %d: %s\n", number, a.path, b.path, index, reason)
+		writef(w, "shard %d: %s and %s differ at log index %d: %s\n", number, a.path, b.path, index, reason)
 		different++
 	}
 	return same, different
