--- a/cmd/cairnfront/golden_test.go
+++ b/cmd/cairnfront/golden_test.go
@@ -23,7 +23,7 @@
 // volatile matches the counters whose values depend on the machine or on the time that it took.
 var volatile = regexp.MustCompile(`(?m)^(counter (?:process|connections?)_\S+|counter \S+_max_seconds) -?[\d.]+$`)
 
-// TestCounterDumpKeepsNamesAndForm holds the whole dump on SIGUSR1 after a fixed script of requests, faults and
+// TestCounterDumpKeepsNamesAndForm holds the complete dump on SIGUSR1 after a fixed script of requests, faults and
 // commands.
 func TestCounterDumpKeepsNamesAndForm(t *testing.T) {
 	cache := startCache(t, func(h receivedAttempt) string {
--- a/cmd/cairnfront/harness_test.go
+++ b/cmd/cairnfront/harness_test.go
@@ -228,7 +228,7 @@
 	return strings.Count(s.log.String(), fmt.Sprintf("msg=%q", message))
 }
 
-// counterDump has the whole values of a dump of the counters by name, with labels as they are printed.
+// counterDump has the integer values of a dump of the counters by name, with labels as they are printed.
 type counterDump map[string]int
 
 // total returns the sum of a counter over its labels.
--- a/internal/codestyle/names_test.go
+++ b/internal/codestyle/names_test.go
@@ -6,6 +6,7 @@
 	"go/token"
 	"io/fs"
 	"os"
+	"os/exec"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -114,9 +115,7 @@
 // inspectFile calls visit with each node of a file's syntax and its place.
 func inspectFile(t *testing.T, file string, visit func(node ast.Node, place string)) {
 	t.Helper()
-	set := token.NewFileSet()
-	tree, err := parser.ParseFile(set, file, nil, parser.SkipObjectResolution)
-	require.NoError(t, err)
+	set, tree := parseFile(t, file)
 	ast.Inspect(tree, func(node ast.Node) bool {
 		if node != nil {
 			visit(node, set.Position(node.Pos()).String())
@@ -125,6 +124,15 @@
 	})
 }
 
+// parseFile parses a file with its comments.
+func parseFile(t *testing.T, file string) (*token.FileSet, *ast.File) {
+	t.Helper()
+	set := token.NewFileSet()
+	tree, err := parser.ParseFile(set, file, nil, parser.SkipObjectResolution|parser.ParseComments)
+	require.NoError(t, err)
+	return set, tree
+}
+
 // words splits an identifier in mixed caps into lower-case words; a run of capitals is one word.
 func words(identifier string) []string {
 	var list []string
@@ -143,3 +151,11 @@
 	}
 	return append(list, strings.ToLower(string(word)))
 }
+
+// runCommand runs a program and returns what it printed.
+func runCommand(t *testing.T, name string, args ...string) string {
+	t.Helper()
+	output, err := exec.CommandContext(t.Context(), name, args...).CombinedOutput()
+	require.NoError(t, err, "%s %s: %s", name, strings.Join(args, " "), output)
+	return string(output)
+}
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -17,7 +17,7 @@
 type FieldError struct {
 	File         string
 	Line, Column int    // from 1
-	Path         string // keys and indexes separated by dots; empty for the whole file
+	Path         string // keys and indexes separated by dots; empty for the file itself
 	Reason       string
 }
 
--- a/internal/frontend/responsewriter_test.go
+++ b/internal/frontend/responsewriter_test.go
@@ -93,7 +93,7 @@
 	assert.True(t, w.quiesce())
 }
 
-// TestCancellationTakesEffectAtOnce: every holder of the request sees it before the event loop handles it.
+// TestCancellationTakesEffectAtOnce: everyone with the request sees it before the event loop handles it.
 func TestCancellationTakesEffectAtOnce(t *testing.T) {
 	w, r := newTestWriter(t)
 	assert.False(t, r.Cancelled())
