--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -70,7 +70,7 @@
 	return n.script.LinkAt(from, to, time.Since(n.startedAt).Seconds())
 }
 
-// deliver draws what becomes of one datagram.
+// deliver draws how one datagram is delivered.
 func (n *Network) deliver(from, to int) (delays []float64, corrupt bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/addresses.go
+++ b/internal/lab/addresses.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"sort"
 	"sync"
@@ -10,6 +11,9 @@
 	"cairnfront/internal/lab/report"
 )
 
+// errNoRequests says that a phase has no request to measure.
+var errNoRequests = errors.New("no request was sent in the phase")
+
 // Sizes of the scenario.
 const (
 	settleSeconds    = 2.0 // after a fault begins, before latencies count
@@ -18,7 +22,7 @@
 	deliveryPause    = 20 * time.Millisecond // for what is still on its way to the stand-ins
 )
 
-// addressVariant is one way in which the same load is played.
+// addressVariant is a fault of an address, or none, under the same load.
 type addressVariant struct {
 	name         string
 	allAddresses bool // the router is configured with all addresses, else it knows one for each endpoint
@@ -27,14 +31,14 @@
 }
 
 var addressVariants = []addressVariant{
-	{name: "all_good", allAddresses: true},
-	{name: "one_hung", allAddresses: true, fault: holdMode(unresponsive), measuresHeal: true},
-	{name: "one_reset", allAddresses: true, fault: holdMode(resetting)},
-	{name: "one_shut", allAddresses: true, fault: holdMode(closed), measuresHeal: true},
-	{name: "one_half", allAddresses: true, fault: holdMode(truncating)},
-	{name: "one_flapping", allAddresses: true, fault: flapMode},
-	{name: "single_good"},
-	{name: "single_hung", fault: holdMode(unresponsive)},
+	{name: report.VariantAllHealthy, allAddresses: true},
+	{name: report.VariantUnresponsive, allAddresses: true, fault: holdMode(unresponsive), measuresHeal: true},
+	{name: report.VariantReset, allAddresses: true, fault: holdMode(resetting)},
+	{name: report.VariantClosed, allAddresses: true, fault: holdMode(closed), measuresHeal: true},
+	{name: report.VariantTruncating, allAddresses: true, fault: holdMode(truncating)},
+	{name: report.VariantFlapping, allAddresses: true, fault: flapMode},
+	{name: report.VariantSingle},
+	{name: report.VariantSingleUnresponsive, fault: holdMode(unresponsive)},
 }
 
 // holdMode is a fault in which an address keeps a mode.
@@ -53,8 +57,8 @@
 
 var addressesScenario = Scenario{
 	Name: "addresses",
-	Description: "Members with three addresses, one made to hang, reset, stop half way, shut or flap; the same " +
-		"load on one address each",
+	Description: "Endpoints with three addresses, one of them made unresponsive, resetting, truncating, closed or " +
+		"flapping, against endpoints with a single address",
 	Run: runAddresses,
 }
 
@@ -63,17 +67,19 @@
 	if options.Full {
 		requests, clients = 100_000, 32
 	}
-	for _, name := range []string{"overlapping_hops", "order_repeats", "hung_connects", "orders_run"} {
+	for _, name := range []string{
+		report.AttemptsOverlapping, report.NonIdempotentRepeats, report.ConnectionsUnanswered, report.OrdersExecuted,
+	} {
 		r.Counts[name] = 0
 	}
 	perVariant := requests / len(addressVariants)
 	plot := report.Plot{
-		Title:  "Times to an answer after the first two seconds",
-		XLabel: "share of txns",
+		Title:  "Latency from two seconds after the fault on",
+		XLabel: "share of requests",
 		YLabel: "ms",
 	}
 	for _, variant := range addressVariants {
-		options.Progress("%s", variant.name)
+		options.Progress("%s", report.SuffixLabel(variant.name))
 		line, err := runVariant(ctx, options, r, variant, perVariant, clients)
 		if err != nil {
 			return fmt.Errorf("%s: %w", variant.name, err)
@@ -81,22 +87,23 @@
 		plot.Lines = append(plot.Lines, line)
 	}
 	r.Plots = append(r.Plots, plot)
-	single := max(r.Figures["cpu_us_a_txn.single_good"], 1)
-	r.Figures["cpu_several_over_single"] = r.Figures["cpu_us_a_txn.all_good"] / single
+	single := max(r.Figures[report.Key(report.CPUPerRequest, report.VariantSingle)], 1)
+	several := r.Figures[report.Key(report.CPUPerRequest, report.VariantAllHealthy)]
+	r.Figures[report.CPURatio] = several / single
 	r.Steps = append(
 		r.Steps,
 		fmt.Sprintf(
-			"%d txns of a repeatable, a keyed and an unrepeatable rule in each of %d ways, over a router "+
-				"and four stand-in members",
+			"%d requests of idempotent classes, one with idempotency keys and one that is not idempotent, in each "+
+				"of %d variants, over a router and four stand-in endpoints",
 			perVariant,
 			len(addressVariants),
 		),
-		"the fault is at the first address of one cache; times count from two seconds after it began",
+		"the fault is at the first address of one edge cache; latencies count from two seconds after it began",
 	)
 	return runPairs(ctx, options, r, clients)
 }
 
-// runVariant plays one variant and adds its figures to the report. The line is the latencies in order.
+// runVariant runs one variant and adds its figures to the report. The line is the latencies in order.
 func runVariant(
 	ctx context.Context, options Options, r *report.Report, variant addressVariant, requests, clients int,
 ) (report.Line, error) {
@@ -124,24 +131,24 @@
 	}
 	if variant.measuresHeal {
 		took, recovered := cluster.healFaultyAddress()
-		r.Figures["healed_s."+variant.name] = took
+		r.Figures[report.Key(report.AddressRecovery, variant.name)] = took
 		if !recovered {
-			r.Broke("%s: the address is back and not used", variant.name)
+			r.Broke("%s: the address has recovered and is not used", report.SuffixLabel(variant.name))
 		}
 	}
 	load.stop()
 	time.Sleep(deliveryPause)
-	before := r.Counts["txns"]
+	before := r.Counts[report.Requests]
 	cluster.verify(r, []*clientGroup{load.group})
-	r.Counts["txns."+variant.name] = r.Counts["txns"] - before
-	latencies := cluster.summarizeLatencies(startedAt+settleSeconds, endedAt)
+	r.Counts[report.Key(report.Requests, variant.name)] = r.Counts[report.Requests] - before
+	latencies := summarizeLatencies(cluster.recordedResponses(), startedAt+settleSeconds, endedAt)
 	if len(latencies.sortedMillis) == 0 {
-		return report.Line{}, fmt.Errorf("no txn to judge")
+		return report.Line{}, errNoRequests
 	}
 	latencies.addFigures(r, variant.name)
 	cluster.noOverlappingAttempts(r, variant.name, load)
 	cluster.countAttempts(r)
-	return latencies.line(variant.name), nil
+	return latencies.line(report.SuffixLabel(variant.name)), nil
 }
 
 // startFault begins a variant's fault. The function that it returns ends the fault and waits for that.
@@ -190,33 +197,30 @@
 	case <-time.After(variantTimeLimit):
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return fmt.Errorf("%d of %d txns came to an end", c.n, c.want)
+		return fmt.Errorf("%d of %d requests ended", c.n, c.want)
 	}
 }
 
 // addUsage reports what the router used for the requests so far.
 func (c *multiAddressCluster) addUsage(r *report.Report, name string) {
 	cpuSeconds, memoryMB := c.routers[0].usage()
-	c.responses.mu.Lock()
-	defer c.responses.mu.Unlock()
-	r.Figures["cpu_us_a_txn."+name] = cpuSeconds * 1e6 / float64(max(len(c.responses.all), 1))
-	r.Figures["rss_mb."+name] = memoryMB
+	requests := len(c.recordedResponses())
+	r.Figures[report.Key(report.CPUPerRequest, name)] = cpuSeconds * 1e6 / float64(max(requests, 1))
+	r.Figures[report.Key(report.ResidentMemory, name)] = memoryMB
 }
 
 // latencySummary is the latencies of a variant's requests.
 type latencySummary struct {
 	sortedMillis   []float64
 	onTime         int     // completed within the latency objective
-	slowestAtFirst float64 // s: the slowest of the first seconds, before the router knew of the fault
+	slowestAtFirst float64 // s: the slowest of the first seconds, before the router had detected the fault
 }
 
 // summarizeLatencies sums up the requests sent between two times, Unix s, and the slowest of those before.
-func (cluster *testCluster) summarizeLatencies(from, to float64) *latencySummary {
-	cluster.responses.mu.Lock()
-	defer cluster.responses.mu.Unlock()
+func summarizeLatencies(responses []observedResponse, from, to float64) *latencySummary {
 	s := &latencySummary{}
-	for i := range cluster.responses.all {
-		response := &cluster.responses.all[i]
+	for i := range responses {
+		response := &responses[i]
 		if response.sentAt < from {
 			s.slowestAtFirst = max(s.slowestAtFirst, response.doneAt-response.sentAt)
 			continue
@@ -236,10 +240,10 @@
 
 func (s *latencySummary) addFigures(r *report.Report, name string) {
 	n := len(s.sortedMillis)
-	r.Figures["p50_ms."+name] = s.sortedMillis[n/2]
-	r.Figures["p99_ms."+name] = percentile(s.sortedMillis, 0.99)
-	r.Figures["slowest_at_first_ms."+name] = s.slowestAtFirst * 1000
-	r.Figures["in_time."+name] = float64(s.onTime) / float64(n)
+	r.Figures[report.Key(report.LatencyP50, name)] = s.sortedMillis[n/2]
+	r.Figures[report.Key(report.LatencyP99, name)] = percentile(s.sortedMillis, 0.99)
+	r.Figures[report.Key(report.SlowestAtFirst, name)] = s.slowestAtFirst * 1000
+	r.Figures[report.Key(report.OnTimeShare, name)] = float64(s.onTime) / float64(n)
 }
 
 // line is the latencies' distribution, in percents.
@@ -254,17 +258,16 @@
 // countAttempts counts the attempts that came to the stand-ins, and those that met a fault.
 func (c *multiAddressCluster) countAttempts(r *report.Report) {
 	for _, standIn := range c.standIns {
-		standIn.mu.Lock()
-		r.Counts["hops"] += int64(len(standIn.attempts))
-		r.Counts["hung_connects"] += standIn.hungConnections.Load()
-		for _, attempt := range standIn.attempts {
+		attempts := standIn.recordedAttempts()
+		r.Counts[report.Attempts] += int64(len(attempts))
+		r.Counts[report.ConnectionsUnanswered] += standIn.unresponsiveConnections.Load()
+		for _, attempt := range attempts {
 			switch attempt.mode {
 			case unresponsive:
-				r.Counts["hung_hops"]++
+				r.Counts[report.AttemptsUnresponsive]++
 			case resetting:
-				r.Counts["resets"]++
+				r.Counts[report.AttemptsReset]++
 			}
 		}
-		standIn.mu.Unlock()
 	}
 }
--- a/internal/lab/addresses_pairs.go
+++ b/internal/lab/addresses_pairs.go
@@ -20,9 +20,9 @@
 
 // addressPairs are the 99th percentiles of the latencies of pairs of phases, ms, and their ratios.
 type addressPairs struct {
-	healthyMillis []float64
-	hungMillis    []float64
-	ratios        []float64
+	healthyMillis      []float64
+	unresponsiveMillis []float64
+	ratios             []float64
 }
 
 // runPairs measures what one unresponsive address costs at the 99th percentile. Phases with all addresses healthy and
@@ -47,13 +47,13 @@
 			return err
 		}
 		if _, recovered := cluster.healFaultyAddress(); !recovered {
-			r.Broke("pair %d: the address is back and not used", i+1)
+			r.Broke("pair %d: the address has recovered and is not used", i+1)
 		}
 	}
 	load.stop()
-	r.Counts["pairs"] = int64(count)
+	r.Counts[report.Pairs] = int64(count)
 	pairs.addFigures(r)
-	pairs.hungAddressCheap(r, options.Full)
+	pairs.unresponsiveAddressCheap(r, options.Full)
 	cluster.noOverlappingAttempts(r, "pairs", load)
 	cluster.verify(r, []*clientGroup{load.group})
 	return nil
@@ -66,13 +66,13 @@
 		return err
 	}
 	_ = c.faulty.setMode(unresponsive)
-	hungMillis, err := c.measurePhase(ctx, phase)
+	unresponsiveMillis, err := c.measurePhase(ctx, phase)
 	if err != nil {
 		return err
 	}
 	pairs.healthyMillis = append(pairs.healthyMillis, healthyMillis)
-	pairs.hungMillis = append(pairs.hungMillis, hungMillis)
-	pairs.ratios = append(pairs.ratios, hungMillis/healthyMillis)
+	pairs.unresponsiveMillis = append(pairs.unresponsiveMillis, unresponsiveMillis)
+	pairs.ratios = append(pairs.ratios, unresponsiveMillis/healthyMillis)
 	return nil
 }
 
@@ -85,7 +85,7 @@
 	if err := sleep(ctx, phase); err != nil {
 		return 0, err
 	}
-	return c.p99Millis(from, unixSeconds(time.Now()))
+	return p99Millis(c.recordedResponses(), from, unixSeconds(time.Now()))
 }
 
 // healFaultyAddress makes the faulty address healthy and waits until the router uses it again.
@@ -96,35 +96,39 @@
 	return unixSeconds(time.Now()) - healedAt, err == nil
 }
 
-// addFigures sorts the lists and reports the least, the median and the most of each.
+// addFigures sorts the lists and reports the minimum, the median and the maximum of each.
 func (p *addressPairs) addFigures(r *report.Report) {
 	for name, list := range map[string][]float64{
-		"good_ms": p.healthyMillis,
-		"hung_ms": p.hungMillis,
-		"ratio":   p.ratios,
+		report.PairsHealthy:      p.healthyMillis,
+		report.PairsUnresponsive: p.unresponsiveMillis,
+		report.PairsRatio:        p.ratios,
 	} {
 		sort.Float64s(list)
-		r.Figures["pairs_"+name+".least"] = list[0]
-		r.Figures["pairs_"+name+".median"] = median(list)
-		r.Figures["pairs_"+name+".most"] = list[len(list)-1]
+		r.Figures[report.Key(name, "least")] = list[0]
+		r.Figures[report.Key(name, "median")] = median(list)
+		r.Figures[report.Key(name, "most")] = list[len(list)-1]
 	}
 }
 
-// hungAddressCheap checks that an unresponsive address costs little at the 99th percentile. At full size the bound is
-// the worst of the healthy phases, which differ by several times among themselves. The lists must be sorted.
-func (p *addressPairs) hungAddressCheap(r *report.Report, full bool) {
-	hung, worst := median(p.hungMillis), p.healthyMillis[len(p.healthyMillis)-1]
-	if full && hung > worst {
+// unresponsiveAddressCheap checks that an unresponsive address costs little at the 99th percentile. At full size the
+// bound is the worst of the healthy phases, which differ by several times among themselves. The lists must be sorted.
+func (p *addressPairs) unresponsiveAddressCheap(r *report.Report, full bool) {
+	unresponsiveMedian, worst := median(p.unresponsiveMillis), p.healthyMillis[len(p.healthyMillis)-1]
+	if full && unresponsiveMedian > worst {
 		r.Broke(
-			"with one address hung the p99 is %.1f ms in the median of %d pairs, over the worst of all "+
-				"phases with all good, %.1f",
-			hung,
-			len(p.hungMillis),
+			"with one address unresponsive the p99 is %.1f ms in the median of %d pairs, more than the worst phase "+
+				"with all addresses healthy, %.1f ms",
+			unresponsiveMedian,
+			len(p.unresponsiveMillis),
 			worst,
 		)
 	}
-	if healthyMedian := median(p.healthyMillis); !full && hung > healthyMedian+maxExtraMillis {
-		r.Broke("with one address hung the p99 is %.1f ms, with all good %.1f", hung, healthyMedian)
+	if healthyMedian := median(p.healthyMillis); !full && unresponsiveMedian > healthyMedian+maxExtraMillis {
+		r.Broke(
+			"with one address unresponsive the p99 is %.1f ms, with all addresses healthy %.1f ms",
+			unresponsiveMedian,
+			healthyMedian,
+		)
 	}
 }
 
@@ -133,3 +137,24 @@
 	n := len(sorted)
 	return (sorted[(n-1)/2] + sorted[n/2]) / 2
 }
+
+// p99Millis is the 99th percentile of the latencies of the requests sent between two times, Unix s. A request without
+// an answer counts with its deadline.
+func p99Millis(responses []observedResponse, from, to float64) (float64, error) {
+	var millis []float64
+	for i := range responses {
+		if o := &responses[i]; o.sentAt >= from && o.sentAt < to {
+			millis = append(millis, o.latencySeconds()*1000)
+		}
+	}
+	if len(millis) == 0 {
+		return 0, errNoRequests
+	}
+	sort.Float64s(millis)
+	return percentile(millis, 0.99), nil
+}
+
+// percentile is a percentile of a sorted list that is not empty; share is between 0 and 1.
+func percentile(sorted []float64, share float64) float64 {
+	return sorted[int(share*float64(len(sorted)-1))]
+}
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -44,7 +44,7 @@
 	connectTimeout = time.Second
 	// lateWindow is how long beyond the deadline a client waits, to see whether a response comes late.
 	lateWindow = 500 * time.Millisecond
-	// clientHeapMB is what each request says of its client's memory.
+	// clientHeapMB is the size of the client's memory that each request states.
 	clientHeapMB = "30"
 )
 
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -14,34 +14,17 @@
 
 // Bounds of a test cluster, as its edge caches and its routers are configured.
 const (
-	pageFreshSeconds      = 12.0 // for which a page asset may be served without asking
-	pageStaleSeconds      = 10.0 // beyond that for which it may still be served
-	keyRetentionSeconds   = 6.0  // for which the origin drops a repeat with the same idempotency key
-	drainGraceSeconds     = 1.0  // rule 3: after a drain was delivered, requests may still come for so long
-	purgeGraceSeconds     = 0.5  // rule 5: after a purge was delivered, older answers may still come for so long
-	deadlineMarginSeconds = 0.05 // that the protocol adds to each deadline on sockets
-	purgeSettledSeconds   = 6.0  // after which running edge caches have dropped what was purged
+	pageFreshSeconds    = 12.0 // for which a page asset may be served without asking
+	pageStaleSeconds    = 10.0 // beyond that for which it may still be served
+	purgeSettledSeconds = 6.0  // after which running edge caches have dropped what was purged
 )
 
+// EnvironmentVariable is set for the processes that a cluster starts. It allows what only the laboratory may ask for.
+const EnvironmentVariable = "CAIRNFRONT_LAB"
+
 // purgePublishDelay is the time in which the origin serves the new version before the purge event is published.
 const purgePublishDelay = 2 * time.Millisecond
 
-// The request classes of a test cluster.
-const (
-	classVideoPart  = "video-part"
-	classPageAsset  = "page-asset"
-	classPrintOrder = "print-order"
-	classRecord     = "record" // non-idempotent; only where a cluster has nonIdempotentClass
-)
-
-// classObjectiveSeconds are the latency objectives of the classes.
-var classObjectiveSeconds = map[string]float64{
-	classVideoPart:  0.4,
-	classPageAsset:  0.25,
-	classPrintOrder: 0.6,
-	classRecord:     0.6,
-}
-
 // clusterClasses are the classes in the configuration of the edge caches.
 var clusterClasses = []config.Class{
 	{Name: classVideoPart, Cacheable: true, Effect: config.EffectIdempotent},
@@ -55,9 +38,16 @@
 	{Name: classPrintOrder, Cacheable: false, Effect: config.EffectIdempotencyKey},
 }
 
+// clusterOptions say how a cluster is run.
+type clusterOptions struct {
+	Seed      uint64
+	Program   string // path of the product's program
+	Directory string // for configurations, disks and logs
+}
+
 // testCluster is a discovery service, an origin, parents, edge caches, routers and clients on loopback.
 type testCluster struct {
-	options   Options
+	options   clusterOptions
 	discovery *discoveryServer
 	content   edgecache.SyntheticOrigin
 
@@ -74,13 +64,13 @@
 	routers        []*routerProcess
 	zoneCount      int
 
-	operatorsFile      string // of the routers; empty for none
-	nonIdempotentClass bool   // there is a non-idempotent class too
+	configFile         string // of the routers; empty for none
+	nonIdempotentClass bool   // the cluster has a non-idempotent class too
 }
 
 // newTestCluster starts the discovery server of a cluster with a number of zones beside the parent zone. Endpoints
 // and routers are added to it.
-func newTestCluster(options Options, zoneCount int) (*testCluster, error) {
+func newTestCluster(options clusterOptions, zoneCount int) (*testCluster, error) {
 	server, err := newDiscoveryServer()
 	if err != nil {
 		return nil, err
@@ -114,7 +104,7 @@
 	return max(cluster.objectVersions[object], cluster.groupVersions[object%uint64(cluster.content.Groups)])
 }
 
-// purge publishes a new version of an object or of a whole group, and then the purge event.
+// purge publishes a new version of an object or of all objects of a purge group, and then the purge event.
 func (cluster *testCluster) purge(object uint64, wholeGroup bool) {
 	cluster.mu.Lock()
 	cluster.lastVersion++
@@ -146,7 +136,7 @@
 }
 
 // close ends all that the cluster started: routers by SIGTERM, as an operator would. A router that does not end well
-// breaks the report, where there is one.
+// breaks the report, where one is given.
 func (cluster *testCluster) close(r *report.Report) {
 	for _, router := range cluster.routers {
 		if router.cmd != nil {
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -12,14 +12,14 @@
 
 const (
 	wantedObjects     = 12 // that purges are drawn from: the most wanted
-	demoPurges        = 5  // the last of them of a whole group
+	demoPurges        = 5  // the last of them of a purge group
 	minCompletedShare = 0.97
 )
 
 var demoScenario = Scenario{
 	Name: "demo",
-	Description: "A first look: two campuses with two boxes each, two routers, clients of three remap rules, a " +
-		"purge, a drain, a lost box",
+	Description: "Two zones with two edge caches each, two routers, clients of three request classes; purges, a " +
+		"drain, a lost edge cache",
 	Run: runDemo,
 }
 
@@ -28,6 +28,8 @@
 	*testCluster
 	edgeCaches []*clusterEndpoint
 	groups     []*clientGroup
+	seed       uint64
+	progress   func(format string, args ...any)
 	startedAt  float64 // Unix s
 	marks      []report.Mark
 
@@ -40,12 +42,12 @@
 	if options.Full {
 		pause, clients = 12*time.Second, 48
 	}
-	cluster, err := newTestCluster(options, 2)
+	cluster, err := newTestCluster(options.clusterOptions(), 2)
 	if err != nil {
 		return err
 	}
 	defer cluster.close(r)
-	demo := &demoRun{testCluster: cluster}
+	demo := &demoRun{testCluster: cluster, seed: options.Seed, progress: options.Progress}
 	if demo.edgeCaches, err = cluster.startTwoZones(); err != nil {
 		return err
 	}
@@ -79,7 +81,7 @@
 // playScript purges objects, drains an edge cache, and loses one of the other zone, which comes back empty. Before
 // each step and after the last one the load runs for a while.
 func (d *demoRun) playScript(ctx context.Context, pause time.Duration) error {
-	rnd := rand.New(rand.NewPCG(d.options.Seed, 6))
+	rnd := rand.New(rand.NewPCG(d.seed, 6))
 	drainEvent := 0
 	lost := d.edgeCaches[2]
 	for _, step := range []struct {
@@ -98,13 +100,13 @@
 			drainEvent = d.discovery.lastEvent()
 			return nil
 		}},
-		{"box lost", func() error {
+		{"edge cache lost", func() error {
 			d.drainDeliveredAt = d.discovery.deliveryTime(drainEvent)
 			lost.stop()
 			lost.stop = nil
 			return nil
 		}},
-		{"box back", func() error {
+		{"edge cache back", func() error {
 			if err := d.startInProcess(lost); err != nil {
 				return err
 			}
@@ -127,53 +129,41 @@
 // mark notes that a step begins now.
 func (d *demoRun) mark(name string) {
 	d.marks = append(d.marks, report.Mark{At: unixSeconds(time.Now()) - d.startedAt, Name: name})
-	d.options.Progress("%s", name)
+	d.progress("%s", name)
 }
 
 // report verifies the run and writes its report.
 func (d *demoRun) report(r *report.Report, endedAt float64, clients int) {
 	d.verify(r, d.groups)
-	d.drainKept(r)
-	r.Figures["completed_share"] = float64(r.Counts["completed"]) / float64(max(r.Counts["txns"], 1))
-	r.Figures["from_own_boxes"] = d.localByteShare(d.startedAt, endedAt)
-	if r.Figures["completed_share"] < minCompletedShare {
-		r.Broke("%.3f of the txns were completed, 0.97 are expected", r.Figures["completed_share"])
+	drainRespected(r, d.recordedRequests(), d.drained.id, d.drainDeliveredAt)
+	r.Figures[report.CompletedShare] = float64(r.Counts[report.Completed]) / float64(max(r.Counts[report.Requests], 1))
+	r.Figures[report.LocalByteShare] = d.localByteShare(d.startedAt, endedAt)
+	if r.Figures[report.CompletedShare] < minCompletedShare {
+		r.Broke(
+			"%.3f of the requests were completed, %.2f are expected",
+			r.Figures[report.CompletedShare],
+			minCompletedShare,
+		)
 	}
 	r.Steps = append(
 		r.Steps,
 		fmt.Sprintf(
-			"two campuses of two boxes, a parent, an archive, two routers, %d clients of three remap rules",
+			"two zones of two edge caches, a parent cache, the origin, two routers, %d clients of three "+
+				"request classes",
 			len(d.groups)*clients,
 		),
-		"five purges (one of a group), a box drained, a box lost and back empty",
-		"cold members are not judged here; the bench does",
+		"five purges (one of a purge group), an edge cache drained, an edge cache lost and back empty",
+		"overload of endpoints that warm up is not checked here",
 	)
+	share := d.localByteShareLine("share of bytes from the zones' edge caches", d.startedAt, endedAt)
 	r.Plots = append(
 		r.Plots,
 		report.Plot{
-			Title:  "Bytes that came from the campuses' own boxes",
+			Title:  "Bytes that came from the zones' edge caches",
 			XLabel: "s",
 			YLabel: "share",
-			Lines:  []report.Line{d.localByteShareLine("share of bytes from own boxes", d.startedAt, endedAt)},
+			Lines:  []report.Line{share},
 			Marks:  d.marks,
 		},
 	)
 }
-
-// drainKept checks that no request came to the drained edge cache once its drain had been delivered for the grace
-// period. The rule is about when a request was sent; one that comes later than the period and the protocol's margin
-// was sent too late.
-func (d *demoRun) drainKept(r *report.Report) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, request := range d.requests {
-		r.Counts["hops_seen"]++
-		if request.endpoint != d.drained.id {
-			continue
-		}
-		if request.at > d.drainDeliveredAt+drainGraceSeconds+deadlineMarginSeconds {
-			r.Rules.Drain++
-			r.Broke("box %s was asked %.3f s after its drain was told", d.drained.id, request.at-d.drainDeliveredAt)
-		}
-	}
-}
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -29,7 +29,7 @@
 // watcher is a connection that watches.
 type watcher struct {
 	conn net.Conn
-	wake chan struct{} // there is something new; holds one
+	wake chan struct{} // signals new events; holds one
 }
 
 // newDiscoveryServer starts one on a port of the system's choice.
@@ -152,8 +152,8 @@
 	delete(server.watchers, w)
 }
 
-// sendEvents sends the events after a revision, and a heartbeat where there are none. The first time the heartbeat
-// follows the events: it says that the list is whole. It returns the revision that the connection has now.
+// sendEvents sends the events after a revision, and a heartbeat where it has none. The first time the heartbeat
+// follows the events: it says that the list is complete. It returns the revision that the connection has now.
 func (server *discoveryServer) sendEvents(conn net.Conn, revision uint64, first bool) (now uint64, sent bool) {
 	out, latest := server.framesAfter(revision)
 	if len(out) == 0 || first {
--- a/internal/lab/diskrestart.go
+++ b/internal/lab/disk_restart.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	powerCutScripts       = 40 // scripts on faulty disks; the cuts go through their operations in turn
-	powerCutProgressEvery = 200
+	powerLossScripts       = 40 // scripts on faulty disks; losses of power go through their operations in turn
+	powerLossProgressEvery = 200
 
-	killedPause     = 100 * time.Millisecond // after the kills, before they are listed
-	downPause       = 200 * time.Millisecond // after the purges while the edge caches are down
-	purgesWhileDown = 4                      // the last of them of a whole group
-	emptiedRestart  = 1                      // the index of the restart after which the disks are empty
-	minKeptHitShare = 0.9                    // of the hits before a restart that must be left after one with the disk
-	measuredParts   = 1_000_000              // for the size of the index
+	killedPause             = 100 * time.Millisecond // after the kills, before the endpoint list says so
+	downPause               = 200 * time.Millisecond // after the purges while the edge caches are down
+	purgesWhileDown         = 4                      // the last of them of a purge group
+	emptiedRestart          = 1                      // the index of the restart after which the disks are empty
+	minHitShareAfterRestart = 0.9                    // of the hits before a restart, after one with the disk
+	measuredParts           = 1_000_000              // for the size of the index
 )
 
-// diskRestartSize is how long and how often the scenario plays.
+// diskRestartSize is the durations and numbers of a run.
 type diskRestartSize struct {
 	warm     time.Duration
 	window   time.Duration // in which hits are measured
@@ -40,8 +40,8 @@
 
 var diskRestartScenario = Scenario{
 	Name: "disk-restart",
-	Description: "Boxes killed outright and started again under load, purges told while they are down; power " +
-		"cuts on faulty disks",
+	Description: "Edge caches killed and started again under load, with purges while they are down; losses of power " +
+		"at each operation of faulty disks",
 	Run: runDiskRestart,
 }
 
@@ -49,6 +49,8 @@
 type diskRestartRun struct {
 	*testCluster
 	size            diskRestartSize
+	directory       string // with one for each edge cache's disk
+	progress        func(format string, args ...any)
 	edgeCaches      []*clusterEndpoint
 	directories     map[*clusterEndpoint]string
 	rnd             *rand.Rand
@@ -74,12 +76,12 @@
 			clients:  40,
 		}
 	}
-	r.Counts["wrong_bytes"] = 0
-	r.Counts["stale_after_purge"] = 0
-	if err := runPowerCuts(ctx, options, r, size.cuts); err != nil {
+	r.Counts[report.ChunksCorrupt] = 0
+	r.Counts[report.StaleAfterPurge] = 0
+	if err := runPowerLosses(ctx, options, r, size.cuts); err != nil {
 		return err
 	}
-	cluster, err := newTestCluster(options, 1)
+	cluster, err := newTestCluster(options.clusterOptions(), 1)
 	if err != nil {
 		return err
 	}
@@ -87,6 +89,8 @@
 	run := &diskRestartRun{
 		testCluster: cluster,
 		size:        size,
+		directory:   options.Directory,
+		progress:    options.Progress,
 		directories: map[*clusterEndpoint]string{},
 		rnd:         rand.New(rand.NewPCG(options.Seed, 5)),
 	}
@@ -105,11 +109,11 @@
 	}
 	stop()
 	endedAt := unixSeconds(time.Now())
-	r.Figures["recovery_s"] = run.recoverySeconds / float64(r.Counts["restarts"])
-	r.Figures["index_bytes_a_part"] = diskcache.MeasureIndexBytes(measuredParts)
-	run.disksWhole(r)
+	r.Figures[report.Recovery] = run.recoverySeconds / float64(r.Counts[report.Restarts])
+	r.Figures[report.IndexBytesPerChunk] = diskcache.MeasureIndexBytes(measuredParts)
+	run.disksReadable(r)
 	cluster.verify(r, []*clientGroup{group})
-	run.diskKeepsHits(r)
+	run.hitsSurviveRestart(r)
 	run.describe(r, endedAt)
 	return nil
 }
@@ -123,7 +127,7 @@
 		}
 		if kind == kindEdge {
 			d.edgeCaches = append(d.edgeCaches, endpoint)
-			d.directories[endpoint] = filepath.Join(d.options.Directory, endpoint.id+"-disk")
+			d.directories[endpoint] = filepath.Join(d.directory, endpoint.id+"-disk")
 		}
 	}
 	for _, endpoint := range d.endpoints {
@@ -151,10 +155,10 @@
 	}
 	window := d.size.window.Seconds()
 	now := unixSeconds(time.Now())
-	r.Figures["hit_before"] = d.localByteShare(now-window, now)
-	r.Figures["window_s"] = window
+	r.Figures[report.LocalShareBefore] = d.localByteShare(now-window, now)
+	r.Figures[report.MeasuredWindow] = window
 	for n := range d.size.restarts {
-		d.options.Progress("restart %d of %d", n+1, d.size.restarts)
+		d.progress("restart %d of %d", n+1, d.size.restarts)
 		if err := d.restart(ctx, r, n == emptiedRestart); err != nil {
 			return err
 		}
@@ -169,9 +173,9 @@
 		}
 		switch n {
 		case 0:
-			r.Figures["hit_disk"] = d.localByteShare(from, from+window)
+			r.Figures[report.LocalShareWithDisk] = d.localByteShare(from, from+window)
 		case emptiedRestart:
-			r.Figures["hit_empty"] = d.localByteShare(from, from+window)
+			r.Figures[report.LocalShareEmptied] = d.localByteShare(from, from+window)
 		}
 	}
 	return nil
@@ -181,7 +185,7 @@
 func (d *diskRestartRun) restart(ctx context.Context, r *report.Report, emptied bool) error {
 	mark := report.Mark{At: unixSeconds(time.Now()) - d.startedAt, Name: "killed"}
 	if emptied {
-		mark.Name = "killed, emptied"
+		mark.Name = "killed, disks emptied"
 	}
 	d.marks = append(d.marks, mark)
 	for _, endpoint := range d.edgeCaches {
@@ -208,7 +212,7 @@
 			return err
 		}
 		d.recoverySeconds += time.Since(from).Seconds()
-		r.Counts["restarts"]++
+		r.Counts[report.Restarts]++
 	}
 	for _, endpoint := range d.edgeCaches {
 		d.publishStatus(endpoint, routing.Ready)
@@ -221,33 +225,35 @@
 	d.purge(1+uint64(d.rnd.IntN(wantedObjects)), wholeGroup)
 }
 
-// disksWhole checks that the disks can be read after a last kill, and counts what is on them.
-func (d *diskRestartRun) disksWhole(r *report.Report) {
+// disksReadable checks that the disks can be read after a last kill, and counts what is on them.
+func (d *diskRestartRun) disksReadable(r *report.Report) {
 	for _, endpoint := range d.edgeCaches {
 		endpoint.kill()
 		chunks, badRecords, err := diskcache.Verify(d.directories[endpoint], func(diskcache.StoreError) {}, nil)
 		if err != nil {
-			r.Broke("the folder of %s after the last kill: %v", endpoint.id, err)
+			r.Broke("the disk of %s after the last kill: %v", endpoint.id, err)
 			continue
 		}
-		r.Counts["disk_parts"] += int64(chunks.Valid)
-		r.Counts["disk_parts_voided"] += int64(chunks.Invalidated)
-		r.Counts["disk_bad_records"] += int64(badRecords)
+		r.Counts[report.DiskChunks] += int64(chunks.Valid)
+		r.Counts[report.DiskChunksInvalidated] += int64(chunks.Invalidated)
+		r.Counts[report.DiskBadRecords] += int64(badRecords)
 	}
 }
 
-// diskKeepsHits checks that a restart with the disks keeps most of the hits, and more than one with empty disks.
-func (d *diskRestartRun) diskKeepsHits(r *report.Report) {
-	before, disk, empty := r.Figures["hit_before"], r.Figures["hit_disk"], r.Figures["hit_empty"]
-	if disk < minKeptHitShare*before {
+// hitsSurviveRestart checks that a restart with the disks keeps most of the hits, and more than one with empty disks.
+func (d *diskRestartRun) hitsSurviveRestart(r *report.Report) {
+	before := r.Figures[report.LocalShareBefore]
+	disk, empty := r.Figures[report.LocalShareWithDisk], r.Figures[report.LocalShareEmptied]
+	if disk < minHitShareAfterRestart*before {
 		r.Broke(
-			"after a restart with the disk %.3f of the bytes come from the boxes, under 0.9 of the %.3f before",
+			"after a restart with the disk %.3f of the bytes come from edge caches, less than %.1f of the %.3f before",
 			disk,
+			minHitShareAfterRestart,
 			before,
 		)
 	}
 	if empty >= disk {
-		r.Broke("an emptied box gives as much (%.3f) as one with its disk (%.3f)", empty, disk)
+		r.Broke("an edge cache with an empty disk serves as much (%.3f) as one with its disk (%.3f)", empty, disk)
 	}
 }
 
@@ -256,22 +262,22 @@
 	r.Steps = append(
 		r.Steps,
 		fmt.Sprintf(
-			"%d power cuts on faulty disks, each followed by a second one in the recovery",
+			"%d losses of power on faulty disks, each followed by a second one in the recovery",
 			d.size.cuts,
 		),
 		fmt.Sprintf(
-			"a campus of two boxes with disks, a parent, an archive, a router, %d clients; both boxes "+
-				"killed %d times, once emptied",
+			"a zone of two edge caches with disks, a parent cache, the origin, a router, %d clients; both edge caches "+
+				"killed %d times, their disks emptied once",
 			d.size.clients,
 			d.size.restarts,
 		),
-		"each time four purges while they are down (one of a group) and one while they catch up",
-		"drains and cold members are not judged here; the demo and the bench do",
+		"each time four purges while they are down (one of a purge group) and one while they catch up",
+		"drains and overload of endpoints that warm up are not checked here; the demo checks drains",
 	)
 	r.Plots = append(
 		r.Plots,
 		report.Plot{
-			Title:  "Bytes that came from the campus's own boxes",
+			Title:  "Bytes that came from the zone's edge caches",
 			XLabel: "s",
 			YLabel: "share",
 			Lines:  []report.Line{d.localByteShareLine("share", d.startedAt, endedAt)},
@@ -280,9 +286,9 @@
 	)
 }
 
-// runPowerCuts plays scripts on faulty disks, each with the power cut at another operation.
-func runPowerCuts(ctx context.Context, options Options, r *report.Report, cuts int) error {
-	operations := make([]int, powerCutScripts)
+// runPowerLosses runs scripts on faulty disks, each with a loss of power at another operation.
+func runPowerLosses(ctx context.Context, options Options, r *report.Report, cuts int) error {
+	operations := make([]int, powerLossScripts)
 	for script := range operations {
 		operations[script] = diskcache.RunPowerLoss(options.Seed*1000+uint64(script), 0).Ops
 	}
@@ -295,16 +301,16 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			script := i % powerCutScripts
-			cut := 1 + i/powerCutScripts%operations[script]
-			round := uint64(i / powerCutScripts / operations[script]) // the same cut with other chances
+			script := i % powerLossScripts
+			cut := 1 + i/powerLossScripts%operations[script]
+			round := uint64(i / powerLossScripts / operations[script]) // the same operation with other random numbers
 			outcome := diskcache.RunPowerLoss(options.Seed*1000+uint64(script)+round<<32, cut)
 			mu.Lock()
 			defer mu.Unlock()
-			addPowerCut(r, outcome, script, cut)
+			addPowerLoss(r, outcome, script, cut)
 			done++
-			if done%powerCutProgressEvery == 0 {
-				options.Progress("%d of %d power cuts", done, cuts)
+			if done%powerLossProgressEvery == 0 {
+				options.Progress("%d of %d losses of power", done, cuts)
 			}
 			return nil
 		})
@@ -312,14 +318,14 @@
 	return group.Wait()
 }
 
-// addPowerCut adds the outcome of a power cut to the report.
-func addPowerCut(r *report.Report, outcome diskcache.PowerLossResult, script, cut int) {
-	r.Counts["power_cuts"]++
-	r.Counts["cut_parts_checked"] += int64(outcome.Checked)
-	r.Counts["cut_parts_whole"] += int64(outcome.Recovered)
-	r.Counts["cut_purges"] += int64(outcome.Purges)
+// addPowerLoss adds the outcome of a loss of power to the report.
+func addPowerLoss(r *report.Report, outcome diskcache.PowerLossResult, script, cut int) {
+	r.Counts[report.PowerLosses]++
+	r.Counts[report.PowerLossChunksChecked] += int64(outcome.Checked)
+	r.Counts[report.PowerLossChunksValid] += int64(outcome.Recovered)
+	r.Counts[report.PowerLossPurges] += int64(outcome.Purges)
 	for _, violation := range outcome.Violations {
-		r.Counts["cut_wrong"]++
-		r.Broke("script %d cut at %d: %s", script, cut, violation)
+		r.Counts[report.PowerLossViolations]++
+		r.Broke("script %d with a loss of power at operation %d: %s", script, cut, violation)
 	}
 }
--- a/internal/lab/endpoint.go
+++ b/internal/lab/endpoint.go
@@ -33,7 +33,7 @@
 	fillPrefixLength = 8 // characters of a fill's id that come from the id of the cache that fills
 )
 
-// endpointRoles are the names of the kinds in the operators' file of an edge cache.
+// endpointRoles are the names of the kinds in the configuration file of an edge cache.
 var endpointRoles = [...]string{kindEdge: "cache", kindParent: "parent", kindOrigin: "origin"}
 
 // endpointID is the id of the nth endpoint.
@@ -110,7 +110,7 @@
 	})
 }
 
-// edgeCacheConfig is the operators' file of an endpoint. Without a directory it has no disk cache.
+// edgeCacheConfig is the configuration of an endpoint. Without a directory it has no disk cache.
 func (cluster *testCluster) edgeCacheConfig(endpoint *clusterEndpoint, directory string) config.File {
 	file, err := config.Parse("lab", nil)
 	if err != nil {
@@ -153,13 +153,18 @@
 		OnRequest: func(command cacheproto.Command) {
 			cluster.mu.Lock()
 			defer cluster.mu.Unlock()
-			record := requestRecord{unixSeconds(time.Now()), endpoint.id, command}
+			record := requestRecord{at: unixSeconds(time.Now()), endpoint: endpoint.id, command: command}
 			cluster.requests = append(cluster.requests, record)
 		},
 		OnResponse: func(requestID string, bytes int) {
 			cluster.mu.Lock()
 			defer cluster.mu.Unlock()
-			record := servedRecord{unixSeconds(time.Now()), endpoint.id, requestID, bytes}
+			record := servedRecord{
+				at:        unixSeconds(time.Now()),
+				endpoint:  endpoint.id,
+				requestID: requestID,
+				bytes:     bytes,
+			}
 			cluster.served = append(cluster.served, record)
 		},
 	}
@@ -187,23 +192,24 @@
 		return err
 	}
 	base := filepath.Join(cluster.options.Directory, endpoint.id)
-	operatorsFile := base + ".yaml"
-	if err := os.WriteFile(operatorsFile, text, 0o600); err != nil {
+	configFile := base + ".yaml"
+	if err := os.WriteFile(configFile, text, 0o600); err != nil {
 		return err
 	}
 	endpoint.log, err = os.OpenFile(base+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	endpoint.cmd = exec.Command(cluster.options.Program, "box", "--operators", operatorsFile)
+	endpoint.cmd = exec.Command(cluster.options.Program, "box", "--operators", configFile)
 	endpoint.cmd.Stderr = endpoint.log
 	endpoint.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := endpoint.cmd.Start(); err != nil {
-		return fmt.Errorf("starting box %s: %w", endpoint.id, err)
+		return fmt.Errorf("start edge cache %s: %w", endpoint.id, err)
 	}
 	endpoint.startedAt = unixSeconds(time.Now())
 	if err := waitUntil(startTimeout, endpoint.listens); err != nil {
-		return fmt.Errorf("box %s does not come up: %w; its log: %s", endpoint.id, err, logTail(endpoint.log.Name()))
+		tail := logTail(endpoint.log.Name())
+		return fmt.Errorf("edge cache %s does not listen: %w; its log: %s", endpoint.id, err, tail)
 	}
 	return nil
 }
--- a/internal/lab/observations.go
+++ b/internal/lab/health_observations.go
@@ -15,17 +15,18 @@
 	observationRouters    = 60
 	observationWorkers    = 4     // simulations at a time
 	maxFailedAttemptShare = 0.8   // of the attempts that a failing edge cache gets without gossip
-	maxOnTimeLoss         = 0.005 // of the share in time, that gossip or faulty routers may take
+	maxOnTimeLoss         = 0.005 // of the share on time, that gossip or faulty routers may take
 )
 
-var observationsScenario = Scenario{
-	Name: "rumours",
-	Description: "Sixty routers that each see little, one box that fails all it is sent: with words between " +
-		"routers, without, and with liars among them",
+var healthObservationsScenario = Scenario{
+	Name:       "health-observations",
+	ReportName: report.ScenarioHealthObservations,
+	Description: "Sixty routers with little traffic each, one edge cache that fails every attempt: with gossip of " +
+		"endpoint health, without, and with faulty routers among them",
 	Run: runObservations,
 }
 
-// gossipVariant is one way in which routers tell each other of endpoints, and its simulations.
+// gossipVariant is how routers exchange observations of endpoints, and the simulations of that.
 type gossipVariant struct {
 	name    string
 	gossip  simrouting.Gossip
@@ -34,9 +35,9 @@
 
 func runObservations(ctx context.Context, options Options, r *report.Report) error {
 	variants := []*gossipVariant{
-		{name: "without"},
-		{name: "with", gossip: simrouting.Gossip{Enabled: true, FaultyRouters: 1}},
-		{name: "with_liars", gossip: simrouting.Gossip{Enabled: true, FaultyRouters: 3}},
+		{name: report.VariantWithoutGossip},
+		{name: report.VariantGossip, gossip: simrouting.Gossip{Enabled: true, FaultyRouters: 1}},
+		{name: report.VariantFaultyGossip, gossip: simrouting.Gossip{Enabled: true, FaultyRouters: 3}},
 	}
 	seeds := 2
 	if options.Full {
@@ -46,34 +47,34 @@
 		return err
 	}
 	plot := report.Plot{
-		Title:  "Share of txns in time, second by second (first seed)",
+		Title:  "Share of requests within their latency objective, by second (first seed)",
 		XLabel: "s",
 		YLabel: "share",
 		Marks: []report.Mark{
-			{At: faultPhase.From, Name: "bad box"},
-			{At: faultPhase.To, Name: "well"},
+			{At: faultPhase.From, Name: "edge cache fails"},
+			{At: faultPhase.To, Name: "edge cache recovers"},
 		},
 	}
 	for _, variant := range variants {
 		variant.addFigures(r)
-		plot.Lines = append(plot.Lines, onTimeLine(variant.name, variant.results[0]))
+		plot.Lines = append(plot.Lines, onTimeLine(report.SuffixLabel(variant.name), variant.results[0]))
 	}
 	gossipHelps(r)
-	gossipHarmless(r, "with")
-	gossipHarmless(r, "with_liars")
+	gossipHarmless(r, report.VariantGossip)
+	gossipHarmless(r, report.VariantFaultyGossip)
 	r.Simulated = true
 	r.Plots = append(r.Plots, plot)
 	r.Steps = append(
 		r.Steps,
 		fmt.Sprintf(
-			"%d routers of the module over 12 caches on virtual time, %d seeds; one cache fails all it is "+
-				"sent from %.0f to %.0f s",
+			"%d routers' routing modules over 12 edge caches on virtual time, %d seeds; one edge cache fails every "+
+				"attempt from %.0f to %.0f s",
 			observationRouters,
 			seeds,
 			faultPhase.From,
 			faultPhase.To,
 		),
-		"with_liars: three routers say of every member, each second, that it fails",
+		"with gossip and faulty routers: three routers report every second that every endpoint fails",
 	)
 	return nil
 }
@@ -103,7 +104,7 @@
 	return group.Wait()
 }
 
-// addFigures reports the attempts at the failing edge cache, and the shares in time by phase.
+// addFigures reports the attempts at the failing edge cache, and the shares on time by phase.
 func (variant *gossipVariant) addFigures(r *report.Report) {
 	failed := 0
 	for _, result := range variant.results {
@@ -111,33 +112,37 @@
 		r.Rules.Lost += int64(result.Unanswered)
 		r.Rules.SecondAnswers += int64(result.AnsweredTwice)
 	}
-	r.Figures["bad_hops."+variant.name] = float64(failed) / float64(len(variant.results))
+	r.Figures[report.Key(report.FailingCacheAttempts, variant.name)] = float64(failed) / float64(len(variant.results))
 	for _, phase := range simrouting.Phases {
 		requests, onTime := 0, 0
 		for _, result := range variant.results {
 			requests += result.Requests[phase.Name]
 			onTime += result.OnTime[phase.Name]
 		}
-		r.Figures["in_time."+variant.name+"."+phase.Name] = ratio(onTime, requests)
-		r.Counts["txns"] += int64(requests)
+		r.Figures[report.Key(report.OnTimeShare, variant.name, phase.Name)] = ratio(onTime, requests)
+		r.Counts[report.Requests] += int64(requests)
 	}
 }
 
 // gossipHelps checks that with gossip fewer attempts go to the failing edge cache.
 func gossipHelps(r *report.Report) {
-	with, without := r.Figures["bad_hops.with"], r.Figures["bad_hops.without"]
+	with := r.Figures[report.Key(report.FailingCacheAttempts, report.VariantGossip)]
+	without := r.Figures[report.Key(report.FailingCacheAttempts, report.VariantWithoutGossip)]
 	if with > maxFailedAttemptShare*without {
-		r.Broke("%.0f hops failed at the bad box with rumours, %.0f without", with, without)
+		r.Broke("%.0f attempts failed at the failing edge cache with gossip, %.0f without", with, without)
 	}
 }
 
-// gossipHarmless checks that a variant with gossip has as many requests in time as the one without.
+// gossipHarmless checks that a variant with gossip has as many requests on time as the one without.
 func gossipHarmless(r *report.Report, variant string) {
 	for _, phase := range simrouting.Phases {
-		with := r.Figures["in_time."+variant+"."+phase.Name]
-		without := r.Figures["in_time.without."+phase.Name]
+		with := r.Figures[report.Key(report.OnTimeShare, variant, phase.Name)]
+		without := r.Figures[report.Key(report.OnTimeShare, report.VariantWithoutGossip, phase.Name)]
 		if with < without-maxOnTimeLoss {
-			r.Broke("%s, %s: %.4f in time, %.4f without rumours", variant, phase.Name, with, without)
+			r.Broke(
+				"%s, %s: %.4f of the requests within their objective, %.4f without gossip",
+				report.SuffixLabel(variant), report.SuffixLabel(phase.Name), with, without,
+			)
 		}
 	}
 }
--- a/internal/lab/hostile.go
+++ b/internal/lab/hostile.go
@@ -37,10 +37,10 @@
 	endpoints     []string
 	routes        []netip.AddrPort // to the other peers, by their index
 	rnd           *rand.Rand
-	captured      [][]byte // datagrams to replay
-	signedRecords [][]byte // of other peers, to replay
-	counts        map[string]int64
-	flood         atomic.Int64 // datagrams left to be sent as fast as they go
+	captured      [][]byte         // datagrams to replay
+	signedRecords [][]byte         // of other peers, to replay
+	counts        map[string]int64 // by the keys of the report
+	flood         atomic.Int64     // datagrams left to be sent as fast as they go
 }
 
 func newHostilePeer(
--- a/internal/lab/hostile_attacks.go
+++ b/internal/lab/hostile_attacks.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"crypto/ed25519"
 
+	"cairnfront/internal/lab/report"
 	"cairnfront/internal/membership/observation"
 	"cairnfront/internal/membership/swim"
 	"cairnfront/routing"
@@ -63,7 +64,7 @@
 	})
 	message.Accusations = accusations[:min(len(accusations), accusationsPerMessage)]
 	peer.send(to, message, nil)
-	peer.counts["charges"] += int64(len(message.Accusations))
+	peer.counts[report.HostileAccusations] += int64(len(message.Accusations))
 }
 
 // reportEndpointsFailing reports random endpoints as failing.
@@ -83,7 +84,7 @@
 		}
 	}
 	peer.send(to, swim.Message{Kind: swim.Push, ViewHash: peer.core.ViewHash()}, signed)
-	peer.counts["slanders"] += int64(len(signed))
+	peer.counts[report.HostileObservations] += int64(len(signed))
 }
 
 // forgeRecords sends records of another peer with its own signature, and one of that peer's with a changed bit.
@@ -103,14 +104,14 @@
 		message.Records = append(message.Records, swim.MemberRecord{Member: victim, Signed: forgery})
 	}
 	peer.send(to, message, nil)
-	peer.counts["forgeries"] += int64(len(message.Records))
+	peer.counts[report.HostileForgeries] += int64(len(message.Records))
 }
 
 // replay sends a datagram that it captured, and an old record under another peer's name.
 func (peer *hostilePeer) replay(to, victim swim.MemberID) {
 	if len(peer.captured) > 0 {
 		peer.write(to, peer.randomOf(peer.captured))
-		peer.counts["replays"]++
+		peer.counts[report.HostileReplays]++
 	}
 	if len(peer.signedRecords) == 0 {
 		return
@@ -134,7 +135,7 @@
 		Proof:     make([]byte, ed25519.SignatureSize),
 	}
 	peer.send(to, message, nil)
-	peer.counts["false_answers"]++
+	peer.counts[report.HostileFalseAcks]++
 }
 
 // forgeRefutation accuses a peer in an incarnation far ahead of its own.
@@ -160,6 +161,6 @@
 	for n := 0; n < floodDatagramsPerTurn && peer.flood.Load() > 0; n++ {
 		peer.flood.Add(-1)
 		peer.write(to, peer.randomOf(peer.captured))
-		peer.counts["flood"]++
+		peer.counts[report.HostileFlood]++
 	}
 }
--- /dev/null
+++ b/internal/lab/in_process_peers.go
@@ -0,0 +1,174 @@
+package lab
+
+import (
+	"context"
+	"encoding/base64"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"cairnfront/internal/admin"
+	"cairnfront/internal/config"
+	"cairnfront/internal/membership"
+	"cairnfront/internal/membership/datagram"
+	"cairnfront/internal/membership/ratelimit"
+	"cairnfront/internal/telemetry"
+)
+
+const (
+	peersFoundTimeout = 60 * time.Second
+	peerKeyFileName   = "peer.key"
+	peerMaxByzantine  = 1
+)
+
+// Rate limits of the peers in this process. They let a router hear from hundreds of them.
+var (
+	peerReceiveLimits = ratelimit.Limits{
+		TotalDatagrams:   2000,
+		TotalBytes:       1.5e6,
+		PerPeerDatagrams: 100,
+		PerPeerBytes:     1e5,
+	}
+	peerSendLimits = ratelimit.Limits{
+		TotalDatagrams:   400,
+		TotalBytes:       2e5,
+		PerPeerDatagrams: 50,
+		PerPeerBytes:     5e4,
+	}
+)
+
+// startInProcessPeers starts peers in this process and writes the configuration file of a router among them. The
+// function that it returns ends them and waits.
+func startInProcessPeers(
+	ctx context.Context, options clusterOptions, router *routerProcess, peers int,
+) (stop func(), err error) {
+	names := make([]string, 0, peers+1)
+	for i := range peers {
+		names = append(names, fmt.Sprintf("peer-%d", i))
+	}
+	roster, seeds, err := makeRoster(append(names, router.name))
+	if err != nil {
+		return nil, err
+	}
+	if err := writePeersFile(options.Directory, router, roster, seeds[peers]); err != nil {
+		return nil, err
+	}
+	peersCtx, cancel := context.WithCancel(ctx)
+	var running sync.WaitGroup
+	stop = func() {
+		cancel()
+		running.Wait()
+	}
+	for i := range peers {
+		node, err := newInProcessPeer(roster, i, seeds[i], options.Seed+uint64(i))
+		if err != nil {
+			stop()
+			return nil, err
+		}
+		running.Go(func() { _ = node.Run(peersCtx) })
+	}
+	return stop, nil
+}
+
+// makeRoster makes keys and ports of peers with names. The ports are held until all have theirs.
+func makeRoster(names []string) (roster []membership.RosterEntry, seeds []string, err error) {
+	for _, name := range names {
+		seed, publicKey, err := datagram.GenerateKey()
+		if err != nil {
+			return nil, nil, err
+		}
+		key, err := datagram.ParsePublicKey(publicKey)
+		if err != nil {
+			return nil, nil, err
+		}
+		conn, err := listenReusableUDP()
+		if err != nil {
+			return nil, nil, err
+		}
+		defer func() { _ = conn.Close() }()
+		entry := membership.RosterEntry{Name: name, Key: key, Address: conn.LocalAddr().String()}
+		roster = append(roster, entry)
+		seeds = append(seeds, seed)
+	}
+	return roster, seeds, nil
+}
+
+// writePeersFile writes the key and the configuration file of a router, which is the roster's last entry.
+func writePeersFile(directory string, router *routerProcess, roster []membership.RosterEntry, seed string) error {
+	keyFile := filepath.Join(directory, peerKeyFileName)
+	if err := os.WriteFile(keyFile, []byte(seed), 0o600); err != nil {
+		return err
+	}
+	var entries []map[string]string
+	for _, entry := range roster {
+		entries = append(entries, map[string]string{
+			"name":    entry.Name,
+			"key":     base64.StdEncoding.EncodeToString(entry.Key),
+			"address": entry.Address,
+		})
+	}
+	router.configFile = filepath.Join(directory, router.name+"-"+configFileName)
+	return writeConfigFile(router.configFile, map[string]any{
+		"router": map[string]any{"socket": filepath.Join(directory, adminSocketName)},
+		"peers": map[string]any{
+			"listen":   roster[len(roster)-1].Address,
+			"key_file": keyFile,
+			"roster":   entries,
+		},
+	})
+}
+
+// newInProcessPeer makes the peer of an entry of the roster.
+func newInProcessPeer(
+	roster []membership.RosterEntry, index int, seed string, randomSeed uint64,
+) (*membership.Node, error) {
+	key, err := datagram.ParsePrivateKey(seed)
+	if err != nil {
+		return nil, err
+	}
+	return membership.New(
+		membership.Config{
+			Name:          roster[index].Name,
+			Listen:        roster[index].Address,
+			Key:           key,
+			Roster:        roster,
+			MaxByzantine:  peerMaxByzantine,
+			ReceiveLimits: peerReceiveLimits,
+			SendLimits:    peerSendLimits,
+			Seed:          randomSeed,
+		},
+		telemetry.New(io.Discard, ""),
+	)
+}
+
+// queryMembership asks a router on its admin socket for its membership view.
+func queryMembership(router *routerProcess) (state membership.Report, err error) {
+	file, err := config.Read(router.configFile)
+	if err != nil {
+		return state, err
+	}
+	data, err := admin.Call(file.Router.AdminSocket, "peers", nil)
+	if err != nil {
+		return state, err
+	}
+	return state, json.Unmarshal(data, &state)
+}
+
+// awaitPeers waits until a router sees all its peers.
+func awaitPeers(router *routerProcess, peers int) error {
+	err := waitUntil(peersFoundTimeout, func() bool {
+		state, _ := queryMembership(router)
+		return state.PartitionState == partitionWhole
+	})
+	if err == nil {
+		return nil
+	}
+	state, _ := queryMembership(router)
+	return fmt.Errorf(
+		"router sees %d of %d peers, partition state %s: %w", state.Present, peers, state.PartitionState, err,
+	)
+}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -5,34 +5,35 @@
 // stand-ins recorded, never the router's own counters. Each check has a test that shows that it can fail.
 //
 // The package owns the processes that it starts and their directory. It does not write reports (package report) and
-// does not simulate whole clusters on virtual time (package simulation).
+// does not simulate clusters on virtual time (package simulation).
 package lab
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
-	"slices"
 	"sort"
 	"time"
 
 	"cairnfront/internal/lab/report"
 )
 
-// EnvironmentVariable is set for each process that the laboratory starts. It allows what only the laboratory may ask
-// for.
-const EnvironmentVariable = "CAIRNFRONT_LAB"
-
 // Options say how a scenario is run.
 type Options struct {
 	Seed      uint64
 	Full      bool   // at the size that commits and pages quote, not at the small one
 	Program   string // path of the product's program
 	Directory string // for what the scenario writes; empty for a temporary one, which is removed
-	Script    string // file of a fault script that is played in place of the scenario's own
+	Script    string // file of a fault script that is run in place of the scenario's own
 	Progress  func(format string, args ...any)
 }
 
+// clusterOptions are the options of the scenario's clusters.
+func (options *Options) clusterOptions() clusterOptions {
+	return clusterOptions{Seed: options.Seed, Program: options.Program, Directory: options.Directory}
+}
+
 // size is the name of the size in the report.
 func (options *Options) size() string {
 	if options.Full {
@@ -45,32 +46,55 @@
 type Scenario struct {
 	Name        string
 	Description string
-	Run         func(ctx context.Context, options Options, r *report.Report) error
+	// ReportName is the name in JSON reports, where it differs: they keep the names of earlier versions. Run accepts it
+	// in place of Name.
+	ReportName string
+	Run        func(ctx context.Context, options Options, r *report.Report) error
+}
+
+// reportName is the name in JSON reports.
+func (scenario *Scenario) reportName() string {
+	if scenario.ReportName != "" {
+		return scenario.ReportName
+	}
+	return scenario.Name
 }
 
-// Scenarios are all scenarios, by name.
+// Scenarios are all scenarios, ordered by name.
 func Scenarios() []Scenario {
 	list := []Scenario{
 		addressesScenario,
-		brownoutScenario,
 		demoScenario,
-		diskAdmitScenario,
+		diskAdmissionScenario,
 		diskRestartScenario,
-		peersCostScenario,
-		peersScenario,
-		observationsScenario,
-		thinViewsScenario,
+		healthObservationsScenario,
+		membershipCostScenario,
+		membershipScenario,
+		originBrownoutScenario,
+		partialObservationScenario,
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
 	return list
 }
 
+// ErrUnknownScenario is returned by Run for a name that no scenario has.
+var ErrUnknownScenario = errors.New("unknown scenario")
+
+// Find returns the scenario with a name, or with one that it had in earlier versions.
+func Find(name string) (Scenario, error) {
+	for _, scenario := range Scenarios() {
+		if name == scenario.Name || name == scenario.reportName() {
+			return scenario, nil
+		}
+	}
+	return Scenario{}, fmt.Errorf("%w %q: 'lab list' prints the names", ErrUnknownScenario, name)
+}
+
 // Run runs a scenario. An error says that it could not be run; whether it held is in the report.
 func Run(ctx context.Context, name string, options Options) (*report.Report, error) {
-	scenarios := Scenarios()
-	index := slices.IndexFunc(scenarios, func(scenario Scenario) bool { return scenario.Name == name })
-	if index < 0 {
-		return nil, fmt.Errorf("there is no scenario %q; see 'lab list'", name)
+	scenario, err := Find(name)
+	if err != nil {
+		return nil, err
 	}
 	directory, remove, err := makeScenarioDirectory(options.Directory)
 	if err != nil {
@@ -81,12 +105,13 @@
 	if options.Progress == nil {
 		options.Progress = func(string, ...any) {}
 	}
-	r := report.New(name, options.Seed, options.size())
+	r := report.New(scenario.reportName(), options.Seed, options.size())
+	r.Name = scenario.Name
 	startedAt := time.Now()
-	if err := scenarios[index].Run(ctx, options, r); err != nil {
+	if err := scenario.Run(ctx, options, r); err != nil {
 		return nil, fmt.Errorf("scenario %s: %w", name, err)
 	}
-	r.Figures["took_s"] = time.Since(startedAt).Seconds()
+	r.Figures[report.Elapsed] = time.Since(startedAt).Seconds()
 	r.Close()
 	return r, nil
 }
@@ -96,13 +121,13 @@
 func makeScenarioDirectory(name string) (directory string, remove func(), err error) {
 	if name != "" {
 		if err := os.MkdirAll(name, 0o700); err != nil {
-			return "", nil, fmt.Errorf("make its folder: %w", err)
+			return "", nil, fmt.Errorf("make its directory: %w", err)
 		}
 		return name, func() {}, nil
 	}
 	directory, err = os.MkdirTemp("", "cairnfront-lab")
 	if err != nil {
-		return "", nil, fmt.Errorf("make its temporary folder: %w", err)
+		return "", nil, fmt.Errorf("make its temporary directory: %w", err)
 	}
 	return directory, func() { _ = os.RemoveAll(directory) }, nil
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -30,3 +30,50 @@
 	_, _, err = makeScenarioDirectory(filepath.Join(file, "below"))
 	assert.ErrorContains(t, err, file, "the error names the folder")
 }
+
+// TestEarlierScenarioNamesAreAccepted: scripts and pages of the users call scenarios by the names of earlier versions.
+// Each still runs the scenario, is the value of "scenario" in its JSON report, and is not listed.
+func TestEarlierScenarioNamesAreAccepted(t *testing.T) {
+	listed := map[string]bool{}
+	for _, scenario := range Scenarios() {
+		listed[scenario.Name] = true
+	}
+	for name, earlier := range map[string]string{
+		"addresses":           "addresses",
+		"demo":                "demo",
+		"disk-admission":      "disk-admit",
+		"disk-restart":        "disk-restart",
+		"health-observations": "rumours",
+		"membership":          "peers",
+		"membership-cost":     "peers-cost",
+		"origin-brownout":     "brownout",
+		"partial-observation": "thin-views",
+	} {
+		t.Run(name, func(t *testing.T) {
+			assert.True(t, listed[name])
+			assert.Equal(t, name == earlier, listed[earlier])
+			for _, accepted := range []string{name, earlier} {
+				scenario, err := Find(accepted)
+				require.NoError(t, err)
+				assert.Equal(t, name, scenario.Name)
+				assert.Equal(t, earlier, scenario.reportName())
+				assert.NotNil(t, scenario.Run)
+			}
+		})
+	}
+	assert.Len(t, listed, 9)
+	_, err := Find("unknown")
+	assert.ErrorIs(t, err, ErrUnknownScenario)
+}
+
+// TestReportNamesTheScenarioForReadersAndForPrograms runs the scenario that needs no process by its earlier name.
+func TestReportNamesTheScenarioForReadersAndForPrograms(t *testing.T) {
+	if testing.Short() {
+		t.Skip("simulates a day of video")
+	}
+	r, err := Run(t.Context(), "disk-admit", Options{Seed: 1})
+	require.NoError(t, err)
+	assert.Empty(t, r.Broken)
+	assert.Equal(t, "disk-admit", r.Scenario)
+	assert.Equal(t, "disk-admission", r.Title())
+}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -3,9 +3,7 @@
 import (
 	"context"
 	"fmt"
-	"math"
 	"math/rand/v2"
-	"sort"
 	"sync"
 	"time"
 )
@@ -24,13 +22,13 @@
 	firstRecordObject   = 0xffe0000
 	firstOrderObject    = 0xfff0000
 	requestBodyBytes    = 200
-	maxPauseOfAClient   = 3 * time.Second
+	maxClientPause      = 3 * time.Second
 	videoDeadline       = 5 * time.Second
 	pageDeadline        = 2500 * time.Millisecond
 	uncacheableDeadline = 3 * time.Second
 )
 
-// clientGroup is the clients of one router. They watch videos, load pages and place orders.
+// clientGroup is the clients of one router. They request parts of videos, page assets and orders.
 type clientGroup struct {
 	addr          string
 	clients       int
@@ -46,23 +44,7 @@
 	secondResponses int64
 }
 
-// newClientGroup makes the clients of a router. Their responses are recorded in the cluster.
-func (cluster *testCluster) newClientGroup(
-	router *routerProcess, clients int, meanPause time.Duration,
-) *clientGroup {
-	return &clientGroup{
-		addr:       router.addr,
-		clients:    clients,
-		seed:       cluster.options.Seed,
-		objects:    loadObjects,
-		parts:      loadPartsPerObject,
-		groups:     cluster.content.Groups,
-		meanPause:  meanPause,
-		onResponse: cluster.recordResponse,
-	}
-}
-
-// run plays the clients until the context ends.
+// run runs the clients until the context ends.
 func (group *clientGroup) run(ctx context.Context) {
 	popularity := newZipf(group.objects)
 	var clients sync.WaitGroup
@@ -91,7 +73,7 @@
 	}
 }
 
-// runClient plays one client until the context ends.
+// runClient runs one client until the context ends.
 func (group *clientGroup) runClient(ctx context.Context, generator *requestGenerator) {
 	conn := &clientConn{}
 	defer func() {
@@ -107,7 +89,7 @@
 			group.onResponse(response)
 		}
 		pause := generator.pause() + response.retryAfter
-		_ = sleep(ctx, min(pause, maxPauseOfAClient))
+		_ = sleep(ctx, min(pause, maxClientPause))
 	}
 }
 
@@ -169,7 +151,7 @@
 	return clientRequest{class: classPageAsset, object: firstPageObject + object, deadline: pageDeadline}
 }
 
-// nextPart goes on to the next part of the video, or to the begin of another one.
+// nextPart goes on to the next part of the video, or to the start of another one.
 func (g *requestGenerator) nextPart() {
 	g.last.part++
 	if int(g.last.part) >= g.group.parts {
@@ -177,24 +159,3 @@
 		g.last.object = g.popularity.draw(g.rnd) + 1
 	}
 }
-
-// zipf draws objects by Zipf's law.
-type zipf struct {
-	cumulated []float64
-}
-
-func newZipf(objects int) *zipf {
-	z := &zipf{cumulated: make([]float64, objects)}
-	sum := 0.0
-	for i := range z.cumulated {
-		sum += math.Pow(float64(i+1), -zipfExponent)
-		z.cumulated[i] = sum
-	}
-	return z
-}
-
-// draw draws the number of an object, from 0 on, the most wanted first.
-func (z *zipf) draw(rnd *rand.Rand) uint64 {
-	total := z.cumulated[len(z.cumulated)-1]
-	return uint64(sort.SearchFloat64s(z.cumulated, rnd.Float64()*total))
-}
--- /dev/null
+++ b/internal/lab/membership_cost.go
@@ -0,0 +1,143 @@
+package lab
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"cairnfront/internal/lab/report"
+)
+
+// Sizes and bounds of the scenario.
+const (
+	costPeersSmall  = 39
+	costPeersFull   = 299
+	costClients     = 8               // of each router under load
+	maxExtraCores   = 0.05            // of a core more than without peers, idle
+	maxExtraMB      = 12.0            // more than without peers, under load
+	costSettlePause = 2 * time.Second // after the load changes, before usage is measured
+)
+
+// Phases of the measurement, as the figures name them.
+const (
+	phaseIdle   = "idle"
+	phaseLoaded = "loaded"
+)
+
+var membershipCostScenario = Scenario{
+	Name:        "membership-cost",
+	ReportName:  report.ScenarioMembershipCost,
+	Description: "CPU and memory of a router with hundreds of peers against one without, idle and under load",
+	Run:         runMembershipCost,
+}
+
+// costRouters are the two routers that are compared.
+type costRouters struct {
+	with    *routerProcess
+	without *routerProcess
+}
+
+func runMembershipCost(ctx context.Context, options Options, r *report.Report) error {
+	peers, duration := costPeersSmall, 4*time.Second
+	if options.Full {
+		peers, duration = costPeersFull, 20*time.Second
+	}
+	cluster, err := newTestCluster(options.clusterOptions(), 1)
+	if err != nil {
+		return err
+	}
+	defer cluster.close(r)
+	if err := cluster.startOneZone(); err != nil {
+		return err
+	}
+	var routers costRouters
+	if routers.with, err = cluster.prepareRouter(1); err != nil {
+		return err
+	}
+	if routers.without, err = cluster.prepareRouter(1); err != nil {
+		return err
+	}
+	stop, err := startInProcessPeers(ctx, options.clusterOptions(), routers.with, peers)
+	if err != nil {
+		return err
+	}
+	defer stop()
+	for _, router := range []*routerProcess{routers.with, routers.without} {
+		if err := cluster.startRouter(router); err != nil {
+			return err
+		}
+	}
+	if err := awaitPeers(routers.with, peers); err != nil {
+		return err
+	}
+	groups := []*clientGroup{
+		cluster.newClientGroup(routers.with, costClients, 20*time.Millisecond),
+		cluster.newClientGroup(routers.without, costClients, 20*time.Millisecond),
+	}
+	if err := routers.measure(ctx, r, phaseIdle, duration, nil); err != nil {
+		return err
+	}
+	if err := routers.measure(ctx, r, phaseLoaded, duration, groups); err != nil {
+		return err
+	}
+	cluster.verify(r, groups)
+	routers.addTraffic(r, peers)
+	peersCostLittle(r, peers)
+	r.Steps = append(
+		r.Steps,
+		fmt.Sprintf(
+			"a router with %d peers (the product's node, all in the laboratory's process) and one without, "+
+				"side by side on loopback; %v idle, then under the same load",
+			peers,
+			duration,
+		),
+	)
+	return nil
+}
+
+// measure reports what the routers use under a load.
+func (c *costRouters) measure(
+	ctx context.Context, r *report.Report, name string, duration time.Duration, load []*clientGroup,
+) error {
+	stop := startLoad(ctx, load...)
+	defer stop()
+	if err := sleep(ctx, costSettlePause); err != nil {
+		return err
+	}
+	withBefore, _ := c.with.usage()
+	withoutBefore, _ := c.without.usage()
+	if err := sleep(ctx, duration); err != nil {
+		return err
+	}
+	withAfter, withMB := c.with.usage()
+	withoutAfter, withoutMB := c.without.usage()
+	r.Figures[report.Key(report.CoresWithPeers, name)] = (withAfter - withBefore) / duration.Seconds()
+	r.Figures[report.Key(report.CoresWithoutPeers, name)] = (withoutAfter - withoutBefore) / duration.Seconds()
+	r.Figures[report.Key(report.MemoryWithPeers, name)] = withMB
+	r.Figures[report.Key(report.MemoryWithoutPeers, name)] = withoutMB
+	return nil
+}
+
+// addTraffic reports what the router says of its peers.
+func (c *costRouters) addTraffic(r *report.Report, peers int) {
+	state, _ := queryMembership(c.with)
+	r.Counts[report.Peers] = int64(peers)
+	r.Counts[report.PeersPresent] = int64(state.Present)
+	r.Figures[report.BytesSent] = float64(state.OutBytes) / state.UptimeSeconds
+	r.Figures[report.BytesReceived] = float64(state.InBytes) / state.UptimeSeconds
+}
+
+// peersCostLittle checks what peers cost. Memory is compared under load alone: idle, the router without peers makes no
+// garbage, while the other fills the 16 MB before the first collection (4 MB times GCPercent).
+func peersCostLittle(r *report.Report, peers int) {
+	cores := r.Figures[report.Key(report.CoresWithPeers, phaseIdle)] -
+		r.Figures[report.Key(report.CoresWithoutPeers, phaseIdle)]
+	if cores > maxExtraCores {
+		r.Broke("%.3f of a core for %d peers, idle", cores, peers)
+	}
+	megabytes := r.Figures[report.Key(report.MemoryWithPeers, phaseLoaded)] -
+		r.Figures[report.Key(report.MemoryWithoutPeers, phaseLoaded)]
+	if megabytes > maxExtraMB {
+		r.Broke("%.1f MB for %d peers, under load", megabytes, peers)
+	}
+}
--- a/internal/lab/peers_script.go
+++ b/internal/lab/membership_script.go
@@ -18,14 +18,14 @@
 	at     float64 // s: where the next group begins
 }
 
-// peersScript is what is done to the routers. At small size it is one kill, one cut and one pause, at full size all
-// the hard cases.
-func peersScript(options Options) faults.Script {
+// membershipScript is the faults that the routers have to bear. At small size it is one kill, one cut and one pause, at
+// full size all the hard cases.
+func membershipScript(options Options) faults.Script {
 	victim := int(options.Seed) % 7 // which router a fault hits is drawn from the seed
 	if options.Full {
-		return fullPeersScript(options.Seed, victim)
+		return fullMembershipScript(options.Seed, victim)
 	}
-	processes := fleetSize + hostilePeersSmall
+	processes := routerCount + hostilePeersSmall
 	return faults.Script{
 		Seed:      options.Seed,
 		Processes: processes,
@@ -55,13 +55,13 @@
 	}
 }
 
-func fullPeersScript(seed uint64, victim int) faults.Script {
+func fullMembershipScript(seed uint64, victim int) faults.Script {
 	b := scriptBuilder{
-		script: faults.Script{Seed: seed, Processes: fleetSize + hostilePeersFull},
+		script: faults.Script{Seed: seed, Processes: routerCount + hostilePeersFull},
 		at:     1,
 	}
 	for i := range 5 {
-		b.add(6, 5, kill((3*i+victim)%fleetSize))
+		b.add(6, 5, kill((3*i+victim)%routerCount))
 	}
 	b.addCuts(victim)
 	b.addNetworkFaults()
@@ -72,7 +72,7 @@
 	b.addClockSkews()
 	b.add(0.6, 6, kill(11, 13)) // back while their failure is still being spread
 	b.add(6, 6, kill(12))
-	for i := 0; i < fleetSize; i += 2 { // a tenth at a time
+	for i := 0; i < routerCount; i += 2 { // a tenth at a time
 		b.add(1, 3, faults.Fault{Kind: faults.Wipe, From: []int{i, i + 1}})
 	}
 	b.add(12, 10, kill(indices(0, 14)...)) // seven in ten at once
@@ -88,14 +88,14 @@
 	b.add(10, 8, cut(indices(0, 6), indices(6, all)), cut(indices(6, 12), indices(12, all)))
 	// One way between two.
 	b.add(8, 6, faults.Fault{Kind: faults.Cut, From: []int{victim}, To: []int{victim + 1}})
-	// Nobody hears one.
+	// No other receives from one.
 	others := slices.Delete(indices(0, all), victim, victim+1)
 	b.add(8, 6, faults.Fault{Kind: faults.Cut, From: []int{victim}, To: others})
-	// Two that reach each other over others alone, twice.
+	// Two that have a route over others alone, twice.
 	b.add(8, 6, cut([]int{0}, []int{2}), cut([]int{5}, []int{7}))
 }
 
-// addNetworkFaults adds loss, delay, and a mix of duplicates, reordering and corruption, on all ways.
+// addNetworkFaults adds loss, delay, and a mix of duplicates, reordering and corruption, on all links.
 func (b *scriptBuilder) addNetworkFaults() {
 	b.add(20, 6, faults.Fault{Kind: faults.Loss, Share: 0.3})
 	b.add(20, 6, faults.Fault{Kind: faults.Delay, Seconds: 0.4})
@@ -107,7 +107,7 @@
 	)
 }
 
-// addClockSkews sets the clocks of three routers wrong while the next groups play. A skew holds from a router's next
+// addClockSkews sets the clocks of three routers wrong while the next groups last. A skew holds from a router's next
 // start.
 func (b *scriptBuilder) addClockSkews() {
 	const hour, duration = 3600, 20
--- a/internal/lab/peers_script_test.go
+++ b/internal/lab/membership_script_test.go
@@ -14,11 +14,11 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// TestPeersScriptMatchesGolden holds the scripts of the scenario "peers" byte for byte, at both sizes.
-func TestPeersScriptMatchesGolden(t *testing.T) {
+// TestMembershipScriptMatchesGolden holds the scripts of the scenario membership byte for byte, at both sizes.
+func TestMembershipScriptMatchesGolden(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		for _, seed := range []uint64{1, 5} {
-			text, err := json.MarshalIndent(peersScript(Options{Seed: seed, Full: full}), "", " ")
+			text, err := json.MarshalIndent(membershipScript(Options{Seed: seed, Full: full}), "", " ")
 			require.NoError(t, err)
 			path := filepath.Join("testdata", fmt.Sprintf("peers-script-full-%v-seed-%d.json", full, seed))
 			if *update {
--- a/internal/lab/multiaddress.go
+++ b/internal/lab/multiaddress.go
@@ -21,13 +21,15 @@
 	standIns []*endpointStandIn
 	faulty   *standInAddress // the address that a fault hits; of the first edge cache
 	orders   idempotencyRecords
-	entries  []config.EndpointAddresses // of the operators' file
+	entries  []config.EndpointAddresses // of the configuration file
 }
 
-// newMultiAddressCluster starts one. The router is configured with all addresses or, like earlier versions, knows one
-// for each.
+// newMultiAddressCluster starts one. The router is configured with all addresses or knows one for each endpoint.
 func newMultiAddressCluster(options Options, allAddresses bool) (_ *multiAddressCluster, err error) {
-	cluster, err := newTestCluster(options, 2)
+	if options.Directory, err = os.MkdirTemp(options.Directory, "v"); err != nil {
+		return nil, err
+	}
+	cluster, err := newTestCluster(options.clusterOptions(), 2)
 	if err != nil {
 		return nil, err
 	}
@@ -37,9 +39,6 @@
 			c.close(nil)
 		}
 	}()
-	if c.options.Directory, err = os.MkdirTemp(options.Directory, "v"); err != nil {
-		return nil, err
-	}
 	c.nonIdempotentClass = true
 	for _, kind := range standInKinds {
 		standIn, err := c.addStandIn(kind, c.answerBody)
@@ -60,9 +59,9 @@
 		return c, c.addRouter(1)
 	}
 	c.faulty = addresses[0]
-	c.operatorsFile = filepath.Join(c.options.Directory, "operators.yaml")
+	c.configFile = filepath.Join(options.Directory, configFileName)
 	settings := map[string]any{"router": map[string]any{"addresses": c.entries}}
-	if err := writeOperatorsFile(c.operatorsFile, settings); err != nil {
+	if err := writeConfigFile(c.configFile, settings); err != nil {
 		return nil, err
 	}
 	return c, c.addRouter(1)
@@ -75,13 +74,13 @@
 		c.endpoints = append(c.endpoints, endpoint)
 		c.entries = append(c.entries, config.EndpointAddresses{
 			Endpoint:  endpoint.id,
-			Addresses: []string{unixPrefix + "/nowhere/" + endpoint.id, "[::1]:9", endpoint.addr},
+			Addresses: []string{unixPrefix + "/unused/" + endpoint.id, "[::1]:9", endpoint.addr},
 		})
 	}
 }
 
-// answerBody runs a command and returns its body. The stand-ins run a request with an idempotency key once between
-// them.
+// answerBody runs a command and returns its body. A request with an idempotency key runs once at one of the
+// stand-ins.
 func (c *multiAddressCluster) answerBody(command cacheproto.Command) []byte {
 	switch command.ClassName {
 	case classPrintOrder:
@@ -135,31 +134,15 @@
 // twice.
 func (c *multiAddressCluster) noOverlappingAttempts(r *report.Report, name string, load *mixedLoad) {
 	margin := load.delay.orderingMargin()
-	r.Figures["order_told_ms"] = max(r.Figures["order_told_ms"], margin*1000)
-	overlapping, repeats, said := findOverlappingAttempts(c.standIns, margin, map[string]bool{classRecord: true})
-	r.Counts["overlapping_hops"] += overlapping
-	r.Counts["order_repeats"] += repeats
-	for _, line := range said {
-		r.Broke("%s: %s", name, line)
-	}
-}
-
-// idempotencyRecords is what stand-ins know of idempotency keys between them. A repeat within the window is dropped.
-type idempotencyRecords struct {
-	mu        sync.Mutex
-	lastRunAt map[string]float64 // Unix s, by key
-}
-
-// shouldRun says whether a request that comes now runs, and records that it does.
-func (records *idempotencyRecords) shouldRun(key string, now float64) bool {
-	records.mu.Lock()
-	defer records.mu.Unlock()
-	if at, known := records.lastRunAt[key]; known && now < at+keyRetentionSeconds {
-		return false
+	r.Figures[report.OrderingMargin] = max(r.Figures[report.OrderingMargin], margin*1000)
+	var attempts []*attemptRecord
+	for _, standIn := range c.standIns {
+		attempts = append(attempts, standIn.recordedAttempts()...)
 	}
-	if records.lastRunAt == nil {
-		records.lastRunAt = map[string]float64{}
+	overlapping, repeats, violations := findOverlappingAttempts(attempts, margin, map[string]bool{classRecord: true})
+	r.Counts[report.AttemptsOverlapping] += overlapping
+	r.Counts[report.NonIdempotentRepeats] += repeats
+	for _, line := range violations {
+		r.Broke("%s: %s", report.SuffixLabel(name), line)
 	}
-	records.lastRunAt[key] = now
-	return true
 }
--- a/internal/lab/brownout.go
+++ b/internal/lab/origin_brownout.go
@@ -19,17 +19,24 @@
 	retryBudget = 0.2
 )
 
-// brownoutSize is how long and with how many clients a brown-out is played.
+// Keys of the figures that are compared.
+var (
+	attemptsWithBudget    = report.Key(report.AttemptsPerRequest, report.VariantRetryBudget)
+	attemptsWithoutBudget = report.Key(report.AttemptsPerRequest, report.VariantNoBudget)
+)
+
+// brownoutSize is how long and with how many clients a brown-out lasts.
 type brownoutSize struct {
 	calm    time.Duration // before and after
 	brown   time.Duration
 	clients int
 }
 
-var brownoutScenario = Scenario{
-	Name: "brownout",
-	Description: "All caches fail half of their hops for a while, with and without a budget of further hops: how " +
-		"many hops a txn costs",
+var originBrownoutScenario = Scenario{
+	Name:       "origin-brownout",
+	ReportName: report.ScenarioOriginBrownout,
+	Description: "Origin and caches fail half of their attempts for a while, with and without a retry budget: how " +
+		"many attempts a request costs",
 	Run: runBrownouts,
 }
 
@@ -39,19 +46,19 @@
 		size = brownoutSize{calm: 5 * time.Second, brown: 30 * time.Second, clients: 40}
 	}
 	plot := report.Plot{
-		Title:  "Hops a txn, second by second",
+		Title:  "Attempts per request, by second",
 		XLabel: "s",
-		YLabel: "hops",
+		YLabel: "attempts",
 		Marks: []report.Mark{
 			{At: size.calm.Seconds(), Name: "brown-out"},
-			{At: (size.calm + size.brown).Seconds(), Name: "over"},
+			{At: (size.calm + size.brown).Seconds(), Name: "end of the brown-out"},
 		},
 	}
 	for _, variant := range []struct {
 		name   string
 		budget float64
-	}{{"none", 0}, {"budget", retryBudget}} {
-		options.Progress("%s", variant.name)
+	}{{report.VariantNoBudget, 0}, {report.VariantRetryBudget, retryBudget}} {
+		options.Progress("%s", report.SuffixLabel(variant.name))
 		line, err := runBrownout(ctx, options, r, variant.name, variant.budget, size)
 		if err != nil {
 			return fmt.Errorf("%s: %w", variant.name, err)
@@ -62,7 +69,7 @@
 	r.Steps = append(
 		r.Steps,
 		fmt.Sprintf(
-			"four stand-in members, %d clients; for %.0f s each hop fails with odds of %.1f",
+			"four stand-in endpoints, %d clients; for %.0f s each attempt fails with a probability of %.1f",
 			size.clients,
 			size.brown.Seconds(),
 			brownoutFailureRate,
@@ -74,26 +81,32 @@
 
 // retriesBounded checks that a budget halves the retries of a request, at least.
 func retriesBounded(r *report.Report) {
-	with, without := r.Figures["hops_a_txn.budget"], r.Figures["hops_a_txn.none"]
+	with, without := r.Figures[attemptsWithBudget], r.Figures[attemptsWithoutBudget]
 	if with-1 > (without-1)/2 {
-		r.Broke("with a budget of 0.2 a txn costs %.2f hops in the brown-out, without one %.2f", with, without)
+		r.Broke(
+			"with a retry budget of %.1f a request costs %.2f attempts in the brown-out, without one %.2f",
+			retryBudget,
+			with,
+			without,
+		)
 	}
 }
 
-// runBrownout plays a brown-out with a retry budget. The line is the attempts a request, second by second.
+// runBrownout runs a brown-out with a retry budget. The line is the attempts per request, by second.
 func runBrownout(
 	ctx context.Context, options Options, r *report.Report, name string, budget float64, size brownoutSize,
 ) (report.Line, error) {
-	cluster, err := newTestCluster(options, 1)
-	if err != nil {
+	var err error
+	if options.Directory, err = os.MkdirTemp(options.Directory, "b"); err != nil {
 		return report.Line{}, err
 	}
-	defer cluster.close(r)
-	if cluster.options.Directory, err = os.MkdirTemp(options.Directory, "b"); err != nil {
+	cluster, err := newTestCluster(options.clusterOptions(), 1)
+	if err != nil {
 		return report.Line{}, err
 	}
+	defer cluster.close(r)
 	var failing atomic.Bool
-	standIns, err := cluster.startFailingStandIns(&failing)
+	standIns, err := startFailingStandIns(cluster, &failing)
 	defer func() {
 		for _, standIn := range standIns {
 			standIn.close()
@@ -102,9 +115,9 @@
 	if err != nil {
 		return report.Line{}, err
 	}
-	cluster.operatorsFile = filepath.Join(cluster.options.Directory, "operators.yaml")
+	cluster.configFile = filepath.Join(options.Directory, configFileName)
 	settings := map[string]any{"router": map[string]any{"further_share": budget}}
-	if err := writeOperatorsFile(cluster.operatorsFile, settings); err != nil {
+	if err := writeConfigFile(cluster.configFile, settings); err != nil {
 		return report.Line{}, err
 	}
 	if err := cluster.addRouter(1); err != nil {
@@ -115,17 +128,17 @@
 	if err := playBrownoutPhases(ctx, group, &failing, size); err != nil {
 		return report.Line{}, err
 	}
-	before := r.Counts["completed"]
+	before := r.Counts[report.Completed]
 	cluster.verify(r, []*clientGroup{group})
-	completed := float64(r.Counts["completed"] - before)
-	r.Figures["completed_share."+name] = completed / float64(max(len(cluster.responses.all), 1))
-	requests, attempts := cluster.countPerSecond(standIns, startedAt)
+	completed := float64(r.Counts[report.Completed] - before)
+	r.Figures[report.Key(report.CompletedShare, name)] = completed / float64(max(len(cluster.recordedResponses()), 1))
+	requests, attempts := countPerSecond(cluster.recordedResponses(), standIns, startedAt)
 	return addAttemptFigures(r, name, requests, attempts, size), nil
 }
 
 // startFailingStandIns starts stand-ins that fail some attempts while failing is set. Which ones is drawn from the
 // request's id and the attempt's number, and so the same in both variants.
-func (cluster *testCluster) startFailingStandIns(failing *atomic.Bool) (standIns []*endpointStandIn, err error) {
+func startFailingStandIns(cluster *testCluster, failing *atomic.Bool) (standIns []*endpointStandIn, err error) {
 	for _, kind := range standInKinds {
 		standIn, err := cluster.addStandIn(kind, func(command cacheproto.Command) []byte {
 			if command.ClassName == classPrintOrder {
@@ -161,29 +174,27 @@
 }
 
 // countPerSecond counts the clients' requests and the attempts that came to stand-ins, by the second since the start.
-func (cluster *testCluster) countPerSecond(
-	standIns []*endpointStandIn, startedAt float64,
+func countPerSecond(
+	responses []observedResponse, standIns []*endpointStandIn, startedAt float64,
 ) (requests, attempts map[int]float64) {
 	requests, attempts = map[int]float64{}, map[int]float64{}
-	for _, response := range cluster.responses.all {
-		requests[int(response.sentAt-startedAt)]++
+	for i := range responses {
+		requests[int(responses[i].sentAt-startedAt)]++
 	}
 	for _, standIn := range standIns {
-		standIn.mu.Lock()
-		for _, attempt := range standIn.attempts {
+		for _, attempt := range standIn.recordedAttempts() {
 			attempts[int(attempt.startedAt-startedAt)]++
 		}
-		standIn.mu.Unlock()
 	}
 	return requests, attempts
 }
 
-// addAttemptFigures reports the attempts a request in the brown-out, without its first second, which fills the
+// addAttemptFigures reports the attempts per request in the brown-out, without its first second, which fills the
 // budget's window. The line is the same second by second.
 func addAttemptFigures(
 	r *report.Report, name string, requests, attempts map[int]float64, size brownoutSize,
 ) report.Line {
-	line := report.Line{Name: name}
+	line := report.Line{Name: report.SuffixLabel(name)}
 	brownRequests, brownAttempts := 0.0, 0.0
 	for second := range int((2*size.calm + size.brown).Seconds()) {
 		line.Add(float64(second), attempts[second]/max(requests[second], 1))
@@ -192,8 +203,8 @@
 			brownRequests += requests[second]
 		}
 	}
-	r.Figures["hops_a_txn."+name] = brownAttempts / max(brownRequests, 1)
-	r.Figures["hops_a_s."+name] = brownAttempts / max(size.brown.Seconds()-1, 1)
+	r.Figures[report.Key(report.AttemptsPerRequest, name)] = brownAttempts / max(brownRequests, 1)
+	r.Figures[report.Key(report.AttemptsPerSecond, name)] = brownAttempts / max(size.brown.Seconds()-1, 1)
 	return line
 }
 
--- a/internal/lab/records.go
+++ b/internal/lab/records.go
@@ -3,11 +3,11 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"fmt"
-	"sort"
+	"maps"
+	"slices"
 	"sync"
+	"time"
 
-	"cairnfront/internal/cacheproto"
 	"cairnfront/internal/diskcache/eviction"
 	"cairnfront/internal/edgecache"
 	"cairnfront/internal/lab/report"
@@ -19,66 +19,53 @@
 	all []observedResponse
 }
 
-// observedResponse is a client's response without its body, which is checked when it arrives.
-type observedResponse struct {
-	clientResponse
-	bytes   int    // of the body
-	corrupt bool   // the body is not the origin's
-	version uint64 // of the object, as the body says
-}
-
-// requestRecord is a command that an endpoint in this process received.
-type requestRecord struct {
-	at       float64 // Unix s
-	endpoint string
-	command  cacheproto.Command
-}
-
-// servedRecord is an answer that an endpoint in this process gave.
-type servedRecord struct {
-	at        float64 // Unix s
-	endpoint  string
-	requestID string // of the attempt or fill; the fills of an edge cache begin with its own id
-	bytes     int
+// recordResponse checks a body against the origin's seed, from which every byte follows, and records the rest.
+func (cluster *testCluster) recordResponse(response clientResponse) {
+	observed := observedResponse{clientResponse: response, bytes: len(response.body)}
+	if response.code == codeCompleted && response.hasContent() {
+		observed.version, observed.corrupt = cluster.checkBody(&response)
+	}
+	observed.body, observed.clientRequest.body = nil, nil
+	cluster.responses.mu.Lock()
+	defer cluster.responses.mu.Unlock()
+	cluster.responses.all = append(cluster.responses.all, observed)
 }
 
-// publishedPurge is a purge: whatever it covers has at least its version afterwards.
-type publishedPurge struct {
-	eventIndex int // of the discovery server's event
-	object     uint64
-	wholeGroup bool // the group is purged, not the object alone
-	group      uint64
-	version    uint64
+// recordedResponses is a copy of what the clients observed so far.
+func (cluster *testCluster) recordedResponses() []observedResponse {
+	cluster.responses.mu.Lock()
+	defer cluster.responses.mu.Unlock()
+	return slices.Clone(cluster.responses.all)
 }
 
-// inTime says whether a request was answered within its deadline.
-func (o *observedResponse) inTime() bool {
-	return o.code != noAnswer && o.doneAt <= o.sentAt+o.deadline.Seconds()+deadlineMarginSeconds
+// recordedRequests is a copy of what the endpoints in this process received so far.
+func (cluster *testCluster) recordedRequests() []requestRecord {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return slices.Clone(cluster.requests)
 }
 
-// deliversContent says whether a response was completed in time and has a body that can be checked.
-func (o *observedResponse) deliversContent() bool {
-	return o.inTime() && o.code != codeRejected && o.code != codeAborted && o.hasContent()
+// verify checks the rules from what clients, origin and the endpoints in this process recorded.
+func (cluster *testCluster) verify(r *report.Report, groups []*clientGroup) {
+	cluster.collectEvidence(groups).verify(r)
 }
 
-// latencySeconds is the time to the answer; the request's whole deadline where none came.
-func (o *observedResponse) latencySeconds() float64 {
-	if o.code == noAnswer {
-		return o.deadline.Seconds()
+// collectEvidence gathers the records of a run. The groups must have ended.
+func (cluster *testCluster) collectEvidence(groups []*clientGroup) *evidence {
+	e := &evidence{responses: cluster.recordedResponses(), groups: cluster.content.Groups}
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	e.executions = maps.Clone(cluster.executions)
+	for _, p := range cluster.purges {
+		e.purges = append(e.purges, deliveredPurge{
+			publishedPurge: p,
+			deliveredAt:    cluster.discovery.deliveryTime(p.eventIndex),
+		})
 	}
-	return o.doneAt - o.sentAt
-}
-
-// recordResponse checks a body against the origin's seed, from which every byte follows, and keeps the rest.
-func (cluster *testCluster) recordResponse(response clientResponse) {
-	observed := observedResponse{clientResponse: response, bytes: len(response.body)}
-	if response.code == codeCompleted && response.hasContent() {
-		observed.version, observed.corrupt = cluster.checkBody(&response)
+	for _, group := range groups {
+		e.secondResponses += group.secondResponses
 	}
-	observed.body, observed.clientRequest.body = nil, nil
-	cluster.responses.mu.Lock()
-	defer cluster.responses.mu.Unlock()
-	cluster.responses.all = append(cluster.responses.all, observed)
+	return e
 }
 
 // checkBody reads the version of a body and says whether the body differs from the origin's of that version.
@@ -154,25 +141,18 @@
 	return outside
 }
 
-// p99Millis is the 99th percentile of the latencies of the requests sent between two times, Unix s. A request without
-// an answer counts with its deadline.
-func (cluster *testCluster) p99Millis(from, to float64) (float64, error) {
-	cluster.responses.mu.Lock()
-	defer cluster.responses.mu.Unlock()
-	var millis []float64
-	for _, o := range cluster.responses.all {
-		if o.sentAt >= from && o.sentAt < to {
-			millis = append(millis, o.latencySeconds()*1000)
-		}
-	}
-	if len(millis) == 0 {
-		return 0, fmt.Errorf("no txn was sent in a phase")
+// newClientGroup makes the clients of a router. Their responses are recorded in the cluster.
+func (cluster *testCluster) newClientGroup(
+	router *routerProcess, clients int, meanPause time.Duration,
+) *clientGroup {
+	return &clientGroup{
+		addr:       router.addr,
+		clients:    clients,
+		seed:       cluster.options.Seed,
+		objects:    loadObjects,
+		parts:      loadPartsPerObject,
+		groups:     cluster.content.Groups,
+		meanPause:  meanPause,
+		onResponse: cluster.recordResponse,
 	}
-	sort.Float64s(millis)
-	return percentile(millis, 0.99), nil
-}
-
-// percentile is a percentile of a sorted list that is not empty; share is between 0 and 1.
-func percentile(sorted []float64, share float64) float64 {
-	return sorted[int(share*float64(len(sorted)-1))]
 }
--- a/internal/lab/report/html.go
+++ b/internal/lab/report/html.go
@@ -10,7 +10,10 @@
 //go:embed report.html.tmpl
 var pageText string
 
-var page = template.Must(template.New("report").Funcs(template.FuncMap{"keys": templateKeys}).Parse(pageText))
+var page = template.Must(template.New("report").Funcs(pageFunctions).Parse(pageText))
+
+// pageFunctions are the functions that the page's template calls.
+var pageFunctions = template.FuncMap{"keys": templateKeys, "label": Label}
 
 // templateKeys returns the ordered keys of a report's counts or figures.
 func templateKeys(values any) []string {
--- /dev/null
+++ b/internal/lab/report/keys_test.go
@@ -0,0 +1,53 @@
+package report
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// TestLabelsNameKeysAndTheirSuffixes holds that each key of the JSON report has a printed name in the field's terms,
+// with the variant, the number of routers or peers, the loss and the cost of a fill that its suffixes say.
+func TestLabelsNameKeysAndTheirSuffixes(t *testing.T) {
+	for key, want := range map[string]string{
+		Requests:                              "requests",
+		Key(Requests, VariantClosed):          "requests, one address closed",
+		"hops_a_txn.hub.trouble.030":          "attempts per request, parent zone lost, during the fault, 30 routers",
+		"efficiency.tier.disk5%.alpha0.5":     "efficiency, Cafe, disk 5%, alpha 0.5",
+		"efficiency.xlru.disk10%.alpha4":      "efficiency, xLRU, disk 10%, alpha 4",
+		"wrong.swim.0020.loss05":              "false failures, published SWIM, 20 peers, 5% loss",
+		"pairs_hung_ms.most":                  "p99 with one address unresponsive, ms, maximum",
+		"completed_share.budget":              "share completed, with retry budget",
+		"a_key_without_label.and_some_suffix": "a key without label, and some suffix",
+	} {
+		assert.Equal(t, want, Label(key), key)
+	}
+}
+
+// TestTextAndHTMLShowLabelsAndJSONKeepsKeys: on-call engineers read text and pages, programs read JSON. The first two
+// have the terms of the glossary, the last one the keys and the scenario's name that it always had.
+func TestTextAndHTMLShowLabelsAndJSONKeepsKeys(t *testing.T) {
+	r := New("rumours", 1, "small")
+	r.Name = "health-observations"
+	r.Counts[Requests] = 3
+	r.Figures[Key(FailingCacheAttempts, VariantFaultyGossip)] = 2
+	r.Close()
+	var text, html, json bytes.Buffer
+	r.WriteText(&text)
+	require.NoError(t, r.WriteHTML(&html))
+	require.NoError(t, r.WriteJSON(&json))
+	for _, shown := range []string{text.String(), html.String()} {
+		assert.Contains(t, shown, "health-observations")
+		assert.Contains(t, shown, "attempts at the failing edge cache, with gossip and faulty routers")
+		for _, old := range []string{"rumours", "txns", "bad_hops", "liars"} {
+			assert.NotContains(t, shown, old)
+		}
+	}
+	for _, key := range []string{`"scenario": "rumours"`, `"txns": 3`, `"bad_hops.with_liars": 2`} {
+		assert.Contains(t, json.String(), key)
+	}
+	assert.False(t, strings.Contains(json.String(), "health-observations"))
+}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,6 @@
 // Package report holds the result of a laboratory run and writes it as text, as JSON and as one HTML page with plots.
-// It judges nothing: scenarios and simulations fill it in.
+// It has no verdicts of its own: scenarios and simulations fill it in. Keys of JSON reports and their printed names are
+// mapped in keys.go.
 package report
 
 import (
@@ -9,12 +10,14 @@
 	"sort"
 )
 
-// maxBroken is how many of the things that broke a report lists.
-const maxBroken = 50
+const (
+	maxBroken        = 50 // broken rules and bounds that a report lists
+	labelColumnWidth = 58 // characters of the labels in a text report; a longer one moves its value
+)
 
 // Report is the result of a scenario or of a simulation. Its zero value is not usable; New makes one.
 type Report struct {
-	Scenario string             `json:"scenario"`
+	Scenario string             `json:"scenario"` // as JSON reports have always named it
 	Seed     uint64             `json:"seed"`
 	Size     string             `json:"size"`
 	Held     bool               `json:"held"`
@@ -23,6 +26,8 @@
 	Figures  map[string]float64 `json:"figures"`
 	Broken   []string           `json:"broken"`
 
+	// Name of the scenario or simulation in text and HTML; empty where it is that of the JSON report.
+	Name string `json:"-"`
 	// Simulated says that nothing ran on sockets: the run was on virtual time.
 	Simulated bool `json:"-"`
 
@@ -68,7 +73,8 @@
 	Name string
 }
 
-// New makes an empty report. Size is the size of the run in words, for example "small" or "20 seeds".
+// New makes an empty report of a scenario, as JSON reports name it. Size is the size of the run in words, for example
+// "small" or "20 seeds".
 func New(scenario string, seed uint64, size string) *Report {
 	return &Report{
 		Scenario: scenario,
@@ -83,12 +89,12 @@
 // Close lists the broken rules among what broke, and sets the verdict.
 func (r *Report) Close() {
 	for what, n := range map[string]int64{
-		"txns lost":                  r.Rules.Lost,
-		"second answers":             r.Rules.SecondAnswers,
-		"second effects":             r.Rules.SecondEffects,
-		"drains not kept":            r.Rules.Drain,
-		"cold members pushed over":   r.Rules.Cold,
-		"answers older than a purge": r.Rules.Purge,
+		"requests without a response before their deadline": r.Rules.Lost,
+		"requests with a second response":                   r.Rules.SecondAnswers,
+		"requests with idempotency key executed twice":      r.Rules.SecondEffects,
+		"requests sent to a drained endpoint":               r.Rules.Drain,
+		"endpoints overloaded while warming up":             r.Rules.Cold,
+		"responses older than a purge":                      r.Rules.Purge,
 	} {
 		if n > 0 {
 			r.Broke("%d %s", n, what)
@@ -98,7 +104,15 @@
 	r.Held = len(r.Broken) == 0
 }
 
-// Broke records a rule or a bound that did not hold. The first maxBroken are kept.
+// Title is the name of the scenario or simulation in text and HTML.
+func (r *Report) Title() string {
+	if r.Name != "" {
+		return r.Name
+	}
+	return r.Scenario
+}
+
+// Broke records a rule or a bound that did not hold. The report lists the first maxBroken.
 func (r *Report) Broke(format string, args ...any) {
 	if len(r.Broken) < maxBroken {
 		r.Broken = append(r.Broken, fmt.Sprintf(format, args...))
@@ -112,21 +126,21 @@
 	return e.Encode(r)
 }
 
-// WriteText writes the report for a terminal.
+// WriteText writes the report for a terminal, with labels in place of the JSON keys.
 func (r *Report) WriteText(w io.Writer) {
 	verdict := "held"
 	if !r.Held {
 		verdict = "BROKEN"
 	}
-	_, _ = fmt.Fprintf(w, "%s, seed %d, %s: %s\n", r.Scenario, r.Seed, r.Size, verdict)
+	_, _ = fmt.Fprintf(w, "%s, seed %d, %s: %s\n", r.Title(), r.Seed, r.Size, verdict)
 	for _, line := range r.Steps {
 		_, _ = fmt.Fprintf(w, "  %s\n", line)
 	}
-	for _, name := range SortedKeys(r.Counts) {
-		_, _ = fmt.Fprintf(w, "  %-28s %d\n", name, r.Counts[name])
+	for _, key := range SortedKeys(r.Counts) {
+		_, _ = fmt.Fprintf(w, "  %-*s %d\n", labelColumnWidth, Label(key), r.Counts[key])
 	}
-	for _, name := range SortedKeys(r.Figures) {
-		_, _ = fmt.Fprintf(w, "  %-28s %.4g\n", name, r.Figures[name])
+	for _, key := range SortedKeys(r.Figures) {
+		_, _ = fmt.Fprintf(w, "  %-*s %.4g\n", labelColumnWidth, Label(key), r.Figures[key])
 	}
 	for _, line := range r.Broken {
 		_, _ = fmt.Fprintf(w, "  broken: %s\n", line)
--- a/internal/lab/report/svg.go
+++ b/internal/lab/report/svg.go
@@ -19,7 +19,7 @@
 	plotHeight = 10 * vg.Centimeter
 
 	colorsBeforeDashes = 6    // lines with one dash pattern
-	legendRoom         = 0.15 // of the drawn height, kept free above the lines
+	legendRoom         = 0.15 // of the drawn height, left free above the lines
 )
 
 var markColor = color.RGBA{R: 0xaa, G: 0x11, B: 0x11, A: 0x80}
--- a/internal/lab/router.go
+++ b/internal/lab/router.go
@@ -22,17 +22,18 @@
 	clockTicks         = 100              // a second of CPU time, on Linux
 	cpuTimeFields      = 2                // utime and stime, proc(5)
 	firstCPUTimeField  = 11               // after the command's name in /proc/PID/stat
+	logTailBytes       = 600              // of a log that an error quotes
 )
 
 // routerProcess is a router that runs as a program of its own.
 type routerProcess struct {
-	name          string
-	addr          string
-	settingsPath  string   // of its bootstrap settings
-	operatorsFile string   // empty for none
-	extraEnv      []string // beside the laboratory's environment
-	cmd           *exec.Cmd
-	log           *os.File
+	name         string
+	addr         string
+	settingsPath string   // of its bootstrap file
+	configFile   string   // empty for none
+	extraEnv     []string // beside the laboratory's environment
+	cmd          *exec.Cmd
+	log          *os.File
 }
 
 // addRouter starts a router of a zone. All endpoints must be in the cluster before.
@@ -41,11 +42,11 @@
 	if err != nil {
 		return err
 	}
-	router.operatorsFile = cluster.operatorsFile
+	router.configFile = cluster.configFile
 	return cluster.startRouter(router)
 }
 
-// prepareRouter writes the bootstrap settings of a router of a zone and adds it to the cluster's routers. It does not
+// prepareRouter writes the bootstrap file of a router of a zone and adds it to the cluster's routers. It does not
 // start it.
 func (cluster *testCluster) prepareRouter(zone int) (*routerProcess, error) {
 	listener, err := listenReusableTCP()
@@ -82,13 +83,13 @@
 			return err
 		}
 	}
-	router.cmd = exec.Command(cluster.options.Program, "serve", "--operators", router.operatorsFile)
+	router.cmd = exec.Command(cluster.options.Program, "serve", "--operators", router.configFile)
 	router.cmd.Env = append(append(os.Environ(), "LB_CONFIG="+router.settingsPath), router.extraEnv...)
 	router.cmd.Stderr = router.log
 	router.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := router.cmd.Start(); err != nil {
 		router.cmd = nil
-		return fmt.Errorf("starting router %s: %w", router.name, err)
+		return fmt.Errorf("start router %s: %w", router.name, err)
 	}
 	return nil
 }
@@ -122,7 +123,7 @@
 	select {
 	case <-ended:
 		if waitErr != nil {
-			return fmt.Sprintf("router %s ended with %v: %s", router.name, waitErr, logTail(router.log.Name()))
+			return fmt.Sprintf("router %s ended with %v; its log: %s", router.name, waitErr, logTail(router.log.Name()))
 		}
 		return ""
 	case <-time.After(terminationTimeout):
@@ -171,11 +172,23 @@
 	return isReply && reply[clientproto.HeaderSize] == 1
 }
 
-// writeOperatorsFile writes settings as an operators' file. JSON is YAML.
-func writeOperatorsFile(path string, settings map[string]any) error {
+// configFileName is the name of a configuration file in a directory of its own.
+const configFileName = "operators.yaml"
+
+// adminSocketName is the name of a router's admin socket.
+const adminSocketName = "admin.sock"
+
+// writeConfigFile writes settings as a configuration file. JSON is YAML.
+func writeConfigFile(path string, settings map[string]any) error {
 	text, err := json.Marshal(settings)
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(path, text, 0o600)
 }
+
+// logTail is the end of a log.
+func logTail(path string) string {
+	text, _ := os.ReadFile(path)
+	return string(text[max(len(text)-logTailBytes, 0):])
+}
--- /dev/null
+++ b/internal/lab/router_group.go
@@ -0,0 +1,237 @@
+package lab
+
+import (
+	"fmt"
+	"net"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"time"
+
+	"cairnfront/internal/faultproxy"
+	"cairnfront/internal/lab/report"
+	"cairnfront/internal/membership/datagram"
+	"cairnfront/internal/sim/faults"
+)
+
+// routerCount is the number of routers of a group.
+const routerCount = 20
+
+// peerRouter is one router of a group.
+type peerRouter struct {
+	*routerProcess
+	index int
+}
+
+// routerGroup is routers of the program that are peers of each other, hostile peers among
+// them, and a small test cluster around them. All datagrams between two of them pass a fault proxy.
+type routerGroup struct {
+	options      clusterOptions
+	cluster      *testCluster
+	script       faults.Script
+	network      *faultproxy.Network
+	networkStart time.Time
+	routers      []*peerRouter
+	hostilePeers []*hostilePeer
+	clientGroups []*clientGroup
+	edgeCaches   []*clusterEndpoint
+	names        []string      // of routers and hostile peers, by index
+	marks        []report.Mark // the faults that began
+
+	mu          sync.Mutex // guards scriptStart while clients run
+	scriptStart time.Time  // zero before the script begins
+}
+
+// clusterMember is what a router or a hostile peer needs to join the others.
+type clusterMember struct {
+	datagram.Identity
+	seed      string       // of the private key
+	publicKey string       // in text
+	conn      *net.UDPConn // holds the port until the member takes it
+}
+
+// newRouterGroup starts a cluster of two zones, its routers and the hostile peers, and waits until all are ready.
+func newRouterGroup(options clusterOptions, script faults.Script, hostilePeers int) (_ *routerGroup, err error) {
+	cluster, err := newTestCluster(options, 2)
+	if err != nil {
+		return nil, err
+	}
+	g := &routerGroup{
+		options:      options,
+		cluster:      cluster,
+		script:       script,
+		network:      faultproxy.New(options.Seed, script.Processes),
+		networkStart: time.Now(),
+	}
+	defer func() {
+		if err != nil {
+			g.close(nil)
+		}
+	}()
+	if g.edgeCaches, err = cluster.startTwoZones(); err != nil {
+		return nil, err
+	}
+	members, err := g.makeMembers(script.Processes)
+	if err != nil {
+		return nil, err
+	}
+	routes, err := g.makeRoutes(members)
+	if err != nil {
+		return nil, err
+	}
+	for i := range routerCount {
+		if err := g.prepareRouter(i, members, routes[i], hostilePeers); err != nil {
+			return nil, err
+		}
+	}
+	for i := routerCount; i < len(members); i++ {
+		if err := g.addHostilePeer(i, members, routes[i]); err != nil {
+			return nil, err
+		}
+	}
+	if err := g.startRouters(members); err != nil {
+		return nil, err
+	}
+	return g, nil
+}
+
+// makeMembers makes names, keys and ports of the members.
+func (g *routerGroup) makeMembers(n int) ([]clusterMember, error) {
+	members := make([]clusterMember, n)
+	for i := range members {
+		member := &members[i]
+		var err error
+		if member.seed, member.publicKey, err = datagram.GenerateKey(); err != nil {
+			return nil, err
+		}
+		if member.Key, err = datagram.ParsePublicKey(member.publicKey); err != nil {
+			return nil, err
+		}
+		if member.conn, err = listenReusableUDP(); err != nil {
+			return nil, err
+		}
+		member.Name = fmt.Sprintf("n%d", i+1)
+		g.names = append(g.names, member.Name)
+	}
+	return members, nil
+}
+
+// makeRoutes opens a fault proxy for each direction between two members: i sends to j at the address routes[i][j].
+func (g *routerGroup) makeRoutes(members []clusterMember) ([][]netip.AddrPort, error) {
+	routes := make([][]netip.AddrPort, len(members))
+	for i := range members {
+		routes[i] = make([]netip.AddrPort, len(members))
+		for j := range members {
+			if i == j {
+				continue
+			}
+			target := members[j].conn.LocalAddr().(*net.UDPAddr).AddrPort()
+			proxy, err := g.network.ForwardDatagrams(i, j, target)
+			if err != nil {
+				return nil, err
+			}
+			routes[i][j] = proxy
+		}
+	}
+	return routes, nil
+}
+
+// prepareRouter writes the bootstrap file, the configuration file and the key of a router.
+func (g *routerGroup) prepareRouter(
+	i int, members []clusterMember, routes []netip.AddrPort, maxByzantine int,
+) error {
+	zone := 1 + i%2
+	router, err := g.cluster.prepareRouter(zone)
+	if err != nil {
+		return err
+	}
+	directory := filepath.Join(g.options.Directory, router.name)
+	if err := os.Mkdir(directory, 0o700); err != nil {
+		return err
+	}
+	keyFile := filepath.Join(g.options.Directory, router.name+".key")
+	if err := os.WriteFile(keyFile, []byte(members[i].seed), 0o600); err != nil {
+		return err
+	}
+	var roster []map[string]string
+	for j := range members {
+		entry := map[string]string{"name": members[j].Name, "key": members[j].publicKey}
+		if j != i {
+			entry["address"] = routes[j].String()
+		}
+		roster = append(roster, entry)
+	}
+	settings := map[string]any{
+		"router": map[string]any{"socket": filepath.Join(directory, adminSocketName)},
+		"peers": map[string]any{
+			"listen":   members[i].conn.LocalAddr().String(),
+			"zone":     zoneName(zone),
+			"key_file": keyFile,
+			"liars":    maxByzantine,
+			"roster":   roster,
+		},
+	}
+	router.configFile = filepath.Join(directory, configFileName)
+	if err := writeConfigFile(router.configFile, settings); err != nil {
+		return err
+	}
+	router.extraEnv = []string{environmentVariable}
+	g.routers = append(g.routers, &peerRouter{routerProcess: router, index: i})
+	return nil
+}
+
+// addHostilePeer makes a hostile peer. It starts to act with the script's g.
+func (g *routerGroup) addHostilePeer(i int, members []clusterMember, routes []netip.AddrPort) error {
+	key, err := datagram.ParsePrivateKey(members[i].seed)
+	if err != nil {
+		return err
+	}
+	var identities []datagram.Identity
+	for j := range members {
+		identities = append(identities, members[j].Identity)
+	}
+	var endpoints []string
+	for _, endpoint := range g.cluster.endpoints {
+		endpoints = append(endpoints, endpoint.id)
+	}
+	peer, err := newHostilePeer(i, key, identities, members[i].conn, endpoints, g.options.Seed+uint64(i))
+	if err != nil {
+		return err
+	}
+	peer.routes = routes
+	g.hostilePeers = append(g.hostilePeers, peer)
+	return nil
+}
+
+// startRouters starts all routers at once and waits until they are ready. Each gets a client.
+func (g *routerGroup) startRouters(members []clusterMember) error {
+	for i, router := range g.routers {
+		_ = members[i].conn.Close()
+		if err := g.cluster.spawnRouter(router.routerProcess); err != nil {
+			return err
+		}
+	}
+	for _, router := range g.routers {
+		if err := g.cluster.awaitRouter(router.routerProcess); err != nil {
+			return err
+		}
+		group := g.cluster.newClientGroup(router.routerProcess, 1, 100*time.Millisecond)
+		group.seed += uint64(router.index)
+		group.onResponse = func(response clientResponse) { g.recordResponse(router, response) }
+		g.clientGroups = append(g.clientGroups, group)
+	}
+	return nil
+}
+
+// close ends all processes and the fault proxies. Paused processes are continued, as they could not end otherwise.
+func (g *routerGroup) close(r *report.Report) {
+	for _, router := range g.routers {
+		if router.cmd != nil {
+			_ = router.cmd.Process.Signal(syscall.SIGCONT)
+		}
+	}
+	g.cluster.close(r)
+	g.network.Close()
+}
--- /dev/null
+++ b/internal/lab/router_group_script.go
@@ -0,0 +1,192 @@
+package lab
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"syscall"
+	"time"
+
+	"cairnfront/internal/lab/report"
+	"cairnfront/internal/membership"
+	"cairnfront/internal/sim/faults"
+
+	"golang.org/x/sync/errgroup"
+)
+
+const (
+	joinSeconds         = 5.0  // after the start, before the script begins
+	clientWaitSeconds   = 0.6  // beyond the deadline in which a response may still be on its way
+	workingStepSeconds  = 0.05 // between two checks whether a router worked
+	environmentVariable = EnvironmentVariable + "=1"
+)
+
+// recordResponse keeps a client's response, unless it is missing or late because the script had its router killed,
+// paused or stalled meanwhile: such a client has to ask elsewhere.
+func (g *routerGroup) recordResponse(router *peerRouter, response clientResponse) {
+	late := response.code == noAnswer || response.doneAt > response.sentAt+response.deadline.Seconds()
+	if late && !g.workedThroughout(router, response.sentAt, response.deadline.Seconds()+clientWaitSeconds) {
+		return
+	}
+	g.cluster.recordResponse(response)
+}
+
+// workedThroughout says whether the script let a router work for some seconds from a time on, Unix s.
+func (g *routerGroup) workedThroughout(router *peerRouter, from, seconds float64) bool {
+	g.mu.Lock()
+	scriptStart := g.scriptStart
+	g.mu.Unlock()
+	if scriptStart.IsZero() {
+		return true
+	}
+	for at := from; at < from+seconds; at += workingStepSeconds {
+		if !g.script.IsWorking(router.index, at-unixSeconds(scriptStart)) {
+			return false
+		}
+	}
+	return true
+}
+
+// play starts clients and hostile peers and carries out the script.
+// Each of the hostile peers sends its part of a flood of datagrams once the script begins. Progress is called with each
+// transition.
+func (g *routerGroup) play(ctx context.Context, floodDatagrams int64, progress func(format string, args ...any)) error {
+	loadCtx, stop := context.WithCancel(ctx)
+	var load sync.WaitGroup
+	defer func() {
+		stop()
+		load.Wait()
+	}()
+	for _, group := range g.clientGroups {
+		load.Go(func() { group.run(loadCtx) })
+	}
+	for _, peer := range g.hostilePeers {
+		load.Go(func() { peer.run(loadCtx) })
+		load.Go(func() {
+			<-loadCtx.Done()
+			_ = peer.conn.Close()
+		})
+	}
+	if err := sleep(ctx, seconds(joinSeconds)); err != nil {
+		return err
+	}
+	return g.runScript(ctx, floodDatagrams, progress)
+}
+
+// runScript carries out the script's transitions at their times.
+func (g *routerGroup) runScript(
+	ctx context.Context, floodDatagrams int64, progress func(format string, args ...any),
+) error {
+	start := g.network.StartScript(g.script)
+	g.mu.Lock()
+	g.scriptStart = start
+	g.mu.Unlock()
+	for _, peer := range g.hostilePeers {
+		peer.flood.Store(floodDatagrams / int64(len(g.hostilePeers)))
+	}
+	for _, transition := range g.script.Transitions() {
+		if err := sleep(ctx, time.Until(start.Add(seconds(transition.Time)))); err != nil {
+			return err
+		}
+		progress("%5.1f of %.0f s: %s", transition.Time, g.script.Duration, transition)
+		if !transition.IsEnd {
+			mark := report.Mark{At: transition.Time, Name: transition.Fault.Kind.Label()}
+			g.marks = append(g.marks, mark)
+		}
+		if err := g.applyTransition(transition); err != nil {
+			return err
+		}
+	}
+	return sleep(ctx, time.Until(start.Add(seconds(g.script.Duration))))
+}
+
+// applyTransition begins or ends a fault of processes. Faults of the network are the fault proxy's.
+func (g *routerGroup) applyTransition(transition faults.Transition) error {
+	var restarts errgroup.Group
+	for _, i := range transition.Fault.From {
+		if i >= len(g.routers) {
+			continue // a hostile peer, which is no process
+		}
+		router := g.routers[i]
+		switch transition.Fault.Kind {
+		case faults.Kill, faults.Wipe:
+			if transition.IsEnd {
+				restarts.Go(func() error { return g.cluster.startRouter(router.routerProcess) })
+			} else {
+				router.kill()
+			}
+		case faults.Pause, faults.Stall:
+			router.signalFault(transition)
+		case faults.ClockSkew:
+			router.setClockSkew(transition)
+		}
+	}
+	return restarts.Wait()
+}
+
+// signalFault stops or continues a router's process, or tells it to stall its peers' loop.
+func (router *peerRouter) signalFault(transition faults.Transition) {
+	if router.cmd == nil {
+		return
+	}
+	signal := syscall.SIGSTOP
+	switch {
+	case transition.Fault.Kind == faults.Stall:
+		signal = syscall.SIGUSR2
+	case transition.IsEnd:
+		signal = syscall.SIGCONT
+	}
+	_ = router.cmd.Process.Signal(signal)
+}
+
+// setClockSkew sets by how much the clock of a router's next process is off.
+func (router *peerRouter) setClockSkew(transition faults.Transition) {
+	router.extraEnv = []string{environmentVariable}
+	if !transition.IsEnd {
+		offset := fmt.Sprintf("%s=%g", membership.ClockOffsetVariable, transition.Fault.Seconds)
+		router.extraEnv = append(router.extraEnv, offset)
+	}
+}
+
+// datagramRate is the datagrams that a router sent, by the second of the script, and the bytes that it sent per second.
+func (g *routerGroup) datagramRate() (rate report.Line, bytesPerSecond float64) {
+	rate.Name = "datagrams per second and router"
+	offset := g.scriptStart.Sub(g.networkStart).Seconds()
+	first, last := int(offset), int(offset+g.script.Duration)
+	totalBytes := int64(0)
+	for second := first; second < last; second++ {
+		datagrams := int64(0)
+		for i := range routerCount {
+			sent, bytes := g.network.SentBetween(i, second, second+1)
+			datagrams += sent
+			totalBytes += bytes
+		}
+		rate.Add(float64(second-first), float64(datagrams)/float64(routerCount))
+	}
+	return rate, float64(totalBytes) / float64(routerCount) / max(float64(last-first), 1)
+}
+
+// collectEvidence gathers what the run recorded of the routers' membership views.
+func (g *routerGroup) collectEvidence() (*membershipEvidence, error) {
+	e := &membershipEvidence{
+		script:      g.script,
+		scriptStart: g.scriptStart,
+		names:       g.names,
+		requests:    g.cluster.recordedRequests(),
+	}
+	for _, edgeCache := range g.edgeCaches {
+		e.edgeCaches = append(e.edgeCaches, edgeCache.id)
+	}
+	peers := map[string]int{}
+	for i, name := range g.names {
+		peers[name] = i
+	}
+	for _, router := range g.routers {
+		log, err := readRouterLog(router.log.Name(), router.name, router.index, peers, g.scriptStart)
+		if err != nil {
+			return nil, err
+		}
+		e.routers = append(e.routers, log)
+	}
+	return e, nil
+}
--- a/internal/lab/router_settings.go
+++ b/internal/lab/router_settings.go
@@ -4,13 +4,13 @@
 	"fmt"
 )
 
-// endpointTypes are the names of the kinds of endpoints in a router's settings.
-var endpointTypes = [...]string{kindEdge: "box", kindParent: "parent", kindOrigin: "origin"}
+// endpointTypeNames are the names of the kinds of endpoints on the wire and in a router's settings.
+var endpointTypeNames = [...]string{kindEdge: "box", kindParent: "parent", kindOrigin: "origin"}
 
 // linkKilobytesPerSecond is the speed of the links into the zones, more than loopback carries in a scenario.
 const linkKilobytesPerSecond = 1e6
 
-// routerSettings are the bootstrap settings of a router of a zone. They are a map as the settings' keys are given.
+// routerSettings are the bootstrap settings of a router of a zone, in the form of the users' bootstrap file.
 func (cluster *testCluster) routerSettings(router *routerProcess, zone int) map[string]any {
 	zones := cluster.zoneNames()
 	firstEvent := map[string]any{
@@ -29,7 +29,7 @@
 			"group_size":      cluster.zoneCount,
 			"zone":            zone,
 			"zones":           zones,
-			"flavors":         endpointTypes,
+			"flavors":         endpointTypeNames,
 			"extra":           cachingSettings(len(zones)),
 			"limits":          attemptSettings(),
 			"rules":           ruleSettings(),
@@ -41,13 +41,16 @@
 
 // zoneNames are the names of the parent zone and of the others.
 func (cluster *testCluster) zoneNames() []string {
-	zones := []string{"hub"}
+	zones := []string{"parent-zone"}
 	for i := range cluster.zoneCount {
-		zones = append(zones, fmt.Sprintf("campus-%d", i+1))
+		zones = append(zones, zoneName(i+1))
 	}
 	return zones
 }
 
+// zoneName is the name of a zone, counted from 1.
+func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
+
 // endpointSettings is the endpoint list that a router starts with.
 func (cluster *testCluster) endpointSettings(zones []string) []map[string]any {
 	var list []map[string]any
@@ -56,7 +59,7 @@
 			"name":     endpoint.id,
 			"address":  endpoint.addr,
 			"zone":     zones[endpoint.zone],
-			"type":     endpointTypes[endpoint.kind],
+			"type":     endpointTypeNames[endpoint.kind],
 			"group":    0,
 			"status":   "SERVING",
 			"weight":   endpointWeight,
@@ -94,7 +97,7 @@
 	}
 }
 
-// cachingSettings say how caches keep and purge, and how zones are linked. The lists by class have four entries.
+// cachingSettings say how caches store and purge, and how zones are linked. The lists by class have four entries.
 func cachingSettings(zones int) map[string]any {
 	routersPerZone, parentZone, links := make([]int, zones), make([]int, zones), make([]float64, zones)
 	for i := range zones {
--- a/internal/lab/simulation/curves.go
+++ b/internal/lab/simulation/curves.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	firstKillSeconds   = 15.0 // from the start of a play
-	killEverySeconds   = 20.0 //
-	kills              = 2    // a play
-	killLastsSeconds   = 18.0 // SWIM as published needs up to 13 s to notice at 3,000 peers
-	settleSeconds      = 12.0 // at the begin of a play, not counted in rates
-	maxJoinedPeers     = 400  // more peers know each other from the start: the joining is not what is measured
-	falseFailuresRatio = 20   // SWIM as published has to have at least so many times our false failures
+	firstKillSeconds   = 15.0 // from the start of a run
+	killEverySeconds   = 20.0 // between kills
+	kills              = 2    // per run
+	killLastsSeconds   = 18.0 // SWIM as published needs up to 13 s to detect it at 3,000 peers
+	settleSeconds      = 12.0 // at the start of a run, not counted in rates
+	maxJoinedPeers     = 400  // more peers know each other from the start, as joining is not measured
+	falseFailuresRatio = 20   // least false failures of SWIM as published for each of ours
 )
 
 // curvePoint is one size and loss, with our core or with SWIM as published.
@@ -31,18 +31,18 @@
 	published bool
 }
 
-// suffix is how the point's figures are told apart in the report.
+// suffix distinguishes the point's figures in the report.
 func (p curvePoint) suffix() string {
 	suffix := fmt.Sprintf(".%04d.loss%02.0f", p.peers, p.loss*100)
 	if p.published {
-		return ".swim" + suffix
+		return "." + report.VariantPublishedSWIM + suffix
 	}
 	return suffix
 }
 
-// script has two kills and returns, and the point's loss throughout.
+// script has two kills and restarts, and the point's loss throughout.
 func (p curvePoint) script(seed uint64) faults.Script {
-	script := faults.Script{Seed: seed, Processes: p.peers, Duration: playSeconds}
+	script := faults.Script{Seed: seed, Processes: p.peers, Duration: runSeconds}
 	if p.loss > 0 {
 		script.Faults = append(script.Faults, faults.Fault{Kind: faults.Loss, Share: p.loss})
 	}
@@ -100,13 +100,13 @@
 func newCurvePlots() *curvePlots {
 	return &curvePlots{
 		detection: report.Plot{
-			Title:  "From a kill until half of the others know, and until 99 in 100 do",
+			Title:  "Time from a kill until half of the others have detected it, and until 99 in 100 have",
 			XLabel: "peers",
 			YLabel: "s",
 		},
-		falseFailures: report.Plot{Title: "Wrong drops a minute a peer", XLabel: "peers", YLabel: "drops"},
+		falseFailures: report.Plot{Title: "False failures per minute and peer", XLabel: "peers", YLabel: "failures"},
 		bytes: report.Plot{
-			Title:  "KB a second a peer, with two kills and returns in 48 s",
+			Title:  "KB per second and peer, with two kills and restarts in 48 s",
 			XLabel: "peers",
 			YLabel: "KB/s",
 		},
@@ -122,7 +122,7 @@
 }
 
 func newCurveLines(loss float64, published bool) *curveLines {
-	name := fmt.Sprintf("%.0f%% lost", loss*100)
+	name := fmt.Sprintf("%.0f%% loss", loss*100)
 	if published {
 		name = "SWIM, " + name
 	}
@@ -142,7 +142,7 @@
 		l.p99.Add(peers, quantile(figures.detectionSeconds, 0.99))
 	}
 	perPeer := float64(figures.falseFailures) / float64(point.peers*seeds)
-	l.falseFailures.Add(peers, perPeer*60/(playSeconds-settleSeconds))
+	l.falseFailures.Add(peers, perPeer*60/(runSeconds-settleSeconds))
 	l.bytes.Add(peers, figures.bytesPerSecond/1000)
 }
 
@@ -157,29 +157,29 @@
 func reportFigures(r *report.Report, point curvePoint, figures curveFigures) {
 	suffix := point.suffix()
 	if len(figures.detectionSeconds) > 0 {
-		r.Figures["detect_p50_s"+suffix] = median(figures.detectionSeconds)
-		r.Figures["detect_p99_s"+suffix] = quantile(figures.detectionSeconds, 0.99)
+		r.Figures[report.DetectionP50+suffix] = median(figures.detectionSeconds)
+		r.Figures[report.DetectionP99+suffix] = quantile(figures.detectionSeconds, 0.99)
 	}
-	r.Figures["wrong"+suffix] = float64(figures.falseFailures)
-	r.Figures["bytes_s"+suffix] = figures.bytesPerSecond
-	r.Figures["suspicions"+suffix] = float64(figures.suspicions)
-	r.Counts["resurrected"] += int64(figures.resurrected)
+	r.Figures[report.FalseFailures+suffix] = float64(figures.falseFailures)
+	r.Figures[report.BytesPerSecond+suffix] = figures.bytesPerSecond
+	r.Figures[report.Suspicions+suffix] = float64(figures.suspicions)
+	r.Counts[report.Resurrected] += int64(figures.resurrected)
 	if point.published {
-		r.Counts["wrong_swim"] += int64(figures.falseFailures)
+		r.Counts[report.FalseFailuresPublished] += int64(figures.falseFailures)
 	} else {
-		r.Counts["wrong"] += int64(figures.falseFailures)
+		r.Counts[report.FalseFailures] += int64(figures.falseFailures)
 	}
 }
 
-// playCurves compares our core with SWIM as published on the same scripts.
-func (c Membership) playCurves(ctx context.Context, r *report.Report) error {
+// runCurves compares our core with SWIM as published on the same scripts.
+func (c Membership) runCurves(ctx context.Context, r *report.Report) error {
 	points := c.curvePoints()
-	results, err := c.playPoints(ctx, points)
+	results, err := c.runPoints(ctx, points)
 	if err != nil {
 		return err
 	}
 	seeds := c.Seeds.Count()
-	r.Counts["wrong"], r.Counts["wrong_swim"], r.Counts["resurrected"] = 0, 0, 0
+	r.Counts[report.FalseFailures], r.Counts[report.FalseFailuresPublished], r.Counts[report.Resurrected] = 0, 0, 0
 	plots := newCurvePlots()
 	for _, loss := range c.Losses {
 		for _, published := range []bool{false, true} {
@@ -196,9 +196,9 @@
 		}
 	}
 	r.Plots = append(r.Plots, plots.detection, plots.falseFailures, plots.bytes)
-	r.Steps = append(r.Steps, fmt.Sprintf("%d seeds of %.0f s each, two kills and returns; "+
-		"the same scripts with SWIM as published (fixed suspicion, one accuser believed)", seeds, playSeconds))
-	judgeCurves(r)
+	r.Steps = append(r.Steps, fmt.Sprintf("%d seeds of %.0f s each, two kills and restarts; "+
+		"the same scripts with SWIM as published (fixed suspicion time, one accuser suffices)", seeds, runSeconds))
+	checkCurves(r)
 	return nil
 }
 
@@ -213,8 +213,8 @@
 	return points
 }
 
-// playPoints plays all seeds of all points side by side. A point's results lie together, in the order of the seeds.
-func (c Membership) playPoints(ctx context.Context, points []curvePoint) ([]*simmembership.Result, error) {
+// runPoints runs all seeds of all points side by side. A point's results lie together, in the order of the seeds.
+func (c Membership) runPoints(ctx context.Context, points []curvePoint) ([]*simmembership.Result, error) {
 	seeds := c.Seeds.Count()
 	results := make([]*simmembership.Result, len(points)*seeds)
 	group, ctx := errgroup.WithContext(ctx)
@@ -225,7 +225,7 @@
 				return err
 			}
 			point := points[i/seeds]
-			c.Progress("%d peers, %.0f%% lost, plain %v", point.peers, point.loss*100, point.published)
+			c.Progress("%d peers, %.0f%% loss, published SWIM: %v", point.peers, point.loss*100, point.published)
 			result, err := simmembership.Run(point.config(c.Seeds.From + uint64(i%seeds)))
 			results[i] = result
 			return err
@@ -234,12 +234,13 @@
 	return results, group.Wait()
 }
 
-// judgeCurves holds the curves to their bounds.
-func judgeCurves(r *report.Report) {
-	if r.Counts["resurrected"] > 0 {
-		r.Broke("%d peers came back without a higher incarnation", r.Counts["resurrected"])
+// checkCurves compares the curves with their bounds.
+func checkCurves(r *report.Report) {
+	if r.Counts[report.Resurrected] > 0 {
+		r.Broke("%d failed peers came back without a higher incarnation", r.Counts[report.Resurrected])
 	}
-	if falseFailuresRatio*r.Counts["wrong"] > r.Counts["wrong_swim"] {
-		r.Broke("%d wrong drops, over a twentieth of SWIM's %d", r.Counts["wrong"], r.Counts["wrong_swim"])
+	ours, published := r.Counts[report.FalseFailures], r.Counts[report.FalseFailuresPublished]
+	if falseFailuresRatio*ours > published {
+		r.Broke("%d false failures, more than a twentieth of the %d of published SWIM", ours, published)
 	}
 }
--- a/internal/lab/simulation/membership.go
+++ b/internal/lab/simulation/membership.go
@@ -19,14 +19,14 @@
 // Bounds that simulations of membership are held to. A member that is declared failed without a reason in the script is
 // a failure of the detection, not of the invariants: it is counted, and has to be rare.
 const (
-	playSeconds             = 60.0  // of one play
-	maxByzantine            = 1     // members that may lie, as the cores are configured
-	maxFalseFailuresPerPeer = 0.002 // false failures a play and peer
-	maxQueuedPerPeer        = 12    // queued gossip of one peer: a claim and up to eleven accusations
-	shortenPlays            = 200   // plays that shortening a script may take
-	maxShortened            = 3     // scripts that are shortened
-	maxFalseFailureDetails  = 5     // plays with a false failure that are listed
-	drawnProgressEvery      = 50    // plays between two lines of progress
+	runSeconds              = 60.0  // of one run
+	maxByzantine            = 1     // byzantine members that the cores are configured to tolerate
+	maxFalseFailuresPerPeer = 0.002 // false failures per run and peer
+	maxQueuedPerPeer        = 12    // queued gossip of one peer: a record and up to eleven accusations
+	shrinkRuns              = 200   // runs that shrinking a script may take
+	maxShrunk               = 3     // scripts that are shrunk
+	maxFalseFailureDetails  = 5     // runs with a false failure that are listed
+	drawnProgressEvery      = 50    // runs between two lines of progress
 )
 
 // Membership simulates the cores of membership.
@@ -37,23 +37,24 @@
 	Acts     int       // faults of a script drawn from each seed; 0 for the curves
 	Peers    int       // of a drawn script
 	Hostile  int       // of these
-	Script   string    // file of one script to be played instead
+	Script   string    // file of one script to run instead
 	Progress Progress
 }
 
 // Run simulates and reports.
 func (c Membership) Run(ctx context.Context) (*report.Report, error) {
 	c.Progress = c.Progress.orSilent()
-	r := report.New("sim-peers", c.Seeds.From, c.Seeds.String())
+	r := report.New(report.ScenarioMembershipSimulation, c.Seeds.From, c.Seeds.String())
+	r.Name = "membership simulation"
 	r.Simulated = true
 	var err error
 	switch {
 	case c.Script != "":
-		err = c.playScript(r)
+		err = c.runScript(r)
 	case c.Acts > 0:
-		err = c.playDrawn(ctx, r)
+		err = c.runDrawn(ctx, r)
 	default:
-		err = c.playCurves(ctx, r)
+		err = c.runCurves(ctx, r)
 	}
 	r.Held = len(r.Broken) == 0
 	return r, err
@@ -71,56 +72,56 @@
 	return config
 }
 
-// membershipFailure says which invariant a play broke, and "" where all held.
+// membershipFailure says which invariant a run broke, and "" where all held.
 func membershipFailure(result *simmembership.Result, script *faults.Script) string {
 	maxQueued := script.Processes * maxQueuedPerPeer
 	switch {
 	case result.Resurrected > 0:
-		return "a peer came back without a higher incarnation"
+		return "a failed peer came back without a higher incarnation"
 	case result.MaxQueueLength > maxQueued:
-		return fmt.Sprintf("%d things waited to be handed on, over %d", result.MaxQueueLength, maxQueued)
+		return fmt.Sprintf("%d entries in a gossip queue, more than %d", result.MaxQueueLength, maxQueued)
 	}
 	for _, present := range result.FinalPresent {
 		if present != len(result.FinalPresent) {
-			return fmt.Sprintf("at the end one sees %d, %d run", present, len(result.FinalPresent))
+			return fmt.Sprintf("at the end a peer sees %d peers, %d run", present, len(result.FinalPresent))
 		}
 	}
 	return ""
 }
 
-// drawnPlays gathers the results of drawn scripts, which are played side by side.
-type drawnPlays struct {
+// drawnRuns gathers the results of drawn scripts, which run side by side.
+type drawnRuns struct {
 	mu     sync.Mutex
 	report *report.Report
 	failed []faults.Script // the first few that broke an invariant
 }
 
-// add counts a play's result.
-func (d *drawnPlays) add(seed uint64, script faults.Script, result *simmembership.Result) (plays int64) {
+// add counts the result of a run.
+func (d *drawnRuns) add(seed uint64, script faults.Script, result *simmembership.Result) (runs int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	counts := d.report.Counts
-	counts["plays"]++
-	counts["wrong"] += int64(result.FalseFailures)
-	counts["suspicions"] += int64(result.Suspicions)
-	counts["resurrected"] += int64(result.Resurrected)
-	counts["most_queued"] = max(counts["most_queued"], int64(result.MaxQueueLength))
-	if result.FalseFailures > 0 && counts["plays_wrong"] < maxFalseFailureDetails {
+	counts[report.Runs]++
+	counts[report.FalseFailures] += int64(result.FalseFailures)
+	counts[report.Suspicions] += int64(result.Suspicions)
+	counts[report.Resurrected] += int64(result.Resurrected)
+	counts[report.MaxQueueLength] = max(counts[report.MaxQueueLength], int64(result.MaxQueueLength))
+	if result.FalseFailures > 0 && counts[report.RunsWithFalseFailures] < maxFalseFailureDetails {
 		d.report.Steps = append(d.report.Steps, fmt.Sprintf("seed %d: %s", seed, result.FalseFailureDetails[0]))
 	}
-	counts["plays_wrong"] += int64(min(result.FalseFailures, 1))
+	counts[report.RunsWithFalseFailures] += int64(min(result.FalseFailures, 1))
 	if failure := membershipFailure(result, &script); failure != "" {
 		d.report.Broke("seed %d: %s", seed, failure)
-		if len(d.failed) < maxShortened {
+		if len(d.failed) < maxShrunk {
 			d.failed = append(d.failed, script)
 		}
 	}
-	return counts["plays"]
+	return counts[report.Runs]
 }
 
-// playDrawn plays a script drawn from each seed. One that breaks an invariant is shortened and reported.
-func (c Membership) playDrawn(ctx context.Context, r *report.Report) error {
-	plays := drawnPlays{report: r}
+// runDrawn runs a script drawn from each seed. One that breaks an invariant is shrunk and reported.
+func (c Membership) runDrawn(ctx context.Context, r *report.Report) error {
+	runs := drawnRuns{report: r}
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(runtime.NumCPU()-1, 1))
 	for seed := c.Seeds.From; seed <= c.Seeds.To; seed++ {
@@ -128,13 +129,13 @@
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			script := faults.Generate(seed, c.Peers, c.Acts, playSeconds)
+			script := faults.Generate(seed, c.Peers, c.Acts, runSeconds)
 			result, err := simmembership.Run(c.config(script))
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
-			if played := plays.add(seed, script, result); played%drawnProgressEvery == 0 {
-				c.Progress("%d of %d plays", played, c.Seeds.Count())
+			if done := runs.add(seed, script, result); done%drawnProgressEvery == 0 {
+				c.Progress("%d of %d runs", done, c.Seeds.Count())
 			}
 			return nil
 		})
@@ -142,45 +143,45 @@
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	for _, script := range plays.failed {
-		c.reportShortened(r, script)
+	for _, script := range runs.failed {
+		c.reportShrunk(r, script)
 	}
-	c.judgeDrawn(r)
+	c.checkDrawn(r)
 	return nil
 }
 
-// reportShortened reports the smallest script found that still breaks an invariant.
-func (c Membership) reportShortened(r *report.Report, script faults.Script) {
+// reportShrunk reports the smallest script found that still breaks an invariant.
+func (c Membership) reportShrunk(r *report.Report, script faults.Script) {
 	fails := func(script faults.Script) bool {
 		result, err := simmembership.Run(c.config(script))
 		return err == nil && membershipFailure(result, &script) != ""
 	}
-	short, plays := faults.Shrink(script, shortenPlays, fails)
-	text, _ := json.Marshal(short) // a script holds numbers and words only
-	r.Broke("seed %d shortened from %d to %d acts in %d plays: %s",
-		script.Seed, len(script.Faults), len(short.Faults), plays, text)
+	shrunk, runs := faults.Shrink(script, shrinkRuns, fails)
+	text, _ := json.Marshal(shrunk) // a script holds numbers and words only
+	r.Broke("seed %d: script shrunk from %d to %d faults in %d runs: %s",
+		script.Seed, len(script.Faults), len(shrunk.Faults), runs, text)
 }
 
-// judgeDrawn holds the share of false failures over all plays to its bound.
-func (c Membership) judgeDrawn(r *report.Report) {
-	share := float64(r.Counts["wrong"]) / float64(r.Counts["plays"]) / float64(c.Peers)
-	r.Figures["wrong_a_play_and_peer"] = share
+// checkDrawn compares the share of false failures over all runs with its bound.
+func (c Membership) checkDrawn(r *report.Report) {
+	share := float64(r.Counts[report.FalseFailures]) / float64(r.Counts[report.Runs]) / float64(c.Peers)
+	r.Figures[report.FalseFailuresPerPeer] = share
 	if share > maxFalseFailuresPerPeer {
-		r.Broke("%.4f wrong drops a play and peer, %.4f are borne", share, maxFalseFailuresPerPeer)
+		r.Broke("%.4f false failures per run and peer, at most %.4f are allowed", share, maxFalseFailuresPerPeer)
 	}
 	slices.Sort(r.Steps)
 	r.Steps = append(r.Steps, fmt.Sprintf("%d scripts of %d faults each among %d peers (%d hostile), %.0f s",
-		r.Counts["plays"], c.Acts, c.Peers, c.Hostile, playSeconds))
+		r.Counts[report.Runs], c.Acts, c.Peers, c.Hostile, runSeconds))
 }
 
-// playScript plays one script twice. Both plays have to come to the same, byte for byte.
-func (c Membership) playScript(r *report.Report) error {
+// runScript runs one script twice. Both runs must have the same trace, byte for byte.
+func (c Membership) runScript(r *report.Report) error {
 	script, err := faults.ReadFile(c.Script)
 	if err != nil {
 		return err
 	}
 	r.Seed = script.Seed
-	r.Size = "one script, played twice"
+	r.Size = report.SizeOneScript
 	result, err := simmembership.Run(c.config(script))
 	if err != nil {
 		return err
@@ -190,34 +191,34 @@
 		return err
 	}
 	if result.TraceHash != again.TraceHash {
-		r.Broke("two plays of one script came to different things")
+		r.Broke("two runs of one script differ")
 	}
 	if failure := membershipFailure(result, &script); failure != "" {
 		r.Broke("%s", failure)
 	}
-	r.Counts["wrong"] = int64(result.FalseFailures)
-	r.Counts["suspicions"] = int64(result.Suspicions)
-	r.Counts["resurrected"] = int64(result.Resurrected)
-	r.Figures["bytes_s_each"] = result.BytesPerSecond
+	r.Counts[report.FalseFailures] = int64(result.FalseFailures)
+	r.Counts[report.Suspicions] = int64(result.Suspicions)
+	r.Counts[report.Resurrected] = int64(result.Resurrected)
+	r.Figures[report.BytesPerPeer] = result.BytesPerSecond
 	r.Plots = append(r.Plots, datagramPlot(script, result))
 	r.Steps = append(r.Steps, result.FalseFailureDetails...)
 	return nil
 }
 
-// datagramPlot draws the rate of datagrams over a play, with the script's faults.
+// datagramPlot draws the rate of datagrams over a run, with the script's faults.
 func datagramPlot(script faults.Script, result *simmembership.Result) report.Plot {
-	line := report.Line{Name: "datagrams a second a peer"}
+	line := report.Line{Name: "datagrams per second and peer"}
 	for second, rate := range result.DatagramsPerSecond {
 		line.Add(float64(second), rate)
 	}
 	plot := report.Plot{
 		Title:  "Datagrams between peers",
 		XLabel: "s",
-		YLabel: "a second a peer",
+		YLabel: "datagrams per second and peer",
 		Lines:  []report.Line{line},
 	}
 	for _, fault := range script.Faults {
-		plot.Marks = append(plot.Marks, report.Mark{At: fault.Start, Name: string(fault.Kind)})
+		plot.Marks = append(plot.Marks, report.Mark{At: fault.Start, Name: fault.Kind.Label()})
 	}
 	return plot
 }
--- a/internal/lab/simulation/mutants_test.go
+++ b/internal/lab/simulation/mutants_test.go
@@ -12,12 +12,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// mutant is the code broken on purpose: texts of a file and what stands in their place, and the simulation that has to
-// find it.
+// mutant is the code broken on purpose: texts of a file and what stands in their place, and the arguments of the
+// simulation that has to find it.
 type mutant struct {
 	name, file string
 	edits      [][2]string
-	play       []string
+	arguments  []string
 }
 
 var mutants = []mutant{
@@ -29,30 +29,30 @@
 			"if m.state == Failed {\n\t\tc.setState(now, id, m.record.State, ReasonAcked)\n\t}\n" +
 				"\tif m.state == Unknown {\n\t\treturn //",
 		}},
-		play: []string{"--seeds", "1..20", "--acts", "8", "--peers", "20"},
+		arguments: []string{"--seeds", "1..20", "--acts", "8", "--peers", "20"},
 	},
 	{
-		name:  "one accusation is enough for a failure",
-		file:  "internal/membership/swim/suspicion.go",
-		edits: [][2]string{{"if c.config.PublishedSWIM && a.Dead {", "if a.Accuser != c.self {"}},
-		play:  []string{"--seeds", "1..20", "--acts", "3", "--peers", "20", "--hostile", "3"},
+		name:      "one accusation is enough for a failure",
+		file:      "internal/membership/swim/suspicion.go",
+		edits:     [][2]string{{"if c.config.PublishedSWIM && a.Dead {", "if a.Accuser != c.self {"}},
+		arguments: []string{"--seeds", "1..20", "--acts", "3", "--peers", "20", "--hostile", "3"},
 	},
 	{
-		name:  "a member that was stopped blames the others",
-		file:  "internal/membership/swim/core.go",
-		edits: [][2]string{{"if c.config.PublishedSWIM || late < pauseThreshold {", "if true {"}},
-		play:  []string{"--seeds", "1..40", "--acts", "8", "--peers", "20"},
+		name:      "a member that was stopped blames the others",
+		file:      "internal/membership/swim/core.go",
+		edits:     [][2]string{{"if c.config.PublishedSWIM || late < pauseThreshold {", "if true {"}},
+		arguments: []string{"--seeds", "1..40", "--acts", "8", "--peers", "20"},
 	},
 	{
-		name:  "nobody pings members that are not present",
-		file:  "internal/membership/swim/probe.go",
-		edits: [][2]string{{"if c.prober.count%absentPingEvery == 0 {", "if false {"}},
-		play:  []string{"--seeds", "1..20", "--acts", "8", "--peers", "20"},
+		name:      "nobody pings members that are not present",
+		file:      "internal/membership/swim/probe.go",
+		edits:     [][2]string{{"if c.prober.count%absentPingEvery == 0 {", "if false {"}},
+		arguments: []string{"--seeds", "1..20", "--acts", "8", "--peers", "20"},
 	},
 }
 
 // TestMutantsAreFound builds the program with each mutant laid over its file, and holds that the drawn scripts on
-// virtual time find it; without it the same plays hold.
+// virtual time find it; without it the same runs hold.
 func TestMutantsAreFound(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the program several times")
@@ -60,7 +60,7 @@
 	root, err := filepath.Abs("../../..")
 	require.NoError(t, err)
 	dir := t.TempDir()
-	unchanged := mutant{name: "none", play: []string{"--seeds", "1..20", "--acts", "8", "--peers", "20"}}
+	unchanged := mutant{name: "none", arguments: []string{"--seeds", "1..20", "--acts", "8", "--peers", "20"}}
 	for _, m := range append([]mutant{unchanged}, mutants...) {
 		overlay := map[string]map[string]string{"Replace": {}}
 		if m.file != "" {
@@ -84,7 +84,7 @@
 		build.Dir = root
 		out, err := build.CombinedOutput()
 		require.NoError(t, err, "%s: %s", m.name, out)
-		out, err = exec.Command(program, append([]string{"lab", "sim", "peers"}, m.play...)...).CombinedOutput()
+		out, err = exec.Command(program, append([]string{"lab", "sim", "peers"}, m.arguments...)...).CombinedOutput()
 		if m.file == "" {
 			assert.NoError(t, err, "%s", out)
 			continue
--- a/internal/lab/simulation/replication.go
+++ b/internal/lab/simulation/replication.go
@@ -11,7 +11,7 @@
 	simreplication "cairnfront/internal/sim/replication"
 )
 
-// replicationProgressEvery is the number of plays between two lines of progress.
+// replicationProgressEvery is the number of runs between two lines of progress.
 const replicationProgressEvery = 20
 
 // Replication simulates the cores of replication with faulty disks.
@@ -19,23 +19,25 @@
 	Seeds           Seeds
 	Routers         int
 	Shards          int
-	DurationSeconds float64 // of one play
-	Script          string  // file of one script to be played instead of drawn ones
+	DurationSeconds float64 // of one run
+	Script          string  // file of one script to run instead of drawn ones
 	Progress        Progress
 }
 
-// replicationTotals are the figures of all plays that are not sums.
+// replicationTotals are the figures of all runs that are not sums.
 type replicationTotals struct {
 	latencySeconds           []float64
 	longestLeaderlessSeconds float64
 }
 
-// Run plays the seeds one after the other, as raft draws its election timeouts from a source that the process has once.
+// Run simulates the seeds one after the other, as raft draws its election timeouts from a source that the process
+// has once.
 func (c Replication) Run(ctx context.Context) (*report.Report, error) {
 	progress := c.Progress.orSilent()
-	r := report.New("sim-ledger", c.Seeds.From, c.Seeds.String())
+	r := report.New(report.ScenarioReplicationSimulation, c.Seeds.From, c.Seeds.String())
+	r.Name = "replication simulation"
 	r.Simulated = true
-	for _, name := range []string{"promises_lost", "second_grants", "not_linear"} {
+	for _, name := range []string{report.ReservationsLost, report.ConflictingGrants, report.NotLinearizable} {
 		r.Counts[name] = 0
 	}
 	var totals replicationTotals
@@ -43,19 +45,19 @@
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
-		if err := c.play(seed, r, &totals); err != nil {
+		if err := c.runSeed(seed, r, &totals); err != nil {
 			return nil, err
 		}
 		if seed%replicationProgressEvery == 0 {
-			progress("%d of %d plays", seed-c.Seeds.From+1, c.Seeds.Count())
+			progress("%d of %d runs", seed-c.Seeds.From+1, c.Seeds.Count())
 		}
 	}
 	c.finish(r, totals)
 	return r, nil
 }
 
-// play runs one seed and adds its result to the report.
-func (c Replication) play(seed uint64, r *report.Report, totals *replicationTotals) error {
+// runSeed runs one seed and adds its result to the report.
+func (c Replication) runSeed(seed uint64, r *report.Report, totals *replicationTotals) error {
 	script := simreplication.GenerateScript(seed, c.Routers, c.DurationSeconds)
 	if c.Script != "" {
 		var err error
@@ -77,50 +79,50 @@
 	return nil
 }
 
-// countReplication adds a play's counts.
+// countReplication adds the counts of a run.
 func countReplication(r *report.Report, result *simreplication.Result) {
-	r.Counts["plays"]++
-	r.Counts["claims"] += int64(result.Reservations)
-	r.Counts["reads"] += int64(result.Reads)
-	r.Counts["answered"] += int64(result.Answered)
-	r.Counts["machines_lost_with_disk"] += int64(result.MachinesLost)
-	r.Counts["power_cuts"] += int64(result.PowerCuts)
-	r.Counts["changes_of_holders"] += int64(result.ConfChanges)
-	r.Counts["promises_lost"] += int64(result.ReservationsLost)
-	r.Counts["second_grants"] += int64(result.ConflictingGrants)
+	r.Counts[report.Runs]++
+	r.Counts[report.ReservationRequests] += int64(result.Reservations)
+	r.Counts[report.Reads] += int64(result.Reads)
+	r.Counts[report.Answered] += int64(result.Answered)
+	r.Counts[report.MachinesLost] += int64(result.MachinesLost)
+	r.Counts[report.PowerLosses] += int64(result.PowerCuts)
+	r.Counts[report.ConfChanges] += int64(result.ConfChanges)
+	r.Counts[report.ReservationsLost] += int64(result.ReservationsLost)
+	r.Counts[report.ConflictingGrants] += int64(result.ConflictingGrants)
 	if result.Failure == "" && !result.Linearizable {
-		r.Counts["not_linear"]++
+		r.Counts[report.NotLinearizable]++
 	}
 }
 
-// replicationFailure says which invariant a play broke, and "" where all held.
+// replicationFailure says which invariant a run broke, and "" where all held.
 func replicationFailure(result *simreplication.Result) string {
 	switch {
 	case result.Failure != "":
 		return result.Failure
 	case !result.Linearizable:
-		return "what clients were told is not linearizable"
+		return "the responses to clients are not linearizable"
 	case result.ReservationsLost > 0:
-		return fmt.Sprintf("%d promises lost", result.ReservationsLost)
+		return fmt.Sprintf("%d reservations lost", result.ReservationsLost)
 	case result.ConflictingGrants > 0:
 		return fmt.Sprintf("%d keys granted to two groups", result.ConflictingGrants)
 	}
 	return ""
 }
 
-// finish works out the figures over all plays and the verdict.
+// finish works out the figures over all runs and the verdict.
 func (c Replication) finish(r *report.Report, totals replicationTotals) {
 	sort.Float64s(totals.latencySeconds)
 	if len(totals.latencySeconds) > 0 {
-		r.Figures["claim_p50_s"] = median(totals.latencySeconds)
-		r.Figures["claim_p99_s"] = quantile(totals.latencySeconds, 0.99)
+		r.Figures[report.ReservationP50] = median(totals.latencySeconds)
+		r.Figures[report.ReservationP99] = quantile(totals.latencySeconds, 0.99)
 	}
-	r.Figures["leaderless_most_s"] = totals.longestLeaderlessSeconds
-	asked := r.Counts["claims"] + r.Counts["reads"]
-	r.Figures["answered_share"] = float64(r.Counts["answered"]) / max(float64(asked), 1)
-	r.Steps = append(r.Steps, fmt.Sprintf("%d plays of %.0f s: %d routers in three zones, "+
-		"%d slices of three holders on faulty disks; "+
-		"machines lost with their disks one at a time, losses of power, stops, cuts, losses on top",
-		r.Counts["plays"], c.DurationSeconds, c.Routers, c.Shards))
+	r.Figures[report.LongestLeaderless] = totals.longestLeaderlessSeconds
+	asked := r.Counts[report.ReservationRequests] + r.Counts[report.Reads]
+	r.Figures[report.AnsweredShare] = float64(r.Counts[report.Answered]) / max(float64(asked), 1)
+	r.Steps = append(r.Steps, fmt.Sprintf("%d runs of %.0f s: %d routers in three zones, "+
+		"%d shards of three replicas on faulty disks; machines lost with their disks one at a time, "+
+		"and losses of power, pauses, partitions and datagram loss",
+		r.Counts[report.Runs], c.DurationSeconds, c.Routers, c.Shards))
 	r.Held = len(r.Broken) == 0
 }
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -1,5 +1,5 @@
-// Package simulation runs the cores of membership and replication on virtual time, over many seeds, and reports what
-// came of it. It backs the commands 'lab sim peers' and 'lab sim ledger'. The same seeds give the same figures.
+// Package simulation runs the cores of membership and replication on virtual time, over many seeds, and reports the
+// results. It backs the commands 'lab sim membership' and 'lab sim replication'. The same seeds give the same figures.
 package simulation
 
 import "fmt"
@@ -15,7 +15,7 @@
 
 func (s Seeds) String() string { return fmt.Sprintf("%d seeds", s.Count()) }
 
-// Progress is told now and then how far a simulation is, in the form of fmt.Printf.
+// Progress is called from time to time with how far a simulation is, in the form of fmt.Printf.
 type Progress func(format string, args ...any)
 
 // orSilent returns a progress that may be called where none is set.
--- a/internal/lab/standin.go
+++ b/internal/lab/standin.go
@@ -11,9 +11,6 @@
 	"time"
 
 	"cairnfront/internal/cacheproto"
-	"cairnfront/internal/diskcache/eviction"
-	"cairnfront/internal/edgecache"
-	"cairnfront/routing"
 )
 
 // addressMode is how an address of a stand-in behaves.
@@ -46,8 +43,8 @@
 	delay time.Duration // until an answer
 	body  func(cacheproto.Command) []byte
 	// failAttempt says whether the nth attempt of a request here fails; nil for never.
-	failAttempt     func(command cacheproto.Command, n int) bool
-	hungConnections atomic.Int64 // connections that came while their address was unresponsive
+	failAttempt             func(command cacheproto.Command, n int) bool
+	unresponsiveConnections atomic.Int64 // connections that came while their address was unresponsive
 
 	mu        sync.Mutex // guards what follows, and the addresses' mode, listener and connections
 	addresses []*standInAddress
@@ -148,39 +145,9 @@
 	})
 }
 
-// standInKinds are the kinds of the stand-ins that take the place of a whole zone's endpoints.
-var standInKinds = []int{kindOrigin, kindParent, kindEdge, kindEdge}
-
-// faultyStandIn is the index of the first edge cache in standInKinds.
-const faultyStandIn = 2
-
-// addStandIn starts a stand-in and lists it as ready. Body answers its commands.
-func (cluster *testCluster) addStandIn(kind int, body func(cacheproto.Command) []byte) (*endpointStandIn, error) {
-	id := endpointID(len(cluster.endpoints) + 1)
-	standIn, err := newEndpointStandIn(id, cluster.options.Directory, time.Millisecond)
-	if err != nil {
-		return nil, err
-	}
-	standIn.body = body
-	last := standIn.addresses[len(standIn.addresses)-1] // the discovery server lists IPv4 addresses only
-	endpoint := &clusterEndpoint{
-		id:   id,
-		kind: kind,
-		zone: zoneOf(kind),
-		addr: last.addr,
-	}
-	cluster.endpoints = append(cluster.endpoints, endpoint)
-	cluster.publishStatus(endpoint, routing.Ready)
-	return standIn, nil
-}
-
-// syntheticBody is the origin's first version of what a command asks for.
-func (cluster *testCluster) syntheticBody(command cacheproto.Command) []byte {
-	return edgecache.SyntheticBody(
-		cluster.content.Seed,
-		eviction.Key{Object: command.ObjectID, Chunk: command.PartNumber},
-		0,
-		cluster.content.MinBytes,
-		cluster.content.MaxBytes,
-	)
+// recordedAttempts are the attempts that came so far. Those that are open change when they end.
+func (standIn *endpointStandIn) recordedAttempts() []*attemptRecord {
+	standIn.mu.Lock()
+	defer standIn.mu.Unlock()
+	return slices.Clone(standIn.attempts)
 }
--- a/internal/lab/standin_conn.go
+++ b/internal/lab/standin_conn.go
@@ -60,7 +60,7 @@
 	defer standIn.mu.Unlock()
 	c.address.conns[c.conn] = true
 	if c.address.mode == unresponsive {
-		standIn.hungConnections.Add(1)
+		standIn.unresponsiveConnections.Add(1)
 	}
 }
 
@@ -107,7 +107,7 @@
 	return true
 }
 
-// beginAttempt records an attempt that has come whole.
+// beginAttempt records an attempt that has been received completely.
 func (c *standInConn) beginAttempt(command cacheproto.Command, mode addressMode) {
 	attempt := &attemptRecord{
 		id:        command.ID,
--- a/internal/lab/verify.go
+++ b/internal/lab/verify.go
@@ -4,6 +4,12 @@
 	"cairnfront/internal/lab/report"
 )
 
+// Times that the rules allow, in seconds.
+const (
+	drainGraceSeconds = 1.0 // after a drain was delivered, for which requests may still come
+	purgeGraceSeconds = 0.5 // after a purge was delivered, for which older responses may still come
+)
+
 // evidence is what clients, the origin and the discovery server recorded of a run. The checks read nothing else: in
 // particular no counter of the router.
 type evidence struct {
@@ -20,62 +26,41 @@
 	deliveredAt float64
 }
 
-// concerns says whether a purge covers an object.
-func (p *deliveredPurge) concerns(object uint64, groups int) bool {
-	if p.wholeGroup {
-		return p.group == object%uint64(groups)
-	}
-	return p.object == object
-}
-
-// verify checks the rules from what clients, origin and the endpoints in this process recorded.
-func (cluster *testCluster) verify(r *report.Report, groups []*clientGroup) {
-	cluster.responses.mu.Lock()
-	defer cluster.responses.mu.Unlock()
-	cluster.mu.Lock()
-	defer cluster.mu.Unlock()
-	e := cluster.collectEvidence(groups)
+// verify checks the rules that hold in every scenario.
+func (e *evidence) verify(r *report.Report) {
 	countOutcomes(r, e)
 	answeredInTime(r, e)
-	bytesWhole(r, e)
-	purgesKept(r, e)
+	bodiesCorrect(r, e)
+	purgesRespected(r, e)
 	effectsRunOnce(r, e)
 	answersOnlyOnce(r, e)
 }
 
-// collectEvidence gathers the records of a run. The caller holds the locks of the cluster and of its response log.
-func (cluster *testCluster) collectEvidence(groups []*clientGroup) *evidence {
-	e := &evidence{
-		responses:  cluster.responses.all,
-		executions: cluster.executions,
-		groups:     cluster.content.Groups,
-	}
-	for _, p := range cluster.purges {
-		e.purges = append(e.purges, deliveredPurge{p, cluster.discovery.deliveryTime(p.eventIndex)})
-	}
-	for _, group := range groups {
-		e.secondResponses += group.secondResponses
+// concerns says whether a purge covers an object.
+func (p *deliveredPurge) concerns(object uint64, groups int) bool {
+	if p.wholeGroup {
+		return p.group == object%uint64(groups)
 	}
-	return e
+	return p.object == object
 }
 
 // countOutcomes counts how the requests ended. A request that was not answered in time counts as none of the outcomes.
 func countOutcomes(r *report.Report, e *evidence) {
 	for i := range e.responses {
 		response := &e.responses[i]
-		r.Counts["txns"]++
+		r.Counts[report.Requests]++
 		switch {
 		case !response.inTime():
 		case response.code == codeRejected:
-			r.Counts["rejected"]++
+			r.Counts[report.Rejected]++
 		case response.code == codeAborted:
-			r.Counts["aborted"]++
+			r.Counts[report.Aborted]++
 		default:
-			r.Counts["completed"]++
+			r.Counts[report.Completed]++
 		}
 	}
-	r.Counts["purges"] += int64(len(e.purges))
-	r.Counts["orders_run"] += int64(len(e.executions))
+	r.Counts[report.Purges] += int64(len(e.purges))
+	r.Counts[report.OrdersExecuted] += int64(len(e.executions))
 }
 
 // answeredInTime checks that each request has an answer within its deadline.
@@ -83,29 +68,34 @@
 	for i := range e.responses {
 		if response := &e.responses[i]; !response.inTime() {
 			r.Rules.Lost++
-			r.Broke("txn %s of %s sent at %.3f has no answer in its time", response.id, response.class, response.sentAt)
+			r.Broke(
+				"request %s of class %s sent at %.3f has no response before its deadline",
+				response.id,
+				response.class,
+				response.sentAt,
+			)
 		}
 	}
 }
 
-// bytesWhole checks that each body in a completed answer is the origin's, byte for byte.
-func bytesWhole(r *report.Report, e *evidence) {
-	r.Counts["wrong_bytes"] += 0 // the report has the key also where nothing was wrong
+// bodiesCorrect checks that each body in a completed answer is the origin's, byte for byte.
+func bodiesCorrect(r *report.Report, e *evidence) {
+	r.Counts[report.ChunksCorrupt] += 0 // the report has the key also where nothing was wrong
 	for i := range e.responses {
 		response := &e.responses[i]
 		if !response.deliversContent() {
 			continue
 		}
-		r.Counts["parts_checked"]++
+		r.Counts[report.ChunksChecked]++
 		if response.corrupt {
-			r.Counts["wrong_bytes"]++
-			r.Broke("txn %s: object %d part %d has wrong bytes", response.id, response.object, response.part)
+			r.Counts[report.ChunksCorrupt]++
+			r.Broke("request %s: object %d chunk %d has wrong bytes", response.id, response.object, response.part)
 		}
 	}
 }
 
-// purgesKept checks that no answer to a request sent after a purge is older than that purge.
-func purgesKept(r *report.Report, e *evidence) {
+// purgesRespected checks that no answer to a request sent after a purge is older than that purge.
+func purgesRespected(r *report.Report, e *evidence) {
 	for i := range e.responses {
 		response := &e.responses[i]
 		if !response.deliversContent() || response.corrupt {
@@ -117,7 +107,7 @@
 		}
 		r.Rules.Purge++
 		r.Broke(
-			"txn %s sent %.3f s after a purge was told: object %d has version %d, purged by %d",
+			"request %s sent %.3f s after a purge was delivered: object %d has version %d, at least %d is required",
 			response.id,
 			response.sentAt-purge.deliveredAt,
 			response.object,
@@ -125,7 +115,7 @@
 			purge.version,
 		)
 	}
-	r.Counts["stale_after_purge"] = r.Rules.Purge
+	r.Counts[report.StaleAfterPurge] = r.Rules.Purge
 }
 
 // bindingPurge is the purge that sets the lowest version that a response may have, or nil where none does. A purge
@@ -149,7 +139,7 @@
 	for key, n := range e.executions {
 		if n > 1 {
 			r.Rules.SecondEffects++
-			r.Broke("the order with key %s ran %d times", key, n)
+			r.Broke("request with idempotency key %s ran %d times", key, n)
 		}
 	}
 }
@@ -158,3 +148,19 @@
 func answersOnlyOnce(r *report.Report, e *evidence) {
 	r.Rules.SecondAnswers += e.secondResponses
 }
+
+// drainRespected checks that no request came to a drained endpoint once its drain, delivered at a time in Unix s, had
+// been known for the grace period. The rule is about when a request was sent; one that comes later than the period and
+// the protocol's margin was sent too late.
+func drainRespected(r *report.Report, requests []requestRecord, drained string, deliveredAt float64) {
+	for _, request := range requests {
+		r.Counts[report.AttemptsSeen]++
+		if request.endpoint != drained {
+			continue
+		}
+		if request.at > deliveredAt+drainGraceSeconds+deadlineMarginSeconds {
+			r.Rules.Drain++
+			r.Broke("edge cache %s got a request %.3f s after its drain was delivered", drained, request.at-deliveredAt)
+		}
+	}
+}
--- a/internal/lab/fleet_log.go
+++ b/internal/lab/verify_membership_log.go
@@ -25,27 +25,22 @@
 	state string
 }
 
-// readLogs reads from the routers' logs what they knew of each other, and when.
-func (fleet *routerFleet) readLogs() error {
-	peers := map[string]int{}
-	for i, name := range fleet.names {
-		peers[name] = i
-	}
-	for _, router := range fleet.routers {
-		if err := router.readLog(peers, fleet.scriptStart); err != nil {
-			return fmt.Errorf("read the log of %s: %w", router.name, err)
-		}
-	}
-	return nil
+// routerLog is what a router's log says that it knew of its peers, and when.
+type routerLog struct {
+	name            string
+	index           int // of the router among the script's processes
+	peerEvents      []peerEvent
+	partitionEvents []partitionEvent
 }
 
-// readLog reads a router's log. Peers are the indices by name.
-func (router *fleetRouter) readLog(peers map[string]int, scriptStart time.Time) error {
-	file, err := os.Open(router.log.Name())
+// readRouterLog reads the log of a router. Peers are the indices by name.
+func readRouterLog(path, name string, index int, peers map[string]int, scriptStart time.Time) (*routerLog, error) {
+	file, err := os.Open(path)
 	if err != nil {
-		return err
+		return nil, fmt.Errorf("read the log of %s: %w", name, err)
 	}
 	defer func() { _ = file.Close() }()
+	log := &routerLog{name: name, index: index}
 	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, maxLogLineBytes)
 	for lines.Scan() {
@@ -54,22 +49,22 @@
 		if err != nil {
 			continue // not a line of the log, for example of a stack trace
 		}
-		router.addLogLine(fields, at.Sub(scriptStart).Seconds(), peers)
+		log.addLogLine(fields, at.Sub(scriptStart).Seconds(), peers)
 	}
-	return nil
+	return log, nil
 }
 
-// addLogLine keeps what a line says of a peer, of the partition state or of a panic.
-func (router *fleetRouter) addLogLine(fields map[string]string, at float64, peers map[string]int) {
+// addLogLine records what a line says of a peer, of the partition state or of a panic.
+func (log *routerLog) addLogLine(fields map[string]string, at float64, peers map[string]int) {
 	switch fields["msg"] {
 	case "peer":
 		event := peerEvent{at: at, peer: peers[fields["peer"]], state: fields["code"]}
 		_, _ = fmt.Sscan(fields["life"], &event.incarnation)
-		router.peerEvents = append(router.peerEvents, event)
+		log.peerEvents = append(log.peerEvents, event)
 	case "standing":
-		router.partitionEvents = append(router.partitionEvents, partitionEvent{at, fields["code"]})
+		log.partitionEvents = append(log.partitionEvents, partitionEvent{at, fields["code"]})
 	case "panic":
-		router.peerEvents = append(router.peerEvents, peerEvent{at: at, state: statePanic})
+		log.peerEvents = append(log.peerEvents, peerEvent{at: at, state: statePanic})
 	}
 }
 
@@ -103,9 +98,9 @@
 }
 
 // peerStateAt is the state that a peer had to a router at a time of the script.
-func (router *fleetRouter) peerStateAt(peer int, at float64) string {
+func (log *routerLog) peerStateAt(peer int, at float64) string {
 	state := stateUnknown
-	for _, event := range router.peerEvents {
+	for _, event := range log.peerEvents {
 		if event.at > at {
 			break
 		}
@@ -117,9 +112,9 @@
 }
 
 // partitionStateAt is a router's partition state at a time of the script.
-func (router *fleetRouter) partitionStateAt(at float64) string {
+func (log *routerLog) partitionStateAt(at float64) string {
 	state := partitionAlone
-	for _, event := range router.partitionEvents {
+	for _, event := range log.partitionEvents {
 		if event.at > at {
 			break
 		}
--- /dev/null
+++ b/internal/lab/verify_membership_plots.go
@@ -0,0 +1,55 @@
+package lab
+
+import (
+	"cairnfront/internal/lab/report"
+)
+
+// plotStepSeconds is the time between two points of the plot of the peers seen.
+const plotStepSeconds = 0.5
+
+// addPlots adds the plots of how many peers the routers saw and of the rate of datagrams between them, with marks where
+// faults began.
+func (e *membershipEvidence) addPlots(r *report.Report, rate report.Line, marks []report.Mark) {
+	fewest := report.Line{Name: "minimum over the routers"}
+	most := report.Line{Name: "maximum over the routers"}
+	for at := 0.0; at < e.script.Duration; at += plotStepSeconds {
+		low, high := e.peersSeenAt(at)
+		fewest.Add(at, float64(low))
+		most.Add(at, float64(high))
+	}
+	r.Plots = append(
+		r.Plots,
+		report.Plot{
+			Title:  "Routers that each router sees as present",
+			XLabel: "s",
+			YLabel: "routers",
+			Lines:  []report.Line{fewest, most},
+			Marks:  marks,
+		},
+		report.Plot{
+			Title:  "Datagrams between peers",
+			XLabel: "s",
+			YLabel: "datagrams per second and router",
+			Lines:  []report.Line{rate},
+			Marks:  marks,
+		},
+	)
+}
+
+// peersSeenAt is the fewest and the most routers that a running router saw at a time, itself among them.
+func (e *membershipEvidence) peersSeenAt(at float64) (fewest, most int) {
+	fewest = len(e.routers)
+	for _, router := range e.routers {
+		if !e.script.IsRunning(router.index, at) {
+			continue
+		}
+		seen := 1
+		for peer := range len(e.routers) {
+			if peer != router.index && isPresent(router.peerStateAt(peer, at)) {
+				seen++
+			}
+		}
+		fewest, most = min(fewest, seen), max(most, seen)
+	}
+	return fewest, most
+}
--- /dev/null
+++ b/internal/lab/verify_membership_test.go
@@ -0,0 +1,140 @@
+package lab
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"cairnfront/internal/cacheproto"
+	"cairnfront/internal/lab/report"
+	"cairnfront/internal/sim/faults"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// loggedRouters is the number of routers in the tests of the checks.
+const loggedRouters = 20
+
+// verifiedRun is the report on a run with twenty routers' logs as they are when all goes well under one kill and one
+// cut, changed by a test.
+func verifiedRun(
+	t *testing.T, change func(say func(router int, at float64, text string), e *membershipEvidence),
+) *report.Report {
+	t.Helper()
+	dir := t.TempDir()
+	e := &membershipEvidence{
+		marginSeconds: 5,
+		scriptStart:   time.Now().Truncate(time.Millisecond),
+		script: faults.Script{
+			Processes: loggedRouters, Duration: 30,
+			Faults: []faults.Fault{{
+				Kind:  faults.Kill,
+				Start: 1,
+				End:   8,
+				From:  []int{3},
+			}, {
+				Kind:     faults.Cut,
+				Start:    15,
+				End:      20,
+				From:     []int{0},
+				BothWays: true,
+			}},
+		},
+	}
+	logs := make([]string, loggedRouters)
+	say := func(router int, at float64, text string) {
+		logs[router] += fmt.Sprintf(
+			"time=%s level=INFO %s\n",
+			e.scriptStart.Add(time.Duration(at*float64(time.Second))).Format(time.RFC3339Nano),
+			text,
+		)
+	}
+	for i := range loggedRouters {
+		e.names = append(e.names, fmt.Sprintf("n%d", i+1))
+	}
+	for i := range loggedRouters {
+		for o := range loggedRouters {
+			if o != i {
+				const alive = "msg=peer code=alive peer=%s from=unknown why=\"its newer claim\" life=5 beat=0"
+				say(i, -2, fmt.Sprintf(alive, e.names[o]))
+			}
+		}
+		say(i, -1, "msg=standing code=whole from=alone epoch=2")
+		if i != 3 {
+			say(i, 3, "msg=peer code=failed peer=n4 from=suspect why=x life=5 beat=0 took_s=1.2")
+			say(i, 8.5, "msg=peer code=alive peer=n4 from=failed why=x life=6 beat=0")
+		}
+	}
+	const edgeCache = "s-00000001"
+	e.edgeCaches = []string{edgeCache}
+	for at := 0.5; at < 30; at++ {
+		request := requestRecord{unixSeconds(e.scriptStart) + at, edgeCache, cacheproto.Command{}}
+		e.requests = append(e.requests, request)
+	}
+	change(say, e)
+	peers := map[string]int{}
+	for i, name := range e.names {
+		peers[name] = i
+	}
+	for i, text := range logs {
+		path := filepath.Join(dir, e.names[i]+".log")
+		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+		log, err := readRouterLog(path, e.names[i], i, peers, e.scriptStart)
+		require.NoError(t, err)
+		e.routers = append(e.routers, log)
+	}
+	r := &report.Report{Counts: map[string]int64{}, Figures: map[string]float64{}}
+	e.verify(r)
+	return r
+}
+
+// TestMembershipChecksSeeWhatIsBroken: each check of the scenario is shown to fail where its rule is broken, and to
+// hold where it is not.
+func TestMembershipChecksSeeWhatIsBroken(t *testing.T) {
+	type say = func(int, float64, string)
+	for name, c := range map[string]struct {
+		change func(say, *membershipEvidence)
+		want   string
+	}{
+		"all well": {func(say, *membershipEvidence) {}, ""},
+		"a healthy peer declared failed": {func(s say, _ *membershipEvidence) {
+			s(5, 12, "msg=peer code=failed peer=n8 from=suspect life=5 beat=0")
+		}, "n6 declared n8 failed at 12.00 s, which ran"},
+		"a failure that the cut explains": {func(s say, _ *membershipEvidence) {
+			s(5, 17, "msg=peer code=failed peer=n1 from=suspect life=5 beat=0")
+			s(5, 20.5, "msg=peer code=alive peer=n1 from=failed life=5 beat=1")
+		}, ""},
+		"never detected": {func(_ say, e *membershipEvidence) {
+			e.script.Faults[0].From = []int{9}
+		}, "n1 never declared n10 failed, which was killed at 1.0 s"},
+		"a forgery accepted": {func(s say, _ *membershipEvidence) {
+			s(2, 12, fmt.Sprintf("msg=peer code=alive peer=n8 from=suspect life=%d beat=0", uint64(forgedIncarnation)))
+		}, "n3 accepted a forged incarnation of n8"},
+		"no agreement after a cut": {func(s say, _ *membershipEvidence) {
+			s(5, 17, "msg=peer code=failed peer=n1 from=suspect life=5 beat=0")
+		}, "not all routers agreed"},
+		"detected late": {func(_ say, e *membershipEvidence) {
+			e.script.Faults[0].Start = -6
+		}, "9.0 s until all routers had detected a kill"},
+		"agreement late after a cut": {func(s say, _ *membershipEvidence) {
+			s(5, 17, "msg=peer code=failed peer=n1 from=suspect life=5 beat=0")
+			s(5, 28.5, "msg=peer code=alive peer=n1 from=failed life=5 beat=1")
+		}, "s after a cut until all routers agreed"},
+		"a panic": {func(s say, _ *membershipEvidence) { s(5, 17, "msg=panic where=peers") }, "a panic"},
+		"a healthy edge cache not used": {func(_ say, e *membershipEvidence) {
+			e.requests = e.requests[:12]
+		}, "edge cache s-00000001 got no request from 12.5 to 15.0 s"},
+	} {
+		r := verifiedRun(t, c.change)
+		if c.want == "" {
+			assert.Empty(t, r.Broken, name)
+		} else {
+			assert.Contains(t, fmt.Sprint(r.Broken), c.want, name)
+		}
+	}
+	r := verifiedRun(t, func(say, *membershipEvidence) {})
+	assert.InDelta(t, 3-1, r.Figures[report.DetectionP50], 0.01)
+}
--- a/internal/lab/verify_test.go
+++ b/internal/lab/verify_test.go
@@ -13,9 +13,9 @@
 )
 
 // verifiedCluster is the report on a test cluster in which one request of object 5 got a part of a version, some time
-// after a purge to version 2 was told.
+// after a purge to version 2 was delivered.
 func verifiedCluster(t *testing.T, change func(*testCluster, *clientResponse)) *report.Report {
-	cluster, err := newTestCluster(Options{Seed: 3}, 1)
+	cluster, err := newTestCluster(clusterOptions{Seed: 3}, 1)
 	require.NoError(t, err)
 	defer cluster.close(nil)
 	cluster.purge(4, false)
@@ -76,6 +76,6 @@
 	} {
 		rep := verifiedCluster(t, c.change)
 		assert.Equal(t, c.want, rep.Rules, name)
-		assert.Equal(t, c.wrong, rep.Counts["wrong_bytes"], name)
+		assert.Equal(t, c.wrong, rep.Counts[report.ChunksCorrupt], name)
 	}
 }
--- a/internal/lab/videoday.go
+++ b/internal/lab/video_day.go
@@ -9,11 +9,10 @@
 )
 
 // A video-like day: views of objects by Zipf's law, chunks one after another, many views that end early, objects that
-// are new and soon forgotten, and a night with a publication that many want.
+// are new and soon unpopular, and a night with a publication that many request.
 const (
 	dayObjects          = 20000
-	zipfExponent        = 0.8 // as request logs of videos show, under 1
-	minChunks           = 11  // of an object, as the users' objects have
+	minChunks           = 11 // of an object, as the users' objects have
 	maxChunks           = 19
 	chunkBytes          = 1 << 21 // as in the paper
 	continueProbability = 0.88    // that a view goes on to the next chunk
@@ -103,15 +102,15 @@
 	return minChunks + int(object*multiplier>>7%uint64(maxChunks-minChunks+1))
 }
 
-// admitOutcome is what a policy reaches over the measured part of the day.
-type admitOutcome struct {
+// admissionOutcome is what a policy reaches over the measured part of the day.
+type admissionOutcome struct {
 	efficiency float64 // the paper's Eq. 2
 	filled     float64 // share of the bytes
 	passed     float64 // share of the bytes
 }
 
-// playDay plays the day for a policy. Alpha is the cost of a fill over that of a pass.
-func playDay(day []view, policy eviction.Policy, alpha float64) admitOutcome {
+// rereplayDay runs the requests of the day through a policy. Alpha is the cost of a fill over that of a pass.
+func replayDay(day []view, policy eviction.Policy, alpha float64) admissionOutcome {
 	var requested, filled, passed float64
 	for _, view := range day {
 		choice := policy.Request(view.at, view.key, view.size)
@@ -128,7 +127,7 @@
 		}
 	}
 	fillCost, passCost := 2*alpha/(alpha+1), 2/(alpha+1)
-	return admitOutcome{
+	return admissionOutcome{
 		efficiency: 1 - filled/requested*fillCost - passed/requested*passCost,
 		filled:     filled / requested,
 		passed:     passed / requested,
--- a/internal/lab/wait.go
+++ b/internal/lab/wait.go
@@ -3,16 +3,13 @@
 import (
 	"context"
 	"fmt"
-	"os"
 	"time"
 
 	"cairnfront/internal/clock"
 )
 
-const (
-	conditionPollInterval = 5 * time.Millisecond
-	logTailBytes          = 600
-)
+// conditionPollInterval is the time between two checks of a condition.
+const conditionPollInterval = 5 * time.Millisecond
 
 // waitUntil waits until a condition holds, for a time at the most.
 func waitUntil(limit time.Duration, condition func() bool) error {
@@ -21,17 +18,11 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("waited %v", limit)
+			return fmt.Errorf("no success within %v", limit)
 		}
 	}
 }
 
-// logTail is the end of a log.
-func logTail(path string) string {
-	text, _ := os.ReadFile(path)
-	return string(text[max(len(text)-logTailBytes, 0):])
-}
-
 // sleep waits for a duration, or returns the context's error when that ends before.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
--- a/internal/sim/faults/expectation.go
+++ b/internal/sim/faults/expectation.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// lossLikeCut is the share of undelivered datagrams from which a link cannot be told from a cut one for some seconds.
+// lossLikeCut is the share of undelivered datagrams from which a link looks like a cut one for some seconds.
 const lossLikeCut = 0.4
 
 // IsRunning reports whether a process exists and is not stopped at a time.
@@ -48,7 +48,7 @@
 	return s.LinkAt(a, b, time).Cut || s.LinkAt(b, a, time).Cut
 }
 
-// ExplainsUnreachable reports whether the script gave an observer a reason to hold a peer for failed. At the time, or
+// ExplainsUnreachable reports whether the script gave an observer a reason to declare a peer failed. At the time, or
 // up to grace seconds before, the peer was stopped or killed, or a link between them was cut or lost as much as a cut
 // one. That the observer itself was stopped is no reason.
 func (s *Script) ExplainsUnreachable(observer, peer int, time, grace float64) bool {
@@ -72,9 +72,9 @@
 		return fault.AffectsLink(observer, peer) || fault.AffectsLink(peer, observer)
 	case Loss, Corrupt:
 		lossTime := min(time, max(fault.Start, time-grace))
-		there := s.LinkAt(observer, peer, lossTime).undelivered()
-		back := s.LinkAt(peer, observer, lossTime).undelivered()
-		return max(there, back) > lossLikeCut
+		forward := s.LinkAt(observer, peer, lossTime).undelivered()
+		backward := s.LinkAt(peer, observer, lossTime).undelivered()
+		return max(forward, backward) > lossLikeCut
 	default:
 		return false
 	}
--- a/internal/sim/faults/golden_test.go
+++ b/internal/sim/faults/golden_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenScripts prints generated scripts, what becomes of datagrams under them, and the scripts that they shrink to.
+// goldenScripts prints generated scripts, how datagrams are delivered under them, and the scripts that they shrink to.
 func goldenScripts(t *testing.T) string {
 	var out strings.Builder
 	for seed := range uint64(5) {
--- a/internal/sim/faults/link.go
+++ b/internal/sim/faults/link.go
@@ -28,7 +28,7 @@
 	return link
 }
 
-// add puts a fault on top of those that the link has.
+// add combines a fault with those that the link has.
 func (l *Link) add(fault *Fault) {
 	switch fault.Kind {
 	case Cut:
@@ -47,7 +47,7 @@
 	}
 }
 
-// Deliver draws what becomes of one datagram: the delay in seconds of each copy that arrives, and whether the copies
+// Deliver draws how one datagram is delivered: the delay in seconds of each copy that arrives, and whether the copies
 // are corrupt.
 func (l Link) Deliver(rnd *rand.Rand) (delays []float64, corrupt bool) {
 	if l.Cut || draw(rnd, l.Loss) {
@@ -69,5 +69,5 @@
 	return probability > 0 && rnd.Float64() < probability
 }
 
-// undelivered is the share of the datagrams that do not arrive whole.
+// undelivered is the share of the datagrams that are lost or corrupt.
 func (l Link) undelivered() float64 { return 1 - (1-l.Loss)*(1-l.Corrupt) }
--- a/internal/sim/faults/script.go
+++ b/internal/sim/faults/script.go
@@ -1,4 +1,4 @@
-// Package faults is the scripts of faults that tests inject into processes and the links between them.
+// Package faults is the scripts of faults that the laboratory injects into processes and the links between them.
 //
 // A script is a value: it is generated from a seed, printed in a report, read from a file and shrunk to the faults that
 // matter. The same script is carried out by proxies between processes on loopback and by the network of the simulator;
@@ -30,14 +30,32 @@
 // Faults of processes.
 const (
 	Kill      Kind = "kill"  // the process is killed, and started again at the fault's end if it has one
-	Wipe      Kind = "wipe"  // the same, and its folder is removed
+	Wipe      Kind = "wipe"  // the same, and its directory is removed
 	Pause     Kind = "pause" // the process is stopped and continued at the end
-	Stall     Kind = "stuck" // its work makes no progress, but it answers its peers
+	Stall     Kind = "stuck" // its work makes no progress, but it answers probes of its peers
 	ClockSkew Kind = "clock" // from its next start on its clock is wrong by some seconds
 )
 
 var linkKinds = []Kind{Cut, Loss, Delay, Reorder, Duplicate, Corrupt}
 
+// kindLabels are the printed names of kinds. The values of the kinds themselves stand in script files and stay.
+var kindLabels = map[Kind]string{
+	Cut:       "partition",
+	Loss:      "datagram loss",
+	Delay:     "delay",
+	Reorder:   "reordering",
+	Duplicate: "duplication",
+	Corrupt:   "corruption",
+	Kill:      "kill",
+	Wipe:      "kill and disk loss",
+	Pause:     "pause",
+	Stall:     "stall",
+	ClockSkew: "clock skew",
+}
+
+// Label is the name of a kind in progress lines and plots.
+func (k Kind) Label() string { return kindLabels[k] }
+
 // kinds has all faults. Generate draws from it by index.
 var kinds = append(slices.Clone(linkKinds), Kill, Wipe, Pause, Stall, ClockSkew)
 
@@ -150,6 +168,14 @@
 	IsEnd bool
 }
 
+// String says whether the fault begins or ends, and the fault as JSON.
+func (t Transition) String() string {
+	if t.IsEnd {
+		return fmt.Sprintf("end of %s: %s", t.Fault.Kind.Label(), t.Fault)
+	}
+	return fmt.Sprintf("%s: %s", t.Fault.Kind.Label(), t.Fault)
+}
+
 // Transitions are the starts and ends of all faults in the order of their times.
 func (s *Script) Transitions() []Transition {
 	var transitions []Transition
--- a/internal/sim/faults/script_test.go
+++ b/internal/sim/faults/script_test.go
@@ -130,3 +130,17 @@
 		}
 	}
 }
+
+// TestKindsHaveLabels holds that each fault of a script has a printed name, which progress lines and plots show.
+func TestKindsHaveLabels(t *testing.T) {
+	seen := map[string]bool{}
+	for _, kind := range kinds {
+		assert.NotEmpty(t, kind.Label(), string(kind))
+		seen[kind.Label()] = true
+	}
+	assert.Len(t, seen, len(kinds))
+	begin := Transition{Fault: Fault{Kind: Corrupt, Share: 0.5}}
+	assert.Equal(t, `corruption: {"do":"spoil","at":0,"share":0.5}`, begin.String())
+	begin.IsEnd = true
+	assert.Contains(t, begin.String(), "end of corruption: ")
+}
--- a/internal/sim/membership/config.go
+++ b/internal/sim/membership/config.go
@@ -21,14 +21,14 @@
 	minTimer    = 0.001
 	// a received message that asks for a tick sooner than this sets the timer anew
 	earlyDeadline      = 0.3
-	pausedQueue        = 512               // datagrams that wait for a stopped process
-	settleTime         = 12.0              // after the start before failures are judged
-	blameTime          = 4.0               // after a cut or a stop, in which a failure that it caused may still come
+	pausedQueue        = 512               // datagrams that wait for a paused process
+	settleTime         = 12.0              // after the start, before failures are checked
+	blameTime          = 4.0               // after a cut or a pause, in which a failure that it caused may still come
 	agreementPoll      = 0.05              // between checks for agreement
 	epochStart         = 1_700_000_000     // Unix time of the start
 	preloadedStart     = 1_600_000_000_000 // Unix time in ms, of instances that have run for long
 	maxFailureDetails  = 10
-	hostileAccusations = 3 // a message
+	hostileAccusations = 3 // per message
 	clockStream        = 7 // of random numbers, for the network
 	scriptStream       = 8 // of random numbers, for the instances
 )
@@ -51,7 +51,7 @@
 	DetectionSeconds     []float64 // from a kill until an observer held the instance failed, for each observer; sorted
 	FullDetectionSeconds []float64 // from a kill until all running observers held the instance failed
 	AgreementSeconds     float64   // from the end of the last fault until all see just the running instances; -1: never
-	DatagramsPerSecond   []float64 // of an instance, second by second
+	DatagramsPerSecond   []float64 // of an instance, by the second
 	BytesPerSecond       float64   // of an instance, after settleTime
 	MaxQueueLength       int       // of the gossip queues
 	Resurrected          int       // changes from failed to present without a higher incarnation
--- a/internal/sim/membership/instance.go
+++ b/internal/sim/membership/instance.go
@@ -12,9 +12,9 @@
 	up          bool
 	paused      bool
 	hostile     bool
-	waiting     []func()     // what happens when a paused instance goes on
+	waiting     []func()     // events that a paused instance handles when it continues
 	timer       uint64       // of the timer that is set; older ones do nothing
-	detected    map[int]bool // the killed instances that it holds failed
+	detected    map[int]bool // the killed instances that it has declared failed
 	clockOffset float64      // s
 }
 
@@ -22,7 +22,7 @@
 
 // start starts an instance, or starts it again.
 func (s *simulation) start(i *instance) {
-	now := s.world.Now()
+	now := s.scheduler.Now()
 	i.up, i.waiting = true, nil
 	start := uint64((epochStart + now + i.clockOffset) * 1000)
 	i.core = s.newCore(i, start, s.random.Uint64())
@@ -36,7 +36,7 @@
 
 func (s *simulation) newCore(i *instance, startMillis, instanceID uint64) *swim.Core {
 	seed := s.config.Script.Seed*1000 + uint64(i.id)
-	return swim.New(s.config.SWIM, i.member(), s.nameHashes, seed, startMillis, instanceID, s.world.Now())
+	return swim.New(s.config.SWIM, i.member(), s.nameHashes, seed, startMillis, instanceID, s.scheduler.Now())
 }
 
 func (s *simulation) preloadedRecords() []swim.MemberRecord {
@@ -52,19 +52,19 @@
 	return records
 }
 
-// tick lets an instance act and sets its timer.
+// tick runs what an instance has to do now and sets its timer.
 func (s *simulation) tick(i *instance) {
 	if !i.up || i.paused {
 		return
 	}
-	s.carryOut(i, i.core.Tick(s.world.Now()))
+	s.carryOut(i, i.core.Tick(s.scheduler.Now()))
 	s.setTimer(i)
 }
 
 func (s *simulation) setTimer(i *instance) {
 	i.timer++
 	timer := i.timer
-	s.world.At(max(i.core.NextDeadline(), s.world.Now()+minTimer), func() {
+	s.scheduler.At(max(i.core.NextDeadline(), s.scheduler.Now()+minTimer), func() {
 		if i.timer != timer {
 			return
 		}
@@ -87,7 +87,7 @@
 			s.pauseOrResume(i, transition.IsEnd)
 		case faults.Stall:
 			if i.up && !i.paused {
-				s.carryOut(i, i.core.SetWorking(s.world.Now(), transition.IsEnd))
+				s.carryOut(i, i.core.SetWorking(s.scheduler.Now(), transition.IsEnd))
 			}
 		case faults.ClockSkew:
 			i.clockOffset = transition.Fault.Seconds
@@ -103,7 +103,7 @@
 	case !restart && i.up:
 		i.up, i.paused = false, false
 		i.timer++
-		s.killedAt[i.id] = s.world.Now()
+		s.killedAt[i.id] = s.scheduler.Now()
 		for _, other := range s.instances {
 			delete(other.detected, i.id)
 		}
--- a/internal/sim/membership/network.go
+++ b/internal/sim/membership/network.go
@@ -20,8 +20,8 @@
 	s.result.MaxQueueLength = max(s.result.MaxQueueLength, i.core.QueueLength())
 }
 
-// falsify makes a message as bad as its sender's own signature allows: it accuses at random, shows a table in which
-// all others have failed, and gives a false view hash.
+// falsify changes a message in every way that its sender's own signature allows: it accuses at random, shows a table in
+// which all others have failed, and gives a false view hash.
 func (s *simulation) falsify(i *instance, send *swim.Send) {
 	send.ViewHash = s.random.Uint64()
 	send.Accusations = send.Accusations[:0]
@@ -42,7 +42,7 @@
 	}
 	ackForAnother := send.Kind == swim.Ack && send.Requester != i.member()
 	if send.Kind == swim.IndirectAck || ackForAnother && s.random.IntN(2) == 0 {
-		send.Kind = swim.Push // it keeps acks from members that asked for an indirect ping
+		send.Kind = swim.Push // members that requested an indirect ping get no ack
 	}
 }
 
@@ -50,14 +50,14 @@
 	s.bytes += headerBytes + recordBytes*len(send.Records) + accusationBytes*len(send.Accusations) +
 		entryBytes*len(send.Entries)
 	s.datagrams++
-	link := s.config.Script.LinkAt(from.id, int(send.To), s.world.Now())
-	delays, corrupted := link.Deliver(s.world.Rand)
+	link := s.config.Script.LinkAt(from.id, int(send.To), s.scheduler.Now())
+	delays, corrupted := link.Deliver(s.scheduler.Rand)
 	if corrupted || len(delays) == 0 {
 		return // the signature of a corrupted datagram does not verify
 	}
-	// A second copy is refused for its counter.
-	delay := delays[0] + latency + jitter*s.world.Rand.Float64()
-	s.world.After(delay, func() { s.arrive(s.instances[send.To], from, send) })
+	// A second copy is refused as a replay.
+	delay := delays[0] + latency + jitter*s.scheduler.Rand.Float64()
+	s.scheduler.After(delay, func() { s.arrive(s.instances[send.To], from, send) })
 }
 
 func (s *simulation) arrive(to, from *instance, send swim.Send) {
@@ -70,7 +70,7 @@
 		}
 		return
 	}
-	now := s.world.Now()
+	now := s.scheduler.Now()
 	s.carryOut(to, to.core.HandleMessage(now, from.member(), send.Message))
 	if to.core.NextDeadline() < now+earlyDeadline {
 		s.setTimer(to)
--- a/internal/sim/membership/simulation.go
+++ b/internal/sim/membership/simulation.go
@@ -14,7 +14,7 @@
 
 // simulation is one run.
 type simulation struct {
-	world       *clock.Scheduler
+	scheduler   *clock.Scheduler
 	config      Config
 	random      *rand.Rand
 	instances   []*instance
@@ -41,33 +41,33 @@
 		if config.Preloaded {
 			s.instanceIDs = append(s.instanceIDs, s.random.Uint64())
 		}
-		s.world.After(startSpread*s.random.Float64(), func() { s.start(i) })
+		s.scheduler.After(startSpread*s.random.Float64(), func() { s.start(i) })
 	}
 	for _, transition := range config.Script.Transitions() {
-		s.world.At(transition.Time, func() { s.applyTransition(transition) })
+		s.scheduler.At(transition.Time, func() { s.applyTransition(transition) })
 	}
 	end := config.Script.Duration
 	settledBytes := 0
-	s.world.At(min(settleTime, end), func() { settledBytes = s.bytes })
+	s.scheduler.At(min(settleTime, end), func() { settledBytes = s.bytes })
 	s.countDatagrams(end)
 	if config.MeasureAgreement {
 		last := lastFaultEnd(config.Script)
-		s.world.At(last+minTimer, func() { s.checkAgreement(last) })
+		s.scheduler.At(last+minTimer, func() { s.checkAgreement(last) })
 	}
-	s.world.RunUntil(end)
+	s.scheduler.RunUntil(end)
 	s.finish(float64(s.bytes-settledBytes), end)
 	return s.result, nil
 }
 
 func newSimulation(config Config) *simulation {
 	s := &simulation{
-		world:    clock.New(config.Script.Seed, clockStream, 0),
-		config:   config,
-		random:   rand.New(rand.NewPCG(config.Script.Seed, scriptStream)),
-		killedAt: map[int]float64{},
-		failedAt: map[observedMember]swim.Incarnation{},
-		trace:    fnv.New64a(),
-		result:   &Result{Members: config.Script.Processes, AgreementSeconds: -1},
+		scheduler: clock.New(config.Script.Seed, clockStream, 0),
+		config:    config,
+		random:    rand.New(rand.NewPCG(config.Script.Seed, scriptStream)),
+		killedAt:  map[int]float64{},
+		failedAt:  map[observedMember]swim.Incarnation{},
+		trace:     fnv.New64a(),
+		result:    &Result{Members: config.Script.Processes, AgreementSeconds: -1},
 	}
 	for i := range config.Script.Processes {
 		s.nameHashes = append(s.nameHashes, swim.NameHash(fmt.Sprintf("n%d", i)))
@@ -81,8 +81,8 @@
 	const beforeNext = 1e-9 // the end of a second is counted before the next one begins
 	for second := 1.0; second <= end; second++ {
 		before := 0
-		s.world.At(second-1, func() { before = s.datagrams })
-		s.world.At(second-beforeNext, func() {
+		s.scheduler.At(second-1, func() { before = s.datagrams })
+		s.scheduler.At(second-beforeNext, func() {
 			rate := float64(s.datagrams-before) / float64(len(s.instances))
 			s.result.DatagramsPerSecond = append(s.result.DatagramsPerSecond, rate)
 		})
--- a/internal/sim/membership/simulation_test.go
+++ b/internal/sim/membership/simulation_test.go
@@ -53,7 +53,7 @@
 		for second := int(faultList[0].End); second < int(faultList[0].End)+15; second++ {
 			peak = max(peak, r.DatagramsPerSecond[second])
 		}
-		t.Logf("%s: agreed after %.2f s, %.1f datagrams a second a member in calm, %.1f at most while rejoining",
+		t.Logf("%s: agreed after %.2f s, %.1f datagrams per second and member before, at most %.1f while rejoining",
 			name, r.AgreementSeconds, calm, peak)
 		assert.Less(t, peak, 2*calm, name)
 	}
@@ -89,7 +89,7 @@
 		},
 		"30% lost": {{Kind: faults.Loss, Start: 0, Share: 0.3}},
 		"400 ms":   {{Kind: faults.Delay, Start: 15, End: 40, Seconds: 0.4}},
-		"short stops": {
+		"short pauses": {
 			{Kind: faults.Pause, Start: 15, End: 15.3, From: []int{3}},
 			{Kind: faults.Pause, Start: 17, End: 18, From: []int{3}},
 			{Kind: faults.Pause, Start: 20, End: 25, From: []int{3}},
@@ -105,7 +105,7 @@
 		r := run(t, Config{Script: script, SWIM: swim.Config{MaxByzantine: 1}})
 		assert.Zero(t, r.FalseFailures, "%s: %v", name, r.FalseFailureDetails)
 		for i, present := range r.FinalPresent {
-			assert.Equal(t, 20, present, "%s: what %d sees at the end", name, i)
+			assert.Equal(t, 20, present, "%s: peers that %d sees at the end", name, i)
 		}
 	}
 }
@@ -118,8 +118,8 @@
 	assert.Equal(t, 20, r.FinalPresent[0])
 }
 
-// TestOldFailedProbesCauseNoFalseFailures: with these seeds, on a network that was well again, members were
-// declared failed up to 20 s later, on probes that had begun in a time of loss and waited long for their acks.
+// TestOldFailedProbesCauseNoFalseFailures: with these seeds, on a network that had recovered, members were
+// declared failed up to 20 s later, on probes that had begun during the loss and waited long for their acks.
 func TestOldFailedProbesCauseNoFalseFailures(t *testing.T) {
 	for _, seed := range []uint64{102, 1898, 6983} {
 		r := run(t, Config{Script: faults.Generate(seed, 50, 8, 60), SWIM: swim.Config{MaxByzantine: 1}})
--- a/internal/sim/membership/verify.go
+++ b/internal/sim/membership/verify.go
@@ -9,7 +9,7 @@
 // checkChange compares a state change with what the script says is true.
 func (s *simulation) checkChange(observer *instance, change swim.StateChange) {
 	_, _ = fmt.Fprintf(s.trace, "%.6f %d %d %d %d\n", // a hash never returns an error
-		s.world.Now(), observer.id, change.Member, change.From, change.To)
+		s.scheduler.Now(), observer.id, change.Member, change.From, change.To)
 	key := observedMember{observer: observer.id, member: int(change.Member)}
 	switch {
 	case change.To == swim.Suspect:
@@ -38,18 +38,18 @@
 		observer.detected = map[int]bool{}
 	}
 	observer.detected[killed] = true
-	s.result.DetectionSeconds = append(s.result.DetectionSeconds, s.world.Now()-killedAt)
+	s.result.DetectionSeconds = append(s.result.DetectionSeconds, s.scheduler.Now()-killedAt)
 	for _, i := range s.instances {
 		if i.up && !i.hostile && i.id != killed && !i.detected[killed] {
 			return
 		}
 	}
-	s.result.FullDetectionSeconds = append(s.result.FullDetectionSeconds, s.world.Now()-killedAt)
+	s.result.FullDetectionSeconds = append(s.result.FullDetectionSeconds, s.scheduler.Now()-killedAt)
 }
 
 // checkFailure counts the failure of a running instance if the script gives no reason for it.
 func (s *simulation) checkFailure(observer *instance, change swim.StateChange) {
-	now, member := s.world.Now(), s.instances[change.Member]
+	now, member := s.scheduler.Now(), s.instances[change.Member]
 	if observer.hostile || member.hostile || now <= settleTime {
 		return
 	}
@@ -58,19 +58,19 @@
 	}
 	s.result.FalseFailures++
 	if len(s.result.FalseFailureDetails) < maxFailureDetails {
-		detail := fmt.Sprintf("%.2f s: %d dropped %d: %s", now, observer.id, member.id, change.Reason)
+		detail := fmt.Sprintf("%.2f s: %d declared %d failed: %s", now, observer.id, member.id, change.Reason)
 		s.result.FalseFailureDetails = append(s.result.FalseFailureDetails, detail)
 	}
 }
 
-// checkAgreement checks until all running instances see just the running ones, and measures the time since a
-// moment.
+// checkAgreement checks again and again until all running instances see just the running ones, and measures the time
+// from since, s.
 func (s *simulation) checkAgreement(since float64) {
 	if s.agree() {
-		s.result.AgreementSeconds = s.world.Now() - since
+		s.result.AgreementSeconds = s.scheduler.Now() - since
 		return
 	}
-	s.world.After(agreementPoll, func() { s.checkAgreement(since) })
+	s.scheduler.After(agreementPoll, func() { s.checkAgreement(since) })
 }
 
 func (s *simulation) agree() bool {
--- a/internal/sim/replication/client.go
+++ b/internal/sim/replication/client.go
@@ -28,12 +28,12 @@
 func (s *simulation) startRequest() {
 	s.lastRequest++
 	number := s.lastRequest
-	key := s.keys[s.world.Rand.IntN(len(s.keys))]
-	isRead := s.world.Rand.IntN(3) == 0
-	group := fmt.Sprint("g", s.world.Rand.IntN(3))
+	key := s.keys[s.scheduler.Rand.IntN(len(s.keys))]
+	isRead := s.scheduler.Rand.IntN(3) == 0
+	group := fmt.Sprint("g", s.scheduler.Rand.IntN(3))
 	s.requests[number] = &request{
 		operation: len(s.history),
-		startedAt: s.world.Now(),
+		startedAt: s.scheduler.Now(),
 		key:       key,
 		isRead:    isRead,
 		command: statemachine.Command{
@@ -59,25 +59,25 @@
 		Return:   history.Unanswered,
 	})
 	s.submit(number)
-	s.world.After(s.world.Rand.ExpFloat64()*meanRequestIntervalSeconds, s.startRequest)
+	s.scheduler.After(s.scheduler.Rand.ExpFloat64()*meanRequestIntervalSeconds, s.startRequest)
 }
 
 // timestamp is the time of the history, in ns.
-func (s *simulation) timestamp() int64 { return int64(s.world.Now() * 1e9) }
+func (s *simulation) timestamp() int64 { return int64(s.scheduler.Now() * 1e9) }
 
-// submit sends a request to a router that takes itself for the leader, and again until it is
-// answered or timed out.
+// submit sends a request to a router that believes to be the leader, and again until it is answered
+// or timed out.
 func (s *simulation) submit(number uint64) {
 	request := s.requests[number]
-	if request.answered || s.world.Now() > request.startedAt+requestTimeoutSeconds {
+	if request.answered || s.scheduler.Now() > request.startedAt+requestTimeoutSeconds {
 		return
 	}
 	shardNumber := placement.ShardOf(request.key)
 	if leaders := s.leadersOf(shardNumber); len(leaders) > 0 {
-		leader := leaders[s.world.Rand.IntN(len(leaders))]
+		leader := leaders[s.scheduler.Rand.IntN(len(leaders))]
 		s.handle(leader, func() { request.submitTo(leader.replicas[shardNumber], number) })
 	}
-	s.world.After(retryIntervalSeconds, func() { s.submit(number) })
+	s.scheduler.After(retryIntervalSeconds, func() { s.submit(number) })
 }
 
 // submitTo proposes a request to a replica. One that is refused is sent again later.
@@ -91,8 +91,7 @@
 	}
 }
 
-// leadersOf are the routers that take themselves for the leader of a shard, paused ones that will
-// continue among them.
+// leadersOf are the routers that believe to be the leader of a shard, paused ones among them.
 func (s *simulation) leadersOf(number int) []*router {
 	var leaders []*router
 	for _, r := range s.routers {
@@ -106,7 +105,7 @@
 	return leaders
 }
 
-// respond takes a replica's response into the history. A request that was sent twice may have two
+// respond records a replica's response in the history. A request that was sent twice may have two
 // responses; the first counts.
 func (s *simulation) respond(response shard.Response) {
 	request := s.requests[response.RequestNumber]
@@ -115,7 +114,7 @@
 	}
 	request.answered = true
 	s.result.Answered++
-	s.result.LatencySeconds = append(s.result.LatencySeconds, s.world.Now()-request.startedAt)
+	s.result.LatencySeconds = append(s.result.LatencySeconds, s.scheduler.Now()-request.startedAt)
 	operation := &s.history[request.operation]
 	operation.Output = history.Output{
 		Answered: true,
