--- a/internal/sim/replication/router.go
+++ b/internal/sim/replication/router.go
@@ -33,10 +33,10 @@
 	up        bool
 	paused    bool
 	postponed []func() // events of a paused router
-	writing   bool     // a batch is on its way to the disk
+	writing   bool     // a batch is being written to the disk
 }
 
-// sortedShards are the shards that a router holds. Their order is part of a simulation's result.
+// sortedShards are the shards that a router has a replica of. Their order is part of a simulation's result.
 func (r *router) sortedShards() []int { return slices.Sorted(maps.Keys(r.replicas)) }
 
 // beginShard puts a shard's first snapshot on disk and makes its replica.
@@ -62,9 +62,9 @@
 
 // start starts a router on its disk.
 func (s *simulation) start(r *router) {
-	log, saved, err := wal.Open(r.fs, r.name, func() uint64 { return s.world.Rand.Uint64()>>1 | 1 })
+	log, saved, err := wal.Open(r.fs, r.name, func() uint64 { return s.scheduler.Rand.Uint64()>>1 | 1 })
 	if err != nil {
-		s.fail(fmt.Errorf("%s opens its folder: %w", r.name, err))
+		s.fail(fmt.Errorf("%s: open its write-ahead log: %w", r.name, err))
 		return
 	}
 	r.log = log
@@ -83,7 +83,7 @@
 	s.announce(r, true)
 }
 
-// stop ends a router. What it did not sync is not on its disk.
+// stop ends a router. Writes that it did not sync are lost.
 func (s *simulation) stop(r *router) {
 	if !r.up {
 		return
@@ -94,21 +94,27 @@
 	s.announce(r, false)
 }
 
-// announce tells all routers, some time later, that a router is up or down.
+// announce sets, after the time of a detection, whether the routers see a router as up.
 func (s *simulation) announce(r *router, up bool) {
 	id := r.replicaID
 	update := func() {
 		isUp := up && r.up && r.replicaID == id
 		if !up && !s.statuses[id].Up {
-			return // known already
+			return // it was announced already
+		}
+		s.statuses[id] = placement.ReplicaStatus{
+			ID:       id,
+			Node:     r.name,
+			Zone:     r.zone,
+			Up:       isUp,
+			LastSeen: s.scheduler.Now(),
 		}
-		s.statuses[id] = placement.ReplicaStatus{ID: id, Node: r.name, Zone: r.zone, Up: isUp, LastSeen: s.world.Now()}
 	}
-	if s.world.Now() == 0 {
+	if s.scheduler.Now() == 0 {
 		update()
 		return
 	}
-	s.world.After(detectionSeconds, update)
+	s.scheduler.After(detectionSeconds, update)
 }
 
 // handle lets a router handle an event, later where it is paused, and never where it is down.
@@ -131,10 +137,11 @@
 			r.replicas[number].Tick()
 		}
 	})
-	s.world.After(shard.TickSeconds, func() { s.tick(r) })
+	s.scheduler.After(shard.TickSeconds, func() { s.tick(r) })
 }
 
-// write brings what the replicas want written to the disk. What follows from it comes once it is there.
+// write writes the entries of the ready replicas to the disk. Their messages and responses are sent once the batch is
+// on disk.
 func (s *simulation) write(r *router) {
 	if r.writing {
 		return
@@ -157,7 +164,7 @@
 	}
 	r.writing = true
 	log := r.log
-	s.world.After(maxSyncSeconds*s.world.Rand.Float64(), func() {
+	s.scheduler.After(maxSyncSeconds*s.scheduler.Rand.Float64(), func() {
 		if r.log != log || !r.up {
 			return
 		}
@@ -166,7 +173,7 @@
 	})
 }
 
-// advance sends and answers what follows from a batch that is on disk.
+// advance sends the messages and responses of a batch that is on disk.
 func (s *simulation) advance(r *router, batch []shard.Ready) {
 	for _, ready := range batch {
 		replica := r.replicas[ready.Shard]
@@ -196,15 +203,15 @@
 		}
 		return
 	}
-	way := s.config.Script.LinkAt(from.index, to.index, s.world.Now())
-	delays, spoilt := way.Deliver(s.world.Rand)
-	if len(delays) == 0 || spoilt {
+	link := s.config.Script.LinkAt(from.index, to.index, s.scheduler.Now())
+	delays, corrupt := link.Deliver(s.scheduler.Rand)
+	if len(delays) == 0 || corrupt {
 		if isSnapshot {
 			replica.ReportSnapshot(id, false)
 		}
 		return
 	}
-	s.world.After(delays[0]+networkLatencySeconds+networkJitterSeconds*s.world.Rand.Float64(), func() {
+	s.scheduler.After(delays[0]+networkLatencySeconds+networkJitterSeconds*s.scheduler.Rand.Float64(), func() {
 		s.handle(to, func() { s.receive(to, replica.Shard(), message) })
 		if isSnapshot && from.up && from.replicas[replica.Shard()] == replica {
 			replica.ReportSnapshot(id, true)
@@ -228,7 +235,7 @@
 	r.replicas[number].Step(message)
 }
 
-// rebalance lets a router look after the members of the shards that it leads.
+// rebalance lets a router replace members of the shards that it leads.
 func (s *simulation) rebalance(r *router) {
 	s.handle(r, func() {
 		var led []placement.LedShard
@@ -238,22 +245,22 @@
 				led = append(led, placement.LedShard{Shard: number, Voters: voters, Learners: learners})
 			}
 		}
-		for _, change := range r.rebalancer.Changes(s.world.Now(), placement.SortedByID(s.statuses), led) {
+		for _, change := range r.rebalancer.Changes(s.scheduler.Now(), placement.SortedByID(s.statuses), led) {
 			if r.replicas[change.Shard].ProposeConfChange(change.Add, change.Remove) == nil {
 				s.result.ConfChanges++
 			}
 		}
 	})
 	s.measureLeaderlessTime()
-	s.world.After(rebalanceIntervalSeconds, func() { s.rebalance(r) })
+	s.scheduler.After(rebalanceIntervalSeconds, func() { s.rebalance(r) })
 }
 
 func (s *simulation) measureLeaderlessTime() {
 	for number := range s.config.Shards {
 		if s.hasLeader(number) {
-			s.lastLeader[number] = s.world.Now()
+			s.lastLeader[number] = s.scheduler.Now()
 		}
-		leaderless := s.world.Now() - s.lastLeader[number]
+		leaderless := s.scheduler.Now() - s.lastLeader[number]
 		s.result.LongestLeaderlessSeconds = max(s.result.LongestLeaderlessSeconds, leaderless)
 	}
 }
--- a/internal/sim/replication/script.go
+++ b/internal/sim/replication/script.go
@@ -17,7 +17,7 @@
 )
 
 // GenerateScript makes a script that shards of three replicas have to bear. Routers are lost with
-// their disks one at a time, with time between to copy what they held. Losses of power, pauses,
+// their disks one at a time, with time between to copy what they stored. Losses of power, pauses,
 // cuts and bad networks come on top, and the last seconds are quiet.
 func GenerateScript(seed uint64, routers int, until float64) faults.Script {
 	rnd := rand.New(rand.NewPCG(seed, scriptStream))
@@ -32,37 +32,37 @@
 		})
 	}
 	for range 2 + rnd.IntN(5) {
-		if act := generateAct(rnd, routers, end); act.End > act.Start {
-			script.Faults = append(script.Faults, act)
+		if fault := generateFault(rnd, routers, end); fault.End > fault.Start {
+			script.Faults = append(script.Faults, fault)
 		}
 	}
 	sort.SliceStable(script.Faults, func(i, j int) bool { return script.Faults[i].Start < script.Faults[j].Start })
 	return script
 }
 
-// generateAct makes a fault other than the loss of a disk.
-func generateAct(rnd *rand.Rand, routers int, end float64) faults.Fault {
-	act := faults.Fault{Start: 3 + rnd.Float64()*(end-6)}
-	act.End = min(act.Start+0.3+rnd.ExpFloat64()*2, end)
+// generateFault makes a fault other than the loss of a disk.
+func generateFault(rnd *rand.Rand, routers int, end float64) faults.Fault {
+	fault := faults.Fault{Start: 3 + rnd.Float64()*(end-6)}
+	fault.End = min(fault.Start+0.3+rnd.ExpFloat64()*2, end)
 	switch rnd.IntN(6) {
 	case 0, 1:
-		act.Kind = faults.Kill
-		act.From = []int{rnd.IntN(routers)}
+		fault.Kind = faults.Kill
+		fault.From = []int{rnd.IntN(routers)}
 	case 2:
-		act.Kind = faults.Pause
-		act.From = []int{rnd.IntN(routers)}
+		fault.Kind = faults.Pause
+		fault.From = []int{rnd.IntN(routers)}
 	case 3:
-		act.Kind = faults.Cut
-		act.BothWays = rnd.IntN(3) > 0
-		act.From, act.To = generateSides(rnd, routers)
+		fault.Kind = faults.Cut
+		fault.BothWays = rnd.IntN(3) > 0
+		fault.From, fault.To = generateSides(rnd, routers)
 	case 4:
-		act.Kind = faults.Loss
-		act.Share = 0.3 * rnd.Float64()
+		fault.Kind = faults.Loss
+		fault.Share = 0.3 * rnd.Float64()
 	default:
-		act.Kind = faults.Delay
-		act.Seconds = 0.15 * rnd.Float64()
+		fault.Kind = faults.Delay
+		fault.Seconds = 0.15 * rnd.Float64()
 	}
-	return act
+	return fault
 }
 
 // generateSides makes the two sides of a cut, about a third of the routers on one.
--- a/internal/sim/replication/simulation.go
+++ b/internal/sim/replication/simulation.go
@@ -1,10 +1,11 @@
-// Package replication plays the cores of replication on virtual time: routers in zones with
+// Package replication runs the cores of replication on virtual time: routers in zones with
 // replicas on faulty disks, a network with fault scripts, and clients that reserve keys and retry
 // elsewhere.
 //
-// What clients were told is checked for linearizability, and at the end each reservation that was
-// granted has to be there. The cores are those of the service (packages shard, wal and placement);
-// connections and the node's goroutine are not played. All but the work of the disks is in memory.
+// The responses to clients are checked for linearizability, and at the end each reservation that was
+// granted must still exist. The cores are those of the service (packages shard, wal and placement);
+// connections and the node's goroutine are not simulated. All but the operations of the disks is in
+// memory.
 package replication
 
 import (
@@ -31,7 +32,7 @@
 	networkLatencySeconds    = 0.0005
 	networkJitterSeconds     = 0.002
 	maxSyncSeconds           = 0.002 // that a batch is on its way to the disk
-	detectionSeconds         = 2.0   // until others know that a router is down or up again
+	detectionSeconds         = 2.0   // until others have detected that a router is down or up again
 	replaceAfterSeconds      = 4.0   // for which a replica has to be away before it is replaced
 	rebalanceIntervalSeconds = 0.5
 	// powerLossSeconds is after how long a router whose power is lost is down, wherever its disk's
@@ -50,17 +51,17 @@
 
 // Streams of random numbers from a script's seed.
 const (
-	worldStream    = 0x1ed6
-	electionStream = 0x4af7
+	schedulerStream = 0x1ed6
+	electionStream  = 0x4af7
 )
 
 // Config is what is simulated. Losses of power hit in the middle of the disks' operations.
 type Config struct {
 	Script faults.Script
-	Shards int // that are played; the others hold nothing
+	Shards int // that are simulated; the others are empty
 }
 
-// Result is what came of a simulation.
+// Result is the counts and figures of a simulation.
 type Result struct {
 	Reservations, Reads, Answered int // requests of clients
 	MachinesLost                  int // with their disks
@@ -69,14 +70,14 @@
 	Failure                       string    // of the simulation itself, "" for none
 	LatencySeconds                []float64 // of the answered requests
 	ConfChanges                   int
-	ReservationsLost              int // granted, and not there at the end
+	ReservationsLost              int // granted, and missing at the end
 	ConflictingGrants             int // keys granted to two groups
 	LongestLeaderlessSeconds      float64
 }
 
-// simulation is one run. All of it happens in the events of the world.
+// simulation is one run. All of it happens in events of the scheduler.
 type simulation struct {
-	world      *clock.Scheduler
+	scheduler  *clock.Scheduler
 	config     Config
 	routers    []*router
 	byReplica  map[uint64]*router
@@ -106,7 +107,7 @@
 	return len(p), nil
 }
 
-// Run plays a simulation. One runs at a time in a process.
+// Run runs a simulation. One runs at a time in a process.
 func Run(config Config) (*Result, error) {
 	if err := config.Script.Validate(); err != nil {
 		return nil, err
@@ -122,7 +123,7 @@
 		return nil, err
 	}
 	s.schedule()
-	s.world.RunUntil(config.Script.Duration)
+	s.scheduler.RunUntil(config.Script.Duration)
 	if s.err != nil {
 		s.result.Failure = s.err.Error()
 	}
@@ -133,7 +134,7 @@
 
 func newSimulation(config Config) *simulation {
 	s := &simulation{
-		world:      clock.New(config.Script.Seed, worldStream, 0),
+		scheduler:  clock.New(config.Script.Seed, schedulerStream, 0),
 		config:     config,
 		byReplica:  map[uint64]*router{},
 		statuses:   map[uint64]placement.ReplicaStatus{},
@@ -162,14 +163,14 @@
 
 // schedule sets the first events: faults, ticks, rebalancing and clients.
 func (s *simulation) schedule() {
-	for _, moment := range s.config.Script.Transitions() {
-		s.world.At(moment.Time, func() { s.playMoment(moment) })
+	for _, transition := range s.config.Script.Transitions() {
+		s.scheduler.At(transition.Time, func() { s.applyTransition(transition) })
 	}
 	for _, r := range s.routers {
-		s.world.After(shard.TickSeconds*s.world.Rand.Float64(), func() { s.tick(r) })
-		s.world.After(rebalanceIntervalSeconds*s.world.Rand.Float64(), func() { s.rebalance(r) })
+		s.scheduler.After(shard.TickSeconds*s.scheduler.Rand.Float64(), func() { s.tick(r) })
+		s.scheduler.After(rebalanceIntervalSeconds*s.scheduler.Rand.Float64(), func() { s.rebalance(r) })
 	}
-	s.world.After(1, s.startRequest)
+	s.scheduler.After(1, s.startRequest)
 }
 
 // beginShards begins the shards at the routers that are preferred for them.
@@ -197,7 +198,7 @@
 // fail notes the first failure of the simulation itself.
 func (s *simulation) fail(err error) {
 	if s.err == nil {
-		s.err = fmt.Errorf("at %.2f s: %w", s.world.Now(), err)
+		s.err = fmt.Errorf("at %.2f s: %w", s.scheduler.Now(), err)
 	}
 }
 
--- a/internal/sim/replication/simulation_test.go
+++ b/internal/sim/replication/simulation_test.go
@@ -34,7 +34,7 @@
 }
 
 // TestResultsOfSeeds compares the results of some seeds with those of an earlier version. With one
-// shard the order in which a router's replicas start can't show.
+// shard the order in which a router's replicas start cannot affect the result.
 func TestResultsOfSeeds(t *testing.T) {
 	for seed, want := range map[uint64]string{
 		1: `504 264 768 1 0 true "" b0a1447a 0 0 0 0.39064076514875123`,
--- a/internal/sim/routing/fill.go
+++ b/internal/sim/routing/fill.go
@@ -2,7 +2,7 @@
 
 import "cairnfront/routing"
 
-// startAttempt plays an attempt: to its target and, for a miss there, over the zone's link to its source.
+// startAttempt simulates an attempt: to its target and, for a miss there, over the zone's link to its source.
 func (r *router) startAttempt(action routing.StartAttempt) {
 	s, req := r.sim, r.open[action.Request]
 	number := len(req.attempts)
--- a/internal/sim/routing/gossip.go
+++ b/internal/sim/routing/gossip.go
@@ -10,7 +10,7 @@
 	"cairnfront/routing"
 )
 
-// observe tells the router's tracker how an attempt ended, and its module what follows from that.
+// observe reports the end of an attempt to the router's tracker, and doubts that follow from it to the routing module.
 func (r *router) observe(target routing.EndpointID, result routing.AttemptResult, late bool) {
 	if r.gossip == nil {
 		return
@@ -23,7 +23,7 @@
 	}
 }
 
-// reportDoubts tells the module of endpoints that several routers suspect.
+// reportDoubts gives the routing module the endpoints that several routers suspect.
 func (r *router) reportDoubts(doubts []observation.Doubt) {
 	now := r.sim.elapsed()
 	for _, doubt := range doubts {
@@ -35,7 +35,7 @@
 	}
 }
 
-// spread brings an observation to all other routers, to each after a delay as gossip has it.
+// spread delivers an observation to all other routers, to each after a random delay.
 func (s *simulation) spread(o observation.Observation) {
 	for i, other := range s.routers {
 		if swim.MemberID(i) == o.Witness {
--- a/internal/sim/routing/router.go
+++ b/internal/sim/routing/router.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// endAttempt tells the module how an attempt ended; the first completed one answers its request.
+// endAttempt reports the end of an attempt to the module; the first completed one answers its request.
 func (r *router) endAttempt(
 	id routing.RequestID, number int, result routing.AttemptResult, detail routing.ResultDetail,
 ) {
--- a/internal/sim/routing/run.go
+++ b/internal/sim/routing/run.go
@@ -1,8 +1,8 @@
 // Package routing simulates many routers that run the decision module over one small deployment on virtual time: what
-// the same traffic costs where each router sees less of it, and what gossip between routers changes.
+// the same traffic costs where each router gets a smaller part of it, and what gossip between routers changes.
 //
 // Caches, parents, links and the origin are capacity figures; the module is the one that serves. The package opens no
-// socket and reads no clock. The same seed gives the same results. Verdicts on them are those of the lab's scenarios.
+// socket and reads no clock. The same seed gives the same results. The bounds for them are in the lab's scenarios.
 package routing
 
 import (
@@ -42,7 +42,7 @@
 	return ""
 }
 
-// Result is what came of a run. The maps are by the phase in which a request arrived.
+// Result is the counts of a run. The maps are by the phase in which a request arrived.
 type Result struct {
 	Routers              int
 	Requests             map[string]int
@@ -54,7 +54,7 @@
 	Unanswered           int
 	AnsweredTwice        int
 	Fills                int // at caches
-	StoredFills          int // of which a copy was kept
+	StoredFills          int // of which a copy was stored
 	FailingCacheAttempts int
 	OnTimePerSecond      []float64 // share of the requests of each second
 
@@ -86,7 +86,7 @@
 	FailingCache                // one cache answers all that it is sent with an error
 )
 
-// Gossip is what routers tell each other of endpoints.
+// Gossip is how routers exchange observations of endpoints.
 type Gossip struct {
 	Enabled       bool
 	FaultyRouters int // routers that report every endpoint as failing, all the time; the others allow for as many
@@ -109,12 +109,12 @@
 	faultyInGossip int
 }
 
-// Run simulates a number of routers, a multiple of the zones, that tell each other nothing.
+// Run simulates a number of routers, a multiple of the zones, that exchange no observations.
 func Run(seed uint64, routers int, fault Fault) (*Result, error) {
 	return RunWithGossip(seed, routers, fault, Gossip{})
 }
 
-// RunWithGossip is Run with routers that tell each other what they saw of endpoints.
+// RunWithGossip is Run with routers that exchange observations of endpoints.
 func RunWithGossip(seed uint64, routers int, fault Fault, gossip Gossip) (*Result, error) {
 	if routers < zones || routers%zones != 0 {
 		return nil, fmt.Errorf("simulate %d routers: not a multiple of %d zones", routers, zones)
@@ -182,7 +182,7 @@
 	s.listedAtStart = append(s.listedAtStart, routing.Endpoint{ID: id, Zone: zone, Kind: kind, Weight: capacity})
 }
 
-// scheduleFault sets the fault's begin and end.
+// scheduleFault schedules the start and the end of the fault.
 func (s *simulation) scheduleFault() {
 	from, to := startTime+faultFrom, startTime+faultTo
 	switch s.fault {
--- a/internal/sim/routing/traffic.go
+++ b/internal/sim/routing/traffic.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// purge invalidates an object group: endpoints drop it, and every router is told.
+// purge invalidates an object group: endpoints drop it, and every router gets the purge.
 func (s *simulation) purge(group int) {
 	for _, e := range s.endpoints {
 		for key, copied := range e.cached {
