--- a/cmd/cairnfront/lab.go
+++ b/cmd/cairnfront/lab.go
@@ -9,8 +9,8 @@
 	"os/signal"
 	"syscall"
 
-	"cairnfront/internal/lab"
 	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/scenario"
 
 	"github.com/spf13/cobra"
 )
@@ -42,7 +42,7 @@
 		Short: "List the scenarios",
 		Args:  cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			for _, s := range lab.Scenarios() {
+			for _, s := range scenario.Scenarios() {
 				printf(cmd, "%-14s %s\n", s.Name, s.Description)
 			}
 		},
@@ -50,7 +50,7 @@
 }
 
 func labRunCommand() *cobra.Command {
-	var s lab.Options
+	var s scenario.Options
 	var size string
 	var outputs reportOutputs
 	c := &cobra.Command{
@@ -69,7 +69,7 @@
 			s.Full = size == sizeFull
 			return withProgress(func(ctx context.Context, progress func(string, ...any)) error {
 				s.Progress = progress
-				r, err := lab.Run(ctx, args[0], s)
+				r, err := scenario.Run(ctx, args[0], s)
 				if err != nil {
 					return err
 				}
--- a/cmd/cairnfront/pause.go
+++ b/cmd/cairnfront/pause.go
@@ -7,13 +7,13 @@
 	"syscall"
 
 	"cairnfront/internal/dispatch"
-	"cairnfront/internal/lab"
+	"cairnfront/internal/lab/cluster"
 )
 
 // pauseOnSignal lets the laboratory stall the event loop from one SIGUSR2 to the next, while the rest of the process
 // goes on. It has no effect unless the laboratory's variable is set.
 func pauseOnSignal(ctx context.Context, dispatcher *dispatch.Dispatcher) {
-	if os.Getenv(lab.EnvironmentVariable) == "" {
+	if os.Getenv(cluster.EnvironmentVariable) == "" {
 		return
 	}
 	signals := make(chan os.Signal, 1)
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -1,4 +1,4 @@
-package lab
+package cluster
 
 import (
 	"fmt"
@@ -10,6 +10,9 @@
 	"cairnfront/internal/discovery"
 	"cairnfront/internal/edgecache"
 	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/standin"
+	"cairnfront/internal/lab/timing"
+	"cairnfront/internal/lab/verify"
 )
 
 // Bounds of a test cluster, as its edge caches and its routers are configured.
@@ -27,69 +30,69 @@
 
 // clusterClasses are the classes in the configuration of the edge caches.
 var clusterClasses = []config.Class{
-	{Name: classVideoPart, Cacheable: true, Effect: config.EffectIdempotent},
+	{Name: standin.ClassVideoPart, Cacheable: true, Effect: config.EffectIdempotent},
 	{
-		Name:         classPageAsset,
+		Name:         standin.ClassPageAsset,
 		Cacheable:    true,
 		Effect:       config.EffectIdempotent,
 		FreshSeconds: pageFreshSeconds,
 		StaleSeconds: pageStaleSeconds,
 	},
-	{Name: classPrintOrder, Cacheable: false, Effect: config.EffectIdempotencyKey},
+	{Name: standin.ClassPrintOrder, Cacheable: false, Effect: config.EffectIdempotencyKey},
 }
 
-// clusterOptions say how a cluster is run.
-type clusterOptions struct {
+// Options say how a cluster is run.
+type Options struct {
 	Seed      uint64
 	Program   string // path of the product's program
 	Directory string // for configurations, disks and logs
 }
 
-// testCluster is a discovery service, an origin, parents, edge caches, routers and clients on loopback.
-type testCluster struct {
-	options   clusterOptions
-	discovery *discoveryServer
-	content   edgecache.SyntheticOrigin
+// Cluster is a discovery service, an origin, parents, edge caches, routers and clients on loopback.
+type Cluster struct {
+	options   Options
+	Discovery *standin.DiscoveryServer
+	Content   edgecache.SyntheticOrigin
 
 	mu             sync.Mutex
-	endpoints      []*clusterEndpoint
+	Endpoints      []*Endpoint
 	objectVersions map[uint64]uint64 // of objects
 	groupVersions  map[uint64]uint64 // of groups
 	lastVersion    uint64
-	purges         []publishedPurge
+	purges         []verify.Purge
 	executions     map[string]int // runs by idempotency key
-	requests       []requestRecord
-	served         []servedRecord
+	requests       []verify.Request
+	served         []verify.Served
 	responses      responseLog
-	routers        []*routerProcess
-	zoneCount      int
+	Routers        []*Router
+	ZoneCount      int
 
-	configFile         string // of the routers; empty for none
-	nonIdempotentClass bool   // the cluster has a non-idempotent class too
+	ConfigFile         string // of the routers; empty for none
+	NonIdempotentClass bool   // the cluster has a non-idempotent class too
 }
 
-// newTestCluster starts the discovery server of a cluster with a number of zones beside the parent zone. Endpoints
+// New starts the discovery server of a cluster with a number of zones beside the parent zone. Endpoints
 // and routers are added to it.
-func newTestCluster(options clusterOptions, zoneCount int) (*testCluster, error) {
-	server, err := newDiscoveryServer()
+func New(options Options, zoneCount int) (*Cluster, error) {
+	server, err := standin.NewDiscoveryServer()
 	if err != nil {
 		return nil, err
 	}
-	cluster := &testCluster{
+	cluster := &Cluster{
 		options:        options,
-		discovery:      server,
+		Discovery:      server,
 		objectVersions: map[uint64]uint64{},
 		groupVersions:  map[uint64]uint64{},
 		executions:     map[string]int{},
-		zoneCount:      zoneCount,
+		ZoneCount:      zoneCount,
 	}
-	cluster.content.Seed = options.Seed
-	cluster.content.MinBytes = 8000
-	cluster.content.MaxBytes = 40000
-	cluster.content.Groups = 32
-	cluster.content.KeyRetention = time.Duration(keyRetentionSeconds * float64(time.Second))
-	cluster.content.Version = cluster.versionOf
-	cluster.content.OnExecute = func(_, key string) {
+	cluster.Content.Seed = options.Seed
+	cluster.Content.MinBytes = 8000
+	cluster.Content.MaxBytes = 40000
+	cluster.Content.Groups = 32
+	cluster.Content.KeyRetention = time.Duration(standin.KeyRetentionSeconds * float64(time.Second))
+	cluster.Content.Version = cluster.versionOf
+	cluster.Content.OnExecute = func(_, key string) {
 		cluster.mu.Lock()
 		cluster.executions[key]++
 		cluster.mu.Unlock()
@@ -98,52 +101,52 @@
 }
 
 // versionOf is the current version of an object.
-func (cluster *testCluster) versionOf(object uint64) uint64 {
+func (cluster *Cluster) versionOf(object uint64) uint64 {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
-	return max(cluster.objectVersions[object], cluster.groupVersions[object%uint64(cluster.content.Groups)])
+	return max(cluster.objectVersions[object], cluster.groupVersions[object%uint64(cluster.Content.Groups)])
 }
 
-// purge publishes a new version of an object or of all objects of a purge group, and then the purge event.
-func (cluster *testCluster) purge(object uint64, wholeGroup bool) {
+// Purge publishes a new version of an object or of all objects of a purge group, and then the purge event.
+func (cluster *Cluster) Purge(object uint64, wholeGroup bool) {
 	cluster.mu.Lock()
 	cluster.lastVersion++
-	p := publishedPurge{
-		object:     object,
-		wholeGroup: wholeGroup,
-		group:      object % uint64(cluster.content.Groups),
-		version:    cluster.lastVersion,
+	p := verify.Purge{
+		Object:     object,
+		WholeGroup: wholeGroup,
+		Group:      object % uint64(cluster.Content.Groups),
+		Version:    cluster.lastVersion,
 	}
 	if wholeGroup {
-		cluster.groupVersions[p.group] = p.version
+		cluster.groupVersions[p.Group] = p.Version
 	} else {
-		cluster.objectVersions[object] = p.version
+		cluster.objectVersions[object] = p.Version
 	}
 	cluster.mu.Unlock()
 	time.Sleep(purgePublishDelay)
 	event := discovery.Event{
 		Kind:  discovery.PurgeGroup,
-		Purge: discovery.Purge{Group: int(p.group), PurgedAt: unixSeconds(time.Now())},
+		Purge: discovery.Purge{Group: int(p.Group), PurgedAt: timing.UnixSeconds(time.Now())},
 	}
 	if !wholeGroup {
 		event.Kind = discovery.PurgeObject
 		event.Purge.Object = fmt.Sprintf("%016x", object)
 	}
-	p.eventIndex = cluster.discovery.publish(event)
+	p.EventIndex = cluster.Discovery.Publish(event)
 	cluster.mu.Lock()
 	cluster.purges = append(cluster.purges, p)
 	cluster.mu.Unlock()
 }
 
-// close ends all that the cluster started: routers by SIGTERM, as an operator would. A router that does not end well
+// Close ends all that the cluster started: routers by SIGTERM, as an operator would. A router that does not end well
 // breaks the report, where one is given.
-func (cluster *testCluster) close(r *report.Report) {
-	for _, router := range cluster.routers {
+func (cluster *Cluster) Close(r *report.Report) {
+	for _, router := range cluster.Routers {
 		if router.cmd != nil {
 			_ = router.cmd.Process.Signal(syscall.SIGTERM)
 		}
 	}
-	for _, router := range cluster.routers {
+	for _, router := range cluster.Routers {
 		if router.cmd == nil {
 			continue
 		}
@@ -151,12 +154,12 @@
 			r.Broke("%s", problem)
 		}
 	}
-	for _, endpoint := range cluster.endpoints {
-		endpoint.kill()
-		if endpoint.stop != nil {
-			endpoint.stop()
-			endpoint.stop = nil
+	for _, endpoint := range cluster.Endpoints {
+		endpoint.Kill()
+		if endpoint.Stop != nil {
+			endpoint.Stop()
+			endpoint.Stop = nil
 		}
 	}
-	cluster.discovery.close()
+	cluster.Discovery.Close()
 }
--- a/internal/lab/endpoint.go
+++ b/internal/lab/cluster/endpoint.go
@@ -1,4 +1,4 @@
-package lab
+package cluster
 
 import (
 	"context"
@@ -16,15 +16,17 @@
 	"cairnfront/internal/config"
 	"cairnfront/internal/discovery"
 	"cairnfront/internal/edgecache"
+	"cairnfront/internal/lab/timing"
+	"cairnfront/internal/lab/verify"
 	"cairnfront/internal/telemetry"
 	"cairnfront/routing"
 )
 
 // The kinds of endpoints, as the endpoint list names them.
 const (
-	kindEdge = iota
-	kindParent
-	kindOrigin
+	KindEdge = iota
+	KindParent
+	KindOrigin
 )
 
 const (
@@ -34,29 +36,29 @@
 )
 
 // endpointRoles are the names of the kinds in the configuration file of an edge cache.
-var endpointRoles = [...]string{kindEdge: "cache", kindParent: "parent", kindOrigin: "origin"}
+var endpointRoles = [...]string{KindEdge: "cache", KindParent: "parent", KindOrigin: "origin"}
 
-// endpointID is the id of the nth endpoint.
-func endpointID(n int) string { return fmt.Sprintf(endpointIDPrefix+"%08x", n) }
+// EndpointID is the id of the nth endpoint.
+func EndpointID(n int) string { return fmt.Sprintf(endpointIDPrefix+"%08x", n) }
 
-// zoneOf is where endpoints of a kind stand in a cluster of one zone: edge caches in zone 1, others in the parent zone.
-func zoneOf(kind int) int {
-	if kind == kindEdge {
+// ZoneOf is where endpoints of a kind stand in a cluster of one zone: edge caches in zone 1, others in the parent zone.
+func ZoneOf(kind int) int {
+	if kind == KindEdge {
 		return 1
 	}
 	return 0
 }
 
-// clusterEndpoint is an endpoint of a test cluster. It runs in this process or as a program of its own.
-type clusterEndpoint struct {
-	id        string
-	kind      int
-	zone      int // 0 is the parent zone
-	addr      string
-	startedAt float64 // Unix s; 0 for long ago
+// Endpoint is an endpoint of a test cluster. It runs in this process or as a program of its own.
+type Endpoint struct {
+	ID        string
+	Kind      int
+	Zone      int // 0 is the parent zone
+	Addr      string
+	StartedAt float64 // Unix s; 0 for long ago
 	status    routing.EndpointStatus
 
-	stop func() // of one that runs in this process
+	Stop func() // of one that runs in this process
 
 	// Of one that runs as a program:
 	cmd *exec.Cmd
@@ -69,66 +71,66 @@
 	zone int
 }
 
-// addEndpoint makes an endpoint with an address of its own. It does not start it.
-func (cluster *testCluster) addEndpoint(kind, zone int) (*clusterEndpoint, error) {
+// AddEndpoint makes an endpoint with an address of its own. It does not start it.
+func (cluster *Cluster) AddEndpoint(kind, zone int) (*Endpoint, error) {
 	listener, err := listenReusableTCP()
 	if err != nil {
 		return nil, err
 	}
-	endpoint := &clusterEndpoint{
-		id:   endpointID(len(cluster.endpoints) + 1),
-		kind: kind,
-		zone: zone,
-		addr: listener.Addr().String(),
+	endpoint := &Endpoint{
+		ID:   EndpointID(len(cluster.Endpoints) + 1),
+		Kind: kind,
+		Zone: zone,
+		Addr: listener.Addr().String(),
 	}
 	_ = listener.Close()
-	cluster.endpoints = append(cluster.endpoints, endpoint)
+	cluster.Endpoints = append(cluster.Endpoints, endpoint)
 	return endpoint, nil
 }
 
 // discoveryEntry is an endpoint as the discovery server lists it.
-func (endpoint *clusterEndpoint) discoveryEntry() discovery.Endpoint {
+func (endpoint *Endpoint) discoveryEntry() discovery.Endpoint {
 	return discovery.Endpoint{
-		Address: endpoint.addr,
+		Address: endpoint.Addr,
 		Endpoint: routing.Endpoint{
-			ID:        routing.EndpointID(endpoint.id),
-			Zone:      endpoint.zone,
-			Kind:      endpoint.kind,
+			ID:        routing.EndpointID(endpoint.ID),
+			Zone:      endpoint.Zone,
+			Kind:      endpoint.Kind,
 			Status:    endpoint.status,
 			Weight:    endpointWeight,
-			StartedAt: endpoint.startedAt,
+			StartedAt: endpoint.StartedAt,
 		},
 	}
 }
 
-// publishStatus publishes the status of an endpoint.
-func (cluster *testCluster) publishStatus(endpoint *clusterEndpoint, status routing.EndpointStatus) {
+// PublishStatus publishes the status of an endpoint.
+func (cluster *Cluster) PublishStatus(endpoint *Endpoint, status routing.EndpointStatus) {
 	endpoint.status = status
-	cluster.discovery.publish(discovery.Event{
+	cluster.Discovery.Publish(discovery.Event{
 		Kind:      discovery.Update,
 		Endpoints: []discovery.Endpoint{endpoint.discoveryEntry()},
 	})
 }
 
 // edgeCacheConfig is the configuration of an endpoint. Without a directory it has no disk cache.
-func (cluster *testCluster) edgeCacheConfig(endpoint *clusterEndpoint, directory string) config.File {
+func (cluster *Cluster) edgeCacheConfig(endpoint *Endpoint, directory string) config.File {
 	file, err := config.Parse("lab", nil)
 	if err != nil {
 		panic(err) // the product's own defaults
 	}
 	cache := &file.EdgeCache
-	cache.ID = endpoint.id
-	cache.Listen = endpoint.addr
-	cache.DiscoveryAddress = cluster.discovery.addr()
+	cache.ID = endpoint.ID
+	cache.Listen = endpoint.Addr
+	cache.DiscoveryAddress = cluster.Discovery.Addr()
 	cache.Classes = clusterClasses
-	cache.Role = endpointRoles[endpoint.kind]
+	cache.Role = endpointRoles[endpoint.Kind]
 	cache.MemoryMB = 4
 	cache.DrainTimeout = 0.5
-	if endpoint.kind == kindParent {
+	if endpoint.Kind == KindParent {
 		cache.MemoryMB = 256
-		for _, other := range cluster.endpoints {
-			if other.kind == kindOrigin {
-				cache.DefaultSource = other.id
+		for _, other := range cluster.Endpoints {
+			if other.Kind == KindOrigin {
+				cache.DefaultSource = other.ID
 			}
 		}
 	}
@@ -141,35 +143,35 @@
 	return file
 }
 
-// startInProcess starts an endpoint in this process. What it is asked and serves is recorded.
-func (cluster *testCluster) startInProcess(endpoint *clusterEndpoint) error {
-	listener, err := net.Listen("tcp", endpoint.addr)
+// StartInProcess starts an endpoint in this process. What it is asked and serves is recorded.
+func (cluster *Cluster) StartInProcess(endpoint *Endpoint) error {
+	listener, err := net.Listen("tcp", endpoint.Addr)
 	if err != nil {
 		return err
 	}
 	server := &edgecache.Server{
 		Config:    cluster.edgeCacheConfig(endpoint, "").EdgeCache,
-		Telemetry: telemetry.New(io.Discard, endpoint.id),
+		Telemetry: telemetry.New(io.Discard, endpoint.ID),
 		OnRequest: func(command cacheproto.Command) {
 			cluster.mu.Lock()
 			defer cluster.mu.Unlock()
-			record := requestRecord{at: unixSeconds(time.Now()), endpoint: endpoint.id, command: command}
+			record := verify.Request{At: timing.UnixSeconds(time.Now()), Endpoint: endpoint.ID, Command: command}
 			cluster.requests = append(cluster.requests, record)
 		},
 		OnResponse: func(requestID string, bytes int) {
 			cluster.mu.Lock()
 			defer cluster.mu.Unlock()
-			record := servedRecord{
-				at:        unixSeconds(time.Now()),
-				endpoint:  endpoint.id,
-				requestID: requestID,
-				bytes:     bytes,
+			record := verify.Served{
+				At:        timing.UnixSeconds(time.Now()),
+				Endpoint:  endpoint.ID,
+				RequestID: requestID,
+				Bytes:     bytes,
 			}
 			cluster.served = append(cluster.served, record)
 		},
 	}
-	if endpoint.kind == kindOrigin {
-		server.Origin = &cluster.content
+	if endpoint.Kind == KindOrigin {
+		server.Origin = &cluster.Content
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -177,21 +179,21 @@
 		_ = server.Run(ctx, listener)
 		close(ended)
 	}()
-	endpoint.stop = func() {
+	endpoint.Stop = func() {
 		cancel()
 		<-ended
 	}
 	return nil
 }
 
-// startProgram starts an endpoint as a program of its own, with a disk cache in a directory, and waits until it
+// StartProgram starts an endpoint as a program of its own, with a disk cache in a directory, and waits until it
 // listens. A restarted program appends to its log.
-func (cluster *testCluster) startProgram(endpoint *clusterEndpoint, directory string) error {
+func (cluster *Cluster) StartProgram(endpoint *Endpoint, directory string) error {
 	text, err := json.Marshal(cluster.edgeCacheConfig(endpoint, directory)) // JSON is YAML
 	if err != nil {
 		return err
 	}
-	base := filepath.Join(cluster.options.Directory, endpoint.id)
+	base := filepath.Join(cluster.options.Directory, endpoint.ID)
 	configFile := base + ".yaml"
 	if err := os.WriteFile(configFile, text, 0o600); err != nil {
 		return err
@@ -204,19 +206,19 @@
 	endpoint.cmd.Stderr = endpoint.log
 	endpoint.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := endpoint.cmd.Start(); err != nil {
-		return fmt.Errorf("start edge cache %s: %w", endpoint.id, err)
+		return fmt.Errorf("start edge cache %s: %w", endpoint.ID, err)
 	}
-	endpoint.startedAt = unixSeconds(time.Now())
-	if err := waitUntil(startTimeout, endpoint.listens); err != nil {
+	endpoint.StartedAt = timing.UnixSeconds(time.Now())
+	if err := timing.WaitUntil(startTimeout, endpoint.listens); err != nil {
 		tail := logTail(endpoint.log.Name())
-		return fmt.Errorf("edge cache %s does not listen: %w; its log: %s", endpoint.id, err, tail)
+		return fmt.Errorf("edge cache %s does not listen: %w; its log: %s", endpoint.ID, err, tail)
 	}
 	return nil
 }
 
 // listens says whether an endpoint takes connections.
-func (endpoint *clusterEndpoint) listens() bool {
-	conn, err := net.Dial("tcp", endpoint.addr)
+func (endpoint *Endpoint) listens() bool {
+	conn, err := net.Dial("tcp", endpoint.Addr)
 	if err != nil {
 		return false
 	}
@@ -224,8 +226,8 @@
 	return true
 }
 
-// kill ends a program by SIGKILL. It does nothing for an endpoint in this process.
-func (endpoint *clusterEndpoint) kill() {
+// Kill ends a program by SIGKILL. It does nothing for an endpoint in this process.
+func (endpoint *Endpoint) Kill() {
 	if endpoint.cmd != nil {
 		_ = endpoint.cmd.Process.Kill()
 		_ = endpoint.cmd.Wait()
@@ -236,44 +238,44 @@
 
 // startEndpoints adds endpoints of the kinds and zones that are given, starts them in this process and lists them as
 // ready. It returns the edge caches among them.
-func (cluster *testCluster) startEndpoints(places []endpointPlace) (edgeCaches []*clusterEndpoint, err error) {
+func (cluster *Cluster) startEndpoints(places []endpointPlace) (edgeCaches []*Endpoint, err error) {
 	for _, place := range places {
-		endpoint, err := cluster.addEndpoint(place.kind, place.zone)
+		endpoint, err := cluster.AddEndpoint(place.kind, place.zone)
 		if err != nil {
 			return nil, err
 		}
-		if place.kind == kindEdge {
+		if place.kind == KindEdge {
 			edgeCaches = append(edgeCaches, endpoint)
 		}
 	}
-	for _, endpoint := range cluster.endpoints {
-		if err := cluster.startInProcess(endpoint); err != nil {
+	for _, endpoint := range cluster.Endpoints {
+		if err := cluster.StartInProcess(endpoint); err != nil {
 			return nil, err
 		}
-		cluster.publishStatus(endpoint, routing.Ready)
+		cluster.PublishStatus(endpoint, routing.Ready)
 	}
 	return edgeCaches, nil
 }
 
-// startOneZone starts an origin, a parent cache and two edge caches in one zone.
-func (cluster *testCluster) startOneZone() error {
+// StartOneZone starts an origin, a parent cache and two edge caches in one zone.
+func (cluster *Cluster) StartOneZone() error {
 	_, err := cluster.startEndpoints([]endpointPlace{
-		{kindOrigin, 0},
-		{kindParent, 0},
-		{kindEdge, 1},
-		{kindEdge, 1},
+		{KindOrigin, 0},
+		{KindParent, 0},
+		{KindEdge, 1},
+		{KindEdge, 1},
 	})
 	return err
 }
 
-// startTwoZones starts an origin, a parent cache and two edge caches in each of two zones.
-func (cluster *testCluster) startTwoZones() (edgeCaches []*clusterEndpoint, err error) {
+// StartTwoZones starts an origin, a parent cache and two edge caches in each of two zones.
+func (cluster *Cluster) StartTwoZones() (edgeCaches []*Endpoint, err error) {
 	return cluster.startEndpoints([]endpointPlace{
-		{kindOrigin, 0},
-		{kindParent, 0},
-		{kindEdge, 1},
-		{kindEdge, 1},
-		{kindEdge, 2},
-		{kindEdge, 2},
+		{KindOrigin, 0},
+		{KindParent, 0},
+		{KindEdge, 1},
+		{KindEdge, 1},
+		{KindEdge, 2},
+		{KindEdge, 2},
 	})
 }
--- a/internal/lab/in_process_peers.go
+++ b/internal/lab/cluster/in_process_peers.go
@@ -1,4 +1,4 @@
-package lab
+package cluster
 
 import (
 	"context"
@@ -13,6 +13,8 @@
 
 	"cairnfront/internal/admin"
 	"cairnfront/internal/config"
+	"cairnfront/internal/lab/timing"
+	"cairnfront/internal/lab/verify"
 	"cairnfront/internal/membership"
 	"cairnfront/internal/membership/datagram"
 	"cairnfront/internal/membership/ratelimit"
@@ -41,10 +43,10 @@
 	}
 )
 
-// startInProcessPeers starts peers in this process and writes the configuration file of a router among them. The
+// StartInProcessPeers starts peers in this process and writes the configuration file of a router among them. The
 // function that it returns ends them and waits.
-func startInProcessPeers(
-	ctx context.Context, options clusterOptions, router *routerProcess, peers int,
+func StartInProcessPeers(
+	ctx context.Context, options Options, router *Router, peers int,
 ) (stop func(), err error) {
 	names := make([]string, 0, peers+1)
 	for i := range peers {
@@ -98,7 +100,7 @@
 }
 
 // writePeersFile writes the key and the configuration file of a router, which is the roster's last entry.
-func writePeersFile(directory string, router *routerProcess, roster []membership.RosterEntry, seed string) error {
+func writePeersFile(directory string, router *Router, roster []membership.RosterEntry, seed string) error {
 	keyFile := filepath.Join(directory, peerKeyFileName)
 	if err := os.WriteFile(keyFile, []byte(seed), 0o600); err != nil {
 		return err
@@ -111,8 +113,8 @@
 			"address": entry.Address,
 		})
 	}
-	router.configFile = filepath.Join(directory, router.name+"-"+configFileName)
-	return writeConfigFile(router.configFile, map[string]any{
+	router.configFile = filepath.Join(directory, router.name+"-"+ConfigFileName)
+	return WriteConfigFile(router.configFile, map[string]any{
 		"router": map[string]any{"socket": filepath.Join(directory, adminSocketName)},
 		"peers": map[string]any{
 			"listen":   roster[len(roster)-1].Address,
@@ -145,8 +147,8 @@
 	)
 }
 
-// queryMembership asks a router on its admin socket for its membership view.
-func queryMembership(router *routerProcess) (state membership.Report, err error) {
+// QueryMembership asks a router on its admin socket for its membership view.
+func QueryMembership(router *Router) (state membership.Report, err error) {
 	file, err := config.Read(router.configFile)
 	if err != nil {
 		return state, err
@@ -158,16 +160,16 @@
 	return state, json.Unmarshal(data, &state)
 }
 
-// awaitPeers waits until a router sees all its peers.
-func awaitPeers(router *routerProcess, peers int) error {
-	err := waitUntil(peersFoundTimeout, func() bool {
-		state, _ := queryMembership(router)
-		return state.PartitionState == partitionWhole
+// AwaitPeers waits until a router sees all its peers.
+func AwaitPeers(router *Router, peers int) error {
+	err := timing.WaitUntil(peersFoundTimeout, func() bool {
+		state, _ := QueryMembership(router)
+		return state.PartitionState == verify.PartitionWhole
 	})
 	if err == nil {
 		return nil
 	}
-	state, _ := queryMembership(router)
+	state, _ := QueryMembership(router)
 	return fmt.Errorf(
 		"router sees %d of %d peers, partition state %s: %w", state.Present, peers, state.PartitionState, err,
 	)
--- a/internal/lab/router.go
+++ b/internal/lab/cluster/router.go
@@ -1,4 +1,4 @@
-package lab
+package cluster
 
 import (
 	"encoding/json"
@@ -14,6 +14,7 @@
 	"time"
 
 	"cairnfront/internal/clientproto"
+	"cairnfront/internal/lab/timing"
 )
 
 const (
@@ -25,8 +26,8 @@
 	logTailBytes       = 600              // of a log that an error quotes
 )
 
-// routerProcess is a router that runs as a program of its own.
-type routerProcess struct {
+// Router is a router that runs as a program of its own.
+type Router struct {
 	name         string
 	addr         string
 	settingsPath string   // of its bootstrap file
@@ -36,24 +37,24 @@
 	log          *os.File
 }
 
-// addRouter starts a router of a zone. All endpoints must be in the cluster before.
-func (cluster *testCluster) addRouter(zone int) error {
-	router, err := cluster.prepareRouter(zone)
+// AddRouter starts a router of a zone. All endpoints must be in the cluster before.
+func (cluster *Cluster) AddRouter(zone int) error {
+	router, err := cluster.PrepareRouter(zone)
 	if err != nil {
 		return err
 	}
-	router.configFile = cluster.configFile
-	return cluster.startRouter(router)
+	router.configFile = cluster.ConfigFile
+	return cluster.StartRouter(router)
 }
 
-// prepareRouter writes the bootstrap file of a router of a zone and adds it to the cluster's routers. It does not
+// PrepareRouter writes the bootstrap file of a router of a zone and adds it to the cluster's routers. It does not
 // start it.
-func (cluster *testCluster) prepareRouter(zone int) (*routerProcess, error) {
+func (cluster *Cluster) PrepareRouter(zone int) (*Router, error) {
 	listener, err := listenReusableTCP()
 	if err != nil {
 		return nil, err
 	}
-	router := &routerProcess{name: fmt.Sprintf("n%d", len(cluster.routers)+1), addr: listener.Addr().String()}
+	router := &Router{name: fmt.Sprintf("n%d", len(cluster.Routers)+1), addr: listener.Addr().String()}
 	_ = listener.Close()
 	text, err := json.Marshal(cluster.routerSettings(router, zone))
 	if err != nil {
@@ -63,13 +64,13 @@
 	if err := os.WriteFile(router.settingsPath, text, 0o600); err != nil {
 		return nil, err
 	}
-	cluster.routers = append(cluster.routers, router)
+	cluster.Routers = append(cluster.Routers, router)
 	return router, nil
 }
 
-// startRouter starts a router's process, also again after it was killed, and waits until it is ready. A restarted
+// StartRouter starts a router's process, also again after it was killed, and waits until it is ready. A restarted
 // router appends to its log.
-func (cluster *testCluster) startRouter(router *routerProcess) error {
+func (cluster *Cluster) StartRouter(router *Router) error {
 	if err := cluster.spawnRouter(router); err != nil {
 		return err
 	}
@@ -77,7 +78,7 @@
 }
 
 // spawnRouter starts a router's process and does not wait.
-func (cluster *testCluster) spawnRouter(router *routerProcess) (err error) {
+func (cluster *Cluster) spawnRouter(router *Router) (err error) {
 	if router.log == nil {
 		if router.log, err = os.Create(filepath.Join(cluster.options.Directory, router.name+".log")); err != nil {
 			return err
@@ -95,15 +96,15 @@
 }
 
 // awaitRouter waits until a router is ready.
-func (cluster *testCluster) awaitRouter(router *routerProcess) error {
-	if err := waitUntil(startTimeout, func() bool { return routerReady(router.addr) }); err != nil {
+func (cluster *Cluster) awaitRouter(router *Router) error {
+	if err := timing.WaitUntil(startTimeout, func() bool { return routerReady(router.addr) }); err != nil {
 		return fmt.Errorf("router %s is not ready: %w; its log: %s", router.name, err, logTail(router.log.Name()))
 	}
 	return nil
 }
 
 // kill ends a router by SIGKILL.
-func (router *routerProcess) kill() {
+func (router *Router) kill() {
 	if router.cmd != nil {
 		_ = router.cmd.Process.Kill()
 		_ = router.cmd.Wait()
@@ -112,7 +113,7 @@
 }
 
 // awaitEnd waits until a router that got SIGTERM has ended, and kills one that does not. It returns what went wrong.
-func (router *routerProcess) awaitEnd() (problem string) {
+func (router *Router) awaitEnd() (problem string) {
 	defer func() { _ = router.log.Close() }()
 	var waitErr error
 	ended := make(chan struct{})
@@ -133,9 +134,9 @@
 	}
 }
 
-// usage is the CPU time that a router has used, s, and its resident memory, MB, as the system counts them. Both are 0
+// Usage is the CPU time that a router has used, s, and its resident memory, MB, as the system counts them. Both are 0
 // for a router that does not run.
-func (router *routerProcess) usage() (cpuSeconds, memoryMB float64) {
+func (router *Router) Usage() (cpuSeconds, memoryMB float64) {
 	pid := router.cmd.Process.Pid
 	if stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
 		afterName := string(stat[strings.LastIndexByte(string(stat), ')')+1:])
@@ -172,14 +173,14 @@
 	return isReply && reply[clientproto.HeaderSize] == 1
 }
 
-// configFileName is the name of a configuration file in a directory of its own.
-const configFileName = "operators.yaml"
+// ConfigFileName is the name of a configuration file in a directory of its own.
+const ConfigFileName = "operators.yaml"
 
 // adminSocketName is the name of a router's admin socket.
 const adminSocketName = "admin.sock"
 
-// writeConfigFile writes settings as a configuration file. JSON is YAML.
-func writeConfigFile(path string, settings map[string]any) error {
+// WriteConfigFile writes settings as a configuration file. JSON is YAML.
+func WriteConfigFile(path string, settings map[string]any) error {
 	text, err := json.Marshal(settings)
 	if err != nil {
 		return err
--- a/internal/lab/router_group.go
+++ b/internal/lab/cluster/router_group.go
@@ -1,4 +1,4 @@
-package lab
+package cluster
 
 import (
 	"fmt"
@@ -12,33 +12,34 @@
 
 	"cairnfront/internal/faultproxy"
 	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/standin"
 	"cairnfront/internal/membership/datagram"
 	"cairnfront/internal/sim/faults"
 )
 
-// routerCount is the number of routers of a group.
-const routerCount = 20
+// RouterCount is the number of routers of a group.
+const RouterCount = 20
 
 // peerRouter is one router of a group.
 type peerRouter struct {
-	*routerProcess
+	*Router
 	index int
 }
 
-// routerGroup is routers of the program that are peers of each other, hostile peers among
+// RouterGroup is routers of the program that are peers of each other, hostile peers among
 // them, and a small test cluster around them. All datagrams between two of them pass a fault proxy.
-type routerGroup struct {
-	options      clusterOptions
-	cluster      *testCluster
-	script       faults.Script
+type RouterGroup struct {
+	options      Options
+	Cluster      *Cluster
+	Script       faults.Script
 	network      *faultproxy.Network
 	networkStart time.Time
 	routers      []*peerRouter
-	hostilePeers []*hostilePeer
-	clientGroups []*clientGroup
-	edgeCaches   []*clusterEndpoint
+	HostilePeers []*standin.HostilePeer
+	ClientGroups []*standin.ClientGroup
+	edgeCaches   []*Endpoint
 	names        []string      // of routers and hostile peers, by index
-	marks        []report.Mark // the faults that began
+	Marks        []report.Mark // the faults that began
 
 	mu          sync.Mutex // guards scriptStart while clients run
 	scriptStart time.Time  // zero before the script begins
@@ -52,25 +53,25 @@
 	conn      *net.UDPConn // holds the port until the member takes it
 }
 
-// newRouterGroup starts a cluster of two zones, its routers and the hostile peers, and waits until all are ready.
-func newRouterGroup(options clusterOptions, script faults.Script, hostilePeers int) (_ *routerGroup, err error) {
-	cluster, err := newTestCluster(options, 2)
+// NewRouterGroup starts a cluster of two zones, its routers and the hostile peers, and waits until all are ready.
+func NewRouterGroup(options Options, script faults.Script, hostilePeers int) (_ *RouterGroup, err error) {
+	cluster, err := New(options, 2)
 	if err != nil {
 		return nil, err
 	}
-	g := &routerGroup{
+	g := &RouterGroup{
 		options:      options,
-		cluster:      cluster,
-		script:       script,
+		Cluster:      cluster,
+		Script:       script,
 		network:      faultproxy.New(options.Seed, script.Processes),
 		networkStart: time.Now(),
 	}
 	defer func() {
 		if err != nil {
-			g.close(nil)
+			g.Close(nil)
 		}
 	}()
-	if g.edgeCaches, err = cluster.startTwoZones(); err != nil {
+	if g.edgeCaches, err = cluster.StartTwoZones(); err != nil {
 		return nil, err
 	}
 	members, err := g.makeMembers(script.Processes)
@@ -81,12 +82,12 @@
 	if err != nil {
 		return nil, err
 	}
-	for i := range routerCount {
+	for i := range RouterCount {
 		if err := g.prepareRouter(i, members, routes[i], hostilePeers); err != nil {
 			return nil, err
 		}
 	}
-	for i := routerCount; i < len(members); i++ {
+	for i := RouterCount; i < len(members); i++ {
 		if err := g.addHostilePeer(i, members, routes[i]); err != nil {
 			return nil, err
 		}
@@ -98,7 +99,7 @@
 }
 
 // makeMembers makes names, keys and ports of the members.
-func (g *routerGroup) makeMembers(n int) ([]clusterMember, error) {
+func (g *RouterGroup) makeMembers(n int) ([]clusterMember, error) {
 	members := make([]clusterMember, n)
 	for i := range members {
 		member := &members[i]
@@ -119,7 +120,7 @@
 }
 
 // makeRoutes opens a fault proxy for each direction between two members: i sends to j at the address routes[i][j].
-func (g *routerGroup) makeRoutes(members []clusterMember) ([][]netip.AddrPort, error) {
+func (g *RouterGroup) makeRoutes(members []clusterMember) ([][]netip.AddrPort, error) {
 	routes := make([][]netip.AddrPort, len(members))
 	for i := range members {
 		routes[i] = make([]netip.AddrPort, len(members))
@@ -139,11 +140,11 @@
 }
 
 // prepareRouter writes the bootstrap file, the configuration file and the key of a router.
-func (g *routerGroup) prepareRouter(
+func (g *RouterGroup) prepareRouter(
 	i int, members []clusterMember, routes []netip.AddrPort, maxByzantine int,
 ) error {
 	zone := 1 + i%2
-	router, err := g.cluster.prepareRouter(zone)
+	router, err := g.Cluster.PrepareRouter(zone)
 	if err != nil {
 		return err
 	}
@@ -173,17 +174,17 @@
 			"roster":   roster,
 		},
 	}
-	router.configFile = filepath.Join(directory, configFileName)
-	if err := writeConfigFile(router.configFile, settings); err != nil {
+	router.configFile = filepath.Join(directory, ConfigFileName)
+	if err := WriteConfigFile(router.configFile, settings); err != nil {
 		return err
 	}
 	router.extraEnv = []string{environmentVariable}
-	g.routers = append(g.routers, &peerRouter{routerProcess: router, index: i})
+	g.routers = append(g.routers, &peerRouter{Router: router, index: i})
 	return nil
 }
 
 // addHostilePeer makes a hostile peer. It starts to act with the script's g.
-func (g *routerGroup) addHostilePeer(i int, members []clusterMember, routes []netip.AddrPort) error {
+func (g *RouterGroup) addHostilePeer(i int, members []clusterMember, routes []netip.AddrPort) error {
 	key, err := datagram.ParsePrivateKey(members[i].seed)
 	if err != nil {
 		return err
@@ -193,45 +194,52 @@
 		identities = append(identities, members[j].Identity)
 	}
 	var endpoints []string
-	for _, endpoint := range g.cluster.endpoints {
-		endpoints = append(endpoints, endpoint.id)
-	}
-	peer, err := newHostilePeer(i, key, identities, members[i].conn, endpoints, g.options.Seed+uint64(i))
+	for _, endpoint := range g.Cluster.Endpoints {
+		endpoints = append(endpoints, endpoint.ID)
+	}
+	peer, err := standin.NewHostilePeer(standin.HostileConfig{
+		Index:     i,
+		Key:       key,
+		Roster:    identities,
+		Conn:      members[i].conn,
+		Routes:    routes,
+		Endpoints: endpoints,
+		Seed:      g.options.Seed + uint64(i),
+	})
 	if err != nil {
 		return err
 	}
-	peer.routes = routes
-	g.hostilePeers = append(g.hostilePeers, peer)
+	g.HostilePeers = append(g.HostilePeers, peer)
 	return nil
 }
 
 // startRouters starts all routers at once and waits until they are ready. Each gets a client.
-func (g *routerGroup) startRouters(members []clusterMember) error {
+func (g *RouterGroup) startRouters(members []clusterMember) error {
 	for i, router := range g.routers {
 		_ = members[i].conn.Close()
-		if err := g.cluster.spawnRouter(router.routerProcess); err != nil {
+		if err := g.Cluster.spawnRouter(router.Router); err != nil {
 			return err
 		}
 	}
 	for _, router := range g.routers {
-		if err := g.cluster.awaitRouter(router.routerProcess); err != nil {
+		if err := g.Cluster.awaitRouter(router.Router); err != nil {
 			return err
 		}
-		group := g.cluster.newClientGroup(router.routerProcess, 1, 100*time.Millisecond)
-		group.seed += uint64(router.index)
-		group.onResponse = func(response clientResponse) { g.recordResponse(router, response) }
-		g.clientGroups = append(g.clientGroups, group)
+		group := g.Cluster.NewClientGroup(router.Router, 1, 100*time.Millisecond)
+		group.Seed += uint64(router.index)
+		group.OnResponse = func(response standin.ClientResponse) { g.recordResponse(router, response) }
+		g.ClientGroups = append(g.ClientGroups, group)
 	}
 	return nil
 }
 
-// close ends all processes and the fault proxies. Paused processes are continued, as they could not end otherwise.
-func (g *routerGroup) close(r *report.Report) {
+// Close ends all processes and the fault proxies. Paused processes are continued, as they could not end otherwise.
+func (g *RouterGroup) Close(r *report.Report) {
 	for _, router := range g.routers {
 		if router.cmd != nil {
 			_ = router.cmd.Process.Signal(syscall.SIGCONT)
 		}
 	}
-	g.cluster.close(r)
+	g.Cluster.Close(r)
 	g.network.Close()
 }
--- a/internal/lab/router_group_script.go
+++ b/internal/lab/cluster/router_group_script.go
@@ -1,4 +1,4 @@
-package lab
+package cluster
 
 import (
 	"context"
@@ -8,6 +8,9 @@
 	"time"
 
 	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/standin"
+	"cairnfront/internal/lab/timing"
+	"cairnfront/internal/lab/verify"
 	"cairnfront/internal/membership"
 	"cairnfront/internal/sim/faults"
 
@@ -23,16 +26,16 @@
 
 // recordResponse keeps a client's response, unless it is missing or late because the script had its router killed,
 // paused or stalled meanwhile: such a client has to ask elsewhere.
-func (g *routerGroup) recordResponse(router *peerRouter, response clientResponse) {
-	late := response.code == noAnswer || response.doneAt > response.sentAt+response.deadline.Seconds()
-	if late && !g.workedThroughout(router, response.sentAt, response.deadline.Seconds()+clientWaitSeconds) {
+func (g *RouterGroup) recordResponse(router *peerRouter, response standin.ClientResponse) {
+	late := response.Code == standin.NoAnswer || response.DoneAt > response.SentAt+response.Deadline.Seconds()
+	if late && !g.workedThroughout(router, response.SentAt, response.Deadline.Seconds()+clientWaitSeconds) {
 		return
 	}
-	g.cluster.recordResponse(response)
+	g.Cluster.RecordResponse(response)
 }
 
 // workedThroughout says whether the script let a router work for some seconds from a time on, Unix s.
-func (g *routerGroup) workedThroughout(router *peerRouter, from, seconds float64) bool {
+func (g *RouterGroup) workedThroughout(router *peerRouter, from, seconds float64) bool {
 	g.mu.Lock()
 	scriptStart := g.scriptStart
 	g.mu.Unlock()
@@ -40,68 +43,68 @@
 		return true
 	}
 	for at := from; at < from+seconds; at += workingStepSeconds {
-		if !g.script.IsWorking(router.index, at-unixSeconds(scriptStart)) {
+		if !g.Script.IsWorking(router.index, at-timing.UnixSeconds(scriptStart)) {
 			return false
 		}
 	}
 	return true
 }
 
-// play starts clients and hostile peers and carries out the script.
+// Play starts clients and hostile peers and carries out the script.
 // Each of the hostile peers sends its part of a flood of datagrams once the script begins. Progress is called with each
 // transition.
-func (g *routerGroup) play(ctx context.Context, floodDatagrams int64, progress func(format string, args ...any)) error {
+func (g *RouterGroup) Play(ctx context.Context, floodDatagrams int64, progress func(format string, args ...any)) error {
 	loadCtx, stop := context.WithCancel(ctx)
 	var load sync.WaitGroup
 	defer func() {
 		stop()
 		load.Wait()
 	}()
-	for _, group := range g.clientGroups {
-		load.Go(func() { group.run(loadCtx) })
+	for _, group := range g.ClientGroups {
+		load.Go(func() { group.Run(loadCtx) })
 	}
-	for _, peer := range g.hostilePeers {
-		load.Go(func() { peer.run(loadCtx) })
+	for _, peer := range g.HostilePeers {
+		load.Go(func() { peer.Run(loadCtx) })
 		load.Go(func() {
 			<-loadCtx.Done()
-			_ = peer.conn.Close()
+			peer.Close()
 		})
 	}
-	if err := sleep(ctx, seconds(joinSeconds)); err != nil {
+	if err := timing.Sleep(ctx, timing.Seconds(joinSeconds)); err != nil {
 		return err
 	}
 	return g.runScript(ctx, floodDatagrams, progress)
 }
 
 // runScript carries out the script's transitions at their times.
-func (g *routerGroup) runScript(
+func (g *RouterGroup) runScript(
 	ctx context.Context, floodDatagrams int64, progress func(format string, args ...any),
 ) error {
-	start := g.network.StartScript(g.script)
+	start := g.network.StartScript(g.Script)
 	g.mu.Lock()
 	g.scriptStart = start
 	g.mu.Unlock()
-	for _, peer := range g.hostilePeers {
-		peer.flood.Store(floodDatagrams / int64(len(g.hostilePeers)))
+	for _, peer := range g.HostilePeers {
+		peer.StartFlood(floodDatagrams / int64(len(g.HostilePeers)))
 	}
-	for _, transition := range g.script.Transitions() {
-		if err := sleep(ctx, time.Until(start.Add(seconds(transition.Time)))); err != nil {
+	for _, transition := range g.Script.Transitions() {
+		if err := timing.Sleep(ctx, time.Until(start.Add(timing.Seconds(transition.Time)))); err != nil {
 			return err
 		}
-		progress("%5.1f of %.0f s: %s", transition.Time, g.script.Duration, transition)
+		progress("%5.1f of %.0f s: %s", transition.Time, g.Script.Duration, transition)
 		if !transition.IsEnd {
 			mark := report.Mark{At: transition.Time, Name: transition.Fault.Kind.Label()}
-			g.marks = append(g.marks, mark)
+			g.Marks = append(g.Marks, mark)
 		}
 		if err := g.applyTransition(transition); err != nil {
 			return err
 		}
 	}
-	return sleep(ctx, time.Until(start.Add(seconds(g.script.Duration))))
+	return timing.Sleep(ctx, time.Until(start.Add(timing.Seconds(g.Script.Duration))))
 }
 
 // applyTransition begins or ends a fault of processes. Faults of the network are the fault proxy's.
-func (g *routerGroup) applyTransition(transition faults.Transition) error {
+func (g *RouterGroup) applyTransition(transition faults.Transition) error {
 	var restarts errgroup.Group
 	for _, i := range transition.Fault.From {
 		if i >= len(g.routers) {
@@ -111,7 +114,7 @@
 		switch transition.Fault.Kind {
 		case faults.Kill, faults.Wipe:
 			if transition.IsEnd {
-				restarts.Go(func() error { return g.cluster.startRouter(router.routerProcess) })
+				restarts.Go(func() error { return g.Cluster.StartRouter(router.Router) })
 			} else {
 				router.kill()
 			}
@@ -148,45 +151,45 @@
 	}
 }
 
-// datagramRate is the datagrams that a router sent, by the second of the script, and the bytes that it sent per second.
-func (g *routerGroup) datagramRate() (rate report.Line, bytesPerSecond float64) {
+// DatagramRate is the datagrams that a router sent, by the second of the script, and the bytes that it sent per second.
+func (g *RouterGroup) DatagramRate() (rate report.Line, bytesPerSecond float64) {
 	rate.Name = "datagrams per second and router"
 	offset := g.scriptStart.Sub(g.networkStart).Seconds()
-	first, last := int(offset), int(offset+g.script.Duration)
+	first, last := int(offset), int(offset+g.Script.Duration)
 	totalBytes := int64(0)
 	for second := first; second < last; second++ {
 		datagrams := int64(0)
-		for i := range routerCount {
+		for i := range RouterCount {
 			sent, bytes := g.network.SentBetween(i, second, second+1)
 			datagrams += sent
 			totalBytes += bytes
 		}
-		rate.Add(float64(second-first), float64(datagrams)/float64(routerCount))
+		rate.Add(float64(second-first), float64(datagrams)/float64(RouterCount))
 	}
-	return rate, float64(totalBytes) / float64(routerCount) / max(float64(last-first), 1)
+	return rate, float64(totalBytes) / float64(RouterCount) / max(float64(last-first), 1)
 }
 
-// collectEvidence gathers what the run recorded of the routers' membership views.
-func (g *routerGroup) collectEvidence() (*membershipEvidence, error) {
-	e := &membershipEvidence{
-		script:      g.script,
-		scriptStart: g.scriptStart,
-		names:       g.names,
-		requests:    g.cluster.recordedRequests(),
+// CollectEvidence gathers what the run recorded of the routers' membership views.
+func (g *RouterGroup) CollectEvidence() (*verify.Membership, error) {
+	e := &verify.Membership{
+		Script:      g.Script,
+		ScriptStart: g.scriptStart,
+		Names:       g.names,
+		Requests:    g.Cluster.Requests(),
 	}
 	for _, edgeCache := range g.edgeCaches {
-		e.edgeCaches = append(e.edgeCaches, edgeCache.id)
+		e.EdgeCaches = append(e.EdgeCaches, edgeCache.ID)
 	}
 	peers := map[string]int{}
 	for i, name := range g.names {
 		peers[name] = i
 	}
 	for _, router := range g.routers {
-		log, err := readRouterLog(router.log.Name(), router.name, router.index, peers, g.scriptStart)
+		log, err := verify.ReadRouterLog(router.log.Name(), router.name, router.index, peers, g.scriptStart)
 		if err != nil {
 			return nil, err
 		}
-		e.routers = append(e.routers, log)
+		e.Routers = append(e.Routers, log)
 	}
 	return e, nil
 }
--- a/internal/lab/router_settings.go
+++ b/internal/lab/cluster/router_settings.go
@@ -1,17 +1,20 @@
-package lab
+package cluster
 
 import (
 	"fmt"
+
+	"cairnfront/internal/lab/standin"
+	"cairnfront/internal/lab/verify"
 )
 
 // endpointTypeNames are the names of the kinds of endpoints on the wire and in a router's settings.
-var endpointTypeNames = [...]string{kindEdge: "box", kindParent: "parent", kindOrigin: "origin"}
+var endpointTypeNames = [...]string{KindEdge: "box", KindParent: "parent", KindOrigin: "origin"}
 
 // linkKilobytesPerSecond is the speed of the links into the zones, more than loopback carries in a scenario.
 const linkKilobytesPerSecond = 1e6
 
 // routerSettings are the bootstrap settings of a router of a zone, in the form of the users' bootstrap file.
-func (cluster *testCluster) routerSettings(router *routerProcess, zone int) map[string]any {
+func (cluster *Cluster) routerSettings(router *Router, zone int) map[string]any {
 	zones := cluster.zoneNames()
 	firstEvent := map[string]any{
 		"rev":  0,
@@ -20,13 +23,13 @@
 	return map[string]any{
 		"name":   router.name,
 		"listen": router.addr,
-		"board":  cluster.discovery.addr(),
+		"board":  cluster.Discovery.Addr(),
 		"seed":   fmt.Sprintf("%016x", cluster.options.Seed+uint64(zone)),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"known":  map[string]any{"rev": 0, "notices": []any{firstEvent}},
 		"settings": map[string]any{
 			"me":              zone - 1,
-			"group_size":      cluster.zoneCount,
+			"group_size":      cluster.ZoneCount,
 			"zone":            zone,
 			"zones":           zones,
 			"flavors":         endpointTypeNames,
@@ -40,9 +43,9 @@
 }
 
 // zoneNames are the names of the parent zone and of the others.
-func (cluster *testCluster) zoneNames() []string {
+func (cluster *Cluster) zoneNames() []string {
 	zones := []string{"parent-zone"}
-	for i := range cluster.zoneCount {
+	for i := range cluster.ZoneCount {
 		zones = append(zones, zoneName(i+1))
 	}
 	return zones
@@ -52,32 +55,32 @@
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
 // endpointSettings is the endpoint list that a router starts with.
-func (cluster *testCluster) endpointSettings(zones []string) []map[string]any {
+func (cluster *Cluster) endpointSettings(zones []string) []map[string]any {
 	var list []map[string]any
-	for _, endpoint := range cluster.endpoints {
+	for _, endpoint := range cluster.Endpoints {
 		list = append(list, map[string]any{
-			"name":     endpoint.id,
-			"address":  endpoint.addr,
-			"zone":     zones[endpoint.zone],
-			"type":     endpointTypeNames[endpoint.kind],
+			"name":     endpoint.ID,
+			"address":  endpoint.Addr,
+			"zone":     zones[endpoint.Zone],
+			"type":     endpointTypeNames[endpoint.Kind],
 			"group":    0,
 			"status":   "SERVING",
 			"weight":   endpointWeight,
-			"since_ms": int64(endpoint.startedAt * 1000),
+			"since_ms": int64(endpoint.StartedAt * 1000),
 		})
 	}
 	return list
 }
 
 // classSettings are the request classes of a cluster.
-func (cluster *testCluster) classSettings() []any {
+func (cluster *Cluster) classSettings() []any {
 	classes := []any{
-		classSetting(classVideoPart, "retryable", 6, 2),
-		classSetting(classPageAsset, "retryable", 2.5, 1),
-		classSetting(classPrintOrder, "dedup", 3, 3),
+		classSetting(standin.ClassVideoPart, "retryable", 6, 2),
+		classSetting(standin.ClassPageAsset, "retryable", 2.5, 1),
+		classSetting(standin.ClassPrintOrder, "dedup", 3, 3),
 	}
-	if cluster.nonIdempotentClass {
-		classes = append(classes, classSetting(classRecord, "fragile", 3, 3))
+	if cluster.NonIdempotentClass {
+		classes = append(classes, classSetting(standin.ClassRecord, "fragile", 3, 3))
 	}
 	return classes
 }
@@ -87,10 +90,10 @@
 		"name":         name,
 		"effect":       effect,
 		"group":        "all",
-		"on_time_s":    classObjectiveSeconds[name],
+		"on_time_s":    standin.ClassObjectiveSeconds[name],
 		"aim_stretch":  2.0,
 		"hard_limit_s": deadlineSeconds,
-		"window_s":     keyRetentionSeconds,
+		"window_s":     standin.KeyRetentionSeconds,
 		"worth":        priorityWeight,
 		"late_worth":   0.1,
 		"streaming":    false,
@@ -110,11 +113,11 @@
 		"usable_after_s":       []float64{0, pageStaleSeconds, 0, 0},
 		"worth_when_old":       []float64{1, 0.5, 1, 1},
 		"never_kept":           []bool{false, false, true, true},
-		"origin_kind":          kindOrigin,
-		"upper_kind":           kindParent,
+		"origin_kind":          KindOrigin,
+		"upper_kind":           KindParent,
 		"pace_kb_per_s":        10000.0,
 		"gone_everywhere_s":    purgeSettledSeconds,
-		"notice_time_s":        purgeGraceSeconds,
+		"notice_time_s":        verify.PurgeGraceSeconds,
 		"pass_through_ok":      true,
 		"sideways":             "location",
 		"tells":                "all",
@@ -143,7 +146,7 @@
 
 func ruleSettings() map[string]any {
 	return map[string]any{
-		"stop_sending_within_s": drainGraceSeconds,
+		"stop_sending_within_s": verify.DrainGraceSeconds,
 		"fall_multiple":         3.0,
 		"overload_for_s":        1.0,
 		"start_capacity":        0.5,
--- a/internal/lab/addresses.go
+++ b/internal/lab/scenario/addresses.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"context"
@@ -9,6 +9,9 @@
 	"time"
 
 	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/standin"
+	"cairnfront/internal/lab/timing"
+	"cairnfront/internal/lab/verify"
 )
 
 // errNoRequests says that a phase has no request to measure.
@@ -26,33 +29,33 @@
 type addressVariant struct {
 	name         string
 	allAddresses bool // the router is configured with all addresses, else it knows one for each endpoint
-	fault        func(ctx context.Context, address *standInAddress)
+	fault        func(ctx context.Context, address *standin.Address)
 	measuresHeal bool // the time until the address is used again is a figure
 }
 
 var addressVariants = []addressVariant{
 	{name: report.VariantAllHealthy, allAddresses: true},
-	{name: report.VariantUnresponsive, allAddresses: true, fault: holdMode(unresponsive), measuresHeal: true},
-	{name: report.VariantReset, allAddresses: true, fault: holdMode(resetting)},
-	{name: report.VariantClosed, allAddresses: true, fault: holdMode(closed), measuresHeal: true},
-	{name: report.VariantTruncating, allAddresses: true, fault: holdMode(truncating)},
+	{name: report.VariantUnresponsive, allAddresses: true, fault: holdMode(standin.Unresponsive), measuresHeal: true},
+	{name: report.VariantReset, allAddresses: true, fault: holdMode(standin.Resetting)},
+	{name: report.VariantClosed, allAddresses: true, fault: holdMode(standin.Closed), measuresHeal: true},
+	{name: report.VariantTruncating, allAddresses: true, fault: holdMode(standin.Truncating)},
 	{name: report.VariantFlapping, allAddresses: true, fault: flapMode},
 	{name: report.VariantSingle},
-	{name: report.VariantSingleUnresponsive, fault: holdMode(unresponsive)},
+	{name: report.VariantSingleUnresponsive, fault: holdMode(standin.Unresponsive)},
 }
 
 // holdMode is a fault in which an address keeps a mode.
-func holdMode(mode addressMode) func(context.Context, *standInAddress) {
-	return func(_ context.Context, address *standInAddress) { _ = address.setMode(mode) }
+func holdMode(mode standin.AddressMode) func(context.Context, *standin.Address) {
+	return func(_ context.Context, address *standin.Address) { _ = address.SetMode(mode) }
 }
 
 // flapMode is a fault in which an address closes and opens in turn.
-func flapMode(ctx context.Context, address *standInAddress) {
-	for mode := closed; ctx.Err() == nil; mode = closed - mode {
-		_ = address.setMode(mode)
-		_ = sleep(ctx, flapInterval)
+func flapMode(ctx context.Context, address *standin.Address) {
+	for mode := standin.Closed; ctx.Err() == nil; mode = standin.Closed - mode {
+		_ = address.SetMode(mode)
+		_ = timing.Sleep(ctx, flapInterval)
 	}
-	_ = address.setMode(healthy)
+	_ = address.SetMode(standin.Healthy)
 }
 
 var addressesScenario = Scenario{
@@ -107,30 +110,30 @@
 func runVariant(
 	ctx context.Context, options Options, r *report.Report, variant addressVariant, requests, clients int,
 ) (report.Line, error) {
-	cluster, err := newMultiAddressCluster(options, variant.allAddresses)
+	testCluster, err := newMultiAddressCluster(options, variant.allAddresses)
 	if err != nil {
 		return report.Line{}, err
 	}
-	defer cluster.close(r)
-	startedAt := unixSeconds(time.Now())
-	endFault := cluster.startFault(ctx, variant)
+	defer testCluster.Close(r)
+	startedAt := timing.UnixSeconds(time.Now())
+	endFault := testCluster.startFault(ctx, variant)
 	defer endFault()
 	counter := responseCounter{from: startedAt + settleSeconds, want: requests, reached: make(chan struct{})}
-	load := cluster.startLoad(ctx, clients, func(response clientResponse) {
-		cluster.recordResponse(response)
+	load := testCluster.startLoad(ctx, clients, func(response standin.ClientResponse) {
+		testCluster.RecordResponse(response)
 		counter.add()
 	})
 	defer load.stop()
 	if err := counter.wait(ctx); err != nil {
 		return report.Line{}, err
 	}
-	endedAt := unixSeconds(time.Now())
+	endedAt := timing.UnixSeconds(time.Now())
 	endFault()
 	if variant.fault == nil {
-		cluster.addUsage(r, variant.name)
+		testCluster.addUsage(r, variant.name)
 	}
 	if variant.measuresHeal {
-		took, recovered := cluster.healFaultyAddress()
+		took, recovered := testCluster.healFaultyAddress()
 		r.Figures[report.Key(report.AddressRecovery, variant.name)] = took
 		if !recovered {
 			r.Broke("%s: the address has recovered and is not used", report.SuffixLabel(variant.name))
@@ -139,15 +142,15 @@
 	load.stop()
 	time.Sleep(deliveryPause)
 	before := r.Counts[report.Requests]
-	cluster.verify(r, []*clientGroup{load.group})
+	testCluster.Verify(r, []*standin.ClientGroup{load.group})
 	r.Counts[report.Key(report.Requests, variant.name)] = r.Counts[report.Requests] - before
-	latencies := summarizeLatencies(cluster.recordedResponses(), startedAt+settleSeconds, endedAt)
+	latencies := summarizeLatencies(testCluster.Responses(), startedAt+settleSeconds, endedAt)
 	if len(latencies.sortedMillis) == 0 {
 		return report.Line{}, errNoRequests
 	}
 	latencies.addFigures(r, variant.name)
-	cluster.noOverlappingAttempts(r, variant.name, load)
-	cluster.countAttempts(r)
+	testCluster.noOverlappingAttempts(r, variant.name, load)
+	testCluster.countAttempts(r)
 	return latencies.line(report.SuffixLabel(variant.name)), nil
 }
 
@@ -178,7 +181,7 @@
 func (c *responseCounter) add() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if unixSeconds(time.Now()) <= c.from {
+	if timing.UnixSeconds(time.Now()) <= c.from {
 		return
 	}
 	c.n++
@@ -203,8 +206,8 @@
 
 // addUsage reports what the router used for the requests so far.
 func (c *multiAddressCluster) addUsage(r *report.Report, name string) {
-	cpuSeconds, memoryMB := c.routers[0].usage()
-	requests := len(c.recordedResponses())
+	cpuSeconds, memoryMB := c.Routers[0].Usage()
+	requests := len(c.Responses())
 	r.Figures[report.Key(report.CPUPerRequest, name)] = cpuSeconds * 1e6 / float64(max(requests, 1))
 	r.Figures[report.Key(report.ResidentMemory, name)] = memoryMB
 }
@@ -217,20 +220,20 @@
 }
 
 // summarizeLatencies sums up the requests sent between two times, Unix s, and the slowest of those before.
-func summarizeLatencies(responses []observedResponse, from, to float64) *latencySummary {
+func summarizeLatencies(responses []verify.Response, from, to float64) *latencySummary {
 	s := &latencySummary{}
 	for i := range responses {
 		response := &responses[i]
-		if response.sentAt < from {
-			s.slowestAtFirst = max(s.slowestAtFirst, response.doneAt-response.sentAt)
+		if response.SentAt < from {
+			s.slowestAtFirst = max(s.slowestAtFirst, response.DoneAt-response.SentAt)
 			continue
 		}
-		if response.sentAt > to {
+		if response.SentAt > to {
 			continue
 		}
-		took := response.latencySeconds()
+		took := response.LatencySeconds()
 		s.sortedMillis = append(s.sortedMillis, took*1000)
-		if response.code == codeCompleted && took <= classObjectiveSeconds[response.class] {
+		if response.Code == standin.CodeCompleted && took <= standin.ClassObjectiveSeconds[response.Class] {
 			s.onTime++
 		}
 	}
@@ -258,14 +261,14 @@
 // countAttempts counts the attempts that came to the stand-ins, and those that met a fault.
 func (c *multiAddressCluster) countAttempts(r *report.Report) {
 	for _, standIn := range c.standIns {
-		attempts := standIn.recordedAttempts()
+		attempts := standIn.Attempts()
 		r.Counts[report.Attempts] += int64(len(attempts))
-		r.Counts[report.ConnectionsUnanswered] += standIn.unresponsiveConnections.Load()
+		r.Counts[report.ConnectionsUnanswered] += standIn.UnresponsiveConnections.Load()
 		for _, attempt := range attempts {
-			switch attempt.mode {
-			case unresponsive:
+			switch attempt.Mode {
+			case standin.Unresponsive:
 				r.Counts[report.AttemptsUnresponsive]++
-			case resetting:
+			case standin.Resetting:
 				r.Counts[report.AttemptsReset]++
 			}
 		}
--- a/internal/lab/multiaddress.go
+++ b/internal/lab/scenario/addresses_cluster.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"context"
@@ -9,7 +9,11 @@
 
 	"cairnfront/internal/cacheproto"
 	"cairnfront/internal/config"
+	"cairnfront/internal/lab/cluster"
 	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/standin"
+	"cairnfront/internal/lab/timing"
+	"cairnfront/internal/lab/verify"
 )
 
 // listedEndpoints is how many endpoints the list of a cluster with several addresses has.
@@ -17,10 +21,10 @@
 
 // multiAddressCluster is a router over four stand-ins of three addresses each, in a long endpoint list.
 type multiAddressCluster struct {
-	*testCluster
-	standIns []*endpointStandIn
-	faulty   *standInAddress // the address that a fault hits; of the first edge cache
-	orders   idempotencyRecords
+	*cluster.Cluster
+	standIns []*standin.Endpoint
+	faulty   *standin.Address // the address that a fault hits; of the first edge cache
+	orders   standin.IdempotencyRecords
 	entries  []config.EndpointAddresses // of the configuration file
 }
 
@@ -29,52 +33,52 @@
 	if options.Directory, err = os.MkdirTemp(options.Directory, "v"); err != nil {
 		return nil, err
 	}
-	cluster, err := newTestCluster(options.clusterOptions(), 2)
+	testCluster, err := cluster.New(options.clusterOptions(), 2)
 	if err != nil {
 		return nil, err
 	}
-	c := &multiAddressCluster{testCluster: cluster}
+	c := &multiAddressCluster{Cluster: testCluster}
 	defer func() {
 		if err != nil {
-			c.close(nil)
+			c.Close(nil)
 		}
 	}()
-	c.nonIdempotentClass = true
-	for _, kind := range standInKinds {
-		standIn, err := c.addStandIn(kind, c.answerBody)
+	c.NonIdempotentClass = true
+	for _, kind := range cluster.StandInKinds {
+		standIn, err := c.AddStandIn(kind, c.answerBody)
 		if err != nil {
 			return nil, err
 		}
 		c.standIns = append(c.standIns, standIn)
-		entry := config.EndpointAddresses{Endpoint: standIn.id}
-		for _, address := range standIn.addresses {
-			entry.Addresses = append(entry.Addresses, address.addr)
+		entry := config.EndpointAddresses{Endpoint: standIn.ID}
+		for _, address := range standIn.Addresses {
+			entry.Addresses = append(entry.Addresses, address.Addr)
 		}
 		c.entries = append(c.entries, entry)
 	}
 	c.listUnusedEndpoints()
-	addresses := c.faultyEdge().addresses
+	addresses := c.faultyEdge().Addresses
 	if !allAddresses {
 		c.faulty = addresses[len(addresses)-1]
-		return c, c.addRouter(1)
+		return c, c.AddRouter(1)
 	}
 	c.faulty = addresses[0]
-	c.configFile = filepath.Join(options.Directory, configFileName)
+	c.ConfigFile = filepath.Join(options.Directory, cluster.ConfigFileName)
 	settings := map[string]any{"router": map[string]any{"addresses": c.entries}}
-	if err := writeConfigFile(c.configFile, settings); err != nil {
+	if err := cluster.WriteConfigFile(c.ConfigFile, settings); err != nil {
 		return nil, err
 	}
-	return c, c.addRouter(1)
+	return c, c.AddRouter(1)
 }
 
 // listUnusedEndpoints fills the endpoint list with edge caches of the other zone, which get no request.
 func (c *multiAddressCluster) listUnusedEndpoints() {
 	for i := len(c.standIns); i < listedEndpoints; i++ {
-		endpoint := &clusterEndpoint{id: endpointID(i + 1), zone: 2, addr: "127.0.0.1:9"}
-		c.endpoints = append(c.endpoints, endpoint)
+		endpoint := &cluster.Endpoint{ID: cluster.EndpointID(i + 1), Zone: 2, Addr: "127.0.0.1:9"}
+		c.Endpoints = append(c.Endpoints, endpoint)
 		c.entries = append(c.entries, config.EndpointAddresses{
-			Endpoint:  endpoint.id,
-			Addresses: []string{unixPrefix + "/unused/" + endpoint.id, "[::1]:9", endpoint.addr},
+			Endpoint:  endpoint.ID,
+			Addresses: []string{standin.UnixPrefix + "/unused/" + endpoint.ID, "[::1]:9", endpoint.Addr},
 		})
 	}
 }
@@ -83,46 +87,48 @@
 // stand-ins.
 func (c *multiAddressCluster) answerBody(command cacheproto.Command) []byte {
 	switch command.ClassName {
-	case classPrintOrder:
-		if c.orders.shouldRun(command.IdempotencyKey, unixSeconds(time.Now())) {
-			c.content.OnExecute(command.ClassName, command.IdempotencyKey)
+	case standin.ClassPrintOrder:
+		if c.orders.ShouldRun(command.IdempotencyKey, timing.UnixSeconds(time.Now())) {
+			c.Content.OnExecute(command.ClassName, command.IdempotencyKey)
 		}
 		return nil
-	case classRecord:
+	case standin.ClassRecord:
 		return nil
 	}
-	return c.syntheticBody(command)
+	return c.SyntheticBody(command)
 }
 
 // faultyEdge is the edge cache that has the faulty address.
-func (c *multiAddressCluster) faultyEdge() *endpointStandIn { return c.standIns[faultyStandIn] }
+func (c *multiAddressCluster) faultyEdge() *standin.Endpoint {
+	return c.standIns[cluster.FaultyStandIn]
+}
 
-// close ends the cluster and then the stand-ins.
-func (c *multiAddressCluster) close(r *report.Report) {
-	c.testCluster.close(r)
+// Close ends the cluster and then the stand-ins.
+func (c *multiAddressCluster) Close(r *report.Report) {
+	c.Cluster.Close(r)
 	for _, standIn := range c.standIns {
-		standIn.close()
+		standIn.Close()
 	}
 }
 
 // mixedLoad is clients of all request classes, those that must not be sent twice among them.
 type mixedLoad struct {
-	group *clientGroup
-	delay schedulingDelay
+	group *standin.ClientGroup
+	delay verify.SchedulingDelay
 	stop  func() // ends the load and waits for it; may be called again
 }
 
 // startLoad starts clients of the cluster's router.
 func (c *multiAddressCluster) startLoad(
-	ctx context.Context, clients int, onResponse func(clientResponse),
+	ctx context.Context, clients int, onResponse func(standin.ClientResponse),
 ) *mixedLoad {
-	load := &mixedLoad{group: c.newClientGroup(c.routers[0], clients, 10*time.Millisecond)}
-	load.group.nonIdempotent = true
-	load.group.onResponse = onResponse
+	load := &mixedLoad{group: c.NewClientGroup(c.Routers[0], clients, 10*time.Millisecond)}
+	load.group.NonIdempotent = true
+	load.group.OnResponse = onResponse
 	loadCtx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
-	running.Go(func() { load.group.run(loadCtx) })
-	running.Go(func() { load.delay.watch(loadCtx) })
+	running.Go(func() { load.group.Run(loadCtx) })
+	running.Go(func() { load.delay.Watch(loadCtx) })
 	load.stop = func() {
 		cancel()
 		running.Wait()
@@ -133,13 +139,14 @@
 // noOverlappingAttempts checks that no request had two attempts open at a time and that no non-idempotent one came
 // twice.
 func (c *multiAddressCluster) noOverlappingAttempts(r *report.Report, name string, load *mixedLoad) {
-	margin := load.delay.orderingMargin()
+	margin := load.delay.OrderingMargin()
 	r.Figures[report.OrderingMargin] = max(r.Figures[report.OrderingMargin], margin*1000)
-	var attempts []*attemptRecord
+	var attempts []*standin.Attempt
 	for _, standIn := range c.standIns {
-		attempts = append(attempts, standIn.recordedAttempts()...)
+		attempts = append(attempts, standIn.Attempts()...)
 	}
-	overlapping, repeats, violations := findOverlappingAttempts(attempts, margin, map[string]bool{classRecord: true})
+	nonIdempotent := map[string]bool{standin.ClassRecord: true}
+	overlapping, repeats, violations := verify.OverlappingAttempts(attempts, margin, nonIdempotent)
 	r.Counts[report.AttemptsOverlapping] += overlapping
 	r.Counts[report.NonIdempotentRepeats] += repeats
 	for _, line := range violations {
--- a/internal/lab/addresses_pairs.go
+++ b/internal/lab/scenario/addresses_pairs.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"context"
@@ -6,6 +6,9 @@
 	"time"
 
 	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/standin"
+	"cairnfront/internal/lab/timing"
+	"cairnfront/internal/lab/verify"
 )
 
 // Sizes and bounds of the paired measurement.
@@ -33,20 +36,20 @@
 	if options.Full {
 		count, phase = pairsFull, pairPhaseFull
 	}
-	cluster, err := newMultiAddressCluster(options, true)
+	testCluster, err := newMultiAddressCluster(options, true)
 	if err != nil {
 		return err
 	}
-	defer cluster.close(r)
-	load := cluster.startLoad(ctx, clients, cluster.recordResponse)
+	defer testCluster.Close(r)
+	load := testCluster.startLoad(ctx, clients, testCluster.RecordResponse)
 	defer load.stop()
 	var pairs addressPairs
 	for i := range count {
 		options.Progress("pair %d of %d", i+1, count)
-		if err := cluster.measurePair(ctx, &pairs, phase); err != nil {
+		if err := testCluster.measurePair(ctx, &pairs, phase); err != nil {
 			return err
 		}
-		if _, recovered := cluster.healFaultyAddress(); !recovered {
+		if _, recovered := testCluster.healFaultyAddress(); !recovered {
 			r.Broke("pair %d: the address has recovered and is not used", i+1)
 		}
 	}
@@ -54,8 +57,8 @@
 	r.Counts[report.Pairs] = int64(count)
 	pairs.addFigures(r)
 	pairs.unresponsiveAddressCheap(r, options.Full)
-	cluster.noOverlappingAttempts(r, "pairs", load)
-	cluster.verify(r, []*clientGroup{load.group})
+	testCluster.noOverlappingAttempts(r, "pairs", load)
+	testCluster.Verify(r, []*standin.ClientGroup{load.group})
 	return nil
 }
 
@@ -65,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	_ = c.faulty.setMode(unresponsive)
+	_ = c.faulty.SetMode(standin.Unresponsive)
 	unresponsiveMillis, err := c.measurePhase(ctx, phase)
 	if err != nil {
 		return err
@@ -78,22 +81,22 @@
 
 // measurePhase waits until the router has settled and measures the 99th percentile of a phase, ms.
 func (c *multiAddressCluster) measurePhase(ctx context.Context, phase time.Duration) (float64, error) {
-	if err := sleep(ctx, seconds(settleSeconds)); err != nil {
+	if err := timing.Sleep(ctx, timing.Seconds(settleSeconds)); err != nil {
 		return 0, err
 	}
-	from := unixSeconds(time.Now())
-	if err := sleep(ctx, phase); err != nil {
+	from := timing.UnixSeconds(time.Now())
+	if err := timing.Sleep(ctx, phase); err != nil {
 		return 0, err
 	}
-	return p99Millis(c.recordedResponses(), from, unixSeconds(time.Now()))
+	return p99Millis(c.Responses(), from, timing.UnixSeconds(time.Now()))
 }
 
 // healFaultyAddress makes the faulty address healthy and waits until the router uses it again.
 func (c *multiAddressCluster) healFaultyAddress() (tookSeconds float64, recovered bool) {
-	_ = c.faulty.setMode(healthy)
-	healedAt := unixSeconds(time.Now())
-	err := waitUntil(recoveryLimit, func() bool { return c.faultyEdge().usedAfter(c.faulty, healedAt) })
-	return unixSeconds(time.Now()) - healedAt, err == nil
+	_ = c.faulty.SetMode(standin.Healthy)
+	healedAt := timing.UnixSeconds(time.Now())
+	err := timing.WaitUntil(recoveryLimit, func() bool { return c.faultyEdge().UsedAfter(c.faulty, healedAt) })
+	return timing.UnixSeconds(time.Now()) - healedAt, err == nil
 }
 
 // addFigures sorts the lists and reports the minimum, the median and the maximum of each.
@@ -140,11 +143,11 @@
 
 // p99Millis is the 99th percentile of the latencies of the requests sent between two times, Unix s. A request without
 // an answer counts with its deadline.
-func p99Millis(responses []observedResponse, from, to float64) (float64, error) {
+func p99Millis(responses []verify.Response, from, to float64) (float64, error) {
 	var millis []float64
 	for i := range responses {
-		if o := &responses[i]; o.sentAt >= from && o.sentAt < to {
-			millis = append(millis, o.latencySeconds()*1000)
+		if o := &responses[i]; o.SentAt >= from && o.SentAt < to {
+			millis = append(millis, o.LatencySeconds()*1000)
 		}
 	}
 	if len(millis) == 0 {
--- a/internal/lab/addresses_pairs_test.go
+++ b/internal/lab/scenario/addresses_pairs_test.go
@@ -1,9 +1,12 @@
-package lab
+package scenario
 
 import (
 	"testing"
 	"time"
 
+	"cairnfront/internal/lab/standin"
+	"cairnfront/internal/lab/verify"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
@@ -11,16 +14,20 @@
 // TestPercentileCountsRequestsOfItsPhase holds that the percentile is over the requests sent in a phase, and that one
 // without an answer counts with its deadline.
 func TestPercentileCountsRequestsOfItsPhase(t *testing.T) {
-	var responses []observedResponse
+	var responses []verify.Response
 	for i := range 200 {
 		responses = append(
 			responses,
-			observedResponse{
-				clientResponse: clientResponse{code: 1, sentAt: float64(i), doneAt: float64(i) + 0.001*float64(i%100)},
+			verify.Response{
+				ClientResponse: standin.ClientResponse{
+					Code:   standin.CodeCompleted,
+					SentAt: float64(i),
+					DoneAt: float64(i) + 0.001*float64(i%100),
+				},
 			},
 		)
 	}
-	responses[150].code, responses[150].deadline = noAnswer, time.Second
+	responses[150].Code, responses[150].Deadline = standin.NoAnswer, time.Second
 	ms, err := p99Millis(responses, 0, 100)
 	require.NoError(t, err)
 	assert.InDelta(t, 98, ms, 0.01)
--- a/internal/lab/bounds_test.go
+++ b/internal/lab/scenario/bounds_test.go
@@ -1,9 +1,10 @@
-package lab
+package scenario
 
 import (
 	"strings"
 	"testing"
 
+	"cairnfront/internal/lab/cluster"
 	"cairnfront/internal/lab/report"
 
 	"github.com/stretchr/testify/assert"
@@ -133,6 +134,6 @@
 	missing := Options{Seed: 3, Directory: t.TempDir() + "/not/there"}
 	_, err := newMultiAddressCluster(missing, true)
 	require.Error(t, err)
-	_, err = newRouterGroup(missing.clusterOptions(), membershipScript(missing), hostilePeersSmall)
+	_, err = cluster.NewRouterGroup(missing.clusterOptions(), membershipScript(missing), hostilePeersSmall)
 	assert.Error(t, err)
 }
--- a/internal/lab/demo.go
+++ b/internal/lab/scenario/demo.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"context"
@@ -6,7 +6,11 @@
 	"math/rand/v2"
 	"time"
 
+	"cairnfront/internal/lab/cluster"
 	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/standin"
+	"cairnfront/internal/lab/timing"
+	"cairnfront/internal/lab/verify"
 	"cairnfront/routing"
 )
 
@@ -25,15 +29,15 @@
 
 // demoRun is a run of the demo.
 type demoRun struct {
-	*testCluster
-	edgeCaches []*clusterEndpoint
-	groups     []*clientGroup
+	*cluster.Cluster
+	edgeCaches []*cluster.Endpoint
+	groups     []*standin.ClientGroup
 	seed       uint64
 	progress   func(format string, args ...any)
 	startedAt  float64 // Unix s
 	marks      []report.Mark
 
-	drained          *clusterEndpoint
+	drained          *cluster.Endpoint
 	drainDeliveredAt float64 // Unix s
 }
 
@@ -42,45 +46,45 @@
 	if options.Full {
 		pause, clients = 12*time.Second, 48
 	}
-	cluster, err := newTestCluster(options.clusterOptions(), 2)
+	testCluster, err := cluster.New(options.clusterOptions(), 2)
 	if err != nil {
 		return err
 	}
-	defer cluster.close(r)
-	demo := &demoRun{testCluster: cluster, seed: options.Seed, progress: options.Progress}
-	if demo.edgeCaches, err = cluster.startTwoZones(); err != nil {
+	defer testCluster.Close(r)
+	demo := &demoRun{Cluster: testCluster, seed: options.Seed, progress: options.Progress}
+	if demo.edgeCaches, err = testCluster.StartTwoZones(); err != nil {
 		return err
 	}
 	if err := demo.addRouters(clients); err != nil {
 		return err
 	}
-	stop := startLoad(ctx, demo.groups...)
+	stop := standin.StartLoad(ctx, demo.groups...)
 	defer stop()
-	demo.startedAt = unixSeconds(time.Now())
-	if err := demo.playScript(ctx, pause); err != nil {
+	demo.startedAt = timing.UnixSeconds(time.Now())
+	if err := demo.runScript(ctx, pause); err != nil {
 		return err
 	}
 	stop()
-	demo.report(r, unixSeconds(time.Now()), clients)
+	demo.report(r, timing.UnixSeconds(time.Now()), clients)
 	return nil
 }
 
 // addRouters starts a router and its clients in each zone.
 func (d *demoRun) addRouters(clients int) error {
-	for zone := 1; zone <= d.zoneCount; zone++ {
-		if err := d.addRouter(zone); err != nil {
+	for zone := 1; zone <= d.ZoneCount; zone++ {
+		if err := d.AddRouter(zone); err != nil {
 			return err
 		}
-		group := d.newClientGroup(d.routers[zone-1], clients, 50*time.Millisecond)
-		group.seed += uint64(zone)
+		group := d.NewClientGroup(d.Routers[zone-1], clients, 50*time.Millisecond)
+		group.Seed += uint64(zone)
 		d.groups = append(d.groups, group)
 	}
 	return nil
 }
 
-// playScript purges objects, drains an edge cache, and loses one of the other zone, which comes back empty. Before
+// runScript purges objects, drains an edge cache, and loses one of the other zone, which comes back empty. Before
 // each step and after the last one the load runs for a while.
-func (d *demoRun) playScript(ctx context.Context, pause time.Duration) error {
+func (d *demoRun) runScript(ctx context.Context, pause time.Duration) error {
 	rnd := rand.New(rand.NewPCG(d.seed, 6))
 	drainEvent := 0
 	lost := d.edgeCaches[2]
@@ -90,32 +94,32 @@
 	}{
 		{"purges", func() error {
 			for i := range demoPurges {
-				d.purge(1+uint64(rnd.IntN(wantedObjects)), i == demoPurges-1)
+				d.Purge(1+uint64(rnd.IntN(wantedObjects)), i == demoPurges-1)
 			}
 			return nil
 		}},
 		{"drain", func() error {
 			d.drained = d.edgeCaches[0]
-			d.publishStatus(d.drained, routing.Draining)
-			drainEvent = d.discovery.lastEvent()
+			d.PublishStatus(d.drained, routing.Draining)
+			drainEvent = d.Discovery.LastEvent()
 			return nil
 		}},
 		{"edge cache lost", func() error {
-			d.drainDeliveredAt = d.discovery.deliveryTime(drainEvent)
-			lost.stop()
-			lost.stop = nil
+			d.drainDeliveredAt = d.Discovery.DeliveryTime(drainEvent)
+			lost.Stop()
+			lost.Stop = nil
 			return nil
 		}},
 		{"edge cache back", func() error {
-			if err := d.startInProcess(lost); err != nil {
+			if err := d.StartInProcess(lost); err != nil {
 				return err
 			}
-			lost.startedAt = unixSeconds(time.Now())
-			d.publishStatus(lost, routing.Ready)
+			lost.StartedAt = timing.UnixSeconds(time.Now())
+			d.PublishStatus(lost, routing.Ready)
 			return nil
 		}},
 	} {
-		if err := sleep(ctx, pause); err != nil {
+		if err := timing.Sleep(ctx, pause); err != nil {
 			return err
 		}
 		d.mark(step.name)
@@ -123,21 +127,21 @@
 			return err
 		}
 	}
-	return sleep(ctx, pause)
+	return timing.Sleep(ctx, pause)
 }
 
 // mark notes that a step begins now.
 func (d *demoRun) mark(name string) {
-	d.marks = append(d.marks, report.Mark{At: unixSeconds(time.Now()) - d.startedAt, Name: name})
+	d.marks = append(d.marks, report.Mark{At: timing.UnixSeconds(time.Now()) - d.startedAt, Name: name})
 	d.progress("%s", name)
 }
 
 // report verifies the run and writes its report.
 func (d *demoRun) report(r *report.Report, endedAt float64, clients int) {
-	d.verify(r, d.groups)
-	drainRespected(r, d.recordedRequests(), d.drained.id, d.drainDeliveredAt)
+	d.Verify(r, d.groups)
+	verify.DrainRespected(r, d.Requests(), d.drained.ID, d.drainDeliveredAt)
 	r.Figures[report.CompletedShare] = float64(r.Counts[report.Completed]) / float64(max(r.Counts[report.Requests], 1))
-	r.Figures[report.LocalByteShare] = d.localByteShare(d.startedAt, endedAt)
+	r.Figures[report.LocalByteShare] = d.LocalByteShare(d.startedAt, endedAt)
 	if r.Figures[report.CompletedShare] < minCompletedShare {
 		r.Broke(
 			"%.3f of the requests were completed, %.2f are expected",
@@ -155,7 +159,7 @@
 		"five purges (one of a purge group), an edge cache drained, an edge cache lost and back empty",
 		"overload of endpoints that warm up is not checked here",
 	)
-	share := d.localByteShareLine("share of bytes from the zones' edge caches", d.startedAt, endedAt)
+	share := d.LocalByteShareLine("share of bytes from the zones' edge caches", d.startedAt, endedAt)
 	r.Plots = append(
 		r.Plots,
 		report.Plot{
--- a/internal/lab/disk_restart.go
+++ b/internal/lab/scenario/disk_restart.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"context"
@@ -11,7 +11,10 @@
 	"time"
 
 	"cairnfront/internal/diskcache"
+	"cairnfront/internal/lab/cluster"
 	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/standin"
+	"cairnfront/internal/lab/timing"
 	"cairnfront/routing"
 
 	"golang.org/x/sync/errgroup"
@@ -47,12 +50,12 @@
 
 // diskRestartRun is a run of the scenario.
 type diskRestartRun struct {
-	*testCluster
+	*cluster.Cluster
 	size            diskRestartSize
 	directory       string // with one for each edge cache's disk
 	progress        func(format string, args ...any)
-	edgeCaches      []*clusterEndpoint
-	directories     map[*clusterEndpoint]string
+	edgeCaches      []*cluster.Endpoint
+	directories     map[*cluster.Endpoint]string
 	rnd             *rand.Rand
 	startedAt       float64 // Unix s
 	marks           []report.Mark
@@ -81,38 +84,38 @@
 	if err := runPowerLosses(ctx, options, r, size.cuts); err != nil {
 		return err
 	}
-	cluster, err := newTestCluster(options.clusterOptions(), 1)
+	testCluster, err := cluster.New(options.clusterOptions(), 1)
 	if err != nil {
 		return err
 	}
-	defer cluster.close(r)
+	defer testCluster.Close(r)
 	run := &diskRestartRun{
-		testCluster: cluster,
+		Cluster:     testCluster,
 		size:        size,
 		directory:   options.Directory,
 		progress:    options.Progress,
-		directories: map[*clusterEndpoint]string{},
+		directories: map[*cluster.Endpoint]string{},
 		rnd:         rand.New(rand.NewPCG(options.Seed, 5)),
 	}
 	if err := run.startWithDisks(); err != nil {
 		return err
 	}
-	if err := cluster.addRouter(1); err != nil {
+	if err := testCluster.AddRouter(1); err != nil {
 		return err
 	}
-	group := cluster.newClientGroup(cluster.routers[0], size.clients, 40*time.Millisecond)
-	stop := startLoad(ctx, group)
+	group := testCluster.NewClientGroup(testCluster.Routers[0], size.clients, 40*time.Millisecond)
+	stop := standin.StartLoad(ctx, group)
 	defer stop()
-	run.startedAt = unixSeconds(time.Now())
-	if err := run.playScript(ctx, r); err != nil {
+	run.startedAt = timing.UnixSeconds(time.Now())
+	if err := run.runScript(ctx, r); err != nil {
 		return err
 	}
 	stop()
-	endedAt := unixSeconds(time.Now())
+	endedAt := timing.UnixSeconds(time.Now())
 	r.Figures[report.Recovery] = run.recoverySeconds / float64(r.Counts[report.Restarts])
 	r.Figures[report.IndexBytesPerChunk] = diskcache.MeasureIndexBytes(measuredParts)
 	run.disksReadable(r)
-	cluster.verify(r, []*clientGroup{group})
+	testCluster.Verify(r, []*standin.ClientGroup{group})
 	run.hitsSurviveRestart(r)
 	run.describe(r, endedAt)
 	return nil
@@ -120,62 +123,62 @@
 
 // startWithDisks starts origin and parent in this process and two edge caches as programs with disks.
 func (d *diskRestartRun) startWithDisks() error {
-	for _, kind := range []int{kindOrigin, kindParent, kindEdge, kindEdge} {
-		endpoint, err := d.addEndpoint(kind, zoneOf(kind))
+	for _, kind := range []int{cluster.KindOrigin, cluster.KindParent, cluster.KindEdge, cluster.KindEdge} {
+		endpoint, err := d.AddEndpoint(kind, cluster.ZoneOf(kind))
 		if err != nil {
 			return err
 		}
-		if kind == kindEdge {
+		if kind == cluster.KindEdge {
 			d.edgeCaches = append(d.edgeCaches, endpoint)
-			d.directories[endpoint] = filepath.Join(d.directory, endpoint.id+"-disk")
+			d.directories[endpoint] = filepath.Join(d.directory, endpoint.ID+"-disk")
 		}
 	}
-	for _, endpoint := range d.endpoints {
+	for _, endpoint := range d.Endpoints {
 		if err := d.startEndpoint(endpoint); err != nil {
 			return err
 		}
-		endpoint.startedAt = 0 // listed as warm
-		d.publishStatus(endpoint, routing.Ready)
+		endpoint.StartedAt = 0 // listed as warm
+		d.PublishStatus(endpoint, routing.Ready)
 	}
 	return nil
 }
 
-func (d *diskRestartRun) startEndpoint(endpoint *clusterEndpoint) error {
-	if endpoint.kind == kindEdge {
-		return d.startProgram(endpoint, d.directories[endpoint])
+func (d *diskRestartRun) startEndpoint(endpoint *cluster.Endpoint) error {
+	if endpoint.Kind == cluster.KindEdge {
+		return d.StartProgram(endpoint, d.directories[endpoint])
 	}
-	return d.startInProcess(endpoint)
+	return d.StartInProcess(endpoint)
 }
 
-// playScript warms the edge caches up and restarts them again and again. It measures the share of bytes that they
+// runScript warms the edge caches up and restarts them again and again. It measures the share of bytes that they
 // serve before, after a restart with the disks, and after one with empty disks.
-func (d *diskRestartRun) playScript(ctx context.Context, r *report.Report) error {
-	if err := sleep(ctx, d.size.warm); err != nil {
+func (d *diskRestartRun) runScript(ctx context.Context, r *report.Report) error {
+	if err := timing.Sleep(ctx, d.size.warm); err != nil {
 		return err
 	}
 	window := d.size.window.Seconds()
-	now := unixSeconds(time.Now())
-	r.Figures[report.LocalShareBefore] = d.localByteShare(now-window, now)
+	now := timing.UnixSeconds(time.Now())
+	r.Figures[report.LocalShareBefore] = d.LocalByteShare(now-window, now)
 	r.Figures[report.MeasuredWindow] = window
 	for n := range d.size.restarts {
 		d.progress("restart %d of %d", n+1, d.size.restarts)
 		if err := d.restart(ctx, r, n == emptiedRestart); err != nil {
 			return err
 		}
-		from := unixSeconds(time.Now())
+		from := timing.UnixSeconds(time.Now())
 		d.purgeWanted(false) // while they catch up
 		duration := d.size.window
 		if n > emptiedRestart {
 			duration /= 4 // nothing is measured
 		}
-		if err := sleep(ctx, duration); err != nil {
+		if err := timing.Sleep(ctx, duration); err != nil {
 			return err
 		}
 		switch n {
 		case 0:
-			r.Figures[report.LocalShareWithDisk] = d.localByteShare(from, from+window)
+			r.Figures[report.LocalShareWithDisk] = d.LocalByteShare(from, from+window)
 		case emptiedRestart:
-			r.Figures[report.LocalShareEmptied] = d.localByteShare(from, from+window)
+			r.Figures[report.LocalShareEmptied] = d.LocalByteShare(from, from+window)
 		}
 	}
 	return nil
@@ -183,24 +186,24 @@
 
 // restart kills the edge caches, purges while they are down, and starts them again.
 func (d *diskRestartRun) restart(ctx context.Context, r *report.Report, emptied bool) error {
-	mark := report.Mark{At: unixSeconds(time.Now()) - d.startedAt, Name: "killed"}
+	mark := report.Mark{At: timing.UnixSeconds(time.Now()) - d.startedAt, Name: "killed"}
 	if emptied {
 		mark.Name = "killed, disks emptied"
 	}
 	d.marks = append(d.marks, mark)
 	for _, endpoint := range d.edgeCaches {
-		endpoint.kill()
+		endpoint.Kill()
 	}
-	if err := sleep(ctx, killedPause); err != nil {
+	if err := timing.Sleep(ctx, killedPause); err != nil {
 		return err
 	}
 	for _, endpoint := range d.edgeCaches {
-		d.publishStatus(endpoint, routing.Removed)
+		d.PublishStatus(endpoint, routing.Removed)
 	}
 	for i := range purgesWhileDown {
 		d.purgeWanted(i == purgesWhileDown-1)
 	}
-	if err := sleep(ctx, downPause); err != nil {
+	if err := timing.Sleep(ctx, downPause); err != nil {
 		return err
 	}
 	for _, endpoint := range d.edgeCaches {
@@ -208,30 +211,30 @@
 			_ = os.RemoveAll(d.directories[endpoint])
 		}
 		from := time.Now()
-		if err := d.startProgram(endpoint, d.directories[endpoint]); err != nil {
+		if err := d.StartProgram(endpoint, d.directories[endpoint]); err != nil {
 			return err
 		}
 		d.recoverySeconds += time.Since(from).Seconds()
 		r.Counts[report.Restarts]++
 	}
 	for _, endpoint := range d.edgeCaches {
-		d.publishStatus(endpoint, routing.Ready)
+		d.PublishStatus(endpoint, routing.Ready)
 	}
 	return nil
 }
 
 // purgeWanted purges one of the most wanted objects, or its group.
 func (d *diskRestartRun) purgeWanted(wholeGroup bool) {
-	d.purge(1+uint64(d.rnd.IntN(wantedObjects)), wholeGroup)
+	d.Purge(1+uint64(d.rnd.IntN(wantedObjects)), wholeGroup)
 }
 
 // disksReadable checks that the disks can be read after a last kill, and counts what is on them.
 func (d *diskRestartRun) disksReadable(r *report.Report) {
 	for _, endpoint := range d.edgeCaches {
-		endpoint.kill()
+		endpoint.Kill()
 		chunks, badRecords, err := diskcache.Verify(d.directories[endpoint], func(diskcache.StoreError) {}, nil)
 		if err != nil {
-			r.Broke("the disk of %s after the last kill: %v", endpoint.id, err)
+			r.Broke("the disk of %s after the last kill: %v", endpoint.ID, err)
 			continue
 		}
 		r.Counts[report.DiskChunks] += int64(chunks.Valid)
@@ -280,7 +283,7 @@
 			Title:  "Bytes that came from the zone's edge caches",
 			XLabel: "s",
 			YLabel: "share",
-			Lines:  []report.Line{d.localByteShareLine("share", d.startedAt, endedAt)},
+			Lines:  []report.Line{d.LocalByteShareLine("share", d.startedAt, endedAt)},
 			Marks:  d.marks,
 		},
 	)
--- a/internal/lab/membership.go
+++ b/internal/lab/scenario/membership.go
@@ -1,10 +1,11 @@
-package lab
+package scenario
 
 import (
 	"context"
 	"encoding/json"
 	"fmt"
 
+	"cairnfront/internal/lab/cluster"
 	"cairnfront/internal/lab/report"
 	"cairnfront/internal/sim/faults"
 )
@@ -31,45 +32,45 @@
 			return err
 		}
 	}
-	if script.Processes < routerCount {
-		return fmt.Errorf("script is for %d processes: at least %d are needed", script.Processes, routerCount)
+	if script.Processes < cluster.RouterCount {
+		return fmt.Errorf("script is for %d processes: at least %d are needed", script.Processes, cluster.RouterCount)
 	}
-	group, err := newRouterGroup(options.clusterOptions(), script, script.Processes-routerCount)
+	group, err := cluster.NewRouterGroup(options.clusterOptions(), script, script.Processes-cluster.RouterCount)
 	if err != nil {
 		return err
 	}
-	defer group.close(r)
+	defer group.Close(r)
 	var flood int64
 	if options.Full {
 		flood = floodDatagrams
 	}
-	if err := group.play(ctx, flood, options.Progress); err != nil {
+	if err := group.Play(ctx, flood, options.Progress); err != nil {
 		return err
 	}
 	return verifyMembership(group, options.Full, r)
 }
 
 // verifyMembership checks a run and adds its plots and steps to the report.
-func verifyMembership(group *routerGroup, full bool, r *report.Report) error {
-	group.cluster.verify(r, group.clientGroups)
-	evidence, err := group.collectEvidence()
+func verifyMembership(group *cluster.RouterGroup, full bool, r *report.Report) error {
+	group.Cluster.Verify(r, group.ClientGroups)
+	evidence, err := group.CollectEvidence()
 	if err != nil {
 		return err
 	}
-	evidence.marginSeconds = logMarginSmall
+	evidence.MarginSeconds = logMarginSmall
 	if full {
-		evidence.marginSeconds = logMarginFull
+		evidence.MarginSeconds = logMarginFull
 	}
-	evidence.verify(r)
-	rate, bytesPerSecond := group.datagramRate()
+	evidence.Verify(r)
+	rate, bytesPerSecond := group.DatagramRate()
 	r.Figures[report.BytesPerPeer] = bytesPerSecond
-	evidence.addPlots(r, rate, group.marks)
-	for _, peer := range group.hostilePeers {
-		for key, n := range peer.counts {
+	evidence.AddPlots(r, rate, group.Marks)
+	for _, peer := range group.HostilePeers {
+		for key, n := range peer.Counts {
 			r.Counts[key] += n
 		}
 	}
-	script, err := json.Marshal(&group.script)
+	script, err := json.Marshal(&group.Script)
 	if err != nil {
 		return fmt.Errorf("encode the script for the report: %w", err)
 	}
@@ -78,8 +79,8 @@
 		fmt.Sprintf(
 			"%d routers of the program and %d hostile peers, a fault proxy for each direction between two; a client "+
 				"at each router, two zones of two edge caches",
-			routerCount,
-			len(group.hostilePeers),
+			cluster.RouterCount,
+			len(group.HostilePeers),
 		),
 		"script: "+string(script),
 	)
--- a/internal/lab/membership_cost.go
+++ b/internal/lab/scenario/membership_cost.go
@@ -1,11 +1,14 @@
-package lab
+package scenario
 
 import (
 	"context"
 	"fmt"
 	"time"
 
+	"cairnfront/internal/lab/cluster"
 	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/standin"
+	"cairnfront/internal/lab/timing"
 )
 
 // Sizes and bounds of the scenario.
@@ -33,8 +36,8 @@
 
 // costRouters are the two routers that are compared.
 type costRouters struct {
-	with    *routerProcess
-	without *routerProcess
+	with    *cluster.Router
+	without *cluster.Router
 }
 
 func runMembershipCost(ctx context.Context, options Options, r *report.Report) error {
@@ -42,37 +45,37 @@
 	if options.Full {
 		peers, duration = costPeersFull, 20*time.Second
 	}
-	cluster, err := newTestCluster(options.clusterOptions(), 1)
+	testCluster, err := cluster.New(options.clusterOptions(), 1)
 	if err != nil {
 		return err
 	}
-	defer cluster.close(r)
-	if err := cluster.startOneZone(); err != nil {
+	defer testCluster.Close(r)
+	if err := testCluster.StartOneZone(); err != nil {
 		return err
 	}
 	var routers costRouters
-	if routers.with, err = cluster.prepareRouter(1); err != nil {
+	if routers.with, err = testCluster.PrepareRouter(1); err != nil {
 		return err
 	}
-	if routers.without, err = cluster.prepareRouter(1); err != nil {
+	if routers.without, err = testCluster.PrepareRouter(1); err != nil {
 		return err
 	}
-	stop, err := startInProcessPeers(ctx, options.clusterOptions(), routers.with, peers)
+	stop, err := cluster.StartInProcessPeers(ctx, options.clusterOptions(), routers.with, peers)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	for _, router := range []*routerProcess{routers.with, routers.without} {
-		if err := cluster.startRouter(router); err != nil {
+	for _, router := range []*cluster.Router{routers.with, routers.without} {
+		if err := testCluster.StartRouter(router); err != nil {
 			return err
 		}
 	}
-	if err := awaitPeers(routers.with, peers); err != nil {
+	if err := cluster.AwaitPeers(routers.with, peers); err != nil {
 		return err
 	}
-	groups := []*clientGroup{
-		cluster.newClientGroup(routers.with, costClients, 20*time.Millisecond),
-		cluster.newClientGroup(routers.without, costClients, 20*time.Millisecond),
+	groups := []*standin.ClientGroup{
+		testCluster.NewClientGroup(routers.with, costClients, 20*time.Millisecond),
+		testCluster.NewClientGroup(routers.without, costClients, 20*time.Millisecond),
 	}
 	if err := routers.measure(ctx, r, phaseIdle, duration, nil); err != nil {
 		return err
@@ -80,7 +83,7 @@
 	if err := routers.measure(ctx, r, phaseLoaded, duration, groups); err != nil {
 		return err
 	}
-	cluster.verify(r, groups)
+	testCluster.Verify(r, groups)
 	routers.addTraffic(r, peers)
 	peersCostLittle(r, peers)
 	r.Steps = append(
@@ -97,20 +100,20 @@
 
 // measure reports what the routers use under a load.
 func (c *costRouters) measure(
-	ctx context.Context, r *report.Report, name string, duration time.Duration, load []*clientGroup,
+	ctx context.Context, r *report.Report, name string, duration time.Duration, load []*standin.ClientGroup,
 ) error {
-	stop := startLoad(ctx, load...)
+	stop := standin.StartLoad(ctx, load...)
 	defer stop()
-	if err := sleep(ctx, costSettlePause); err != nil {
+	if err := timing.Sleep(ctx, costSettlePause); err != nil {
 		return err
 	}
-	withBefore, _ := c.with.usage()
-	withoutBefore, _ := c.without.usage()
-	if err := sleep(ctx, duration); err != nil {
+	withBefore, _ := c.with.Usage()
+	withoutBefore, _ := c.without.Usage()
+	if err := timing.Sleep(ctx, duration); err != nil {
 		return err
 	}
-	withAfter, withMB := c.with.usage()
-	withoutAfter, withoutMB := c.without.usage()
+	withAfter, withMB := c.with.Usage()
+	withoutAfter, withoutMB := c.without.Usage()
 	r.Figures[report.Key(report.CoresWithPeers, name)] = (withAfter - withBefore) / duration.Seconds()
 	r.Figures[report.Key(report.CoresWithoutPeers, name)] = (withoutAfter - withoutBefore) / duration.Seconds()
 	r.Figures[report.Key(report.MemoryWithPeers, name)] = withMB
@@ -120,7 +123,7 @@
 
 // addTraffic reports what the router says of its peers.
 func (c *costRouters) addTraffic(r *report.Report, peers int) {
-	state, _ := queryMembership(c.with)
+	state, _ := cluster.QueryMembership(c.with)
 	r.Counts[report.Peers] = int64(peers)
 	r.Counts[report.PeersPresent] = int64(state.Present)
 	r.Figures[report.BytesSent] = float64(state.OutBytes) / state.UptimeSeconds
--- a/internal/lab/membership_script.go
+++ b/internal/lab/scenario/membership_script.go
@@ -1,8 +1,9 @@
-package lab
+package scenario
 
 import (
 	"slices"
 
+	"cairnfront/internal/lab/cluster"
 	"cairnfront/internal/sim/faults"
 )
 
@@ -25,7 +26,7 @@
 	if options.Full {
 		return fullMembershipScript(options.Seed, victim)
 	}
-	processes := routerCount + hostilePeersSmall
+	processes := cluster.RouterCount + hostilePeersSmall
 	return faults.Script{
 		Seed:      options.Seed,
 		Processes: processes,
@@ -57,11 +58,11 @@
 
 func fullMembershipScript(seed uint64, victim int) faults.Script {
 	b := scriptBuilder{
-		script: faults.Script{Seed: seed, Processes: routerCount + hostilePeersFull},
+		script: faults.Script{Seed: seed, Processes: cluster.RouterCount + hostilePeersFull},
 		at:     1,
 	}
 	for i := range 5 {
-		b.add(6, 5, kill((3*i+victim)%routerCount))
+		b.add(6, 5, kill((3*i+victim)%cluster.RouterCount))
 	}
 	b.addCuts(victim)
 	b.addNetworkFaults()
@@ -72,7 +73,7 @@
 	b.addClockSkews()
 	b.add(0.6, 6, kill(11, 13)) // back while their failure is still being spread
 	b.add(6, 6, kill(12))
-	for i := 0; i < routerCount; i += 2 { // a tenth at a time
+	for i := 0; i < cluster.RouterCount; i += 2 { // a tenth at a time
 		b.add(1, 3, faults.Fault{Kind: faults.Wipe, From: []int{i, i + 1}})
 	}
 	b.add(12, 10, kill(indices(0, 14)...)) // seven in ten at once
--- a/internal/lab/origin_brownout.go
+++ b/internal/lab/scenario/origin_brownout.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"context"
@@ -9,7 +9,11 @@
 	"time"
 
 	"cairnfront/internal/cacheproto"
+	"cairnfront/internal/lab/cluster"
 	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/standin"
+	"cairnfront/internal/lab/timing"
+	"cairnfront/internal/lab/verify"
 )
 
 const (
@@ -100,56 +104,58 @@
 	if options.Directory, err = os.MkdirTemp(options.Directory, "b"); err != nil {
 		return report.Line{}, err
 	}
-	cluster, err := newTestCluster(options.clusterOptions(), 1)
+	testCluster, err := cluster.New(options.clusterOptions(), 1)
 	if err != nil {
 		return report.Line{}, err
 	}
-	defer cluster.close(r)
+	defer testCluster.Close(r)
 	var failing atomic.Bool
-	standIns, err := startFailingStandIns(cluster, &failing)
+	standIns, err := startFailingStandIns(testCluster, &failing)
 	defer func() {
 		for _, standIn := range standIns {
-			standIn.close()
+			standIn.Close()
 		}
 	}()
 	if err != nil {
 		return report.Line{}, err
 	}
-	cluster.configFile = filepath.Join(options.Directory, configFileName)
+	testCluster.ConfigFile = filepath.Join(options.Directory, cluster.ConfigFileName)
 	settings := map[string]any{"router": map[string]any{"further_share": budget}}
-	if err := writeConfigFile(cluster.configFile, settings); err != nil {
+	if err := cluster.WriteConfigFile(testCluster.ConfigFile, settings); err != nil {
 		return report.Line{}, err
 	}
-	if err := cluster.addRouter(1); err != nil {
+	if err := testCluster.AddRouter(1); err != nil {
 		return report.Line{}, err
 	}
-	group := cluster.newClientGroup(cluster.routers[0], size.clients, 20*time.Millisecond)
-	startedAt := unixSeconds(time.Now())
-	if err := playBrownoutPhases(ctx, group, &failing, size); err != nil {
+	group := testCluster.NewClientGroup(testCluster.Routers[0], size.clients, 20*time.Millisecond)
+	startedAt := timing.UnixSeconds(time.Now())
+	if err := runBrownoutPhases(ctx, group, &failing, size); err != nil {
 		return report.Line{}, err
 	}
 	before := r.Counts[report.Completed]
-	cluster.verify(r, []*clientGroup{group})
+	testCluster.Verify(r, []*standin.ClientGroup{group})
 	completed := float64(r.Counts[report.Completed] - before)
-	r.Figures[report.Key(report.CompletedShare, name)] = completed / float64(max(len(cluster.recordedResponses()), 1))
-	requests, attempts := countPerSecond(cluster.recordedResponses(), standIns, startedAt)
+	r.Figures[report.Key(report.CompletedShare, name)] = completed / float64(max(len(testCluster.Responses()), 1))
+	requests, attempts := countPerSecond(testCluster.Responses(), standIns, startedAt)
 	return addAttemptFigures(r, name, requests, attempts, size), nil
 }
 
 // startFailingStandIns starts stand-ins that fail some attempts while failing is set. Which ones is drawn from the
 // request's id and the attempt's number, and so the same in both variants.
-func startFailingStandIns(cluster *testCluster, failing *atomic.Bool) (standIns []*endpointStandIn, err error) {
-	for _, kind := range standInKinds {
-		standIn, err := cluster.addStandIn(kind, func(command cacheproto.Command) []byte {
-			if command.ClassName == classPrintOrder {
+func startFailingStandIns(
+	testCluster *cluster.Cluster, failing *atomic.Bool,
+) (standIns []*standin.Endpoint, err error) {
+	for _, kind := range cluster.StandInKinds {
+		standIn, err := testCluster.AddStandIn(kind, func(command cacheproto.Command) []byte {
+			if command.ClassName == standin.ClassPrintOrder {
 				return nil
 			}
-			return cluster.syntheticBody(command)
+			return testCluster.SyntheticBody(command)
 		})
 		if err != nil {
 			return standIns, err
 		}
-		standIn.failAttempt = func(command cacheproto.Command, n int) bool {
+		standIn.FailAttempt = func(command cacheproto.Command, n int) bool {
 			return failing.Load() && float64(attemptHash(command.ID, n)%1000) < brownoutFailureRate*1000
 		}
 		standIns = append(standIns, standIn)
@@ -157,16 +163,18 @@
 	return standIns, nil
 }
 
-// playBrownoutPhases runs the clients through a calm, a brown-out and a calm again.
-func playBrownoutPhases(ctx context.Context, group *clientGroup, failing *atomic.Bool, size brownoutSize) error {
-	stop := startLoad(ctx, group)
+// runBrownoutPhases runs the clients through a calm, a brown-out and a calm again.
+func runBrownoutPhases(
+	ctx context.Context, group *standin.ClientGroup, failing *atomic.Bool, size brownoutSize,
+) error {
+	stop := standin.StartLoad(ctx, group)
 	defer stop()
 	for _, phase := range []struct {
 		duration time.Duration
 		failing  bool
 	}{{size.calm, false}, {size.brown, true}, {size.calm, false}} {
 		failing.Store(phase.failing)
-		if err := sleep(ctx, phase.duration); err != nil {
+		if err := timing.Sleep(ctx, phase.duration); err != nil {
 			return err
 		}
 	}
@@ -175,15 +183,15 @@
 
 // countPerSecond counts the clients' requests and the attempts that came to stand-ins, by the second since the start.
 func countPerSecond(
-	responses []observedResponse, standIns []*endpointStandIn, startedAt float64,
+	responses []verify.Response, standIns []*standin.Endpoint, startedAt float64,
 ) (requests, attempts map[int]float64) {
 	requests, attempts = map[int]float64{}, map[int]float64{}
 	for i := range responses {
-		requests[int(responses[i].sentAt-startedAt)]++
+		requests[int(responses[i].SentAt-startedAt)]++
 	}
 	for _, standIn := range standIns {
-		for _, attempt := range standIn.recordedAttempts() {
-			attempts[int(attempt.startedAt-startedAt)]++
+		for _, attempt := range standIn.Attempts() {
+			attempts[int(attempt.StartedAt-startedAt)]++
 		}
 	}
 	return requests, attempts
--- a/internal/lab/partial_observation.go
+++ b/internal/lab/scenario/partial_observation.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"context"
--- a/internal/lab/lab.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,12 +1,12 @@
-// Package lab runs scenarios: they load the product's own programs and stand-ins on loopback, cause the failures that
-// a subsystem has to bear, and verify the outcome.
+// Package scenario has the scenarios of the laboratory: each runs the product's own programs and stand-ins on loopback
+// under load, causes the failures that a subsystem has to bear, and verifies the outcome.
 //
 // A scenario is a script of load and faults drawn from a seed, and named checks. The checks read what clients and
 // stand-ins recorded, never the router's own counters. Each check has a test that shows that it can fail.
 //
-// The package owns the processes that it starts and their directory. It does not write reports (package report) and
-// does not simulate clusters on virtual time (package simulation).
-package lab
+// Processes and their lives are those of package cluster, stand-ins those of package standin, verdicts those of package
+// verify. Package report writes the outcome; package simulation simulates clusters on virtual time.
+package scenario
 
 import (
 	"context"
@@ -16,6 +16,7 @@
 	"sort"
 	"time"
 
+	"cairnfront/internal/lab/cluster"
 	"cairnfront/internal/lab/report"
 )
 
@@ -30,8 +31,8 @@
 }
 
 // clusterOptions are the options of the scenario's clusters.
-func (options *Options) clusterOptions() clusterOptions {
-	return clusterOptions{Seed: options.Seed, Program: options.Program, Directory: options.Directory}
+func (options *Options) clusterOptions() cluster.Options {
+	return cluster.Options{Seed: options.Seed, Program: options.Program, Directory: options.Directory}
 }
 
 // size is the name of the size in the report.
--- a/internal/lab/video_day.go
+++ b/internal/lab/scenario/video_day.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"math"
@@ -6,6 +6,7 @@
 	"sort"
 
 	"cairnfront/internal/diskcache/eviction"
+	"cairnfront/internal/lab/standin"
 )
 
 // A video-like day: views of objects by Zipf's law, chunks one after another, many views that end early, objects that
@@ -41,7 +42,7 @@
 // dayGenerator draws a day's views.
 type dayGenerator struct {
 	rnd        *rand.Rand
-	popularity *zipf
+	popularity *standin.Zipf
 	views      float64 // about how many views the day has
 }
 
@@ -49,7 +50,7 @@
 func generateDay(seed uint64, count int) []view {
 	g := &dayGenerator{
 		rnd:        rand.New(rand.NewPCG(seed, 0xda7)),
-		popularity: newZipf(dayObjects),
+		popularity: standin.NewZipf(dayObjects),
 		views:      float64(count) * (1 - continueProbability) * 1.15, // a view has 1/(1-continue) chunks at the most
 	}
 	day := make([]view, 0, count+maxChunks)
@@ -75,7 +76,7 @@
 		age := -math.Log(1-g.rnd.Float64()) * freshSeconds / 3
 		return firstFreshObject + uint64((at-min(age, at))/daySeconds*g.views*0.05)
 	default:
-		return g.popularity.draw(g.rnd)
+		return g.popularity.Draw(g.rnd)
 	}
 }
 
--- a/internal/lab/client.go
+++ b/internal/lab/standin/client.go
@@ -1,4 +1,4 @@
-package lab
+package standin
 
 import (
 	"fmt"
@@ -7,37 +7,38 @@
 	"time"
 
 	"cairnfront/internal/clientproto"
+	"cairnfront/internal/lab/timing"
 )
 
-// clientRequest is one request as a client sends it.
-type clientRequest struct {
-	class          string
-	object         uint64
-	part           uint32
+// ClientRequest is one request as a client sends it.
+type ClientRequest struct {
+	Class          string
+	Object         uint64
+	Part           uint32
 	group          int    // purge group
 	idempotencyKey string // of the classes that have one
-	body           []byte
-	deadline       time.Duration
+	Body           []byte
+	Deadline       time.Duration
 }
 
-// clientResponse is what came of a request.
-type clientResponse struct {
-	clientRequest
-	id     string
-	sentAt float64 // Unix s
-	doneAt float64 // Unix s; 0 where no response came
-	code   byte
-	body   []byte
+// ClientResponse is what came of a request.
+type ClientResponse struct {
+	ClientRequest
+	ID     string
+	SentAt float64 // Unix s
+	DoneAt float64 // Unix s; 0 where no response came
+	Code   byte
+	Body   []byte
 	// retryAfter is how long the router asks the client to wait.
-	retryAfter time.Duration
+	RetryAfter time.Duration
 }
 
 // The codes of responses.
 const (
-	codeRejected  = 0
-	codeCompleted = 1
-	codeAborted   = 9
-	noAnswer      = 255 // on the client's side alone: no response came
+	CodeRejected  = 0
+	CodeCompleted = 1
+	CodeAborted   = 9
+	NoAnswer      = 255 // on the client's side alone: no response came
 )
 
 const (
@@ -48,9 +49,9 @@
 	clientHeapMB = "30"
 )
 
-// hasContent says whether completed responses of a request's class have a body that follows from the origin's seed.
-func (request *clientRequest) hasContent() bool {
-	return request.class != classPrintOrder && request.class != classRecord
+// HasContent says whether completed responses of a request's class have a body that follows from the origin's seed.
+func (request *ClientRequest) HasContent() bool {
+	return request.Class != ClassPrintOrder && request.Class != ClassRecord
 }
 
 // clientConn is a client's connection to a router. It has one request at a time.
@@ -62,8 +63,8 @@
 
 // send sends a request and waits for its response until the deadline and a little longer. An error says that the
 // request could not be sent; a connection that ends meanwhile leaves the code at noAnswer.
-func (client *clientConn) send(addr string, request clientRequest, id string) (clientResponse, error) {
-	response := clientResponse{clientRequest: request, id: id, code: noAnswer}
+func (client *clientConn) send(addr string, request ClientRequest, id string) (ClientResponse, error) {
+	response := ClientResponse{ClientRequest: request, ID: id, Code: NoAnswer}
 	if client.conn == nil {
 		conn, err := net.DialTimeout("tcp", addr, connectTimeout)
 		if err != nil {
@@ -73,18 +74,18 @@
 	}
 	client.stream++
 	frame := requestFrame(request, id, client.stream)
-	response.sentAt = unixSeconds(time.Now())
+	response.SentAt = timing.UnixSeconds(time.Now())
 	if _, err := client.conn.Write(frame); err != nil {
 		client.close()
 		return response, err
 	}
-	_ = client.conn.SetReadDeadline(time.Now().Add(request.deadline + lateWindow))
+	_ = client.conn.SetReadDeadline(time.Now().Add(request.Deadline + lateWindow))
 	payload, err := client.readResponse()
 	if err != nil {
 		client.close()
 		return response, nil
 	}
-	response.doneAt = unixSeconds(time.Now())
+	response.DoneAt = timing.UnixSeconds(time.Now())
 	if len(payload) == 0 {
 		client.close()
 		return response, nil
@@ -94,20 +95,20 @@
 }
 
 // requestFrame is a request on the wire.
-func requestFrame(request clientRequest, id string, stream uint32) []byte {
+func requestFrame(request ClientRequest, id string, stream uint32) []byte {
 	fields := []clientproto.Field{
-		{Name: "op", Value: request.class},
+		{Name: "op", Value: request.Class},
 		{Name: "call", Value: id},
-		{Name: "ttl", Value: fmt.Sprint(request.deadline.Milliseconds())},
-		{Name: "row", Value: fmt.Sprintf("%016x", request.object)},
-		{Name: "seg", Value: fmt.Sprint(request.part)},
+		{Name: "ttl", Value: fmt.Sprint(request.Deadline.Milliseconds())},
+		{Name: "row", Value: fmt.Sprintf("%016x", request.Object)},
+		{Name: "seg", Value: fmt.Sprint(request.Part)},
 		{Name: "bucket", Value: fmt.Sprint(request.group)},
 		{Name: "heap", Value: clientHeapMB},
 	}
 	if request.idempotencyKey != "" {
 		fields = append(fields, clientproto.Field{Name: "dedupe", Value: request.idempotencyKey})
 	}
-	payload := append(clientproto.AppendFields(nil, fields...), request.body...)
+	payload := append(clientproto.AppendFields(nil, fields...), request.Body...)
 	return append(clientproto.AppendHeader(nil, clientproto.TypeRequest, stream, len(payload)), payload...)
 }
 
@@ -137,20 +138,20 @@
 }
 
 // parse reads the payload of a response, which is not empty. One with broken fields counts as none.
-func (response *clientResponse) parse(payload []byte) {
-	response.code = payload[0]
+func (response *ClientResponse) parse(payload []byte) {
+	response.Code = payload[0]
 	fields, body, err := clientproto.ParseFields(payload[1:])
 	if err != nil {
-		response.code = noAnswer
+		response.Code = NoAnswer
 	}
 	for _, field := range fields {
 		if field.Name == "pushback" {
 			var millis int64
 			_, _ = fmt.Sscan(field.Value, &millis)
-			response.retryAfter = time.Duration(millis) * time.Millisecond
+			response.RetryAfter = time.Duration(millis) * time.Millisecond
 		}
 	}
-	response.body = body
+	response.Body = body
 }
 
 // close ends the connection. The next request makes a new one.
--- a/internal/lab/discovery.go
+++ b/internal/lab/standin/discovery.go
@@ -1,4 +1,4 @@
-package lab
+package standin
 
 import (
 	"encoding/binary"
@@ -8,14 +8,15 @@
 	"time"
 
 	"cairnfront/internal/discovery"
+	"cairnfront/internal/lab/timing"
 )
 
 // heartbeatInterval is how often a watcher that has everything hears from the discovery server.
 const heartbeatInterval = time.Second
 
-// discoveryServer is a stand-in of the discovery service. It records when each event had been written to every
+// DiscoveryServer is a stand-in of the discovery service. It records when each event had been written to every
 // connection that was open.
-type discoveryServer struct {
+type DiscoveryServer struct {
 	listener net.Listener
 	workers  sync.WaitGroup
 
@@ -32,18 +33,18 @@
 	wake chan struct{} // signals new events; holds one
 }
 
-// newDiscoveryServer starts one on a port of the system's choice.
-func newDiscoveryServer() (*discoveryServer, error) {
+// NewDiscoveryServer starts one on a port of the system's choice.
+func NewDiscoveryServer() (*DiscoveryServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	server := &discoveryServer{listener: listener, watchers: map[*watcher]bool{}}
+	server := &DiscoveryServer{listener: listener, watchers: map[*watcher]bool{}}
 	server.workers.Go(server.accept)
 	return server, nil
 }
 
-func (server *discoveryServer) accept() {
+func (server *DiscoveryServer) accept() {
 	for {
 		conn, err := server.listener.Accept()
 		if err != nil {
@@ -53,10 +54,11 @@
 	}
 }
 
-func (server *discoveryServer) addr() string { return server.listener.Addr().String() }
+// Addr is the address at which it listens.
+func (server *DiscoveryServer) Addr() string { return server.listener.Addr().String() }
 
-// close ends it and all its connections.
-func (server *discoveryServer) close() {
+// Close ends it and all its connections.
+func (server *DiscoveryServer) Close() {
 	_ = server.listener.Close()
 	server.mu.Lock()
 	server.refusing = true
@@ -67,8 +69,8 @@
 	server.workers.Wait()
 }
 
-// publish publishes an event and returns its index.
-func (server *discoveryServer) publish(event discovery.Event) int {
+// Publish publishes an event and returns its index.
+func (server *DiscoveryServer) Publish(event discovery.Event) int {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	event.Revision = uint64(len(server.frames) + 1)
@@ -77,7 +79,7 @@
 		panic(err) // the scenario's own mistake
 	}
 	server.frames = append(server.frames, frame)
-	server.deliveredAt = append(server.deliveredAt, unixSeconds(time.Now()))
+	server.deliveredAt = append(server.deliveredAt, timing.UnixSeconds(time.Now()))
 	for w := range server.watchers {
 		select {
 		case w.wake <- struct{}{}:
@@ -87,22 +89,22 @@
 	return len(server.frames) - 1
 }
 
-// lastEvent is the index of the event that was published last.
-func (server *discoveryServer) lastEvent() int {
+// LastEvent is the index of the event that was published last.
+func (server *DiscoveryServer) LastEvent() int {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	return len(server.frames) - 1
 }
 
-// deliveryTime is when an event had been delivered to all, Unix s.
-func (server *discoveryServer) deliveryTime(event int) float64 {
+// DeliveryTime is when an event had been delivered to all, Unix s.
+func (server *DiscoveryServer) DeliveryTime(event int) float64 {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	return server.deliveredAt[event]
 }
 
 // serve sends a connection the events after the revision that it says it has, and then the new ones.
-func (server *discoveryServer) serve(conn net.Conn) {
+func (server *DiscoveryServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	request := make([]byte, 8)
 	if _, err := io.ReadFull(conn, request); err != nil {
@@ -136,7 +138,7 @@
 }
 
 // addWatcher returns false where new connections are refused.
-func (server *discoveryServer) addWatcher(w *watcher) bool {
+func (server *DiscoveryServer) addWatcher(w *watcher) bool {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	if server.refusing {
@@ -146,7 +148,7 @@
 	return true
 }
 
-func (server *discoveryServer) removeWatcher(w *watcher) {
+func (server *DiscoveryServer) removeWatcher(w *watcher) {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	delete(server.watchers, w)
@@ -154,7 +156,7 @@
 
 // sendEvents sends the events after a revision, and a heartbeat where it has none. The first time the heartbeat
 // follows the events: it says that the list is complete. It returns the revision that the connection has now.
-func (server *discoveryServer) sendEvents(conn net.Conn, revision uint64, first bool) (now uint64, sent bool) {
+func (server *DiscoveryServer) sendEvents(conn net.Conn, revision uint64, first bool) (now uint64, sent bool) {
 	out, latest := server.framesAfter(revision)
 	if len(out) == 0 || first {
 		heartbeat := discovery.Event{Revision: latest, Kind: discovery.Heartbeat}
@@ -170,7 +172,7 @@
 }
 
 // framesAfter is the events after a revision, on the wire, and the latest revision.
-func (server *discoveryServer) framesAfter(revision uint64) (out []byte, latest uint64) {
+func (server *DiscoveryServer) framesAfter(revision uint64) (out []byte, latest uint64) {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	latest = uint64(len(server.frames))
@@ -181,8 +183,8 @@
 }
 
 // markDelivered records that a connection has the events after a revision up to another.
-func (server *discoveryServer) markDelivered(after, upTo uint64) {
-	now := unixSeconds(time.Now())
+func (server *DiscoveryServer) markDelivered(after, upTo uint64) {
+	now := timing.UnixSeconds(time.Now())
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	for i := after; i < upTo; i++ {
--- a/internal/lab/standin_conn.go
+++ b/internal/lab/standin/endpoint_conn.go
@@ -1,4 +1,4 @@
-package lab
+package standin
 
 import (
 	"bufio"
@@ -10,6 +10,7 @@
 
 	"cairnfront/internal/cacheproto"
 	"cairnfront/internal/clock"
+	"cairnfront/internal/lab/timing"
 	"cairnfront/routing"
 )
 
@@ -18,18 +19,18 @@
 
 // standInConn is a connection of a router to an address of a stand-in.
 type standInConn struct {
-	address *standInAddress
+	address *Address
 	conn    net.Conn
 
-	writing sync.Mutex                // one line at a time
-	open    map[string]*attemptRecord // by request id; guarded by the stand-in's lock
+	writing sync.Mutex          // one line at a time
+	open    map[string]*Attempt // by request id; guarded by the stand-in's lock
 }
 
-func newStandInConn(address *standInAddress, conn net.Conn) *standInConn {
+func newStandInConn(address *Address, conn net.Conn) *standInConn {
 	return &standInConn{
 		address: address,
 		conn:    conn,
-		open:    map[string]*attemptRecord{},
+		open:    map[string]*Attempt{},
 	}
 }
 
@@ -59,8 +60,8 @@
 	standIn.mu.Lock()
 	defer standIn.mu.Unlock()
 	c.address.conns[c.conn] = true
-	if c.address.mode == unresponsive {
-		standIn.unresponsiveConnections.Add(1)
+	if c.address.mode == Unresponsive {
+		standIn.UnresponsiveConnections.Add(1)
 	}
 }
 
@@ -72,7 +73,7 @@
 	defer standIn.mu.Unlock()
 	delete(c.address.conns, c.conn)
 	for _, attempt := range c.open {
-		attempt.endedAt = unixSeconds(time.Now())
+		attempt.EndedAt = timing.UnixSeconds(time.Now())
 	}
 	clear(c.open)
 }
@@ -85,7 +86,7 @@
 		c.endAttempt(command.ID)
 		return true
 	case cacheproto.CommandProbe, cacheproto.CommandProbeLoad:
-		if mode == healthy {
+		if mode == Healthy {
 			c.write(cacheproto.AppendProbeReply(nil, command.ID, true, ""))
 		}
 		return true
@@ -95,9 +96,9 @@
 	}
 	c.beginAttempt(command, mode)
 	switch mode {
-	case unresponsive, closed:
+	case Unresponsive, Closed:
 		return true
-	case resetting:
+	case Resetting:
 		if tcp, isTCP := c.conn.(*net.TCPConn); isTCP {
 			_ = tcp.SetLinger(0)
 		}
@@ -108,14 +109,14 @@
 }
 
 // beginAttempt records an attempt that has been received completely.
-func (c *standInConn) beginAttempt(command cacheproto.Command, mode addressMode) {
-	attempt := &attemptRecord{
-		id:        command.ID,
-		class:     command.ClassName,
+func (c *standInConn) beginAttempt(command cacheproto.Command, mode AddressMode) {
+	attempt := &Attempt{
+		ID:        command.ID,
+		Class:     command.ClassName,
 		key:       command.IdempotencyKey,
 		address:   c.address.index,
-		startedAt: unixSeconds(time.Now()),
-		mode:      mode,
+		StartedAt: timing.UnixSeconds(time.Now()),
+		Mode:      mode,
 	}
 	standIn := c.address.standIn
 	standIn.mu.Lock()
@@ -134,19 +135,19 @@
 		return false
 	}
 	delete(c.open, id)
-	attempt.endedAt = unixSeconds(time.Now())
+	attempt.EndedAt = timing.UnixSeconds(time.Now())
 	return true
 }
 
 // answer ends an attempt with success or failure, unless it was cancelled. A truncated answer leaves it open.
-func (c *standInConn) answer(command cacheproto.Command, mode addressMode) {
+func (c *standInConn) answer(command cacheproto.Command, mode AddressMode) {
 	standIn := c.address.standIn
-	if standIn.failAttempt != nil && standIn.failAttempt(command, standIn.attemptsOf(command.ID)) {
+	if standIn.FailAttempt != nil && standIn.FailAttempt(command, standIn.attemptsOf(command.ID)) {
 		failure := cacheproto.AttemptReply{Result: routing.ServerError}
 		c.writeAnswer(command.ID, cacheproto.AppendAttemptReply(nil, command.ID, failure))
 		return
 	}
-	body := standIn.body(command)
+	body := standIn.Body(command)
 	reply := cacheproto.AppendAttemptReply(nil, command.ID, cacheproto.AttemptReply{
 		Result:           routing.Completed,
 		Detail:           routing.CacheHit,
@@ -156,7 +157,7 @@
 		BodyBytes:        len(body),
 	})
 	reply = append(reply, body...)
-	if mode == truncating {
+	if mode == Truncating {
 		c.writing.Lock()
 		defer c.writing.Unlock()
 		_, _ = c.conn.Write(reply[:(len(reply)+len(cacheproto.LineEnd))/2])
@@ -182,13 +183,13 @@
 }
 
 // attemptsOf counts the latest attempts of a request.
-func (standIn *endpointStandIn) attemptsOf(id string) int {
+func (standIn *Endpoint) attemptsOf(id string) int {
 	standIn.mu.Lock()
 	defer standIn.mu.Unlock()
 	recent := standIn.attempts[max(len(standIn.attempts)-(attemptLookback-1), 0):]
 	n := 0
 	for _, attempt := range recent {
-		if attempt.id == id {
+		if attempt.ID == id {
 			n++
 		}
 	}
--- a/internal/lab/hostile_attacks.go
+++ b/internal/lab/standin/hostile_attacks.go
@@ -1,4 +1,4 @@
-package lab
+package standin
 
 import (
 	"bytes"
@@ -19,7 +19,7 @@
 )
 
 // attack makes the next of its attacks on a random peer, and floods if it is to.
-func (peer *hostilePeer) attack(sequence uint32) {
+func (peer *HostilePeer) attack(sequence uint32) {
 	to, victim := peer.randomPeer(), peer.randomPeer()
 	if to == peer.id {
 		return
@@ -36,15 +36,15 @@
 	peer.floodTurn(to)
 }
 
-func (peer *hostilePeer) randomPeer() swim.MemberID {
+func (peer *HostilePeer) randomPeer() swim.MemberID {
 	return swim.MemberID(peer.rnd.IntN(len(peer.routes)))
 }
 
 // randomOf draws one of some texts.
-func (peer *hostilePeer) randomOf(texts [][]byte) []byte { return texts[peer.rnd.IntN(len(texts))] }
+func (peer *HostilePeer) randomOf(texts [][]byte) []byte { return texts[peer.rnd.IntN(len(texts))] }
 
 // accuseAll accuses some peers and sends a table in which all have failed.
-func (peer *hostilePeer) accuseAll(to swim.MemberID) {
+func (peer *HostilePeer) accuseAll(to swim.MemberID) {
 	message := swim.Message{Kind: swim.PushPullReply, ViewHash: peer.rnd.Uint64()}
 	for i := range peer.routes {
 		member := swim.MemberID(i)
@@ -64,11 +64,11 @@
 	})
 	message.Accusations = accusations[:min(len(accusations), accusationsPerMessage)]
 	peer.send(to, message, nil)
-	peer.counts[report.HostileAccusations] += int64(len(message.Accusations))
+	peer.Counts[report.HostileAccusations] += int64(len(message.Accusations))
 }
 
 // reportEndpointsFailing reports random endpoints as failing.
-func (peer *hostilePeer) reportEndpointsFailing(to swim.MemberID, sequence uint32) {
+func (peer *HostilePeer) reportEndpointsFailing(to swim.MemberID, sequence uint32) {
 	var signed [][]byte
 	for range observationsPerMessage {
 		text, err := peer.codec.SignObservation(observation.Observation{
@@ -84,12 +84,12 @@
 		}
 	}
 	peer.send(to, swim.Message{Kind: swim.Push, ViewHash: peer.core.ViewHash()}, signed)
-	peer.counts[report.HostileObservations] += int64(len(signed))
+	peer.Counts[report.HostileObservations] += int64(len(signed))
 }
 
 // forgeRecords sends records of another peer with its own signature, and one of that peer's with a changed bit.
-func (peer *hostilePeer) forgeRecords(to, victim swim.MemberID) {
-	incarnation := swim.Incarnation{StartMillis: forgedIncarnation}
+func (peer *HostilePeer) forgeRecords(to, victim swim.MemberID) {
+	incarnation := swim.Incarnation{StartMillis: ForgedIncarnation}
 	message := swim.Message{Kind: swim.Push, ViewHash: peer.core.ViewHash()}
 	forgeries := [][]byte{
 		peer.codec.ForgeRecord(victim, incarnation, swim.Alive),
@@ -104,14 +104,14 @@
 		message.Records = append(message.Records, swim.MemberRecord{Member: victim, Signed: forgery})
 	}
 	peer.send(to, message, nil)
-	peer.counts[report.HostileForgeries] += int64(len(message.Records))
+	peer.Counts[report.HostileForgeries] += int64(len(message.Records))
 }
 
 // replay sends a datagram that it captured, and an old record under another peer's name.
-func (peer *hostilePeer) replay(to, victim swim.MemberID) {
+func (peer *HostilePeer) replay(to, victim swim.MemberID) {
 	if len(peer.captured) > 0 {
 		peer.write(to, peer.randomOf(peer.captured))
-		peer.counts[report.HostileReplays]++
+		peer.Counts[report.HostileReplays]++
 	}
 	if len(peer.signedRecords) == 0 {
 		return
@@ -126,7 +126,7 @@
 }
 
 // answerFor answers a health check in the name of a peer, which may have failed.
-func (peer *hostilePeer) answerFor(to, victim swim.MemberID) {
+func (peer *HostilePeer) answerFor(to, victim swim.MemberID) {
 	message := swim.Message{
 		Kind:      swim.IndirectAck,
 		Nonce:     peer.rnd.Uint64(),
@@ -135,11 +135,11 @@
 		Proof:     make([]byte, ed25519.SignatureSize),
 	}
 	peer.send(to, message, nil)
-	peer.counts[report.HostileFalseAcks]++
+	peer.Counts[report.HostileFalseAcks]++
 }
 
 // forgeRefutation accuses a peer in an incarnation far ahead of its own.
-func (peer *hostilePeer) forgeRefutation(to, victim swim.MemberID) {
+func (peer *HostilePeer) forgeRefutation(to, victim swim.MemberID) {
 	_, record := peer.core.Lookup(victim)
 	incarnation := swim.Incarnation{
 		StartMillis: record.Incarnation.StartMillis,
@@ -154,13 +154,13 @@
 }
 
 // floodTurn sends captured datagrams while there are some left to flood with. The rest follows at the next attack.
-func (peer *hostilePeer) floodTurn(to swim.MemberID) {
+func (peer *HostilePeer) floodTurn(to swim.MemberID) {
 	if len(peer.captured) == 0 {
 		return
 	}
 	for n := 0; n < floodDatagramsPerTurn && peer.flood.Load() > 0; n++ {
 		peer.flood.Add(-1)
 		peer.write(to, peer.randomOf(peer.captured))
-		peer.counts[report.HostileFlood]++
+		peer.Counts[report.HostileFlood]++
 	}
 }
--- a/internal/lab/hostile.go
+++ b/internal/lab/standin/hostile_peer.go
@@ -1,9 +1,10 @@
-package lab
+package standin
 
 import (
 	"bytes"
 	"context"
 	"crypto/ed25519"
+	"fmt"
 	"math/rand/v2"
 	"net"
 	"net/netip"
@@ -16,9 +17,9 @@
 )
 
 const (
-	// forgedIncarnation is the start time of an incarnation that no honest peer has. A router that knows of it took a
+	// ForgedIncarnation is the start time of an incarnation that no honest peer has. A router that knows of it took a
 	// forgery.
-	forgedIncarnation = 1 << 60
+	ForgedIncarnation = 1 << 60
 
 	attackInterval        = 50 * time.Millisecond
 	maxCapturedDatagrams  = 500
@@ -26,10 +27,10 @@
 	floodDatagramsPerTurn = 500 // sent before the peer receives again
 )
 
-// hostilePeer is a peer with a key of the roster that does all the harm it can. It answers health checks, so that it
+// HostilePeer is a peer with a key of the roster that does all the harm it can. It answers health checks, so that it
 // stays a member, and accuses every peer, reports every endpoint as failing, forges and replays messages, answers for
 // failed peers and floods.
-type hostilePeer struct {
+type HostilePeer struct {
 	id            swim.MemberID
 	conn          *net.UDPConn
 	codec         *datagram.Codec
@@ -39,36 +40,54 @@
 	rnd           *rand.Rand
 	captured      [][]byte         // datagrams to replay
 	signedRecords [][]byte         // of other peers, to replay
-	counts        map[string]int64 // by the keys of the report
+	Counts        map[string]int64 // attacks by the keys of the report; to be read once Run has ended
 	flood         atomic.Int64     // datagrams left to be sent as fast as they go
 }
 
-func newHostilePeer(
-	index int, key ed25519.PrivateKey, roster []datagram.Identity, conn *net.UDPConn, endpoints []string, seed uint64,
-) (*hostilePeer, error) {
-	id := swim.MemberID(index)
-	codec, err := datagram.New(id, key, conn.LocalAddr().String(), "nowhere", roster)
+// HostileConfig says who a hostile peer is and whom it attacks.
+type HostileConfig struct {
+	Index     int // in the roster
+	Key       ed25519.PrivateKey
+	Roster    []datagram.Identity
+	Conn      *net.UDPConn     // of the peer from now on
+	Routes    []netip.AddrPort // to the other peers, by their index
+	Endpoints []string         // ids, to report as failing
+	Seed      uint64
+}
+
+// NewHostilePeer makes a hostile peer. It attacks when it runs.
+func NewHostilePeer(config HostileConfig) (*HostilePeer, error) {
+	id := swim.MemberID(config.Index)
+	codec, err := datagram.New(id, config.Key, config.Conn.LocalAddr().String(), "unknown-zone", config.Roster)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("make hostile peer %d: %w", config.Index, err)
 	}
 	var hashes []uint64
-	for _, identity := range roster {
+	for _, identity := range config.Roster {
 		hashes = append(hashes, swim.NameHash(identity.Name))
 	}
 	startMillis := uint64(clock.Now().UnixMillis())
-	return &hostilePeer{
+	seed := config.Seed
+	return &HostilePeer{
 		id:        id,
-		conn:      conn,
+		conn:      config.Conn,
 		codec:     codec,
 		core:      swim.New(swim.Config{MaxByzantine: 1}, id, hashes, seed, startMillis, seed, 0),
-		endpoints: endpoints,
-		rnd:       rand.New(rand.NewPCG(seed, uint64(index))),
-		counts:    map[string]int64{},
+		endpoints: config.Endpoints,
+		routes:    config.Routes,
+		rnd:       rand.New(rand.NewPCG(seed, uint64(config.Index))),
+		Counts:    map[string]int64{},
 	}, nil
 }
 
-// run attacks until the context ends.
-func (peer *hostilePeer) run(ctx context.Context) {
+// Close closes the peer's connection, which ends its reader.
+func (peer *HostilePeer) Close() { _ = peer.conn.Close() }
+
+// StartFlood lets the peer send so many datagrams as fast as it can.
+func (peer *HostilePeer) StartFlood(datagrams int64) { peer.flood.Store(datagrams) }
+
+// Run attacks until the context ends.
+func (peer *HostilePeer) Run(ctx context.Context) {
 	startedAt := time.Now()
 	received := make(chan []byte, receiveQueueLength)
 	go peer.receive(ctx, received)
@@ -89,7 +108,7 @@
 }
 
 // receive reads datagrams until the connection ends. It drops what the queue does not hold.
-func (peer *hostilePeer) receive(ctx context.Context, received chan<- []byte) {
+func (peer *HostilePeer) receive(ctx context.Context, received chan<- []byte) {
 	buffer := make([]byte, datagram.MaxSize+1)
 	for {
 		size, _, err := peer.conn.ReadFromUDPAddrPort(buffer)
@@ -107,7 +126,7 @@
 }
 
 // handle keeps a datagram for later replays and gives it to the core, now in seconds since the start.
-func (peer *hostilePeer) handle(text []byte, now float64) {
+func (peer *HostilePeer) handle(text []byte, now float64) {
 	if len(peer.captured) < maxCapturedDatagrams {
 		peer.captured = append(peer.captured, text)
 	}
@@ -122,7 +141,7 @@
 }
 
 // perform sends what the core wants, which keeps the peer a member. It answers no indirect probes of others.
-func (peer *hostilePeer) perform(actions []swim.Action) {
+func (peer *HostilePeer) perform(actions []swim.Action) {
 	for _, action := range actions {
 		send, isSend := action.(swim.Send)
 		if !isSend || send.Kind == swim.IndirectAck || send.Kind == swim.Ack && send.Requester != send.To {
@@ -133,7 +152,7 @@
 }
 
 // send signs and sends a message with signed observations.
-func (peer *hostilePeer) send(to swim.MemberID, message swim.Message, observations [][]byte) {
+func (peer *HostilePeer) send(to swim.MemberID, message swim.Message, observations [][]byte) {
 	startMillis := peer.core.SelfRecord().Incarnation.StartMillis
 	if text, err := peer.codec.Encode(startMillis, to, message, observations); err == nil {
 		peer.write(to, text)
@@ -141,7 +160,7 @@
 }
 
 // write sends a datagram to a peer.
-func (peer *hostilePeer) write(to swim.MemberID, text []byte) {
+func (peer *HostilePeer) write(to swim.MemberID, text []byte) {
 	if int(to) < len(peer.routes) && peer.routes[to].IsValid() {
 		_, _ = peer.conn.WriteToUDPAddrPort(text, peer.routes[to])
 	}
--- a/internal/lab/idempotency.go
+++ b/internal/lab/standin/idempotency.go
@@ -1,19 +1,19 @@
-package lab
+package standin
 
 import "sync"
 
-// idempotencyRecords is what the stand-ins remember of idempotency keys, shared by all. A repeat within the window is
+// IdempotencyRecords is what the stand-ins remember of idempotency keys, shared by all. A repeat within the window is
 // dropped.
-type idempotencyRecords struct {
+type IdempotencyRecords struct {
 	mu        sync.Mutex
 	lastRunAt map[string]float64 // Unix s, by key
 }
 
-// shouldRun says whether a request that comes now runs, and records that it does.
-func (records *idempotencyRecords) shouldRun(key string, now float64) bool {
+// ShouldRun says whether a request that comes now runs, and records that it does.
+func (records *IdempotencyRecords) ShouldRun(key string, now float64) bool {
 	records.mu.Lock()
 	defer records.mu.Unlock()
-	if at, known := records.lastRunAt[key]; known && now < at+keyRetentionSeconds {
+	if at, known := records.lastRunAt[key]; known && now < at+KeyRetentionSeconds {
 		return false
 	}
 	if records.lastRunAt == nil {
--- a/internal/lab/idempotency_test.go
+++ b/internal/lab/standin/idempotency_test.go
@@ -1,4 +1,4 @@
-package lab
+package standin
 
 import (
 	"testing"
@@ -8,15 +8,15 @@
 
 // TestKeysRunOnceAWindow holds that a key runs once within its window, and again after it.
 func TestKeysRunOnceAWindow(t *testing.T) {
-	o := idempotencyRecords{}
+	o := IdempotencyRecords{}
 	assert.Equal(
 		t,
 		[]bool{true, false, true, true},
 		[]bool{
-			o.shouldRun("a", 1),
-			o.shouldRun("a", 1+keyRetentionSeconds-0.1),
-			o.shouldRun("b", 2),
-			o.shouldRun("a", 1+keyRetentionSeconds),
+			o.ShouldRun("a", 1),
+			o.ShouldRun("a", 1+KeyRetentionSeconds-0.1),
+			o.ShouldRun("b", 2),
+			o.ShouldRun("a", 1+KeyRetentionSeconds),
 		},
 	)
 }
--- a/internal/lab/wait.go
+++ b/internal/lab/timing/timing.go
@@ -1,4 +1,4 @@
-package lab
+package timing
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 // conditionPollInterval is the time between two checks of a condition.
 const conditionPollInterval = 5 * time.Millisecond
 
-// waitUntil waits until a condition holds, for a time at the most.
-func waitUntil(limit time.Duration, condition func() bool) error {
+// WaitUntil waits until a condition holds, for a time at the most.
+func WaitUntil(limit time.Duration, condition func() bool) error {
 	for end := time.Now().Add(limit); ; time.Sleep(conditionPollInterval) {
 		if condition() {
 			return nil
@@ -23,8 +23,8 @@
 	}
 }
 
-// sleep waits for a duration, or returns the context's error when that ends before.
-func sleep(ctx context.Context, d time.Duration) error {
+// Sleep waits for a duration, or returns the context's error when that ends before.
+func Sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -33,8 +33,8 @@
 	}
 }
 
-// unixSeconds is a time in seconds since 1970, to the microsecond.
-func unixSeconds(t time.Time) float64 { return clock.At(t).Seconds() }
+// UnixSeconds is a time in seconds since 1970, to the microsecond.
+func UnixSeconds(t time.Time) float64 { return clock.At(t).Seconds() }
 
-// seconds is a number of seconds as a duration.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// Seconds is a number of seconds as a duration.
+func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/lab/attempts.go
+++ b/internal/lab/verify/attempts.go
@@ -1,4 +1,4 @@
-package lab
+package verify
 
 import (
 	"context"
@@ -7,21 +7,22 @@
 	"time"
 
 	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/standin"
 )
 
 // minOrderingMargin is how much later, s, a stand-in's goroutine may come to read a line than another that was
 // written after it on another connection, on a machine with idle cores. A shorter overlap is none.
 const minOrderingMargin = 0.010
 
-// schedulingDelay measures how late goroutines of this process come to run. On a machine whose cores are busy they
+// SchedulingDelay measures how late goroutines of this process come to run. On a machine whose cores are busy they
 // wait tens of milliseconds. What two of them saw cannot be ordered more finely than that.
-type schedulingDelay struct {
+type SchedulingDelay struct {
 	mu         sync.Mutex
 	maxSeconds float64
 }
 
-// watch measures until the context ends.
-func (delay *schedulingDelay) watch(ctx context.Context) {
+// Watch measures until the context ends.
+func (delay *SchedulingDelay) Watch(ctx context.Context) {
 	const step = time.Millisecond
 	for last := time.Now(); ctx.Err() == nil; {
 		time.Sleep(step)
@@ -33,22 +34,22 @@
 	}
 }
 
-// orderingMargin is the time, s, within which two lines on two connections cannot be ordered. One goroutine may have
+// OrderingMargin is the time, s, within which two lines on two connections cannot be ordered. One goroutine may have
 // been as late as the latest, and the other not at all, and each waits for a core and for a lock.
-func (delay *schedulingDelay) orderingMargin() float64 {
+func (delay *SchedulingDelay) OrderingMargin() float64 {
 	delay.mu.Lock()
 	defer delay.mu.Unlock()
 	return minOrderingMargin + 2*delay.maxSeconds
 }
 
-// findOverlappingAttempts counts the pairs of attempts of a request that were open at the same time, and the requests
+// OverlappingAttempts counts the pairs of attempts of a request that were open at the same time, and the requests
 // of non-idempotent classes that were received completely more than once. Violations has one line for each.
-func findOverlappingAttempts(
-	attempts []*attemptRecord, margin float64, nonIdempotent map[string]bool,
+func OverlappingAttempts(
+	attempts []*standin.Attempt, margin float64, nonIdempotent map[string]bool,
 ) (overlapping, repeats int64, violations []string) {
-	byRequest := map[string][]*attemptRecord{}
+	byRequest := map[string][]*standin.Attempt{}
 	for _, attempt := range attempts {
-		byRequest[attempt.id] = append(byRequest[attempt.id], attempt)
+		byRequest[attempt.ID] = append(byRequest[attempt.ID], attempt)
 	}
 	for _, id := range report.SortedKeys(byRequest) {
 		attempts := byRequest[id]
@@ -56,7 +57,7 @@
 			overlapping++
 			violations = append(violations, fmt.Sprintf("request %s: two attempts were in flight at the same time", id))
 		}
-		if nonIdempotent[attempts[0].class] && len(attempts) > 1 {
+		if nonIdempotent[attempts[0].Class] && len(attempts) > 1 {
 			repeats++
 			violations = append(
 				violations,
@@ -68,11 +69,11 @@
 }
 
 // overlappingPairs counts the pairs of attempts that were open at the same time.
-func overlappingPairs(attempts []*attemptRecord, margin float64) int {
+func overlappingPairs(attempts []*standin.Attempt, margin float64) int {
 	pairs := 0
 	for i, attempt := range attempts {
 		for _, earlier := range attempts[:i] {
-			if attempt.openTogether(earlier, margin) {
+			if attempt.OpenTogether(earlier, margin) {
 				pairs++
 			}
 		}
--- a/internal/lab/attempts_test.go
+++ b/internal/lab/verify/attempts_test.go
@@ -1,8 +1,10 @@
-package lab
+package verify
 
 import (
 	"testing"
 
+	"cairnfront/internal/lab/standin"
+
 	"github.com/stretchr/testify/assert"
 )
 
@@ -10,34 +12,34 @@
 // that an overlap shorter than the margin is not.
 func TestOverlapsBeyondTheMarginAreCounted(t *testing.T) {
 	for gap, want := range map[float64]int64{0.1: 1, 0.005: 0} {
-		attempts := []*attemptRecord{
+		attempts := []*standin.Attempt{
 			{
-				id:        "a",
-				class:     "record",
-				startedAt: 1,
-				endedAt:   2,
+				ID:        "a",
+				Class:     "record",
+				StartedAt: 1,
+				EndedAt:   2,
 			},
 			{
-				id:        "a",
-				class:     "record",
-				startedAt: 2 - gap,
-				endedAt:   3,
+				ID:        "a",
+				Class:     "record",
+				StartedAt: 2 - gap,
+				EndedAt:   3,
 			},
 			{
-				id:        "b",
-				class:     "record",
-				startedAt: 1,
-				endedAt:   2,
+				ID:        "b",
+				Class:     "record",
+				StartedAt: 1,
+				EndedAt:   2,
 			},
 		}
-		overlapping, repeats, violations := findOverlappingAttempts(
+		overlapping, repeats, violations := OverlappingAttempts(
 			attempts,
-			(&schedulingDelay{}).orderingMargin(),
+			(&SchedulingDelay{}).OrderingMargin(),
 			map[string]bool{"record": true},
 		)
 		assert.Equal(t, want, overlapping, "%v s", gap)
 		assert.Equal(t, int64(1), repeats)
 		assert.Len(t, violations, int(want)+1)
 	}
-	assert.InDelta(t, minOrderingMargin+0.08, (&schedulingDelay{maxSeconds: 0.04}).orderingMargin(), 1e-9)
+	assert.InDelta(t, minOrderingMargin+0.08, (&SchedulingDelay{maxSeconds: 0.04}).OrderingMargin(), 1e-9)
 }
--- a/internal/lab/verify_membership.go
+++ b/internal/lab/verify/membership.go
@@ -1,10 +1,12 @@
-package lab
+package verify
 
 import (
 	"sort"
 	"time"
 
 	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/standin"
+	"cairnfront/internal/lab/timing"
 	"cairnfront/internal/sim/faults"
 )
 
@@ -29,26 +31,26 @@
 	stateFailed  = "failed"
 	statePanic   = "panic" // not of a peer: the router logged a panic
 
-	partitionWhole    = "whole"
+	PartitionWhole    = "whole"
 	partitionMajority = "majority"
 	partitionMinority = "minority"
 	partitionAlone    = "alone"
 )
 
-// membershipEvidence is what edge caches and the routers' logs recorded of a run of routers that are peers of each
+// Membership is what edge caches and the routers' logs recorded of a run of routers that are peers of each
 // other, and the script that says what was true.
-type membershipEvidence struct {
-	script        faults.Script
-	scriptStart   time.Time
-	routers       []*routerLog // the first of the script's processes; the others are hostile peers
-	names         []string     // of all processes
-	edgeCaches    []string     // ids; none of them has a fault
-	requests      []requestRecord
-	marginSeconds float64 // that a slow machine may take beyond an objective
+type Membership struct {
+	Script        faults.Script
+	ScriptStart   time.Time
+	Routers       []*RouterLog // the first of the script's processes; the others are hostile peers
+	Names         []string     // of all processes
+	EdgeCaches    []string     // ids; none of them has a fault
+	Requests      []Request
+	MarginSeconds float64 // that a slow machine may take beyond an objective
 }
 
-// verify checks a run, and adds the figures that follow from the routers' logs. The logs must have been read.
-func (e *membershipEvidence) verify(r *report.Report) {
+// Verify checks a run, and adds the figures that follow from the routers' logs. The logs must have been read.
+func (e *Membership) Verify(r *report.Report) {
 	e.countFaults(r)
 	e.failuresDetected(r)
 	e.agreedAfterCuts(r)
@@ -60,15 +62,15 @@
 }
 
 // countFaults counts the script's processes and faults.
-func (e *membershipEvidence) countFaults(r *report.Report) {
+func (e *Membership) countFaults(r *report.Report) {
 	counts := map[string]int64{
-		report.Processes:    int64(len(e.routers)),
-		report.HostilePeers: int64(e.script.Processes - len(e.routers)),
+		report.Processes:    int64(len(e.Routers)),
+		report.HostilePeers: int64(e.Script.Processes - len(e.Routers)),
 		report.LinkCuts:     0,
 		report.Kills:        0,
 		report.Pauses:       0,
 	}
-	for _, fault := range e.script.Faults {
+	for _, fault := range e.Script.Faults {
 		switch fault.Kind {
 		case faults.Cut:
 			counts[report.LinkCuts]++
@@ -86,9 +88,9 @@
 // failuresDetected checks that every running router declares a killed one failed, and in time. Kills that cannot be
 // checked are left out: of a router that is back before all could detect it, and of several at once, as most of the
 // routers that could detect them are killed too.
-func (e *membershipEvidence) failuresDetected(r *report.Report) {
+func (e *Membership) failuresDetected(r *report.Report) {
 	var slowest []float64 // s until the last router had detected it, one for each kill
-	for _, fault := range e.script.Faults {
+	for _, fault := range e.Script.Faults {
 		if fault.Kind != faults.Kill && fault.Kind != faults.Wipe {
 			continue
 		}
@@ -106,21 +108,21 @@
 	last := slowest[len(slowest)-1]
 	r.Figures[report.DetectionP50] = slowest[len(slowest)/2]
 	r.Figures[report.DetectionP99] = last
-	if last > detectionObjective+e.marginSeconds {
+	if last > detectionObjective+e.MarginSeconds {
 		r.Broke("%.1f s until all routers had detected a kill", last)
 	}
 }
 
 // slowestDetection is how long after a kill the last running router declared the killed one failed, s.
-func (e *membershipEvidence) slowestDetection(r *report.Report, kill faults.Fault, killed int) float64 {
+func (e *Membership) slowestDetection(r *report.Report, kill faults.Fault, killed int) float64 {
 	slowest := 0.0
-	for _, router := range e.routers {
-		if router.index == killed || !e.script.IsRunning(router.index, kill.Start) {
+	for _, router := range e.Routers {
+		if router.index == killed || !e.Script.IsRunning(router.index, kill.Start) {
 			continue
 		}
 		took, found := router.detectionSeconds(killed, kill.Start, kill.End)
 		if !found {
-			r.Broke("%s never declared %s failed, which was killed at %.1f s", router.name, e.names[killed], kill.Start)
+			r.Broke("%s never declared %s failed, which was killed at %.1f s", router.name, e.Names[killed], kill.Start)
 			continue
 		}
 		slowest = max(slowest, took)
@@ -130,7 +132,7 @@
 
 // detectionSeconds is how long after a kill a router declared a peer failed. It is not found where the router did not
 // do so before the peer was started again.
-func (router *routerLog) detectionSeconds(peer int, killedAt, restartedAt float64) (took float64, found bool) {
+func (router *RouterLog) detectionSeconds(peer int, killedAt, restartedAt float64) (took float64, found bool) {
 	for _, event := range router.peerEvents {
 		inTime := event.at >= killedAt && event.at < restartedAt
 		if inTime && event.peer == peer && event.state == stateFailed {
@@ -141,9 +143,9 @@
 }
 
 // agreedAfterCuts checks that all routers agree, in time, on who runs once a cut has ended.
-func (e *membershipEvidence) agreedAfterCuts(r *report.Report) {
+func (e *Membership) agreedAfterCuts(r *report.Report) {
 	slowest, measured := 0.0, false
-	for _, fault := range e.script.Faults {
+	for _, fault := range e.Script.Faults {
 		if fault.Kind != faults.Cut || e.faultFollows(fault.End) {
 			continue
 		}
@@ -162,14 +164,14 @@
 		return
 	}
 	r.Figures[report.AgreementAfterCut] = slowest
-	if slowest > agreementObjective+e.marginSeconds {
+	if slowest > agreementObjective+e.MarginSeconds {
 		r.Broke("%.1f s after a cut until all routers agreed", slowest)
 	}
 }
 
 // faultFollows says whether a fault other than a loss falls into the time in which agreement is expected.
-func (e *membershipEvidence) faultFollows(end float64) bool {
-	for _, fault := range e.script.Faults {
+func (e *Membership) faultFollows(end float64) bool {
+	for _, fault := range e.Script.Faults {
 		if fault.Start <= end+agreementObjective+machineMargin && fault.End > end && fault.Kind != faults.Loss {
 			return true
 		}
@@ -178,8 +180,8 @@
 }
 
 // agreementSeconds is how long after a time each router saw just those who ran.
-func (e *membershipEvidence) agreementSeconds(from float64) (took float64, agreed bool) {
-	until := min(from+agreementSearchSeconds, e.script.Duration)
+func (e *Membership) agreementSeconds(from float64) (took float64, agreed bool) {
+	until := min(from+agreementSearchSeconds, e.Script.Duration)
 	for at := from; at < until; at += agreementStepSeconds {
 		if e.agreesAt(at) {
 			return at - from, true
@@ -189,10 +191,10 @@
 }
 
 // agreesAt says whether each router saw at a time just those peers who ran.
-func (e *membershipEvidence) agreesAt(at float64) bool {
-	for _, router := range e.routers {
-		for peer := range len(e.routers) {
-			if peer != router.index && isPresent(router.peerStateAt(peer, at)) != e.script.IsRunning(peer, at) {
+func (e *Membership) agreesAt(at float64) bool {
+	for _, router := range e.Routers {
+		for peer := range len(e.Routers) {
+			if peer != router.index && isPresent(router.peerStateAt(peer, at)) != e.Script.IsRunning(peer, at) {
 				return false
 			}
 		}
@@ -201,9 +203,9 @@
 }
 
 // noPanics checks that no router logged a panic.
-func (e *membershipEvidence) noPanics(r *report.Report) {
+func (e *Membership) noPanics(r *report.Report) {
 	r.Counts[report.Panics] = 0
-	for _, router := range e.routers {
+	for _, router := range e.Routers {
 		for _, event := range router.peerEvents {
 			if event.state == statePanic {
 				r.Counts[report.Panics]++
@@ -214,51 +216,51 @@
 }
 
 // noForgeryAccepted checks that no router accepted an incarnation that only the hostile peers' forgeries have.
-func (e *membershipEvidence) noForgeryAccepted(r *report.Report) {
+func (e *Membership) noForgeryAccepted(r *report.Report) {
 	r.Counts[report.ForgeriesAccepted] = 0
-	for _, router := range e.routers {
+	for _, router := range e.Routers {
 		for _, event := range router.peerEvents {
-			if event.state != statePanic && event.incarnation >= forgedIncarnation {
+			if event.state != statePanic && event.incarnation >= standin.ForgedIncarnation {
 				r.Counts[report.ForgeriesAccepted]++
-				r.Broke("%s accepted a forged incarnation of %s", router.name, e.names[event.peer])
+				r.Broke("%s accepted a forged incarnation of %s", router.name, e.Names[event.peer])
 			}
 		}
 	}
 }
 
 // noHealthyPeerFailed checks that no router declared a peer failed that ran and that no fault separated from it.
-func (e *membershipEvidence) noHealthyPeerFailed(r *report.Report) {
+func (e *Membership) noHealthyPeerFailed(r *report.Report) {
 	r.Counts[report.HealthyPeersFailed] = 0
-	for _, router := range e.routers {
+	for _, router := range e.Routers {
 		for _, event := range router.peerEvents {
-			if event.state != stateFailed || event.incarnation >= forgedIncarnation {
+			if event.state != stateFailed || event.incarnation >= standin.ForgedIncarnation {
 				continue
 			}
-			if event.peer >= len(e.routers) || event.at <= 0 {
+			if event.peer >= len(e.Routers) || event.at <= 0 {
 				continue
 			}
-			if e.script.ExplainsUnreachable(router.index, event.peer, event.at, faultEffectSeconds) {
+			if e.Script.ExplainsUnreachable(router.index, event.peer, event.at, faultEffectSeconds) {
 				continue
 			}
 			r.Counts[report.HealthyPeersFailed]++
-			r.Broke("%s declared %s failed at %.2f s, which ran", router.name, e.names[event.peer], event.at)
+			r.Broke("%s declared %s failed at %.2f s, which ran", router.name, e.Names[event.peer], event.at)
 		}
 	}
 }
 
 // edgeCachesUsed checks that each edge cache, all of which are healthy, got requests throughout, whatever hostile peers
 // reported of it.
-func (e *membershipEvidence) edgeCachesUsed(r *report.Report) {
+func (e *Membership) edgeCachesUsed(r *report.Report) {
 	r.Counts[report.EndpointsUnused] = 0
-	from := unixSeconds(e.scriptStart)
-	for _, edgeCache := range e.edgeCaches {
+	from := timing.UnixSeconds(e.ScriptStart)
+	for _, edgeCache := range e.EdgeCaches {
 		used := map[int]bool{} // windows with a request
-		for _, request := range e.requests {
-			if request.endpoint == edgeCache && request.at >= from {
-				used[int((request.at-from)/edgeCacheWindowSeconds)] = true
+		for _, request := range e.Requests {
+			if request.Endpoint == edgeCache && request.At >= from {
+				used[int((request.At-from)/edgeCacheWindowSeconds)] = true
 			}
 		}
-		for window := range int(e.script.Duration / edgeCacheWindowSeconds) {
+		for window := range int(e.Script.Duration / edgeCacheWindowSeconds) {
 			if used[window] {
 				continue
 			}
@@ -274,11 +276,11 @@
 }
 
 // partitionStateErrorSeconds is for how long a router's partition state was not the true one, s a router.
-func (e *membershipEvidence) partitionStateErrorSeconds() float64 {
+func (e *Membership) partitionStateErrorSeconds() float64 {
 	wrong := 0.0
-	for at := 0.0; at < e.script.Duration; at += partitionStepSeconds {
-		for _, router := range e.routers {
-			if !e.script.IsRunning(router.index, at) {
+	for at := 0.0; at < e.Script.Duration; at += partitionStepSeconds {
+		for _, router := range e.Routers {
+			if !e.Script.IsRunning(router.index, at) {
 				continue
 			}
 			if router.partitionStateAt(at) != e.truePartitionState(router.index, at) {
@@ -286,12 +288,12 @@
 			}
 		}
 	}
-	return wrong / float64(len(e.routers))
+	return wrong / float64(len(e.Routers))
 }
 
 // truePartitionState is the partition state that a router should have, from how many processes it can reach.
-func (e *membershipEvidence) truePartitionState(router int, at float64) string {
-	reachable, all := e.script.ReachableCount(router, at), e.script.Processes
+func (e *Membership) truePartitionState(router int, at float64) string {
+	reachable, all := e.Script.ReachableCount(router, at), e.Script.Processes
 	switch {
 	case reachable == 1:
 		return partitionAlone
@@ -300,5 +302,5 @@
 	case reachable < all:
 		return partitionMajority
 	}
-	return partitionWhole
+	return PartitionWhole
 }
--- a/internal/lab/verify_membership_log.go
+++ b/internal/lab/verify/membership_log.go
@@ -1,4 +1,4 @@
-package lab
+package verify
 
 import (
 	"bufio"
@@ -25,22 +25,22 @@
 	state string
 }
 
-// routerLog is what a router's log says that it knew of its peers, and when.
-type routerLog struct {
+// RouterLog is what a router's log says that it knew of its peers, and when.
+type RouterLog struct {
 	name            string
 	index           int // of the router among the script's processes
 	peerEvents      []peerEvent
 	partitionEvents []partitionEvent
 }
 
-// readRouterLog reads the log of a router. Peers are the indices by name.
-func readRouterLog(path, name string, index int, peers map[string]int, scriptStart time.Time) (*routerLog, error) {
+// ReadRouterLog reads the log of a router. Peers are the indices by name.
+func ReadRouterLog(path, name string, index int, peers map[string]int, scriptStart time.Time) (*RouterLog, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("read the log of %s: %w", name, err)
 	}
 	defer func() { _ = file.Close() }()
-	log := &routerLog{name: name, index: index}
+	log := &RouterLog{name: name, index: index}
 	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, maxLogLineBytes)
 	for lines.Scan() {
@@ -55,7 +55,7 @@
 }
 
 // addLogLine records what a line says of a peer, of the partition state or of a panic.
-func (log *routerLog) addLogLine(fields map[string]string, at float64, peers map[string]int) {
+func (log *RouterLog) addLogLine(fields map[string]string, at float64, peers map[string]int) {
 	switch fields["msg"] {
 	case "peer":
 		event := peerEvent{at: at, peer: peers[fields["peer"]], state: fields["code"]}
@@ -98,7 +98,7 @@
 }
 
 // peerStateAt is the state that a peer had to a router at a time of the script.
-func (log *routerLog) peerStateAt(peer int, at float64) string {
+func (log *RouterLog) peerStateAt(peer int, at float64) string {
 	state := stateUnknown
 	for _, event := range log.peerEvents {
 		if event.at > at {
@@ -112,7 +112,7 @@
 }
 
 // partitionStateAt is a router's partition state at a time of the script.
-func (log *routerLog) partitionStateAt(at float64) string {
+func (log *RouterLog) partitionStateAt(at float64) string {
 	state := partitionAlone
 	for _, event := range log.partitionEvents {
 		if event.at > at {
--- a/internal/lab/verify_membership_plots.go
+++ b/internal/lab/verify/membership_plots.go
@@ -1,4 +1,4 @@
-package lab
+package verify
 
 import (
 	"cairnfront/internal/lab/report"
@@ -7,12 +7,12 @@
 // plotStepSeconds is the time between two points of the plot of the peers seen.
 const plotStepSeconds = 0.5
 
-// addPlots adds the plots of how many peers the routers saw and of the rate of datagrams between them, with marks where
+// AddPlots adds the plots of how many peers the routers saw and of the rate of datagrams between them, with marks where
 // faults began.
-func (e *membershipEvidence) addPlots(r *report.Report, rate report.Line, marks []report.Mark) {
+func (e *Membership) AddPlots(r *report.Report, rate report.Line, marks []report.Mark) {
 	fewest := report.Line{Name: "minimum over the routers"}
 	most := report.Line{Name: "maximum over the routers"}
-	for at := 0.0; at < e.script.Duration; at += plotStepSeconds {
+	for at := 0.0; at < e.Script.Duration; at += plotStepSeconds {
 		low, high := e.peersSeenAt(at)
 		fewest.Add(at, float64(low))
 		most.Add(at, float64(high))
@@ -37,14 +37,14 @@
 }
 
 // peersSeenAt is the fewest and the most routers that a running router saw at a time, itself among them.
-func (e *membershipEvidence) peersSeenAt(at float64) (fewest, most int) {
-	fewest = len(e.routers)
-	for _, router := range e.routers {
-		if !e.script.IsRunning(router.index, at) {
+func (e *Membership) peersSeenAt(at float64) (fewest, most int) {
+	fewest = len(e.Routers)
+	for _, router := range e.Routers {
+		if !e.Script.IsRunning(router.index, at) {
 			continue
 		}
 		seen := 1
-		for peer := range len(e.routers) {
+		for peer := range len(e.Routers) {
 			if peer != router.index && isPresent(router.peerStateAt(peer, at)) {
 				seen++
 			}
--- a/internal/lab/verify_membership_test.go
+++ b/internal/lab/verify/membership_test.go
@@ -1,4 +1,4 @@
-package lab
+package verify
 
 import (
 	"fmt"
@@ -9,6 +9,8 @@
 
 	"cairnfront/internal/cacheproto"
 	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/standin"
+	"cairnfront/internal/lab/timing"
 	"cairnfront/internal/sim/faults"
 
 	"github.com/stretchr/testify/assert"
@@ -21,14 +23,14 @@
 // verifiedRun is the report on a run with twenty routers' logs as they are when all goes well under one kill and one
 // cut, changed by a test.
 func verifiedRun(
-	t *testing.T, change func(say func(router int, at float64, text string), e *membershipEvidence),
+	t *testing.T, change func(say func(router int, at float64, text string), e *Membership),
 ) *report.Report {
 	t.Helper()
 	dir := t.TempDir()
-	e := &membershipEvidence{
-		marginSeconds: 5,
-		scriptStart:   time.Now().Truncate(time.Millisecond),
-		script: faults.Script{
+	e := &Membership{
+		MarginSeconds: 5,
+		ScriptStart:   time.Now().Truncate(time.Millisecond),
+		Script: faults.Script{
 			Processes: loggedRouters, Duration: 30,
 			Faults: []faults.Fault{{
 				Kind:  faults.Kill,
@@ -48,18 +50,18 @@
 	say := func(router int, at float64, text string) {
 		logs[router] += fmt.Sprintf(
 			"time=%s level=INFO %s\n",
-			e.scriptStart.Add(time.Duration(at*float64(time.Second))).Format(time.RFC3339Nano),
+			e.ScriptStart.Add(time.Duration(at*float64(time.Second))).Format(time.RFC3339Nano),
 			text,
 		)
 	}
 	for i := range loggedRouters {
-		e.names = append(e.names, fmt.Sprintf("n%d", i+1))
+		e.Names = append(e.Names, fmt.Sprintf("n%d", i+1))
 	}
 	for i := range loggedRouters {
 		for o := range loggedRouters {
 			if o != i {
 				const alive = "msg=peer code=alive peer=%s from=unknown why=\"its newer claim\" life=5 beat=0"
-				say(i, -2, fmt.Sprintf(alive, e.names[o]))
+				say(i, -2, fmt.Sprintf(alive, e.Names[o]))
 			}
 		}
 		say(i, -1, "msg=standing code=whole from=alone epoch=2")
@@ -69,25 +71,25 @@
 		}
 	}
 	const edgeCache = "s-00000001"
-	e.edgeCaches = []string{edgeCache}
+	e.EdgeCaches = []string{edgeCache}
 	for at := 0.5; at < 30; at++ {
-		request := requestRecord{unixSeconds(e.scriptStart) + at, edgeCache, cacheproto.Command{}}
-		e.requests = append(e.requests, request)
+		request := Request{timing.UnixSeconds(e.ScriptStart) + at, edgeCache, cacheproto.Command{}}
+		e.Requests = append(e.Requests, request)
 	}
 	change(say, e)
 	peers := map[string]int{}
-	for i, name := range e.names {
+	for i, name := range e.Names {
 		peers[name] = i
 	}
 	for i, text := range logs {
-		path := filepath.Join(dir, e.names[i]+".log")
+		path := filepath.Join(dir, e.Names[i]+".log")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		log, err := readRouterLog(path, e.names[i], i, peers, e.scriptStart)
+		log, err := ReadRouterLog(path, e.Names[i], i, peers, e.ScriptStart)
 		require.NoError(t, err)
-		e.routers = append(e.routers, log)
+		e.Routers = append(e.Routers, log)
 	}
 	r := &report.Report{Counts: map[string]int64{}, Figures: map[string]float64{}}
-	e.verify(r)
+	e.Verify(r)
 	return r
 }
 
@@ -96,36 +98,37 @@
 func TestMembershipChecksSeeWhatIsBroken(t *testing.T) {
 	type say = func(int, float64, string)
 	for name, c := range map[string]struct {
-		change func(say, *membershipEvidence)
+		change func(say, *Membership)
 		want   string
 	}{
-		"all well": {func(say, *membershipEvidence) {}, ""},
-		"a healthy peer declared failed": {func(s say, _ *membershipEvidence) {
+		"all well": {func(say, *Membership) {}, ""},
+		"a healthy peer declared failed": {func(s say, _ *Membership) {
 			s(5, 12, "msg=peer code=failed peer=n8 from=suspect life=5 beat=0")
 		}, "n6 declared n8 failed at 12.00 s, which ran"},
-		"a failure that the cut explains": {func(s say, _ *membershipEvidence) {
+		"a failure that the cut explains": {func(s say, _ *Membership) {
 			s(5, 17, "msg=peer code=failed peer=n1 from=suspect life=5 beat=0")
 			s(5, 20.5, "msg=peer code=alive peer=n1 from=failed life=5 beat=1")
 		}, ""},
-		"never detected": {func(_ say, e *membershipEvidence) {
-			e.script.Faults[0].From = []int{9}
+		"never detected": {func(_ say, e *Membership) {
+			e.Script.Faults[0].From = []int{9}
 		}, "n1 never declared n10 failed, which was killed at 1.0 s"},
-		"a forgery accepted": {func(s say, _ *membershipEvidence) {
-			s(2, 12, fmt.Sprintf("msg=peer code=alive peer=n8 from=suspect life=%d beat=0", uint64(forgedIncarnation)))
+		"a forgery accepted": {func(s say, _ *Membership) {
+			const forged uint64 = standin.ForgedIncarnation
+			s(2, 12, fmt.Sprintf("msg=peer code=alive peer=n8 from=suspect life=%d beat=0", forged))
 		}, "n3 accepted a forged incarnation of n8"},
-		"no agreement after a cut": {func(s say, _ *membershipEvidence) {
+		"no agreement after a cut": {func(s say, _ *Membership) {
 			s(5, 17, "msg=peer code=failed peer=n1 from=suspect life=5 beat=0")
 		}, "not all routers agreed"},
-		"detected late": {func(_ say, e *membershipEvidence) {
-			e.script.Faults[0].Start = -6
+		"detected late": {func(_ say, e *Membership) {
+			e.Script.Faults[0].Start = -6
 		}, "9.0 s until all routers had detected a kill"},
-		"agreement late after a cut": {func(s say, _ *membershipEvidence) {
+		"agreement late after a cut": {func(s say, _ *Membership) {
 			s(5, 17, "msg=peer code=failed peer=n1 from=suspect life=5 beat=0")
 			s(5, 28.5, "msg=peer code=alive peer=n1 from=failed life=5 beat=1")
 		}, "s after a cut until all routers agreed"},
-		"a panic": {func(s say, _ *membershipEvidence) { s(5, 17, "msg=panic where=peers") }, "a panic"},
-		"a healthy edge cache not used": {func(_ say, e *membershipEvidence) {
-			e.requests = e.requests[:12]
+		"a panic": {func(s say, _ *Membership) { s(5, 17, "msg=panic where=peers") }, "a panic"},
+		"a healthy edge cache not used": {func(_ say, e *Membership) {
+			e.Requests = e.Requests[:12]
 		}, "edge cache s-00000001 got no request from 12.5 to 15.0 s"},
 	} {
 		r := verifiedRun(t, c.change)
@@ -135,6 +138,6 @@
 			assert.Contains(t, fmt.Sprint(r.Broken), c.want, name)
 		}
 	}
-	r := verifiedRun(t, func(say, *membershipEvidence) {})
+	r := verifiedRun(t, func(say, *Membership) {})
 	assert.InDelta(t, 3-1, r.Figures[report.DetectionP50], 0.01)
 }
