--- a/internal/lab/cluster/router_settings.go
+++ b/internal/lab/cluster/bootstrap_file.go
@@ -1,3 +1,5 @@
+// The keys of this file are those of the users' bootstrap file (deploy/), not the glossary's terms.
+
 package cluster
 
 import (
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -107,17 +107,17 @@
 	return max(cluster.objectVersions[object], cluster.groupVersions[object%uint64(cluster.Content.Groups)])
 }
 
-// Purge publishes a new version of an object or of all objects of a purge group, and then the purge event.
-func (cluster *Cluster) Purge(object uint64, wholeGroup bool) {
+// Purge publishes a new version of an object, or of all objects of its purge group, and then the purge event.
+func (cluster *Cluster) Purge(object uint64, ofGroup bool) {
 	cluster.mu.Lock()
 	cluster.lastVersion++
 	p := verify.Purge{
-		Object:     object,
-		WholeGroup: wholeGroup,
-		Group:      object % uint64(cluster.Content.Groups),
-		Version:    cluster.lastVersion,
+		Object:  object,
+		OfGroup: ofGroup,
+		Group:   object % uint64(cluster.Content.Groups),
+		Version: cluster.lastVersion,
 	}
-	if wholeGroup {
+	if ofGroup {
 		cluster.groupVersions[p.Group] = p.Version
 	} else {
 		cluster.objectVersions[object] = p.Version
@@ -128,7 +128,7 @@
 		Kind:  discovery.PurgeGroup,
 		Purge: discovery.Purge{Group: int(p.Group), PurgedAt: timing.UnixSeconds(time.Now())},
 	}
-	if !wholeGroup {
+	if !ofGroup {
 		event.Kind = discovery.PurgeObject
 		event.Purge.Object = fmt.Sprintf("%016x", object)
 	}
--- a/internal/lab/cluster/records_test.go
+++ b/internal/lab/cluster/records_test.go
@@ -61,7 +61,7 @@
 			r.SentAt -= 0.2
 		}, report.Rules{}, 0},
 		"purged with a group": {func(cluster *Cluster, _ *standin.ClientResponse) {
-			cluster.purges[0].WholeGroup, cluster.purges[0].Group, cluster.purges[0].Version = true, 5, 9
+			cluster.purges[0].OfGroup, cluster.purges[0].Group, cluster.purges[0].Version = true, 5, 9
 		}, report.Rules{Purge: 1}, 0},
 		"a flipped bit": {func(_ *Cluster, r *standin.ClientResponse) { r.Body[500] ^= 1 }, report.Rules{}, 1},
 		"cut short":     {func(_ *Cluster, r *standin.ClientResponse) { r.Body = r.Body[:10] }, report.Rules{}, 1},
--- a/internal/lab/scenario/addresses.go
+++ b/internal/lab/scenario/addresses.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// responseCounter counts responses from a time on, until there are enough.
+// responseCounter counts responses from a time on, up to a number.
 type responseCounter struct {
 	from    float64 // Unix s
 	want    int
@@ -190,7 +190,7 @@
 	}
 }
 
-// wait waits until there are enough responses.
+// wait waits for the number of responses.
 func (c *responseCounter) wait(ctx context.Context) error {
 	select {
 	case <-c.reached:
--- a/internal/lab/scenario/bounds_test.go
+++ b/internal/lab/scenario/bounds_test.go
@@ -35,7 +35,7 @@
 			}
 		}
 		change(outcomes)
-		outcomes.policyBeatsOthers(r)
+		outcomes.policyOutperformsOthers(r)
 	}
 	pairs := func(r *report.Report, unresponsive float64, full bool) {
 		measured := addressPairs{healthyMillis: []float64{10, 20, 60}, unresponsiveMillis: []float64{unresponsive}}
--- a/internal/lab/scenario/disk_admission.go
+++ b/internal/lab/scenario/disk_admission.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	minAlphaBeatsLRU  = 1.0
-	minAlphaBeatsXLRU = 2.0
+	minAlphaAboveLRU  = 1.0
+	minAlphaAboveXLRU = 2.0
 	xlruAlpha         = 2.0  // at which the disk sizes are compared
 	xlruDiskStep      = 0.25 // of the disk, between two tries
 	xlruMaxDisk       = 4.0  // times the disk
@@ -35,7 +35,7 @@
 	make func(sizeBytes int64, alpha float64) eviction.Policy
 }
 
-// admissionOutcomes are what the policies reach, by the indices of size and alpha.
+// admissionOutcomes are the outcomes of the policies, by the indices of size and alpha.
 type admissionOutcomes map[string][][]admissionOutcome
 
 var diskAdmissionScenario = Scenario{
@@ -72,7 +72,7 @@
 	}
 	outcomes.addFigures(r)
 	outcomes.addPlots(r, policies)
-	outcomes.policyBeatsOthers(r)
+	outcomes.policyOutperformsOthers(r)
 	r.Figures[report.XLRUDiskRatio] = xlruDiskForSame(
 		options, day, allBytes*diskSizes[middleSize], outcomes[report.VariantCafe][middleSize][2].efficiency,
 	)
@@ -160,15 +160,15 @@
 	}
 }
 
-// policyBeatsOthers checks what must hold whatever the day: where fills are expensive the product's policy beats LRU
-// and xLRU, and it fills less the more expensive fills are.
-func (outcomes admissionOutcomes) policyBeatsOthers(r *report.Report) {
+// policyOutperformsOthers checks what must hold whatever the day: where fills are expensive, Cafe is better than LRU and
+// xLRU, and it fills less the more expensive fills are.
+func (outcomes admissionOutcomes) policyOutperformsOthers(r *report.Report) {
 	for sizeIndex, share := range diskSizes {
 		cafe := outcomes[report.VariantCafe][sizeIndex]
 		for alphaIndex, alpha := range fillCosts {
 			efficiency := cafe[alphaIndex].efficiency
 			xlru := outcomes[report.VariantXLRU][sizeIndex][alphaIndex].efficiency
-			if alpha >= minAlphaBeatsXLRU && efficiency < xlru {
+			if alpha >= minAlphaAboveXLRU && efficiency < xlru {
 				r.Broke(
 					"disk %g%%, alpha %g: Cafe has an efficiency of %.3f, xLRU of %.3f",
 					share*100,
@@ -178,7 +178,7 @@
 				)
 			}
 			lru := outcomes[report.VariantLRU][sizeIndex][alphaIndex].efficiency
-			if alpha >= minAlphaBeatsLRU && efficiency < lru {
+			if alpha >= minAlphaAboveLRU && efficiency < lru {
 				r.Broke(
 					"disk %g%%, alpha %g: Cafe has an efficiency of %.3f, LRU of %.3f",
 					share*100,
@@ -194,7 +194,7 @@
 	}
 }
 
-// xlruDiskForSame is how many times the disk xLRU needs to reach an efficiency. It is one step over the most that is
+// xlruDiskForSame is how many times the disk xLRU needs for an efficiency. It is one step over the most that is
 // tried where that is not enough.
 func xlruDiskForSame(options Options, day []view, sizeBytes, efficiency float64) float64 {
 	for times := 1.0; times <= xlruMaxDisk; times += xlruDiskStep {
--- a/internal/lab/scenario/disk_restart.go
+++ b/internal/lab/scenario/disk_restart.go
@@ -224,8 +224,8 @@
 }
 
 // purgeWanted purges one of the most wanted objects, or its group.
-func (d *diskRestartRun) purgeWanted(wholeGroup bool) {
-	d.Purge(1+uint64(d.rnd.IntN(wantedObjects)), wholeGroup)
+func (d *diskRestartRun) purgeWanted(ofGroup bool) {
+	d.Purge(1+uint64(d.rnd.IntN(wantedObjects)), ofGroup)
 }
 
 // disksReadable checks that the disks can be read after a last kill, and counts what is on them.
--- a/internal/lab/scenario/membership.go
+++ b/internal/lab/scenario/membership.go
@@ -44,7 +44,7 @@
 	if options.Full {
 		flood = floodDatagrams
 	}
-	if err := group.Play(ctx, flood, options.Progress); err != nil {
+	if err := group.Run(ctx, flood, options.Progress); err != nil {
 		return err
 	}
 	return verifyMembership(group, options.Full, r)
--- a/internal/lab/scenario/partial_observation.go
+++ b/internal/lab/scenario/partial_observation.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// minRecoveredShare is what many routers have to keep, after a fault, of the share on time that few have. One means
-// that the number of routers costs nothing.
+// minRecoveredShare is the least share on time of many routers after a fault, as a part of that of few routers. One
+// means that the number of routers costs nothing.
 const minRecoveredShare = 0.8
 
 var partialObservationScenario = Scenario{
--- a/internal/lab/verify/records.go
+++ b/internal/lab/verify/records.go
@@ -36,7 +36,7 @@
 type Purge struct {
 	EventIndex int // of the discovery server's event
 	Object     uint64
-	WholeGroup bool // the group is purged, not the object alone
+	OfGroup    bool // the group is purged, not the object alone
 	Group      uint64
 	Version    uint64
 }
--- a/internal/lab/verify/rules.go
+++ b/internal/lab/verify/rules.go
@@ -39,7 +39,7 @@
 
 // concerns says whether a purge covers an object.
 func (p *DeliveredPurge) concerns(object uint64, groups int) bool {
-	if p.WholeGroup {
+	if p.OfGroup {
 		return p.Group == object%uint64(groups)
 	}
 	return p.Object == object
--- a/internal/sim/faults/expectation.go
+++ b/internal/sim/faults/expectation.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// lossLikeCut is the share of undelivered datagrams from which a link looks like a cut one for some seconds.
+// lossLikeCut is the share of undelivered datagrams from which a link cannot be distinguished from a cut one.
 const lossLikeCut = 0.4
 
 // IsRunning reports whether a process exists and is not stopped at a time.
--- a/internal/sim/replication/simulation.go
+++ b/internal/sim/replication/simulation.go
@@ -202,7 +202,7 @@
 	}
 }
 
-// countLostReservations looks for the granted reservations at the leaders of their shards.
+// countLostReservations counts the granted reservations that the leaders of their shards lack.
 func (s *simulation) countLostReservations() {
 	for _, key := range s.keys {
 		group, ok := s.granted[key]
