--- a/internal/lab/cluster/router_group.go
+++ b/internal/lab/cluster/router_group.go
@@ -26,8 +26,8 @@
 	index int
 }
 
-// RouterGroup is routers of the program that are peers of each other, hostile peers among
-// them, and a small test cluster around them. All datagrams between two of them pass a fault proxy.
+// RouterGroup is routers of the program that are peers of each other, hostile peers among them, and a small test
+// cluster around them. All datagrams between two of them pass a fault proxy.
 type RouterGroup struct {
 	options      Options
 	Cluster      *Cluster
--- a/internal/lab/cluster/router_group_script.go
+++ b/internal/lab/cluster/router_group_script.go
@@ -50,9 +50,9 @@
 	return true
 }
 
-// Run starts clients and hostile peers and carries out the script.
-// Each of the hostile peers sends its part of a flood of datagrams once the script begins. Progress is called with each
-// transition.
+// Run starts clients and hostile peers and carries out the script. Each of the hostile peers sends its part of a flood
+// of datagrams once the script begins. Progress is called with each transition. It returns once all that it started has
+// ended.
 func (g *RouterGroup) Run(ctx context.Context, floodDatagrams int64, progress func(format string, args ...any)) error {
 	loadCtx, stop := context.WithCancel(ctx)
 	var load sync.WaitGroup
--- a/internal/lab/scenario/disk_admission.go
+++ b/internal/lab/scenario/disk_admission.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// policyOutperformsOthers checks what must hold whatever the day: where fills are expensive, Cafe is better than LRU and
-// xLRU, and it fills less the more expensive fills are.
+// policyOutperformsOthers checks what must hold whatever the day: where fills are expensive, Cafe is better than LRU
+// and xLRU, and it fills less the more expensive fills are.
 func (outcomes admissionOutcomes) policyOutperformsOthers(r *report.Report) {
 	for sizeIndex, share := range diskSizes {
 		cafe := outcomes[report.VariantCafe][sizeIndex]
--- a/internal/lab/verify/membership.go
+++ b/internal/lab/verify/membership.go
@@ -37,8 +37,8 @@
 	partitionAlone    = "alone"
 )
 
-// Membership is what edge caches and the routers' logs recorded of a run of routers that are peers of each
-// other, and the script that says what was true.
+// Membership is what edge caches and the routers' logs recorded of a run of routers that are peers of each other, and
+// the script that says what was true.
 type Membership struct {
 	Script        faults.Script
 	ScriptStart   time.Time
