--- a/internal/faultproxy/network_test.go
+++ b/internal/faultproxy/network_test.go
@@ -29,6 +29,9 @@
 	return faults.Script{Processes: 2, Duration: 60, Faults: list}
 }
 
+// TestDatagramsPassAsTheScriptSays: a scenario blames a router for what the proxy should have done if the proxy does
+// not follow the script. Without faults a datagram arrives unchanged; with them it is corrupted, duplicated or lost,
+// and a lost one does not arrive once the link is open again.
 func TestDatagramsPassAsTheScriptSays(t *testing.T) {
 	network := New(1, 2)
 	defer network.Close()
@@ -84,6 +87,9 @@
 	}
 }
 
+// TestConnectionsWaitWhileCutAndContinue: on a real network a partition closes no connection and loses none of its
+// bytes. A proxy that closed it would hide what routers do meanwhile. While one direction is cut nothing arrives, and
+// afterwards all of it.
 func TestConnectionsWaitWhileCutAndContinue(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/sim/clock/scheduler_test.go
+++ b/internal/sim/clock/scheduler_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// TestEventsRunInTheOrderOfTimeAndScheduling: a simulation is reproducible only if events of the same time have an
+// order. Times that have passed, or that are no number, count as now.
 func TestEventsRunInTheOrderOfTimeAndScheduling(t *testing.T) {
 	s := New(1, 2, 10)
 	var ran []string
@@ -34,6 +36,8 @@
 	assert.Equal(t, 1, s.RunUntil(20))
 }
 
+// TestSameSeedAndStreamDrawTheSame: a failed run can be repeated only if its random numbers follow from the seed, and
+// streams of one seed are independent.
 func TestSameSeedAndStreamDrawTheSame(t *testing.T) {
 	first, again, other := New(7, 1, 0), New(7, 1, 0), New(7, 2, 0)
 	drawn := first.Rand.Uint64()
--- a/internal/sim/faults/script_test.go
+++ b/internal/sim/faults/script_test.go
@@ -12,6 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestLinksFollowTheScript: faults of a link overlap, and each of them must end at its own time, in the directions
+// that it names.
 func TestLinksFollowTheScript(t *testing.T) {
 	script := Script{Processes: 4, Duration: 20, Faults: []Fault{
 		{Kind: Cut, Start: 1, End: 2, From: []int{0}, To: []int{1, 2}},
@@ -29,6 +31,8 @@
 	assert.Equal(t, 0.4, script.LinkAt(1, 2, 15).DelaySeconds, "to the end")
 }
 
+// TestDatagramsAreDeliveredAsTheLinkIs: the shares of lost, duplicated, reordered and corrupted datagrams are those
+// of the link, and a cut link delivers none.
 func TestDatagramsAreDeliveredAsTheLinkIs(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	delays, _ := Link{Cut: true}.Deliver(rnd)
@@ -38,6 +42,8 @@
 	assert.True(t, corrupt)
 }
 
+// TestExpectationsFollowTheScript: verdicts compare what routers saw with what the script made true. A wrong
+// expectation blames a healthy router or excuses a faulty one.
 func TestExpectationsFollowTheScript(t *testing.T) {
 	script := Script{Processes: 5, Duration: 20, Faults: []Fault{
 		{Kind: Kill, Start: 1, End: 3, From: []int{4}},
@@ -55,6 +61,8 @@
 	assert.False(t, script.ExplainsUnreachable(0, 1, 7, 2))
 }
 
+// TestStalledProcessRunsButDoesNotWork: a stalled router answers probes, so its peers must see it as running, while
+// its clients get no response.
 func TestStalledProcessRunsButDoesNotWork(t *testing.T) {
 	script := Script{Processes: 2, Duration: 20, Faults: []Fault{{Kind: Stall, Start: 1, End: 3, From: []int{1}}}}
 	assert.True(t, script.IsRunning(1, 2))
@@ -62,6 +70,8 @@
 	assert.True(t, script.IsWorking(1, 3))
 }
 
+// TestInvalidScriptsAreRejected: a script from a file that cannot be carried out is refused with the file, the fault
+// and the cause, not run with some of its faults.
 func TestInvalidScriptsAreRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "script.json")
 	for _, c := range []struct {
@@ -91,6 +101,8 @@
 	assert.ErrorAs(t, err, &syntaxErr)
 }
 
+// TestGeneratedScriptsAreValidAndReproducible: a failure names only its seed: the same seed must draw the same
+// script, and its faults must end early enough for routers to agree before the run ends.
 func TestGeneratedScriptsAreValidAndReproducible(t *testing.T) {
 	for seed := range uint64(200) {
 		script := Generate(seed, 20, 8, 60)
--- a/internal/sim/membership/simulation_test.go
+++ b/internal/sim/membership/simulation_test.go
@@ -26,6 +26,8 @@
 	return r
 }
 
+// TestSameConfigGivesSameTrace: a run that fails is repeated from its configuration. The same one must give the same
+// state changes, and another seed others.
 func TestSameConfigGivesSameTrace(t *testing.T) {
 	config := Config{Script: faults.Generate(9, 20, 10, 60), SWIM: swim.Config{MaxByzantine: 1}, Hostile: []int{19}}
 	assert.Equal(t, run(t, config).TraceHash, run(t, config).TraceHash)
@@ -34,6 +36,8 @@
 	assert.NotEqual(t, run(t, config).TraceHash, run(t, other).TraceHash)
 }
 
+// TestPartitionsHealAndAllAgree: after a partition the members of both sides have declared each other failed. Once it
+// heals all must agree within 4 s, with at most twice the datagrams of a calm second, also after ten minutes.
 func TestPartitionsHealAndAllAgree(t *testing.T) {
 	cut := func(until float64, from, to []int) faults.Fault {
 		return faults.Fault{Kind: faults.Cut, Start: 15, End: until, From: from, To: to, BothWays: true}
@@ -80,6 +84,8 @@
 	}
 }
 
+// TestFaultsCauseNoFalseFailures: links that are cut one way, loss, delay, short pauses, the loss of most members and
+// a wrong clock must not make a member that runs appear failed, and at the end all see all.
 func TestFaultsCauseNoFalseFailures(t *testing.T) {
 	for name, faultList := range map[string][]faults.Fault{
 		"one way": {{Kind: faults.Cut, Start: 15, End: 30, From: []int{0}, To: []int{1}}},
@@ -110,6 +116,8 @@
 	}
 }
 
+// TestStuckMemberIsPresent: a member whose work stalls still answers probes. It must be reported as stuck and stay
+// present, as its peers would otherwise take over its work and give it back again and again.
 func TestStuckMemberIsPresent(t *testing.T) {
 	faultList := []faults.Fault{{Kind: faults.Stall, Start: 15, End: 30, From: []int{4}}}
 	script := faults.Script{Seed: 6, Processes: 20, Duration: 40, Faults: faultList}
--- a/internal/sim/replication/simulation_test.go
+++ b/internal/sim/replication/simulation_test.go
@@ -13,6 +13,8 @@
 // goldenScripts is the SHA-256 of the scripts of the first seeds as an earlier version drew them.
 const goldenScripts = "b615941e229de7fe140599d46d01be60395764d8aa3e59b3f8655091b05e7c1e"
 
+// TestScriptsAreDrawnFromTheSeedAlone: results that pages quote name their seeds. The scripts of these seeds must
+// stay as they were drawn.
 func TestScriptsAreDrawnFromTheSeedAlone(t *testing.T) {
 	hash := sha256.New()
 	for seed := range uint64(200) {
--- a/internal/sim/routing/golden_test.go
+++ b/internal/sim/routing/golden_test.go
@@ -56,6 +56,8 @@
 		r.AnsweredTwice, r.Fills, r.StoredFills, r.FailingCacheAttempts, fmt.Sprintf(" %x", seconds[:8]))
 }
 
+// TestRunRefusesRoutersThatZonesCannotShareEvenly: with an uneven number of routers zones would have different shares
+// of the traffic, and results for different numbers could not be compared.
 func TestRunRefusesRoutersThatZonesCannotShareEvenly(t *testing.T) {
 	for _, routers := range []int{0, 2, 4} {
 		_, err := Run(1, routers, TrafficBurst)
