--- a/internal/sim/faults/script_test.go
+++ b/internal/sim/faults/script_test.go
@@ -31,8 +31,8 @@
 	assert.Equal(t, 0.4, script.LinkAt(1, 2, 15).DelaySeconds, "to the end")
 }
 
-// TestDatagramsAreDeliveredAsTheLinkIs: the shares of lost, duplicated, reordered and corrupted datagrams are those
-// of the link, and a cut link delivers none.
+// TestDatagramsAreDeliveredAsTheLinkIs: the simulator and the proxy deliver what this function draws. A cut link
+// delivers nothing, a duplicating one two copies, and a corrupting one says so of both.
 func TestDatagramsAreDeliveredAsTheLinkIs(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	delays, _ := Link{Cut: true}.Deliver(rnd)
