--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestInstantsKeepTheirSpans shows that a moment turns into a time with the monotonic reading that deadlines need.
+// TestInstantsKeepTheirSpans shows that an instant turns into a time with the monotonic reading that deadlines need.
 func TestInstantsKeepTheirSpans(t *testing.T) {
 	now := time.Now()
 	instant := At(now)
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestUnixTimesAreTranslatedSafelyAcrossSteps draws steps of the wall clock. A moment may have been told by a clock
-// before any of them or after, so each of those has to lie between the earliest and the latest moment.
+// TestUnixTimesAreTranslatedSafelyAcrossSteps draws steps of the wall clock. A time may have been read from a clock
+// before any of them or after, so each of those has to lie between the earliest and the latest instant.
 func TestUnixTimesAreTranslatedSafelyAcrossSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clocks := &steppedClock{monotonic: 10000 * time.Second}
@@ -56,8 +56,8 @@
 		}
 		happened := clocks.monotonic - time.Duration(rapid.IntRange(0, 9000).Draw(t, "ago"))*time.Second
 		clockOfTeller := rapid.SampledFrom(offsets).Draw(t, "offset")
-		told := (happened + clockOfTeller).Seconds()
-		latest, earliest := wall.LatestInstant(told), wall.EarliestInstant(told)
+		received := (happened + clockOfTeller).Seconds()
+		latest, earliest := wall.LatestInstant(received), wall.EarliestInstant(received)
 		if latest < happened.Seconds()-1e-6 || latest > clocks.monotonic.Seconds() {
 			t.Fatalf("latest %v, happened %v, now %v", latest, happened.Seconds(), clocks.monotonic.Seconds())
 		}
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -5,15 +5,15 @@
 	"cairnfront/routing"
 )
 
-// listedEndpoint is what the dispatcher keeps of an entry of the endpoint list.
+// listedEndpoint is what the dispatcher stores of an entry of the endpoint list.
 type listedEndpoint struct {
 	kind          int
 	startedAtUnix float64 // as listed, Unix seconds; 0 for long ago
-	startedAt     float64 // the same moment in monotonic seconds
+	startedAt     float64 // the same time in monotonic seconds
 }
 
-// list returns the entry of a listed endpoint; earlier is the one before, zero for none. The moment of a start is
-// worked out once, when it is first heard of, and as late as it may have been: a warming endpoint is taken for colder
+// list returns the entry of a listed endpoint; earlier is the one before, zero for none. The time of a start is
+// translated once, when it is first received, and as late as it may have been: a warming endpoint is taken for colder
 // than it is rather than for warmer (rule 4). A start that is new came after the one before, whatever the clocks say.
 func (d *Dispatcher) list(listed routing.Endpoint, earlier listedEndpoint) listedEndpoint {
 	entry := listedEndpoint{kind: listed.Kind, startedAtUnix: listed.StartedAt}
@@ -54,7 +54,6 @@
 	}
 	snapshot, known := ev.Kind == discovery.Snapshot, d.endpoints
 	if snapshot {
-		known = d.endpoints
 		d.endpoints = map[routing.EndpointID]listedEndpoint{}
 	}
 	if snapshot && kind != routing.Restored {
@@ -75,7 +74,7 @@
 	d.decide(routing.EndpointUpdate{Kind: kind, Endpoints: endpoints}, nil)
 }
 
-// fillSource is the source of a fill as the endpoint is told it, empty for none. An edge cache that is its own source
+// fillSource is the source of a fill as the attempt names it, empty for none. An edge cache that is its own source
 // fills nothing; a parent cache or the origin is named all the same.
 func (d *Dispatcher) fillSource(action routing.StartAttempt) string {
 	kind := d.endpoints[action.Endpoint].kind
--- a/internal/lab/verify/membership_log.go
+++ b/internal/lab/verify/membership_log.go
@@ -63,7 +63,7 @@
 		log.peerEvents = append(log.peerEvents, event)
 	case "standing":
 		log.partitionEvents = append(log.partitionEvents, partitionEvent{at, fields["code"]})
-	case "panic":
+	case "panic recovered":
 		log.peerEvents = append(log.peerEvents, peerEvent{at: at, state: statePanic})
 	}
 }
--- a/internal/lab/verify/membership_test.go
+++ b/internal/lab/verify/membership_test.go
@@ -126,7 +126,9 @@
 			s(5, 17, "msg=peer code=failed peer=n1 from=suspect life=5 beat=0")
 			s(5, 28.5, "msg=peer code=alive peer=n1 from=failed life=5 beat=1")
 		}, "s after a cut until all routers agreed"},
-		"a panic": {func(s say, _ *Membership) { s(5, 17, "msg=panic where=peers") }, "a panic"},
+		"a panic": {func(s say, _ *Membership) {
+			s(5, 17, `msg="panic recovered" component=membership`)
+		}, "a panic"},
 		"a healthy edge cache not used": {func(_ say, e *Membership) {
 			e.Requests = e.Requests[:12]
 		}, "edge cache s-00000001 got no request from 12.5 to 15.0 s"},
