--- a/internal/lab/verify/membership.go
+++ b/internal/lab/verify/membership.go
@@ -31,7 +31,7 @@
 	stateFailed  = "failed"
 	statePanic   = "panic" // not of a peer: the router logged a panic
 
-	PartitionWhole    = "whole"
+	partitionComplete = "complete"
 	partitionMajority = "majority"
 	partitionMinority = "minority"
 	partitionAlone    = "alone"
@@ -302,5 +302,5 @@
 	case reachable < all:
 		return partitionMajority
 	}
-	return PartitionWhole
+	return partitionComplete
 }
--- a/internal/lab/verify/membership_log.go
+++ b/internal/lab/verify/membership_log.go
@@ -57,12 +57,12 @@
 // addLogLine records what a line says of a peer, of the partition state or of a panic.
 func (log *RouterLog) addLogLine(fields map[string]string, at float64, peers map[string]int) {
 	switch fields["msg"] {
-	case "peer":
-		event := peerEvent{at: at, peer: peers[fields["peer"]], state: fields["code"]}
-		_, _ = fmt.Sscan(fields["life"], &event.incarnation)
+	case "peer state changed":
+		event := peerEvent{at: at, peer: peers[fields["peer"]], state: fields["state"]}
+		_, _ = fmt.Sscan(fields["incarnation"], &event.incarnation)
 		log.peerEvents = append(log.peerEvents, event)
-	case "standing":
-		log.partitionEvents = append(log.partitionEvents, partitionEvent{at, fields["code"]})
+	case "partition state changed":
+		log.partitionEvents = append(log.partitionEvents, partitionEvent{at: at, state: fields["state"]})
 	case "panic recovered":
 		log.peerEvents = append(log.peerEvents, peerEvent{at: at, state: statePanic})
 	}
--- a/internal/lab/verify/membership_test.go
+++ b/internal/lab/verify/membership_test.go
@@ -60,14 +60,13 @@
 	for i := range loggedRouters {
 		for o := range loggedRouters {
 			if o != i {
-				const alive = "msg=peer code=alive peer=%s from=unknown why=\"its newer claim\" life=5 beat=0"
-				say(i, -2, fmt.Sprintf(alive, e.Names[o]))
+				say(i, -2, peerChanged(e.Names[o], "alive", "unknown", 5, 0))
 			}
 		}
-		say(i, -1, "msg=standing code=whole from=alone epoch=2")
+		say(i, -1, `msg="partition state changed" state=complete previous_state=alone epoch=2`)
 		if i != 3 {
-			say(i, 3, "msg=peer code=failed peer=n4 from=suspect why=x life=5 beat=0 took_s=1.2")
-			say(i, 8.5, "msg=peer code=alive peer=n4 from=failed why=x life=6 beat=0")
+			say(i, 3, peerChanged("n4", "failed", "suspect", 5, 0)+" duration_seconds=1.2")
+			say(i, 8.5, peerChanged("n4", "alive", "failed", 6, 0))
 		}
 	}
 	const edgeCache = "s-00000001"
@@ -93,6 +92,15 @@
 	return r
 }
 
+// peerChanged is a router's log line on a peer's new state.
+func peerChanged(peer, state, previous string, incarnation uint64, refutations int) string {
+	return fmt.Sprintf(
+		"msg=\"peer state changed\" peer=%s state=%s previous_state=%s reason=newer_record "+
+			"incarnation=%d refutations=%d",
+		peer, state, previous, incarnation, refutations,
+	)
+}
+
 // TestMembershipChecksSeeWhatIsBroken: each check of the scenario is shown to fail where its rule is broken, and to
 // hold where it is not.
 func TestMembershipChecksSeeWhatIsBroken(t *testing.T) {
@@ -103,28 +111,27 @@
 	}{
 		"all well": {func(say, *Membership) {}, ""},
 		"a healthy peer declared failed": {func(s say, _ *Membership) {
-			s(5, 12, "msg=peer code=failed peer=n8 from=suspect life=5 beat=0")
+			s(5, 12, peerChanged("n8", "failed", "suspect", 5, 0))
 		}, "n6 declared n8 failed at 12.00 s, which ran"},
 		"a failure that the cut explains": {func(s say, _ *Membership) {
-			s(5, 17, "msg=peer code=failed peer=n1 from=suspect life=5 beat=0")
-			s(5, 20.5, "msg=peer code=alive peer=n1 from=failed life=5 beat=1")
+			s(5, 17, peerChanged("n1", "failed", "suspect", 5, 0))
+			s(5, 20.5, peerChanged("n1", "alive", "failed", 5, 1))
 		}, ""},
 		"never detected": {func(_ say, e *Membership) {
 			e.Script.Faults[0].From = []int{9}
 		}, "n1 never declared n10 failed, which was killed at 1.0 s"},
 		"a forgery accepted": {func(s say, _ *Membership) {
-			const forged uint64 = standin.ForgedIncarnation
-			s(2, 12, fmt.Sprintf("msg=peer code=alive peer=n8 from=suspect life=%d beat=0", forged))
+			s(2, 12, peerChanged("n8", "alive", "suspect", standin.ForgedIncarnation, 0))
 		}, "n3 accepted a forged incarnation of n8"},
 		"no agreement after a cut": {func(s say, _ *Membership) {
-			s(5, 17, "msg=peer code=failed peer=n1 from=suspect life=5 beat=0")
+			s(5, 17, peerChanged("n1", "failed", "suspect", 5, 0))
 		}, "not all routers agreed"},
 		"detected late": {func(_ say, e *Membership) {
 			e.Script.Faults[0].Start = -6
 		}, "9.0 s until all routers had detected a kill"},
 		"agreement late after a cut": {func(s say, _ *Membership) {
-			s(5, 17, "msg=peer code=failed peer=n1 from=suspect life=5 beat=0")
-			s(5, 28.5, "msg=peer code=alive peer=n1 from=failed life=5 beat=1")
+			s(5, 17, peerChanged("n1", "failed", "suspect", 5, 0))
+			s(5, 28.5, peerChanged("n1", "alive", "failed", 5, 1))
 		}, "s after a cut until all routers agreed"},
 		"a panic": {func(s say, _ *Membership) {
 			s(5, 17, `msg="panic recovered" component=membership`)
--- a/internal/membership/swim/gossip.go
+++ b/internal/membership/swim/gossip.go
@@ -5,6 +5,15 @@
 	"slices"
 )
 
+const (
+	gossipFactor          = 2 // times log2 of the members: how often a piece is passed on
+	minTransmissions      = 3
+	maxEchoes             = 3 // receptions of what we pass on ourselves before we stop; push-pull finds who lacks it
+	maxRecords            = 5 // a message: with accusations and entries it stays under 1,400 bytes
+	maxRecordsWithEntries = 3 // a message that has entries
+	maxAccusations        = 3 // a message
+)
+
 // noAccuser marks the subject of a member's own record.
 const noAccuser MemberID = -1
 
@@ -58,7 +67,7 @@
 	return newest != nil && newest.number == g.number
 }
 
-// countEcho notes that another member told us what we pass on ourselves. After some echoes it is known well enough.
+// countEcho notes that another member sent us what we pass on ourselves. After some echoes it is known well enough.
 func (q *gossipQueue) countEcho(s gossipSubject, config Config) {
 	newest := q.newest[s]
 	if newest == nil || config.PublishedSWIM {
@@ -103,7 +112,7 @@
 	if len(m.Entries) > 0 {
 		recordLimit = maxRecordsWithEntries
 	}
-	transmissions := max(int(gossipFactor*math.Ceil(math.Log2(c.size()+1))), minTransmissions)
+	transmissions := gossipTransmissions(c.size())
 	var sent [][]gossip
 	for level := range c.gossip.levels {
 		if m.isFull(recordLimit) {
@@ -117,7 +126,13 @@
 	}
 }
 
-// addAccusationOfReceiver tells a suspected or failed receiver that it is accused, so that it can refute:
+// gossipTransmissions is how often a piece of gossip is sent, by the number of members present: the published SWIM's
+// multiple of the logarithm, after which all have it with a high probability.
+func gossipTransmissions(present float64) int {
+	return max(int(gossipFactor*math.Ceil(math.Log2(present+1))), minTransmissions)
+}
+
+// addAccusationOfReceiver sends a suspected or failed receiver an accusation against itself, so that it can refute:
 // Lifeguard's buddy system.
 func (c *Core) addAccusationOfReceiver(to MemberID, m *Message) {
 	receiver := &c.members[to]
@@ -144,7 +159,7 @@
 // dropped.
 func (c *Core) takeGossip(level int, to MemberID, m *Message, recordLimit int) (sent []gossip) {
 	list := c.gossip.levels[level]
-	var kept []gossip
+	var remaining []gossip
 	next := 0
 	for ; next < len(list) && !m.isFull(recordLimit); next++ {
 		g := list[next]
@@ -158,11 +173,11 @@
 			m.Accusations = append(m.Accusations, g.accusation)
 			sent = append(sent, g)
 		default:
-			kept = append(kept, g)
+			remaining = append(remaining, g)
 		}
 	}
-	if len(kept) > 0 {
-		c.gossip.levels[level] = append(kept, list[next:]...)
+	if len(remaining) > 0 {
+		c.gossip.levels[level] = append(remaining, list[next:]...)
 	} else {
 		c.gossip.levels[level] = list[next:]
 	}
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -2,125 +2,170 @@
 
 import "math"
 
+// What a limit starts at. Limits are numbers of attempts in flight.
 const (
-	limitPerCapacity = 1.5  // attempts in flight a transfer of capacity: the objective's stretch allows that
-	burstAllowance   = 1.0  // of the root of a cache's share, added to it: one router's traffic varies
-	minStartingLimit = 0.1  // attempts in flight that a limit starts at, for endpoints without weight
-	minLimitShare    = 0.2  // of its starting value that a limit never falls below: it has to go on learning
-	growthPerRound   = 0.5  // attempts added a round, over the root of the routers: more outruns decreases
-	decreaseFactor   = 0.8  // of a limit that is left by a late or refused attempt
-	decreaseInterval = 0.25 // s between decreases: attempts in flight then tell of the same congestion
-	congestionShare  = 0.15 // share of late answers that tells of congestion: few are chance
-	timelyShare      = 0.8  // share of the objective beyond which an answer is late; 1 is too late to react
-	suspectShare     = 0.5  // share of the unstretched objective after which an attempt is suspected
-	suspectSendTimes = 1.3  // sending times added to that: a busy link stretches a transfer
+	limitPerCapacity = 1.5 // attempts for each transfer of capacity: the objective's stretch allows that
+	burstAllowance   = 1.0 // roots of a cache's share added to it: one router's traffic varies by that much
+	minStartingLimit = 0.1 // attempts at least, for endpoints without weight
+	minLimitShare    = 0.2 // share of the start that a limit never falls below: without answers it learns nothing
 )
 
-// hasRoom says whether a limiter lets one more attempt through. A limit below 1 is used with pauses.
+// How a limit moves.
+const (
+	growthPerRound          = 0.5  // attempts added a round, over the root of the routers: more outruns decreases
+	maxGrowthStep           = 1.0  // attempts added a round at most
+	recoveryStep            = 1.0  // attempts that an answer in time adds up to the proven limit
+	usedLimitShare          = 0.5  // share of a limit in use above which it grows: an unused one proves nothing
+	decreaseFactor          = 0.8  // share of a limit that a late or refused attempt leaves
+	decreaseIntervalSeconds = 0.25 // time between decreases: attempts in flight then tell of the same congestion
+	maxLateSamples          = 10   // last answers whose lateness counts: few, so that changes show soon
+	congestionShare         = 0.15 // share of late ones among them that tells of congestion: fewer are chance
+)
+
+// When an answer tells of congestion.
+const (
+	timelyShare        = 0.8 // share of the objective after which an answer is late: at 1 it is too late to react
+	lateFirstByteShare = 0.5 // share of that after which a first byte is late: the source is slow, not the link
+)
+
+// limiter bounds what this router has in flight at an endpoint, on a link or on the path to the origin. The limit
+// grows with answers in time, fast up to what is proven, and shrinks with late and refused ones. Limits and loads are
+// numbers of attempts in flight, or parts of one where many routers share an endpoint.
+type limiter struct {
+	limit       float64
+	provenLimit float64 // limit in use when the last decrease ended
+	minLimit    float64
+	growthStep  float64 // what a round of answers in time adds above the proven limit
+	inFlight    float64
+	decreasedAt float64
+	pausedUntil float64   // of a limit below one attempt
+	lateSamples []float64 // the last few answers, 1 for a late one
+}
+
+// hasRoom says whether a limiter lets one more attempt through. A limit below one attempt is used with pauses: hundreds
+// of routers with one attempt each would overload an endpoint, which shows as late answers while each router has one in
+// flight. With pauses each sends, over time, no more than its share.
 func (l *limiter) hasRoom(now float64) bool { return l.inFlight < l.limit && now >= l.pausedUntil }
 
-// release takes back an attempt's load after some seconds. Used says that it came as far as this limiter.
-func (l *limiter) release(now, load, lasted float64, used bool) {
+// hasRoomFor says whether a limiter lets a request's attempt through. Writes pass a limit that is not below what was
+// proven.
+func (l *limiter) hasRoomFor(write bool, now float64) bool {
+	return l.hasRoom(now) || (write && l.recovered())
+}
+
+// recovered says whether a limit is back where it was before its last decrease.
+func (l *limiter) recovered() bool { return l.limit >= l.provenLimit }
+
+// release takes back an attempt's load after the seconds that it lasted, and closes a limit below the load for as long
+// as its share asks. Used says that the attempt came as far as this limiter.
+func (l *limiter) release(now, load, lastedSeconds float64, used bool) {
 	l.inFlight = max(l.inFlight-load, 0)
 	if used && l.limit < load {
-		l.pausedUntil = now + lasted*(load/l.limit-1)
+		l.pausedUntil = now + lastedSeconds*(load/l.limit-1)
 	}
 }
 
 // setShare starts a limiter at this router's share of what a number of routers use together.
 func (l *limiter) setShare(limit, routers float64) {
-	l.limit, l.growthStep = max(limit, minStartingLimit), min(growthPerRound/math.Sqrt(routers), 1)
+	l.limit = max(limit, minStartingLimit)
+	l.growthStep = min(growthPerRound/math.Sqrt(routers), maxGrowthStep)
 	l.provenLimit, l.minLimit = l.limit, minLimitShare*l.limit
 }
 
-// raiseMinimum is for paths behind the caches: few routers see most answers, so decreases are small.
+// raiseMinimum is for paths behind the caches. It guards against a limit that is decreased to a fifth because a lost
+// parent makes the other's answers late, where few routers see most of these: they are rejected then while the path has
+// room. The fewer routers share a path, the higher is its minimum.
 func (l *limiter) raiseMinimum(routers float64) {
 	l.minLimit = max(minLimitShare, 1/math.Sqrt(routers)) * l.limit
 }
 
-// increase takes an answer in time: by one up to the proven limit, then slowly and while it is used.
+// increase takes an answer in time: the limit grows fast up to the proven limit, then slowly and while it is used.
 func (l *limiter) increase() {
-	l.lateSamples = appendSample(l.lateSamples, 0, recentSamples)
+	l.lateSamples = appendSample(l.lateSamples, 0, maxLateSamples)
 	if l.limit < l.provenLimit {
-		l.limit = min(l.limit+1, l.provenLimit)
-	} else if l.limit < 1 || l.inFlight > l.limit/2 {
+		l.limit = min(l.limit+recoveryStep, l.provenLimit)
+	} else if l.limit < 1 || l.inFlight > usedLimitShare*l.limit {
 		l.limit += l.growthStep / max(l.limit, 1)
 	}
 }
 
 // decrease takes a sign of congestion: a refusal counts at once, a late answer if many of the last were late.
 func (l *limiter) decrease(now float64, refused bool) {
-	l.lateSamples = appendSample(l.lateSamples, 1, recentSamples)
-	if now > l.decreasedAt+decreaseInterval && (refused || mean(l.lateSamples) >= congestionShare) {
+	l.lateSamples = appendSample(l.lateSamples, 1, maxLateSamples)
+	if now > l.decreasedAt+decreaseIntervalSeconds && (refused || mean(l.lateSamples) >= congestionShare) {
 		l.limit = max(l.limit*decreaseFactor, l.minLimit)
 		l.provenLimit, l.decreasedAt = l.limit, now
 	}
 }
 
-// setStartingLimit gives this router its share of an endpoint's capacity, and little while that is cold.
+// setStartingLimit gives this router its share of an endpoint's capacity, and little while that endpoint is cold.
 func (r *Router) setStartingLimit(e *endpoint) {
-	share := limitPerCapacity * e.Weight / e.sharers
-	burst := indicator(e.role == edgeCache) * burstAllowance * math.Sqrt(share*(1-1/e.sharers))
-	e.setShare(share+burst, e.sharers)
+	share := limitPerCapacity * e.Weight / e.routersSharing
+	burst := indicator(e.role == edgeCache) * burstAllowance * math.Sqrt(share*(1-1/e.routersSharing))
+	e.limiter.setShare(share+burst, e.routersSharing)
 	if e.role == parentCache {
-		e.raiseMinimum(e.sharers)
-	}
-	if r.warmShare(e) < 1 {
-		e.limit = coldLimit
+		e.limiter.raiseMinimum(e.routersSharing)
 	}
+	e.limiter.limit = startingLimit(e.limiter.limit, r.warmShare(e))
 }
 
 // setSharedLimits starts the limits of the zone's link and of the origins, once caches are known. An origin's
 // weight says nothing: it starts at as much as the link.
 func (r *Router) setSharedLimits() {
 	sum, transfers := 0.0, r.linkTransfers()
-	for _, cache := range r.caches.members {
-		sum += limitPerCapacity * cache.Weight / cache.sharers
+	for _, cache := range r.caches.endpoints {
+		sum += limitPerCapacity * cache.Weight / cache.routersSharing
 		if transfers > 0 {
-			sum = limitPerCapacity * transfers / cache.sharers
+			sum = limitPerCapacity * transfers / cache.routersSharing
 		}
-		r.zoneLink.setShare(sum, cache.sharers)
-		r.zoneLink.raiseMinimum(cache.sharers)
+		r.zoneLink.setShare(sum, cache.routersSharing)
+		r.zoneLink.raiseMinimum(cache.routersSharing)
 	}
-	for _, e := range r.origins.members {
-		e.setShare(sum, e.sharers)
+	for _, e := range r.origins.endpoints {
+		e.limiter.setShare(sum, e.routersSharing)
 	}
 }
 
+// isLate says whether an answer took so long, against its request's objective, that it tells of congestion.
+func isLate(elapsedSeconds, objectiveSeconds float64) bool {
+	return elapsedSeconds > timelyShare*objectiveSeconds
+}
+
 // adjustLimits moves the limits that an attempt has passed: a late one lowers the first that may be to blame.
 func (r *Router) adjustLimits(req *request, a *attempt, end AttemptEnded, filled bool) {
-	if end.ElapsedSeconds <= timelyShare*req.objective {
-		a.target.increase()
+	if !isLate(end.ElapsedSeconds, req.objectiveSeconds) {
+		a.target.limiter.increase()
 		for i := 0; filled && i < len(a.fillLimiters); i++ {
 			a.fillLimiters[i].increase()
 		}
 		return
 	}
-	lateFirstByte := end.FirstByteSeconds > suspectShare*timelyShare*req.objective
+	lateFirstByte := end.FirstByteSeconds > lateFirstByteShare*timelyShare*req.objectiveSeconds
 	switch {
 	case !filled:
-		a.target.decrease(r.now, false)
+		a.target.limiter.decrease(r.now, false)
 	case end.Detail == FilledByOrigin && a.originLimiter != nil && lateFirstByte:
 		a.originLimiter.decrease(r.now, false)
-	case !r.tellsAll(): // either may be to blame; few routers share the link and most of its fills are seen
-		a.source.decrease(r.now, false)
+	case !r.reportsAllDetails(): // either may be to blame; few routers share the link, so most of its fills are seen
+		a.source.limiter.decrease(r.now, false)
 		r.zoneLink.decrease(r.now, false)
 	case lateFirstByte:
-		a.source.decrease(r.now, false)
-	case !a.fromPeer:
+		a.source.limiter.decrease(r.now, false)
+	case a.fill != fillFromPeer:
 		r.zoneLink.decrease(r.now, false)
 	}
 }
 
-// penalizeUnanswered counts attempts in flight at their request's deadline as late, unless they were taken
-// for lost. It covers congestion without any answer. It does harm where answers are lost on their way back.
+// penalizeUnanswered counts attempts in flight at their request's deadline as late, unless they were taken for lost. It
+// guards against congestion so deep that no answer comes in time: there is no late answer then to decrease a limit, and
+// requests end at their deadline for as long as the load lasts. It does harm where answers are lost on their way back.
 func (r *Router) penalizeUnanswered(req *request) {
 	for _, a := range req.attempts {
 		elapsed := r.now - a.sentAt
-		if !a.inFlight || !a.wanted || math.IsInf(a.suspectAt, 1) || elapsed <= timelyShare*req.objective {
+		if !a.state.awaited() || !isLate(elapsed, req.objectiveSeconds) {
 			continue
 		}
-		r.adjustLimits(req, a, AttemptEnded{ElapsedSeconds: elapsed, FirstByteSeconds: elapsed}, a.expectMiss)
+		r.adjustLimits(req, a, AttemptEnded{ElapsedSeconds: elapsed, FirstByteSeconds: elapsed}, a.fill.missExpected())
 		if a.originLimiter != nil && a.originLimiter != &a.source.limiter {
 			a.originLimiter.decrease(r.now, false)
 		}
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -1,86 +1,179 @@
 package routing
 
-import "math"
+import (
+	"math"
+	"slices"
+)
 
+// When an attempt is suspected, and when it is lost.
 const (
-	recentSamples      = 10    // samples kept of results and idle times: few, so that changes show soon
-	longSamples        = 64    // samples kept of sending times, durations and misses: these vary widely
-	minSamples         = 8     // samples before their mean is used
-	minSilence         = 0.35  // s without a sign of life before silence is suspected: over usual pauses
-	silenceIntervals   = 4.0   // usual intervals between signs that tell of silence: one in fifty by chance
-	lostSlownessFactor = 1.3   // times as slow for its size as any of late is lost: congestion slows all
-	recheckInterval    = 0.1   // s between looks at a suspected attempt, and before a failed endpoint's retry
-	firstEjection      = 1.0   // s of the first ejection: dozens of requests would go there in it
-	maxEjection        = 4.0   // s of the longest: an endpoint that is back is wanted soon
-	localRefusal       = 0.004 // s in which only the cache itself can have refused: sources are farther away
-	ejectFailureShare  = 0.5   // share of failures that ejects: below it attempts cost less than a lost cache
-	ejectFailureCount  = 4     // failures at least for that: fewer are chance
-	suspicionEjections = 2.0   // ejections that other routers' failures count for
-	suspicionThreshold = 0.5   // suspicion from which one own failure ejects: two honest routers say so
-	maxDoublings       = 8     // of the first ejection by earlier ones: bounds the power
+	suspectShare            = 0.5  // share of the unstretched objective after which an attempt is suspected
+	suspectSendTimes        = 1.3  // sending times added to that: a busy link stretches a transfer
+	suspectRecheckSeconds   = 0.1  // time between reviews of a suspected attempt
+	minSilenceSeconds       = 0.35 // time without a sound of a target before it is silent: over usual pauses
+	minSourceSilenceSeconds = 0.7  // likewise of a source: its answers come through the target
+	silenceIntervals        = 4.0  // usual intervals between sounds after which an endpoint is silent
+	maxHeardTimes           = 10   // last times at which an endpoint was heard: their intervals are the usual ones
+	lostSlownessFactor      = 1.3  // times as slow as any of late that a lost attempt is: congestion slows all
+	maxSlownessSamples      = 64   // last answered attempts that are meant by that: durations vary widely
+	maxUnansweredSamples    = 10   // last attempts slower than all of those: few, so that changes show soon
+	minUnansweredSamples    = 4    // number of them before their share counts: fewer are chance
+	unansweredShare         = 0.5  // share of them without an answer from which another one is lost
 )
 
-// healthObserved takes other routers' word. It ejects nothing by itself: an own attempt has to fail too.
+// When an endpoint is ejected, and for how long.
+const (
+	maxResultSamples     = 10  // last results of an endpoint that count: few, so that changes show soon
+	ejectFailureCount    = 4   // number of failures among them that ejects at least: fewer are chance
+	ejectFailureShare    = 0.5 // share of them that ejects: below it attempts cost less than a lost cache
+	firstEjectionSeconds = 1.0 // time of the first ejection; each further one is twice as long
+	maxEjectionSeconds   = 4.0 // time of the longest: an endpoint that is back is wanted soon
+	limitAfterEjection   = 1.0 // attempts in flight at an endpoint that returns; each answer adds one
+	suspicionThreshold   = 0.5 // suspicion, of 1, from which one own failure ejects: two honest routers say so
+	suspicionEjections   = 2.0 // number of earlier ejections that other routers' suspicion counts for
+)
+
+// suspectTime is when an attempt that is sent at a time is suspected: after a share of its class's objective, which is
+// that of a request without size, and some sending times of its size.
+func suspectTime(sentAt, objectiveSeconds, sendSeconds float64) float64 {
+	return sentAt + suspectShare*objectiveSeconds + suspectSendTimes*sendSeconds
+}
+
+// healthObserved takes other routers' suspicion of an endpoint. It ejects nothing by itself, because other routers may
+// be wrong or lie: an attempt of this router has to fail too.
 func (r *Router) healthObserved(ev HealthObservation) {
 	if e := r.findEndpoint(ev.Endpoint); e != nil {
 		e.suspectedUntil = r.now + ev.ValidSeconds*indicator(ev.Suspicion >= suspicionThreshold)
 	}
 }
 
-// isSilent judges the target of a suspected attempt, then its source: nothing was heard since it was sent,
-// several times as long as usual, and it is slower for its size than any of late. It covers hangs, lost
-// machines and cut paths. It does harm where all become slow at once, or to long transfers if seldom heard.
-func (r *Router) isSilent(a *attempt) bool {
-	e, patience := a.target, minSilence
-	if e.lastHeard() >= a.sentAt && a.expectMiss {
-		e, patience = a.source, 2*minSilence
+// reviewSuspected says whether a suspected attempt is lost, and ejects an endpoint that is silent. An attempt is lost
+// too if it is slower for its size than any of late and such attempts go unanswered.
+func (r *Router) reviewSuspected(a *attempt) bool {
+	if silent := r.silentEndpoint(a); silent != nil {
+		r.eject(silent)
+		return true
 	}
-	patience = max(patience, silenceIntervals*e.signInterval())
-	usual := r.now-a.sentAt <= patience || r.slownessOf(a) <= lostSlownessFactor*r.greatestSlowness()
-	if usual || e.lastHeard() >= a.sentAt {
-		return r.isLost(a)
+	if !r.slowestGoUnanswered() || r.slownessOf(a) <= r.greatestSlowness() {
+		return false
 	}
-	r.eject(e)
+	raised := lostSlownessFactor * r.slownessOf(a) // so that the next one waits longer
+	r.slownessSamples = appendSample(r.slownessSamples, raised, maxSlownessSamples)
 	return true
 }
 
-// isLost judges a suspected attempt whose endpoint is heard: it is slower for its size than any of the last
-// dozens, and most that were so never ended. It covers answers that never come; each raises the bar.
-func (r *Router) isLost(a *attempt) bool {
-	enough := len(r.unansweredSamples) >= ejectFailureCount && mean(r.unansweredSamples) >= ejectFailureShare
-	if !enough || r.slownessOf(a) <= r.greatestSlowness() {
-		return false
+// silentEndpoint is the target of a suspected attempt, or else its source, if it is silent; nil where neither is.
+//
+// It guards against hangs, lost machines and cut paths. They show as attempts without any end, and as no other answer
+// of that endpoint since. Silence alone is no proof: nothing is heard during a long transfer, and a router with few
+// requests seldom hears an endpoint. So it has to last several times as long as usual, and the attempt has to be slower
+// for its size than any of late. It does harm where all become slow at once.
+func (r *Router) silentEndpoint(a *attempt) *endpoint {
+	suspect, leastSilence := a.target, minSilenceSeconds
+	if suspect.lastHeardAt() >= a.sentAt && a.fill.missExpected() {
+		suspect, leastSilence = a.source, minSourceSilenceSeconds
 	}
-	r.slownessSamples = appendSample(r.slownessSamples, lostSlownessFactor*r.slownessOf(a), longSamples)
-	return true
+	if suspect.lastHeardAt() >= a.sentAt {
+		return nil
+	}
+	usualSilence := r.now-a.sentAt <= max(leastSilence, silenceIntervals*suspect.heardIntervalSeconds())
+	if usualSilence || r.slownessOf(a) <= lostSlownessFactor*r.greatestSlowness() {
+		return nil
+	}
+	return suspect
+}
+
+// slowestGoUnanswered says whether most attempts that were slower than any of late had no answer. It guards against
+// answers that never come from endpoints that answer others: these show as requests that end at their deadline after
+// one attempt. Where slow answers come in the end their share is low, and nothing is given up.
+func (r *Router) slowestGoUnanswered() bool {
+	return len(r.unansweredSamples) >= minUnansweredSamples && mean(r.unansweredSamples) >= unansweredShare
+}
+
+// slownessOf is how long an attempt is in flight over the time after which it is suspected, which goes by its size.
+func (r *Router) slownessOf(a *attempt) float64 { return (r.now - a.sentAt) / (a.suspectAt - a.sentAt) }
+
+// greatestSlowness is that of the last attempts that had an answer, 1 at least.
+func (r *Router) greatestSlowness() float64 {
+	greatest := 1.0
+	for _, slowness := range r.slownessSamples {
+		greatest = max(greatest, slowness)
+	}
+	return greatest
 }
 
-// eject keeps attempts from an endpoint for a while if another can stand in. Else, and for an origin, its
-// limit is decreased: where all fail the cause is common, and ejections would leave none.
+// recordSlowest takes the end of an attempt that was slower than all of late, once there are enough of these: whether
+// there was no answer.
+func (r *Router) recordSlowest(slowness float64, result AttemptResult) {
+	if len(r.slownessSamples) == maxSlownessSamples && slowness > slices.Max(r.slownessSamples) {
+		unanswered := indicator(result == Cancelled || result == TimedOut)
+		r.unansweredSamples = appendSample(r.unansweredSamples, unanswered, maxUnansweredSamples)
+	}
+}
+
+// stateOfLost is the state of an attempt that is taken for lost. It is left in flight where two may run, and where
+// cancelling would lose the answer of a request that must not run again.
+func (r *Router) stateOfLost(req *request) attemptState {
+	if r.settings.Bool(SettingHedging) || r.class(req.Class).effect == NonIdempotent {
+		return attemptLost
+	}
+	return attemptAbandoned
+}
+
+// hasAlternative says whether another endpoint of the same role is ready and not ejected.
+func (r *Router) hasAlternative(e *endpoint) bool {
+	peers := r.parents.endpoints
+	if e.role == edgeCache {
+		peers = r.caches.endpoints
+	}
+	return slices.ContainsFunc(peers, func(peer *endpoint) bool { return peer != e && peer.ejectedUntil <= r.now })
+}
+
+// barredByEjection says whether an ejected endpoint is left out at a level of strictness. At the last level it is used
+// if all of its role are ejected: requests would find nobody else. A full alternative does not open it, as a burst
+// would then be sent to the endpoint that failed.
+func (r *Router) barredByEjection(e *endpoint, level strictness) bool {
+	return e.ejectedUntil > r.now && (level < anyAllowed || r.hasAlternative(e))
+}
+
+// mayEject allows an ejection where another endpoint can stand in. It guards against ejecting all endpoints of a role:
+// where all fail the cause is common, as with requests that nobody can serve or an origin that is down.
+func (r *Router) mayEject(e *endpoint) bool { return e.role != originServer && r.hasAlternative(e) }
+
+// ejectionSeconds is how long an endpoint is ejected that was so some times since it last worked. Other routers'
+// suspicion counts like earlier ejections.
+func ejectionSeconds(ejections int, suspected bool) float64 {
+	doublings := float64(ejections) + suspicionEjections*indicator(suspected)
+	return min(firstEjectionSeconds*math.Pow(2, doublings), maxEjectionSeconds)
+}
+
+// eject keeps attempts from an endpoint for a while. Where it may not be ejected, its limit is decreased.
 func (r *Router) eject(e *endpoint) {
-	if e.role == originServer || !r.hasAlternative(e) {
-		e.decrease(r.now, true)
-		return
-	} else if e.ejectedUntil > r.now {
-		return
+	switch {
+	case !r.mayEject(e):
+		e.limiter.decrease(r.now, true)
+	case e.ejectedUntil <= r.now:
+		e.ejectedUntil = r.now + ejectionSeconds(e.ejections, r.now < e.suspectedUntil)
+		e.recentFailures, e.limiter.limit = nil, limitAfterEjection
+		e.ejections++
 	}
-	suspected := suspicionEjections * indicator(r.now < e.suspectedUntil)
-	doublings := float64(min(e.ejections, maxDoublings)) + suspected
-	e.ejectedUntil = r.now + min(firstEjection*math.Pow(2, doublings), maxEjection)
-	e.recentFailures, e.limit = nil, 1
-	e.ejections++
 }
 
-// recordResult counts a result. Failures eject when they are half of the last few, or at once when all since
-// an ejection failed or others suspect the endpoint. It covers errors, refused fills and broken connections.
+// recordResult counts a result of an endpoint: errors, refused fills, broken connections and completed attempts.
 func (r *Router) recordResult(e *endpoint, failed bool) {
-	if !failed && e.limit >= e.provenLimit {
+	if !failed && e.limiter.recovered() {
 		e.ejections = 0
 	}
-	e.recentFailures = appendSample(e.recentFailures, indicator(failed), recentSamples)
-	share := mean(e.recentFailures)
-	often := share*float64(len(e.recentFailures)) >= ejectFailureCount && share >= ejectFailureShare
-	if failed && (e.ejections > 0 && share == 1 || r.now < e.suspectedUntil || often) {
+	e.recentFailures = appendSample(e.recentFailures, indicator(failed), maxResultSamples)
+	if failed && failuresEject(e.recentFailures, e.ejections > 0, r.now < e.suspectedUntil) {
 		r.eject(e)
 	}
 }
+
+// failuresEject says whether an endpoint whose last attempt failed is ejected: when half of its last few failed, or at
+// once when all since an ejection failed or others suspect it.
+func failuresEject(results []float64, ejectedBefore, suspected bool) bool {
+	share := mean(results)
+	often := share*float64(len(results)) >= ejectFailureCount && share >= ejectFailureShare
+	return (ejectedBefore && share == 1) || suspected || often
+}
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"math"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -11,7 +12,7 @@
 	r := newTestRouter(Idempotent)
 	req := addSentRequest(r, 0, true)
 	req.attempts[0].suspectAt = 100.25
-	r.now = 100 + minSilence + 0.01
+	r.now = 100 + minSilenceSeconds + 0.01
 	r.plan(req)
 	assert.Greater(t, r.findOrAddEndpoint("c0").ejectedUntil, r.now)
 	require.Len(t, req.attempts, 2)
@@ -29,10 +30,10 @@
 		a.suspectAt = 102 // for its size it may take two seconds
 		bar := 2 * lostSlownessFactor * r.greatestSlowness()
 		r.now = 100 + bar - 0.01
-		assert.False(t, r.isSilent(a))
+		assert.False(t, r.reviewSuspected(a))
 		assert.Zero(t, c.ejectedUntil)
 		r.now = 100 + bar + 0.01
-		assert.True(t, r.isSilent(a))
+		assert.True(t, r.reviewSuspected(a))
 		assert.Greater(t, c.ejectedUntil, r.now)
 	}
 }
@@ -40,9 +41,9 @@
 func TestHeardEndpointIsNotSilent(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	req := addSentRequest(r, 0, true)
-	r.findOrAddEndpoint("c0").recordSign(100.1)
+	r.findOrAddEndpoint("c0").recordHeard(100.1)
 	r.now = 101
-	assert.False(t, r.isSilent(req.attempts[0]))
+	assert.False(t, r.reviewSuspected(req.attempts[0]))
 }
 
 func TestEjectedEndpointsAreUsedWhenAllAreEjected(t *testing.T) {
@@ -56,10 +57,10 @@
 func TestSilenceIsMeasuredInUsualSignIntervals(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	c, a := r.findOrAddEndpoint("c0"), addSentRequest(r, 0, true).attempts[0]
-	c.signsOfLife, a.suspectAt = []float64{96, 97, 98, 99}, 100.2
+	c.heardAt, a.suspectAt = []float64{96, 97, 98, 99}, 100.2
 	for wait, want := range map[float64]bool{silenceIntervals - 0.1: false, silenceIntervals + 0.1: true} {
 		r.now, c.ejectedUntil = 100+wait, 0
-		assert.Equal(t, want, r.isSilent(a), "after %v s", wait)
+		assert.Equal(t, want, r.reviewSuspected(a), "after %v s", wait)
 		assert.Equal(t, want, c.ejectedUntil > r.now)
 	}
 }
@@ -69,13 +70,13 @@
 func TestAttemptThatNeverEndsIsLostThoughEndpointIsHeard(t *testing.T) {
 	for _, lost := range []bool{true, false} {
 		r := newTestRouter(Idempotent)
-		for range longSamples {
+		for range maxSlownessSamples {
 			r.slownessSamples = append(r.slownessSamples, 2)
 		}
 		late := func() *request {
 			req := addSentRequest(r, 0, true)
 			req.attempts[0].suspectAt = 100.25
-			r.findOrAddEndpoint("c0").recordSign(100.2)
+			r.findOrAddEndpoint("c0").recordHeard(100.2)
 			return req
 		}
 		for range ejectFailureCount {
@@ -112,7 +113,7 @@
 		r.recordResult(c, true)
 		assert.Equal(t, want, c.ejectedUntil > r.now, "suspicion %v", suspicion)
 		if want {
-			assert.InDelta(t, min(firstEjection*4, maxEjection), c.ejectedUntil-r.now, 1e-9,
+			assert.InDelta(t, min(firstEjectionSeconds*4, maxEjectionSeconds), c.ejectedUntil-r.now, 1e-9,
 				"as long as one that failed before: other routers found it so")
 		}
 	}
@@ -123,3 +124,24 @@
 	r.recordResult(c, true)
 	assert.Zero(t, c.ejectedUntil, "the suspicion has expired")
 }
+
+// The longest ejection hides how many ejections a suspicion counts for and how many doublings there are: the first is
+// held by its sum with the longest, the second by the time of an endpoint that fails without end.
+func TestEjectionsDoubleUpToTheLongest(t *testing.T) {
+	r := newTestRouter(Idempotent)
+	c := r.findOrAddEndpoint("c0")
+	for i, want := range []float64{1, 2, 4, 4, 4} {
+		r.eject(c)
+		assert.InDelta(t, want, c.ejectedUntil-r.now, 1e-9, "ejection %d", i)
+		r.now = c.ejectedUntil
+	}
+	c.ejections = 1 << 40
+	r.eject(c)
+	assert.InDelta(t, 4, c.ejectedUntil-r.now, 1e-9, "after very many")
+	suspected := r.findOrAddEndpoint("c1")
+	suspected.suspectedUntil = r.now + 1
+	r.eject(suspected)
+	assert.InDelta(t, 4, suspected.ejectedUntil-r.now, 1e-9)
+	whenSuspected := firstEjectionSeconds * math.Pow(2, suspicionEjections)
+	assert.Equal(t, maxEjectionSeconds, whenSuspected, "no more and no less than the longest")
+}
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -37,13 +37,13 @@
 	assert.Len(t, actionsOf[RejectRequest](r.Decide(100, newArrival("t", "x"))), 1)
 }
 
-// A request that nobody has room for is given up once twice its sending time would end past the timely share of its
+// A request that nobody has room for is given up once twice its sending time would end past a share of its
 // objective; a large one at once.
 func TestRequestIsQueuedOnlyWhileAttemptCouldBeInTime(t *testing.T) {
-	for kb, most := range map[float64]float64{20: timelyShare*0.54 - 0.04, 100: timelyShare*0.7 - 0.2, 4000: 0} {
+	for kb, most := range map[float64]float64{20: queueShare*0.54 - 0.04, 100: queueShare*0.7 - 0.2, 4000: 0} {
 		r := newTestRouter(Idempotent)
 		for _, e := range r.endpoints {
-			e.limit, e.provenLimit = 0, 0
+			e.limiter.limit, e.limiter.provenLimit = 0, 0
 		}
 		a := newArrival("t", "x")
 		a.SizeKB = kb // at 1000 KB a second, the objective being half a second and two sending times
@@ -52,7 +52,7 @@
 			assert.Empty(t, actionsOf[RejectRequest](actions))
 			r.now = 100 + most - 0.01
 			r.plan(r.requests["t"])
-			assert.Nil(t, r.requests["t"].finalAction)
+			assert.Nil(t, finalAction(r))
 			actions = r.Decide(100+most+0.01, TimerFired{r.requests["t"].token})
 		}
 		assert.Len(t, actionsOf[RejectRequest](actions), 1, "%v KB", kb)
@@ -61,17 +61,17 @@
 
 func TestQueueReleasesHighestPriorityPerKBFirst(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
-	for _, c := range r.caches.members {
-		c.limit, c.provenLimit = 0, 0
+	for _, c := range r.caches.endpoints {
+		c.limiter.limit, c.limiter.provenLimit = 0, 0
 	}
 	big, small := newArrival("big", "x"), newArrival("small", "x")
 	big.SizeKB = 400
 	r.Decide(100, big)
 	r.Decide(100, small)
 	req := addSentRequest(r, 0, true)
-	req.done = true
-	for _, c := range r.caches.members {
-		c.limit = 0.5
+	r.moveRequest(req, requestEnded)
+	for _, c := range r.caches.endpoints {
+		c.limiter.limit = 0.5
 	}
 	acts := actionsOf[StartAttempt](r.Decide(100.05, AttemptEnded{Request: "t", Endpoint: "c0", Result: Cancelled}))
 	require.NotEmpty(t, acts)
@@ -114,16 +114,20 @@
 // An attempt whose connection stalled is given up and its endpoint is not ejected. One that must not run twice is
 // waited for.
 func TestStalledAttemptIsGivenUpWithoutEjection(t *testing.T) {
-	for effect, want := range map[Effect]bool{Idempotent: false, WithIdempotencyKey: false, NonIdempotent: true} {
+	for effect, want := range map[Effect]attemptState{
+		Idempotent:         attemptCancelled,
+		WithIdempotencyKey: attemptCancelled,
+		NonIdempotent:      attemptLost,
+	} {
 		r := newTestRouter(effect)
 		r.settings[SettingHedging] = "false"
 		req := addSentRequest(r, 0, true)
 		req.attempts[0].suspectAt = 200
 		r.Decide(100.2, AttemptStalled{Request: "t", Attempt: 7})
 		r.Decide(100.2, AttemptStalled{Request: "gone"})
-		assert.True(t, req.attempts[0].wanted)
+		assert.Equal(t, attemptAwaited, req.attempts[0].state)
 		r.Decide(100.2, AttemptStalled{Request: "t", Attempt: 0})
-		assert.Equal(t, want, req.attempts[0].wanted, effect)
+		assert.Equal(t, want, req.attempts[0].state, effect)
 		assert.Zero(t, r.findOrAddEndpoint("c0").ejectedUntil)
 	}
 }
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -6,13 +6,27 @@
 )
 
 const (
-	zoneDistanceFactor  = 2.0  // times as seldom first in hash order a zone of distance: fills cost more
-	minCacheOnlyHitRate = 0.1  // hit rate where a miss is expected that makes a cache-only attempt worth it
-	minHashWeight       = 1e-3 // capacity that an endpoint counts for at least in the hash order
-	maxCandidates       = 64   // endpoints of a list that a choice looks at: where these have no room, few others do
+	zoneDistanceFactor   = 2.0  // times as seldom first in hash order a zone of distance: fills cost more
+	minHashWeight        = 1e-3 // capacity, in transfers, that an endpoint counts for at least in the hash order
+	maxCandidates        = 64   // endpoints of a list that a choice tries: where these are full, few others are not
+	minCacheOnlyHitShare = 0.1  // share of hits where a miss is expected that makes a cache-only attempt worth it
+	maxMissSamples       = 64   // last attempts expected to miss that the miss rate is taken of: these vary widely
+	minMissSamples       = 8    // number of these before their mean is used
+	unknownMissRate      = 1.0  // share of misses before that
+	peerFreshShare       = 0.5  // share of the fresh time after which a peer's copy is too near to its end
 )
 
-// chooseAttempt picks the target and the fill's source of a next attempt, or returns nil if nobody has room.
+// strictness says which endpoints a request may use. Limits, budgets of retries and cold budgets hold at each level.
+type strictness int
+
+const (
+	untried    strictness = iota // not used by this request, and not ejected
+	retryable                    // not failed for this request just now, and not ejected
+	anyAllowed                   // as before; ejected ones too if there is no other
+	strictnessLevels
+)
+
+// chooseAttempt picks the target and the fill's source of a next attempt, or returns nil if no endpoint has room.
 func (r *Router) chooseAttempt(req *request) *attempt {
 	caches, parents := r.cacheCandidates(req.object), r.parentCandidates(req.object)
 	defer caches.release()
@@ -28,28 +42,27 @@
 	}
 	a := &attempt{target: target, source: target, expectedFills: 1}
 	if target.role != edgeCache {
-		a.expectMiss = true
-		if r.uncacheable(req) && len(r.origins.members) > 0 {
-			a.source = r.origins.members[0]
+		a.fill = expectFill
+		if r.uncacheable(req) && len(r.origins.endpoints) > 0 {
+			a.source = r.origins.endpoints[0]
 		}
 		a.fillLimiters = []*limiter{&r.zoneLink}
 		return a
 	}
-	a.expectMiss = target.cached[req.chunk] == nil
 	if peer := r.peerWithChunk(req, target); peer != nil {
-		a.source, a.fromPeer = peer, true
+		a.source, a.fill = peer, fillFromPeer
 		a.fillLimiters = []*limiter{&peer.limiter}
 		return a
 	}
 	a.source = r.chooseSource(req, target, sources)
-	if a.expectMiss && !r.limitFill(req, a) {
+	if target.cached[req.chunk] == nil && !r.limitFill(req, a) {
 		return nil
 	}
 	return a
 }
 
-// chooseTarget is the first usable cache in hash order. Where caches may be bypassed, uncacheable requests do
-// so, and others do if no cache is usable at the first level and the zone's link has room.
+// chooseTarget is the first usable cache in hash order. Where caches may be bypassed, uncacheable requests do so, and
+// others do if no cache is usable at the first level of strictness and the zone's link has room.
 func (r *Router) chooseTarget(req *request, caches candidates, sources [2]candidates) *endpoint {
 	direct, uncacheable := r.settings.Bool(SettingDirectAttempts), r.uncacheable(req)
 	for level := untried; level < strictnessLevels; level++ {
@@ -84,40 +97,36 @@
 	return target
 }
 
-// usable says whether a request may use an endpoint at a level of strictness. Writes pass limits not
-// decreased lately. Used tells whether an attempt has used the endpoint as target, or as source.
+// usable says whether a request may use an endpoint at a level of strictness. Used tells whether an attempt has used
+// the endpoint as target, or as source.
 func (r *Router) usable(req *request, e *endpoint, level strictness, used usedFunc) bool {
-	ejected := e.ejectedUntil > r.now && (level < anyAllowed || r.hasAlternative(e))
-	full := !e.hasRoom(r.now) && (!req.Write || e.provenLimit > e.limit)
-	if ejected || full || (e.retryBudgetSpent && len(req.attempts) > 0) {
-		return false
-	}
-	for _, a := range req.attempts {
-		if used(a, e) && (level == untried || r.now < a.endedAt+recheckInterval) {
-			return false
-		}
-	}
-	return r.withinColdBudget(req, e)
+	return !r.barredByEjection(e, level) &&
+		e.limiter.hasRoomFor(req.Write, r.now) &&
+		!barredByRetryBudget(e, len(req.attempts)) &&
+		!triedAlready(req, e, level, r.now, used) &&
+		r.withinColdBudget(req, e)
 }
 
-// limitFill holds a fill to the limits on its way, and says whether there is room. Where a limit is reached,
-// one attempt reaches only as far as the cache or the parent: a wrong guess costs one short attempt.
+// limitFill holds a fill to the limits on its way, and says whether there is room. Where a limit is reached, one
+// attempt goes only as far as the cache or the parent. It guards against requests that wait for a full link while a
+// cache has what they ask for, as a router with few requests does not know all copies. A wrong guess costs one short
+// attempt.
 func (r *Router) limitFill(req *request, a *attempt) bool {
-	a.expectedFills = r.missRate()
+	a.fill, a.expectedFills = expectFill, r.missRate()
 	if !req.chunk.filledByParent {
 		a.originLimiter = r.originLimiter()
 	}
 	fillBlocked := a.source == a.target || (!req.Write && !r.zoneLink.hasRoom(r.now))
 	originBlocked := !req.Write && a.originLimiter != nil && !a.originLimiter.hasRoom(r.now)
 	if fillBlocked || originBlocked {
-		a.originLimiter, a.cacheOnly = nil, true
+		a.originLimiter, a.fill = nil, sourceOnly
 		if fillBlocked || a.source.role == originServer {
-			a.source, a.expectMiss = a.target, false
+			a.source, a.fill = a.target, targetOnly
 		}
 		if !r.mayTryCacheOnly(req, a) {
 			return false
 		}
-		if a.source == a.target {
+		if a.fill == targetOnly {
 			return true
 		}
 	}
@@ -133,31 +142,44 @@
 	if r.uncacheable(req) || slices.ContainsFunc(req.attempts, isCacheOnly) {
 		return false
 	}
-	return a.source != a.target || r.missRate() <= 1-minCacheOnlyHitRate
+	return a.fill == sourceOnly || r.missRate() <= 1-minCacheOnlyHitShare
 }
 
 // missRate is the share of the last attempts expected to miss that did.
-func (r *Router) missRate() float64 { return meanIfEnough(r.missSamples, 1) }
+func (r *Router) missRate() float64 {
+	return meanIfEnough(r.missSamples, minMissSamples, unknownMissRate)
+}
 
-// peerWithChunk is another cache of the zone that is known to have a chunk which the target lacks, after
-// restarts, ejections and full limits. It spares the link; a wrong guess costs one short attempt.
+// peerWithChunk is another cache of the zone that is known to have a chunk which the target lacks, after restarts,
+// ejections and full limits. It spares the link; a wrong guess costs one short attempt.
 func (r *Router) peerWithChunk(req *request, target *endpoint) *endpoint {
 	tried := slices.ContainsFunc(req.attempts, isFromPeer)
 	if !r.mayUsePeers() || tried || target.cached[req.chunk] != nil || r.uncacheable(req) {
 		return nil
 	}
 	fresh := r.class(req.Class).freshSeconds
-	for _, e := range req.chunk.holders {
+	for _, e := range req.chunk.cachedBy {
 		copied := e.cached[req.chunk]
-		if e.listed.list == &r.caches && e != target && e.ejectedUntil <= r.now && e.hasRoom(r.now) &&
-			r.withinColdBudget(req, e) && r.now-copied.lastUsed < r.horizon(e) &&
-			(fresh == 0 || r.now-copied.filledAt < fresh/2) {
+		if e != target && r.mayFillPeers(req, e) && r.stillCached(copied, e, fresh) {
 			return e
 		}
 	}
 	return nil
 }
 
+// mayFillPeers says whether a cache of the zone has room to fill a miss of another one.
+func (r *Router) mayFillPeers(req *request, e *endpoint) bool {
+	return e.listed.list == &r.caches && e.ejectedUntil <= r.now && e.limiter.hasRoom(r.now) &&
+		r.withinColdBudget(req, e)
+}
+
+// stillCached says whether a copy was used within its cache's horizon and, of a class whose copies expire after some
+// seconds, is fresh for long enough.
+func (r *Router) stillCached(copied *cachedChunk, cache *endpoint, freshSeconds float64) bool {
+	return r.now-copied.lastUsedAt < r.horizon(cache) &&
+		(freshSeconds == 0 || r.now-copied.filledAt < peerFreshShare*freshSeconds)
+}
+
 // hashScore is that of weighted rendezvous hashing, of a hash between 0 and 1. Nearer and heavier endpoints come
 // first more often.
 func hashScore(unit float64, e *endpoint) float64 {
