--- a/internal/lab/cluster/endpoint.go
+++ b/internal/lab/cluster/endpoint.go
@@ -202,7 +202,7 @@
 	if err != nil {
 		return err
 	}
-	endpoint.cmd = exec.Command(cluster.options.Program, "box", "--operators", configFile)
+	endpoint.cmd = exec.Command(cluster.options.Program, "edge-cache", "--config", configFile)
 	endpoint.cmd.Stderr = endpoint.log
 	endpoint.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := endpoint.cmd.Start(); err != nil {
--- a/internal/lab/cluster/router.go
+++ b/internal/lab/cluster/router.go
@@ -84,7 +84,7 @@
 			return err
 		}
 	}
-	router.cmd = exec.Command(cluster.options.Program, "serve", "--operators", router.configFile)
+	router.cmd = exec.Command(cluster.options.Program, "serve", "--config", router.configFile)
 	router.cmd.Env = append(append(os.Environ(), "LB_CONFIG="+router.settingsPath), router.extraEnv...)
 	router.cmd.Stderr = router.log
 	router.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
--- a/internal/lab/simulation/membership.go
+++ b/internal/lab/simulation/membership.go
@@ -34,7 +34,7 @@
 	Seeds    Seeds
 	Sizes    []int     // numbers of peers of the curves
 	Losses   []float64 // shares of lost datagrams of the curves
-	Acts     int       // faults of a script drawn from each seed; 0 for the curves
+	Faults   int       // faults of a script drawn from each seed; 0 for the curves
 	Peers    int       // of a drawn script
 	Hostile  int       // of these
 	Script   string    // file of one script to run instead
@@ -51,7 +51,7 @@
 	switch {
 	case c.Script != "":
 		err = c.runScript(r)
-	case c.Acts > 0:
+	case c.Faults > 0:
 		err = c.runDrawn(ctx, r)
 	default:
 		err = c.runCurves(ctx, r)
@@ -129,7 +129,7 @@
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			script := faults.Generate(seed, c.Peers, c.Acts, runSeconds)
+			script := faults.Generate(seed, c.Peers, c.Faults, runSeconds)
 			result, err := simmembership.Run(c.config(script))
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
@@ -171,7 +171,7 @@
 	}
 	slices.Sort(r.Steps)
 	r.Steps = append(r.Steps, fmt.Sprintf("%d scripts of %d faults each among %d peers (%d hostile), %.0f s",
-		r.Counts[report.Runs], c.Acts, c.Peers, c.Hostile, runSeconds))
+		r.Counts[report.Runs], c.Faults, c.Peers, c.Hostile, runSeconds))
 }
 
 // runScript runs one script twice. Both runs must have the same trace, byte for byte.
--- a/internal/lab/simulation/mutants_test.go
+++ b/internal/lab/simulation/mutants_test.go
@@ -29,25 +29,25 @@
 			"if m.state == Failed {\n\t\tc.setState(now, id, m.record.State, ReasonAcked)\n\t}\n" +
 				"\tif m.state == Unknown {\n\t\treturn //",
 		}},
-		arguments: []string{"--seeds", "1..20", "--acts", "8", "--peers", "20"},
+		arguments: []string{"--seeds", "1..20", "--faults", "8", "--peers", "20"},
 	},
 	{
 		name:      "one accusation is enough for a failure",
 		file:      "internal/membership/swim/suspicion.go",
 		edits:     [][2]string{{"if c.config.PublishedSWIM && a.Dead {", "if a.Accuser != c.self {"}},
-		arguments: []string{"--seeds", "1..20", "--acts", "3", "--peers", "20", "--hostile", "3"},
+		arguments: []string{"--seeds", "1..20", "--faults", "3", "--peers", "20", "--hostile", "3"},
 	},
 	{
 		name:      "a member that was stopped blames the others",
 		file:      "internal/membership/swim/health.go",
 		edits:     [][2]string{{"if c.config.PublishedSWIM || paused == 0 {", "if true {"}},
-		arguments: []string{"--seeds", "1..40", "--acts", "8", "--peers", "20"},
+		arguments: []string{"--seeds", "1..40", "--faults", "8", "--peers", "20"},
 	},
 	{
 		name:      "nobody pings members that are not present",
 		file:      "internal/membership/swim/probe.go",
 		edits:     [][2]string{{"if c.prober.count%absentPingEvery == 0 {", "if false {"}},
-		arguments: []string{"--seeds", "1..20", "--acts", "8", "--peers", "20"},
+		arguments: []string{"--seeds", "1..20", "--faults", "8", "--peers", "20"},
 	},
 }
 
@@ -60,7 +60,7 @@
 	root, err := filepath.Abs("../../..")
 	require.NoError(t, err)
 	dir := t.TempDir()
-	unchanged := mutant{name: "none", arguments: []string{"--seeds", "1..20", "--acts", "8", "--peers", "20"}}
+	unchanged := mutant{name: "none", arguments: []string{"--seeds", "1..20", "--faults", "8", "--peers", "20"}}
 	for _, m := range append([]mutant{unchanged}, mutants...) {
 		overlay := map[string]map[string]string{"Replace": {}}
 		if m.file != "" {
@@ -84,7 +84,8 @@
 		build.Dir = root
 		out, err := build.CombinedOutput()
 		require.NoError(t, err, "%s: %s", m.name, out)
-		out, err = exec.Command(program, append([]string{"lab", "sim", "peers"}, m.arguments...)...).CombinedOutput()
+		simulate := exec.Command(program, append([]string{"lab", "sim", "membership"}, m.arguments...)...)
+		out, err = simulate.CombinedOutput()
 		if m.file == "" {
 			assert.NoError(t, err, "%s", out)
 			continue
