--- a/cmd/cairnfront/sim.go
+++ b/cmd/cairnfront/sim.go
@@ -60,7 +60,8 @@
 		"cluster sizes to measure, in peers; unused with --faults or --script")
 	flags.Float64SliceVar(&m.Losses, "losses", []float64{0, 0.05, 0.3},
 		"packet loss to measure, as `shares` of the datagrams from 0 to 1; unused with --faults or --script")
-	flags.IntVar(&m.Acts, "faults", 0, "number of random faults for each seed; 0: measure --sizes and --losses instead")
+	flags.IntVar(&m.Faults, "faults", 0,
+		"number of random faults for each seed; 0: measure --sizes and --losses instead")
 	flags.IntVar(&m.Peers, "peers", 50, "peers in the cluster, with --faults")
 	flags.IntVar(&m.Hostile, "hostile", 0, "byzantine peers among them, with --faults or --script; 0: none")
 	flags.StringVar(&m.Script, "script", "", "path of a fault script; empty: faults as the other flags say")
--- a/internal/lab/router.go
+++ b/internal/lab/cluster/router.go
@@ -1,4 +1,4 @@
-package lab
+package cluster
 
 import (
 	"encoding/json"
@@ -14,6 +14,7 @@
 	"time"
 
 	"cairnfront/internal/clientproto"
+	"cairnfront/internal/lab/timing"
 )
 
 const (
@@ -22,37 +23,38 @@
 	clockTicks         = 100              // a second of CPU time, on Linux
 	cpuTimeFields      = 2                // utime and stime, proc(5)
 	firstCPUTimeField  = 11               // after the command's name in /proc/PID/stat
+	logTailBytes       = 600              // of a log that an error quotes
 )
 
-// routerProcess is a router that runs as a program of its own.
-type routerProcess struct {
-	name          string
-	addr          string
-	settingsPath  string   // of its bootstrap settings
-	operatorsFile string   // empty for none
-	extraEnv      []string // beside the laboratory's environment
-	cmd           *exec.Cmd
-	log           *os.File
+// Router is a router that runs as a program of its own.
+type Router struct {
+	name         string
+	addr         string
+	settingsPath string   // of its bootstrap file
+	configFile   string   // empty for none
+	extraEnv     []string // beside the laboratory's environment
+	cmd          *exec.Cmd
+	log          *os.File
 }
 
-// addRouter starts a router of a zone. All endpoints must be in the cluster before.
-func (cluster *testCluster) addRouter(zone int) error {
-	router, err := cluster.prepareRouter(zone)
+// AddRouter starts a router of a zone. All endpoints must be in the cluster before.
+func (cluster *Cluster) AddRouter(zone int) error {
+	router, err := cluster.PrepareRouter(zone)
 	if err != nil {
 		return err
 	}
-	router.operatorsFile = cluster.operatorsFile
-	return cluster.startRouter(router)
+	router.configFile = cluster.ConfigFile
+	return cluster.StartRouter(router)
 }
 
-// prepareRouter writes the bootstrap settings of a router of a zone and adds it to the cluster's routers. It does not
+// PrepareRouter writes the bootstrap file of a router of a zone and adds it to the cluster's routers. It does not
 // start it.
-func (cluster *testCluster) prepareRouter(zone int) (*routerProcess, error) {
+func (cluster *Cluster) PrepareRouter(zone int) (*Router, error) {
 	listener, err := listenReusableTCP()
 	if err != nil {
 		return nil, err
 	}
-	router := &routerProcess{name: fmt.Sprintf("n%d", len(cluster.routers)+1), addr: listener.Addr().String()}
+	router := &Router{name: fmt.Sprintf("n%d", len(cluster.Routers)+1), addr: listener.Addr().String()}
 	_ = listener.Close()
 	text, err := json.Marshal(cluster.routerSettings(router, zone))
 	if err != nil {
@@ -62,13 +64,13 @@
 	if err := os.WriteFile(router.settingsPath, text, 0o600); err != nil {
 		return nil, err
 	}
-	cluster.routers = append(cluster.routers, router)
+	cluster.Routers = append(cluster.Routers, router)
 	return router, nil
 }
 
-// startRouter starts a router's process, also again after it was killed, and waits until it is ready. A restarted
+// StartRouter starts a router's process, also again after it was killed, and waits until it is ready. A restarted
 // router appends to its log.
-func (cluster *testCluster) startRouter(router *routerProcess) error {
+func (cluster *Cluster) StartRouter(router *Router) error {
 	if err := cluster.spawnRouter(router); err != nil {
 		return err
 	}
@@ -76,33 +78,33 @@
 }
 
 // spawnRouter starts a router's process and does not wait.
-func (cluster *testCluster) spawnRouter(router *routerProcess) (err error) {
+func (cluster *Cluster) spawnRouter(router *Router) (err error) {
 	if router.log == nil {
 		if router.log, err = os.Create(filepath.Join(cluster.options.Directory, router.name+".log")); err != nil {
 			return err
 		}
 	}
-	router.cmd = exec.Command(cluster.options.Program, "serve", "--operators", router.operatorsFile)
+	router.cmd = exec.Command(cluster.options.Program, "serve", "--config", router.configFile)
 	router.cmd.Env = append(append(os.Environ(), "LB_CONFIG="+router.settingsPath), router.extraEnv...)
 	router.cmd.Stderr = router.log
 	router.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := router.cmd.Start(); err != nil {
 		router.cmd = nil
-		return fmt.Errorf("starting router %s: %w", router.name, err)
+		return fmt.Errorf("start router %s: %w", router.name, err)
 	}
 	return nil
 }
 
 // awaitRouter waits until a router is ready.
-func (cluster *testCluster) awaitRouter(router *routerProcess) error {
-	if err := waitUntil(startTimeout, func() bool { return routerReady(router.addr) }); err != nil {
+func (cluster *Cluster) awaitRouter(router *Router) error {
+	if err := timing.WaitUntil(startTimeout, func() bool { return routerReady(router.addr) }); err != nil {
 		return fmt.Errorf("router %s is not ready: %w; its log: %s", router.name, err, logTail(router.log.Name()))
 	}
 	return nil
 }
 
 // kill ends a router by SIGKILL.
-func (router *routerProcess) kill() {
+func (router *Router) kill() {
 	if router.cmd != nil {
 		_ = router.cmd.Process.Kill()
 		_ = router.cmd.Wait()
@@ -111,7 +113,7 @@
 }
 
 // awaitEnd waits until a router that got SIGTERM has ended, and kills one that does not. It returns what went wrong.
-func (router *routerProcess) awaitEnd() (problem string) {
+func (router *Router) awaitEnd() (problem string) {
 	defer func() { _ = router.log.Close() }()
 	var waitErr error
 	ended := make(chan struct{})
@@ -122,7 +124,7 @@
 	select {
 	case <-ended:
 		if waitErr != nil {
-			return fmt.Sprintf("router %s ended with %v: %s", router.name, waitErr, logTail(router.log.Name()))
+			return fmt.Sprintf("router %s ended with %v; its log: %s", router.name, waitErr, logTail(router.log.Name()))
 		}
 		return ""
 	case <-time.After(terminationTimeout):
@@ -132,9 +134,9 @@
 	}
 }
 
-// usage is the CPU time that a router has used, s, and its resident memory, MB, as the system counts them. Both are 0
+// Usage is the CPU time that a router has used, s, and its resident memory, MB, as the system counts them. Both are 0
 // for a router that does not run.
-func (router *routerProcess) usage() (cpuSeconds, memoryMB float64) {
+func (router *Router) Usage() (cpuSeconds, memoryMB float64) {
 	pid := router.cmd.Process.Pid
 	if stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
 		afterName := string(stat[strings.LastIndexByte(string(stat), ')')+1:])
@@ -171,11 +173,23 @@
 	return isReply && reply[clientproto.HeaderSize] == 1
 }
 
-// writeOperatorsFile writes settings as an operators' file. JSON is YAML.
-func writeOperatorsFile(path string, settings map[string]any) error {
+// ConfigFileName is the name of a configuration file in a directory of its own.
+const ConfigFileName = "operators.yaml"
+
+// adminSocketName is the name of a router's admin socket.
+const adminSocketName = "admin.sock"
+
+// WriteConfigFile writes settings as a configuration file. JSON is YAML.
+func WriteConfigFile(path string, settings map[string]any) error {
 	text, err := json.Marshal(settings)
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(path, text, 0o600)
 }
+
+// logTail is the end of a log.
+func logTail(path string) string {
+	text, _ := os.ReadFile(path)
+	return string(text[max(len(text)-logTailBytes, 0):])
+}
--- /dev/null
+++ b/internal/lab/scenario/addresses.go
@@ -0,0 +1,276 @@
+package scenario
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sort"
+	"sync"
+	"time"
+
+	"cairnfront/internal/lab/report"
+	"cairnfront/internal/lab/standin"
+	"cairnfront/internal/lab/timing"
+	"cairnfront/internal/lab/verify"
+)
+
+// errNoRequests says that a phase has no request to measure.
+var errNoRequests = errors.New("no request was sent in the phase")
+
+// Sizes of the scenario.
+const (
+	settleSeconds    = 2.0 // after a fault begins, before latencies count
+	flapInterval     = 300 * time.Millisecond
+	variantTimeLimit = 10 * time.Minute
+	deliveryPause    = 20 * time.Millisecond // for what is still on its way to the stand-ins
+)
+
+// addressVariant is a fault of an address, or none, under the same load.
+type addressVariant struct {
+	name         string
+	allAddresses bool // the router is configured with all addresses, else it knows one for each endpoint
+	fault        func(ctx context.Context, address *standin.Address)
+	measuresHeal bool // the time until the address is used again is a figure
+}
+
+var addressVariants = []addressVariant{
+	{name: report.VariantAllHealthy, allAddresses: true},
+	{name: report.VariantUnresponsive, allAddresses: true, fault: holdMode(standin.Unresponsive), measuresHeal: true},
+	{name: report.VariantReset, allAddresses: true, fault: holdMode(standin.Resetting)},
+	{name: report.VariantClosed, allAddresses: true, fault: holdMode(standin.Closed), measuresHeal: true},
+	{name: report.VariantTruncating, allAddresses: true, fault: holdMode(standin.Truncating)},
+	{name: report.VariantFlapping, allAddresses: true, fault: flapMode},
+	{name: report.VariantSingle},
+	{name: report.VariantSingleUnresponsive, fault: holdMode(standin.Unresponsive)},
+}
+
+// holdMode is a fault in which an address keeps a mode.
+func holdMode(mode standin.AddressMode) func(context.Context, *standin.Address) {
+	return func(_ context.Context, address *standin.Address) { _ = address.SetMode(mode) }
+}
+
+// flapMode is a fault in which an address closes and opens in turn.
+func flapMode(ctx context.Context, address *standin.Address) {
+	for mode := standin.Closed; ctx.Err() == nil; mode = standin.Closed - mode {
+		_ = address.SetMode(mode)
+		_ = timing.Sleep(ctx, flapInterval)
+	}
+	_ = address.SetMode(standin.Healthy)
+}
+
+var addressesScenario = Scenario{
+	Name: "addresses",
+	Description: "Endpoints with three addresses, one of them made unresponsive, resetting, truncating, closed or " +
+		"flapping, against endpoints with a single address",
+	Run: runAddresses,
+}
+
+func runAddresses(ctx context.Context, options Options, r *report.Report) error {
+	requests, clients := 2000, 16
+	if options.Full {
+		requests, clients = 100_000, 32
+	}
+	for _, name := range []string{
+		report.AttemptsOverlapping, report.NonIdempotentRepeats, report.ConnectionsUnanswered, report.OrdersExecuted,
+	} {
+		r.Counts[name] = 0
+	}
+	perVariant := requests / len(addressVariants)
+	plot := report.Plot{
+		Title:  "Latency from two seconds after the fault on",
+		XLabel: "share of requests",
+		YLabel: "ms",
+	}
+	for _, variant := range addressVariants {
+		options.Progress("%s", report.SuffixLabel(variant.name))
+		line, err := runVariant(ctx, options, r, variant, perVariant, clients)
+		if err != nil {
+			return fmt.Errorf("%s: %w", variant.name, err)
+		}
+		plot.Lines = append(plot.Lines, line)
+	}
+	r.Plots = append(r.Plots, plot)
+	single := max(r.Figures[report.Key(report.CPUPerRequest, report.VariantSingle)], 1)
+	several := r.Figures[report.Key(report.CPUPerRequest, report.VariantAllHealthy)]
+	r.Figures[report.CPURatio] = several / single
+	r.Steps = append(
+		r.Steps,
+		fmt.Sprintf(
+			"%d requests of idempotent classes, one with idempotency keys and one that is not idempotent, in each "+
+				"of %d variants, over a router and four stand-in endpoints",
+			perVariant,
+			len(addressVariants),
+		),
+		"the fault is at the first address of one edge cache; latencies count from two seconds after it began",
+	)
+	return runPairs(ctx, options, r, clients)
+}
+
+// runVariant runs one variant and adds its figures to the report. The line is the latencies in order.
+func runVariant(
+	ctx context.Context, options Options, r *report.Report, variant addressVariant, requests, clients int,
+) (report.Line, error) {
+	testCluster, err := newMultiAddressCluster(options, variant.allAddresses)
+	if err != nil {
+		return report.Line{}, err
+	}
+	defer testCluster.Close(r)
+	startedAt := timing.UnixSeconds(time.Now())
+	endFault := testCluster.startFault(ctx, variant)
+	defer endFault()
+	counter := responseCounter{from: startedAt + settleSeconds, want: requests, reached: make(chan struct{})}
+	load := testCluster.startLoad(ctx, clients, func(response standin.ClientResponse) {
+		testCluster.RecordResponse(response)
+		counter.add()
+	})
+	defer load.stop()
+	if err := counter.wait(ctx); err != nil {
+		return report.Line{}, err
+	}
+	endedAt := timing.UnixSeconds(time.Now())
+	endFault()
+	if variant.fault == nil {
+		testCluster.addUsage(r, variant.name)
+	}
+	if variant.measuresHeal {
+		took, recovered := testCluster.healFaultyAddress()
+		r.Figures[report.Key(report.AddressRecovery, variant.name)] = took
+		if !recovered {
+			r.Broke("%s: the address has recovered and is not used", report.SuffixLabel(variant.name))
+		}
+	}
+	load.stop()
+	time.Sleep(deliveryPause)
+	before := r.Counts[report.Requests]
+	testCluster.Verify(r, []*standin.ClientGroup{load.group})
+	r.Counts[report.Key(report.Requests, variant.name)] = r.Counts[report.Requests] - before
+	latencies := summarizeLatencies(testCluster.Responses(), startedAt+settleSeconds, endedAt)
+	if len(latencies.sortedMillis) == 0 {
+		return report.Line{}, errNoRequests
+	}
+	latencies.addFigures(r, variant.name)
+	testCluster.noOverlappingAttempts(r, variant.name, load)
+	testCluster.countAttempts(r)
+	return latencies.line(report.SuffixLabel(variant.name)), nil
+}
+
+// startFault begins a variant's fault. The function that it returns ends the fault and waits for that.
+func (c *multiAddressCluster) startFault(ctx context.Context, variant addressVariant) (end func()) {
+	if variant.fault == nil {
+		return func() {}
+	}
+	faultCtx, cancel := context.WithCancel(ctx)
+	var running sync.WaitGroup
+	running.Go(func() { variant.fault(faultCtx, c.faulty) })
+	return func() {
+		cancel()
+		running.Wait()
+	}
+}
+
+// responseCounter counts responses from a time on, up to a number.
+type responseCounter struct {
+	from    float64 // Unix s
+	want    int
+	reached chan struct{}
+
+	mu sync.Mutex
+	n  int
+}
+
+func (c *responseCounter) add() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if timing.UnixSeconds(time.Now()) <= c.from {
+		return
+	}
+	c.n++
+	if c.n == c.want {
+		close(c.reached)
+	}
+}
+
+// wait waits for the number of responses.
+func (c *responseCounter) wait(ctx context.Context) error {
+	select {
+	case <-c.reached:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(variantTimeLimit):
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		return fmt.Errorf("%d of %d requests ended", c.n, c.want)
+	}
+}
+
+// addUsage reports what the router used for the requests so far.
+func (c *multiAddressCluster) addUsage(r *report.Report, name string) {
+	cpuSeconds, memoryMB := c.Routers[0].Usage()
+	requests := len(c.Responses())
+	r.Figures[report.Key(report.CPUPerRequest, name)] = cpuSeconds * 1e6 / float64(max(requests, 1))
+	r.Figures[report.Key(report.ResidentMemory, name)] = memoryMB
+}
+
+// latencySummary is the latencies of a variant's requests.
+type latencySummary struct {
+	sortedMillis   []float64
+	onTime         int     // completed within the latency objective
+	slowestAtFirst float64 // s: the slowest of the first seconds, before the router had detected the fault
+}
+
+// summarizeLatencies sums up the requests sent between two times, Unix s, and the slowest of those before.
+func summarizeLatencies(responses []verify.Response, from, to float64) *latencySummary {
+	s := &latencySummary{}
+	for i := range responses {
+		response := &responses[i]
+		if response.SentAt < from {
+			s.slowestAtFirst = max(s.slowestAtFirst, response.DoneAt-response.SentAt)
+			continue
+		}
+		if response.SentAt > to {
+			continue
+		}
+		took := response.LatencySeconds()
+		s.sortedMillis = append(s.sortedMillis, took*1000)
+		if response.Code == standin.CodeCompleted && took <= standin.ClassObjectiveSeconds[response.Class] {
+			s.onTime++
+		}
+	}
+	sort.Float64s(s.sortedMillis)
+	return s
+}
+
+func (s *latencySummary) addFigures(r *report.Report, name string) {
+	n := len(s.sortedMillis)
+	r.Figures[report.Key(report.LatencyP50, name)] = s.sortedMillis[n/2]
+	r.Figures[report.Key(report.LatencyP99, name)] = percentile(s.sortedMillis, 0.99)
+	r.Figures[report.Key(report.SlowestAtFirst, name)] = s.slowestAtFirst * 1000
+	r.Figures[report.Key(report.OnTimeShare, name)] = float64(s.onTime) / float64(n)
+}
+
+// line is the latencies' distribution, in percents.
+func (s *latencySummary) line(name string) report.Line {
+	line := report.Line{Name: name}
+	for percent := 0; percent <= 100; percent++ {
+		line.Add(float64(percent)/100, s.sortedMillis[percent*(len(s.sortedMillis)-1)/100])
+	}
+	return line
+}
+
+// countAttempts counts the attempts that came to the stand-ins, and those that met a fault.
+func (c *multiAddressCluster) countAttempts(r *report.Report) {
+	for _, standIn := range c.standIns {
+		attempts := standIn.Attempts()
+		r.Counts[report.Attempts] += int64(len(attempts))
+		r.Counts[report.ConnectionsUnanswered] += standIn.UnresponsiveConnections.Load()
+		for _, attempt := range attempts {
+			switch attempt.Mode {
+			case standin.Unresponsive:
+				r.Counts[report.AttemptsUnresponsive]++
+			case standin.Resetting:
+				r.Counts[report.AttemptsReset]++
+			}
+		}
+	}
+}
--- a/internal/lab/videoday.go
+++ b/internal/lab/scenario/video_day.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"math"
@@ -6,14 +6,14 @@
 	"sort"
 
 	"cairnfront/internal/diskcache/eviction"
+	"cairnfront/internal/lab/standin"
 )
 
 // A video-like day: views of objects by Zipf's law, chunks one after another, many views that end early, objects that
-// are new and soon forgotten, and a night with a publication that many want.
+// are new and soon unpopular, and a night with a publication that many request.
 const (
 	dayObjects          = 20000
-	zipfExponent        = 0.8 // as request logs of videos show, under 1
-	minChunks           = 11  // of an object, as the users' objects have
+	minChunks           = 11 // of an object, as the users' objects have
 	maxChunks           = 19
 	chunkBytes          = 1 << 21 // as in the paper
 	continueProbability = 0.88    // that a view goes on to the next chunk
@@ -42,7 +42,7 @@
 // dayGenerator draws a day's views.
 type dayGenerator struct {
 	rnd        *rand.Rand
-	popularity *zipf
+	popularity *standin.Zipf
 	views      float64 // about how many views the day has
 }
 
@@ -50,7 +50,7 @@
 func generateDay(seed uint64, count int) []view {
 	g := &dayGenerator{
 		rnd:        rand.New(rand.NewPCG(seed, 0xda7)),
-		popularity: newZipf(dayObjects),
+		popularity: standin.NewZipf(dayObjects),
 		views:      float64(count) * (1 - continueProbability) * 1.15, // a view has 1/(1-continue) chunks at the most
 	}
 	day := make([]view, 0, count+maxChunks)
@@ -76,7 +76,7 @@
 		age := -math.Log(1-g.rnd.Float64()) * freshSeconds / 3
 		return firstFreshObject + uint64((at-min(age, at))/daySeconds*g.views*0.05)
 	default:
-		return g.popularity.draw(g.rnd)
+		return g.popularity.Draw(g.rnd)
 	}
 }
 
@@ -103,15 +103,15 @@
 	return minChunks + int(object*multiplier>>7%uint64(maxChunks-minChunks+1))
 }
 
-// admitOutcome is what a policy reaches over the measured part of the day.
-type admitOutcome struct {
+// admissionOutcome is what a policy reaches over the measured part of the day.
+type admissionOutcome struct {
 	efficiency float64 // the paper's Eq. 2
 	filled     float64 // share of the bytes
 	passed     float64 // share of the bytes
 }
 
-// playDay plays the day for a policy. Alpha is the cost of a fill over that of a pass.
-func playDay(day []view, policy eviction.Policy, alpha float64) admitOutcome {
+// rereplayDay runs the requests of the day through a policy. Alpha is the cost of a fill over that of a pass.
+func replayDay(day []view, policy eviction.Policy, alpha float64) admissionOutcome {
 	var requested, filled, passed float64
 	for _, view := range day {
 		choice := policy.Request(view.at, view.key, view.size)
@@ -128,7 +128,7 @@
 		}
 	}
 	fillCost, passCost := 2*alpha/(alpha+1), 2/(alpha+1)
-	return admitOutcome{
+	return admissionOutcome{
 		efficiency: 1 - filled/requested*fillCost - passed/requested*passCost,
 		filled:     filled / requested,
 		passed:     passed / requested,
--- /dev/null
+++ b/internal/lab/timing/timing.go
@@ -0,0 +1,40 @@
+package timing
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"cairnfront/internal/clock"
+)
+
+// conditionPollInterval is the time between two checks of a condition.
+const conditionPollInterval = 5 * time.Millisecond
+
+// WaitUntil waits until a condition holds, for a time at the most.
+func WaitUntil(limit time.Duration, condition func() bool) error {
+	for end := time.Now().Add(limit); ; time.Sleep(conditionPollInterval) {
+		if condition() {
+			return nil
+		}
+		if time.Now().After(end) {
+			return fmt.Errorf("no success within %v", limit)
+		}
+	}
+}
+
+// Sleep waits for a duration, or returns the context's error when that ends before.
+func Sleep(ctx context.Context, d time.Duration) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(d):
+		return nil
+	}
+}
+
+// UnixSeconds is a time in seconds since 1970, to the microsecond.
+func UnixSeconds(t time.Time) float64 { return clock.At(t).Seconds() }
+
+// Seconds is a number of seconds as a duration.
+func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/sim/replication/simulation_test.go
+++ b/internal/sim/replication/simulation_test.go
@@ -13,6 +13,8 @@
 // goldenScripts is the SHA-256 of the scripts of the first seeds as an earlier version drew them.
 const goldenScripts = "b615941e229de7fe140599d46d01be60395764d8aa3e59b3f8655091b05e7c1e"
 
+// TestScriptsAreDrawnFromTheSeedAlone: results that pages quote name their seeds. The scripts of these seeds must
+// stay as they were drawn.
 func TestScriptsAreDrawnFromTheSeedAlone(t *testing.T) {
 	hash := sha256.New()
 	for seed := range uint64(200) {
@@ -34,7 +36,7 @@
 }
 
 // TestResultsOfSeeds compares the results of some seeds with those of an earlier version. With one
-// shard the order in which a router's replicas start can't show.
+// shard the order in which a router's replicas start cannot affect the result.
 func TestResultsOfSeeds(t *testing.T) {
 	for seed, want := range map[uint64]string{
 		1: `504 264 768 1 0 true "" b0a1447a 0 0 0 0.39064076514875123`,
