--- a/cmd/cairnfront/addresses.go
+++ b/cmd/cairnfront/addresses.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 
@@ -58,7 +59,7 @@
 		Long:  addressesHelp,
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			data, err := admin.Call(socket, admin.ShowAddresses, nil)
+			data, err := callAdmin(socket, admin.ShowAddresses, nil)
 			if err != nil {
 				return err
 			}
@@ -79,6 +80,17 @@
 	return c
 }
 
+// errNoSocket is returned if a command is run without the path of an admin socket.
+var errNoSocket = errors.New("no admin socket: set --socket or " + adminSocketVariable)
+
+// callAdmin sends a request to the admin socket and returns the data of the response.
+func callAdmin(socket string, name admin.RequestName, args map[string]string) (json.RawMessage, error) {
+	if socket == "" {
+		return nil, errNoSocket
+	}
+	return admin.Call(socket, name, args)
+}
+
 // addSocketFlag adds the flag of the admin socket to a command and its subcommands.
 func addSocketFlag(c *cobra.Command, socket *string) {
 	help := "path of the router's admin socket; default: environment variable " + adminSocketVariable
@@ -94,7 +106,7 @@
 			"An endpoint's last address that is not in cooldown can't be put into cooldown.",
 		Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			_, err := admin.Call(*socket, request, map[string]string{
+			_, err := callAdmin(*socket, request, map[string]string{
 				admin.ArgEndpoint: args[0],
 				admin.ArgAddress:  args[1],
 			})
--- a/cmd/cairnfront/extensions.go
+++ b/cmd/cairnfront/extensions.go
@@ -105,7 +105,11 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(e.reloadAddresses(fresh.Router.Addresses), e.reloadRoster(ctx, fresh.Membership))
+	err = errors.Join(e.reloadAddresses(fresh.Router.Addresses), e.reloadRoster(ctx, fresh.Membership))
+	if err != nil {
+		return fmt.Errorf("reload configuration file %s: %w", e.path, err)
+	}
+	return nil
 }
 
 // reloadAddresses replaces the addresses of endpoints. Without any at the start, new ones have no effect.
--- a/cmd/cairnfront/peers.go
+++ b/cmd/cairnfront/peers.go
@@ -31,7 +31,7 @@
 			"that it exchanges datagrams with, and the endpoints whose health it doubts from what peers observed.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			data, err := admin.Call(socket, admin.ShowPeers, nil)
+			data, err := callAdmin(socket, admin.ShowPeers, nil)
 			if err != nil {
 				return err
 			}
@@ -59,7 +59,7 @@
 		Short: "Leave the membership; the router goes on serving, without peers until its next start",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			_, err := admin.Call(*socket, admin.LeavePeers, nil)
+			_, err := callAdmin(*socket, admin.LeavePeers, nil)
 			return err
 		},
 	}
--- a/cmd/cairnfront/print_test.go
+++ b/cmd/cairnfront/print_test.go
@@ -82,6 +82,18 @@
 	}
 }
 
+func TestCommandsWithoutAnAdminSocketSaySo(t *testing.T) {
+	t.Setenv(adminSocketVariable, "")
+	for _, args := range [][]string{
+		{"addresses"}, {"addresses", "cooldown", "e", "a"}, {"addresses", "reinstate", "e", "a"},
+		{"peers"}, {"peers", "leave"},
+	} {
+		_, errs, code := runCommand(t, args...)
+		assert.Equal(t, exitFailure, code)
+		assert.Equal(t, "cairnfront: no admin socket: set --socket or CAIRNFRONT_SOCKET\n", errs, args)
+	}
+}
+
 // TestPeersPrintsTheReport compares the text for a report with every optional part with the expected one.
 func TestPeersPrintsTheReport(t *testing.T) {
 	report := membership.Report{
--- a/cmd/cairnfront/reload.go
+++ b/cmd/cairnfront/reload.go
@@ -3,9 +3,11 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io/fs"
 	"time"
 
+	"cairnfront/internal/bootstrap"
 	"cairnfront/internal/telemetry"
 )
 
@@ -48,7 +50,7 @@
 func (r *router) reloadBootstrap() error {
 	fresh, err := r.load()
 	if err == nil {
-		err = fresh.CheckReload(r.config)
+		err = checkReload(fresh, r.config)
 	}
 	if err != nil {
 		r.logReloadFailure(err)
@@ -63,6 +65,14 @@
 	return nil
 }
 
+// checkReload returns an error if the bootstrap file changes what can't change without a restart.
+func checkReload(fresh, running bootstrap.Config) error {
+	if err := fresh.CheckReload(running); err != nil {
+		return fmt.Errorf("reload bootstrap file: %w", err)
+	}
+	return nil
+}
+
 // logReloadFailure counts and logs a reload that left the configuration unchanged.
 func (r *router) logReloadFailure(err error) {
 	r.metrics.Inc(telemetry.ReloadsFailed)
--- a/cmd/cairnfront/serve.go
+++ b/cmd/cairnfront/serve.go
@@ -156,9 +156,9 @@
 	return time.Duration(settings.Float(name, 0) * float64(time.Second))
 }
 
-// descriptorLimit returns how many descriptors the process may hold: as the bootstrap file says, or fewer if the
-// system's limit is lower. What admission leaves over is for discovery, the listener and the runtime, so it must go
-// by the limit that binds.
+// descriptorLimit returns how many descriptors the process may open: the bootstrap file's limit, or the system's if
+// that is lower. Admission keeps a reserve below it for discovery, the listener and the runtime, so it must be the
+// effective limit.
 func descriptorLimit(configured int) int {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil && limit.Cur < uint64(configured) {
--- a/internal/bootstrap/config.go
+++ b/internal/bootstrap/config.go
@@ -21,7 +21,7 @@
 
 // Errors that callers can test for. All but ErrNoPath are wrapped by a FieldError.
 var (
-	ErrNoPath         = errors.New(PathVariable + " is not set")
+	ErrNoPath         = errors.New("read bootstrap file: " + PathVariable + " is not set")
 	ErrMissing        = errors.New("missing")
 	ErrInvalidAddress = errors.New("not an address of the form host:port")
 	ErrInvalidSeed    = errors.New("not a 64-bit hexadecimal number")
