--- a/cmd/cairnfront/print_test.go
+++ b/cmd/cairnfront/print_test.go
@@ -85,8 +85,11 @@
 func TestCommandsWithoutAnAdminSocketSaySo(t *testing.T) {
 	t.Setenv(adminSocketVariable, "")
 	for _, args := range [][]string{
-		{"addresses"}, {"addresses", "cooldown", "e", "a"}, {"addresses", "reinstate", "e", "a"},
-		{"peers"}, {"peers", "leave"},
+		{"addresses"},
+		{"addresses", "cooldown", "e", "a"},
+		{"addresses", "reinstate", "e", "a"},
+		{"peers"},
+		{"peers", "leave"},
 	} {
 		_, errs, code := runCommand(t, args...)
 		assert.Equal(t, exitFailure, code)
