--- a/cmd/cairnfront/diskcache_test.go
+++ b/cmd/cairnfront/diskcache_test.go
@@ -86,7 +86,7 @@
 	assert.Contains(t, out, "bad_body seg-")
 	_, errs, code = runCommand(t, "disk-cache", "inspect", t.TempDir())
 	assert.Equal(t, 1, code)
-	assert.Contains(t, errs, "is no folder of a disk tier")
+	assert.Contains(t, errs, "folder has no disk cache")
 }
 
 func TestEdgeCacheLocksItsFolderAndDrains(t *testing.T) {
--- a/internal/diskcache/vfs/vfs_test.go
+++ b/internal/diskcache/vfs/vfs_test.go
@@ -73,13 +73,13 @@
 		assert.ErrorIs(t, err, ErrPowerLoss)
 		fs.Restart()
 		content := string(fs.Contents("file"))
-		assert.Contains(t, []string{"synced", "UNSYNC"}, content, "a sector is whole")
+		assert.Contains(t, []string{"synced", "UNSYNC"}, content, "a sector is written completely or not at all")
 		lost = lost || content == "synced"
 	}
 	assert.True(t, lost, "an unsynced write can be lost")
 }
 
-func TestFaultsAreTold(t *testing.T) {
+func TestFaultsAreReturned(t *testing.T) {
 	fs := NewFaultFS(1)
 	file := writeFile(t, fs, "file", "0123456789")
 	fs.CapacityBytes = 12
--- a/internal/replication/verify_test.go
+++ b/internal/replication/verify_test.go
@@ -52,5 +52,5 @@
 	out.Reset()
 	assert.False(t, Verify(&out, []string{a, c, t.TempDir()}))
 	assert.Contains(t, out.String(), "differ at log index 2")
-	assert.Contains(t, out.String(), "the ledger's folder")
+	assert.Contains(t, out.String(), "read write-ahead log: ")
 }
