--- a/cmd/cairnfront/addresses.go
+++ b/cmd/cairnfront/addresses.go
@@ -131,8 +131,16 @@
 			cooldown = "until reinstated"
 		}
 		printf(cmd, "%-12s %d %-28s %-17s for %.0f s, cooldown %s, connect %.1f ms, first byte %.1f ms\n",
-			a.Endpoint, a.Rank, a.Addr, admin.AddressCondition(a.Condition), a.SinceSeconds, cooldown,
+			a.Endpoint, a.Rank, a.Addr, conditionText(a.Condition), a.SinceSeconds, cooldown,
 			a.ConnectSeconds*millisPerSecond, a.FirstByteSeconds*millisPerSecond)
 	}
 	return nil
 }
+
+// conditionText returns the term for a condition in the JSON of a status, and an unknown one unchanged.
+func conditionText(wireName string) string {
+	if condition, ok := address.ParseConditionWireName(wireName); ok {
+		return condition.String()
+	}
+	return wireName
+}
--- a/cmd/cairnfront/peers.go
+++ b/cmd/cairnfront/peers.go
@@ -10,6 +10,7 @@
 	"cairnfront/internal/admin"
 	"cairnfront/internal/membership"
 	"cairnfront/internal/membership/datagram"
+	"cairnfront/internal/membership/partition"
 
 	"github.com/spf13/cobra"
 )
@@ -98,7 +99,7 @@
 func printReport(cmd *cobra.Command, r membership.Report) {
 	printf(cmd, "%s: partition state %s for %.0f s, epoch %d; %d of %d routers present, "+
 		"local health score %d of 8 (0 is healthy)\n",
-		r.Name, admin.PartitionState(r.PartitionState), r.SinceSeconds, r.Epoch, r.Present, r.Roster, r.Health)
+		r.Name, partitionStateText(r.PartitionState), r.SinceSeconds, r.Epoch, r.Present, r.Roster, r.Health)
 	uptime := max(r.UptimeSeconds, 1)
 	printf(cmd, "received %.0f bytes/s, %.1f datagrams/s; sent %.0f bytes/s, %.1f datagrams/s, "+
 		"%d not sent (rate limit); %d failures detected, p50 %.1f s, p99 %.1f s\n",
@@ -116,6 +117,14 @@
 	}
 }
 
+// partitionStateText returns the term for a partition state in the JSON of a report, and an unknown one unchanged.
+func partitionStateText(wireName string) string {
+	if state, ok := partition.ParseWireName(wireName); ok {
+		return state.String()
+	}
+	return wireName
+}
+
 // printMember prints the line of one peer: its state, then accusations against it and its reputation.
 func printMember(cmd *cobra.Command, m membership.MemberReport) {
 	printf(cmd, "%-16s %-8s for %6.0f s  zone %-10s %-21s incarnation %d.%d",
--- a/cmd/cairnfront/peers_test.go
+++ b/cmd/cairnfront/peers_test.go
@@ -153,8 +153,8 @@
 		`{peers: {listen: "127.0.0.1:0", name: a, key_file: KEY, ` +
 			`roster: [{name: a, key: MINE}, {name: b, key: MINE, address: "127.0.0.1:9"}]}}`: "duplicate key",
 		`{peers: {listen: "127.0.0.1:0", name: a, key_file: KEY, ` +
-			`roster: [{name: a, key: YOURS}, {name: b, key: MINE, address: "127.0.0.1:9"}]}}`: "the private key is not " +
-			"that of this router in the roster",
+			`roster: [{name: a, key: YOURS}, {name: b, key: MINE, address: "127.0.0.1:9"}]}}`: "the private key " +
+			"is not that of this router in the roster",
 		`{peers: {listen: "127.0.0.1:0", name: a, key_file: KEY, ` +
 			`roster: [{name: a, key: MINE}, {name: a, key: YOURS, address: "127.0.0.1:9"}]}}`: `duplicate name "a"`,
 		`{peers: {listen: "127.0.0.1:0", name: c, key_file: KEY, ` +
--- a/internal/admin/wirenames.go
+++ b/internal/admin/wirenames.go
@@ -2,8 +2,9 @@
 
 import "cairnfront/internal/telemetry"
 
-// This file has the names of the admin socket's wire and the terms for them. Clients in use send the wire's names, so
-// these stay as they are; help texts, printed output and counters have the terms.
+// This file has the names of requests and arguments on the admin socket's wire, and the terms for them. Clients in use
+// send the wire's names, so these stay as they are; help texts, printed output and counters have the terms. States in
+// the JSON of responses are mapped by the packages of the states (address.Condition, partition.State).
 
 // RequestName names a request on the wire.
 type RequestName string
@@ -39,35 +40,3 @@
 	}
 	return telemetry.AdminRequest(n)
 }
-
-// addressConditions has the term for each condition of an address in the response to ShowAddresses.
-var addressConditions = map[string]string{
-	"well":    "healthy",
-	"refused": "connect_refused",
-	"hung":    "connect_timed_out",
-	"broken":  "connection_broken",
-	"quiet":   "unresponsive",
-	"by-hand": "disabled",
-}
-
-// AddressCondition returns the term for a condition of an address in the response to ShowAddresses. A condition that
-// this version doesn't know is returned as it came.
-func AddressCondition(wireName string) string {
-	if term, ok := addressConditions[wireName]; ok {
-		return term
-	}
-	return wireName
-}
-
-// partitionStates has the term for each partition state in the response to ShowPeers that differs from it.
-var partitionStates = map[string]string{
-	"whole": "complete",
-}
-
-// PartitionState returns the term for a partition state in the response to ShowPeers. The other states have one name.
-func PartitionState(wireName string) string {
-	if term, ok := partitionStates[wireName]; ok {
-		return term
-	}
-	return wireName
-}
--- a/internal/membership/partition/state.go
+++ b/internal/membership/partition/state.go
@@ -28,6 +28,16 @@
 	return s.String()
 }
 
+// ParseWireName returns the state with a name in the JSON of reports, and false for an unknown name.
+func ParseWireName(name string) (State, bool) {
+	for state := Alone; state <= Complete; state++ {
+		if state.WireName() == name {
+			return state, true
+		}
+	}
+	return Alone, false
+}
+
 // MayGossip reports whether the router's own observations of endpoints are passed on. Alone there is no receiver.
 func (s State) MayGossip() bool { return s > Alone }
 
--- a/internal/membership/partition/tracker_test.go
+++ b/internal/membership/partition/tracker_test.go
@@ -93,7 +93,12 @@
 	for state := Alone; state <= Complete; state++ {
 		texts = append(texts, state.String())
 		wireNames = append(wireNames, state.WireName())
+		parsed, ok := ParseWireName(state.WireName())
+		assert.True(t, ok)
+		assert.Equal(t, state, parsed)
 	}
+	_, ok := ParseWireName("complete")
+	assert.False(t, ok, "a name of logs")
 	assert.Equal(t, []string{"alone", "minority", "disagreeing", "majority", "complete"}, texts)
 	assert.Equal(t, []string{"alone", "minority", "disagreeing", "majority", "whole"}, wireNames)
 }
--- a/internal/upstream/address/observation.go
+++ b/internal/upstream/address/observation.go
@@ -44,9 +44,40 @@
 	Disabled           // by an operator
 )
 
-// String returns the condition as operators see it.
-func (c Condition) String() string {
-	return [...]string{"well", "refused", "hung", "broken", "quiet", "by-hand"}[c]
+// conditionNames has the names of the conditions in printed text.
+var conditionNames = [...]string{
+	Healthy:  "healthy",
+	Refused:  "connect_refused",
+	TimedOut: "connect_timed_out",
+	Broken:   "connection_broken",
+	Silent:   "unresponsive",
+	Disabled: "disabled",
+}
+
+// conditionWireNames has the names of the conditions in the JSON of a Status.
+var conditionWireNames = [...]string{
+	Healthy:  "well",
+	Refused:  "refused",
+	TimedOut: "hung",
+	Broken:   "broken",
+	Silent:   "quiet",
+	Disabled: "by-hand",
+}
+
+// String returns the condition's name in printed text.
+func (c Condition) String() string { return conditionNames[c] }
+
+// WireName returns the condition's name in the JSON of a Status.
+func (c Condition) WireName() string { return conditionWireNames[c] }
+
+// ParseConditionWireName returns the condition with a name in the JSON of a Status, and false for an unknown name.
+func ParseConditionWireName(name string) (Condition, bool) {
+	for condition := Healthy; condition <= Disabled; condition++ {
+		if condition.WireName() == name {
+			return condition, true
+		}
+	}
+	return Healthy, false
 }
 
 // DialResult says how a dial of an address ended.
--- a/internal/upstream/address/status.go
+++ b/internal/upstream/address/status.go
@@ -13,7 +13,7 @@
 type Status struct {
 	Endpoint         routing.EndpointID `json:"member"`
 	Addr             Addr               `json:"address"`
-	Condition        string             `json:"state"`
+	Condition        string             `json:"state"`   // WireName of a Condition
 	SinceSeconds     float64            `json:"since_s"` // how long the condition holds
 	CooldownSeconds  float64            `json:"rest_s"`  // how much is left of its cooldown, -1 for a disabled address
 	ConnectSeconds   float64            `json:"connect_s"`
@@ -30,7 +30,7 @@
 			list = append(list, Status{
 				Endpoint:         id,
 				Addr:             a.Addr,
-				Condition:        a.condition.String(),
+				Condition:        a.condition.WireName(),
 				SinceSeconds:     s.now - a.changedAt,
 				CooldownSeconds:  a.cooldownLeft(s.now),
 				ConnectSeconds:   a.connectSeconds.mean(),
