--- a/cmd/cairnfront/aliases_test.go
+++ b/cmd/cairnfront/aliases_test.go
@@ -34,7 +34,7 @@
 	file := "../../deploy/operators.yaml"
 	out, code := assertSameCommand(t, []string{"operators", "check", file}, []string{"config", "check", file})
 	assert.Equal(t, exitOK, code)
-	assert.Contains(t, out, "edge cache s-00000001 (role cache, 0 request classes)")
+	assert.Contains(t, out, "deploy/operators.yaml is valid\n")
 }
 
 func TestTierIsAnAliasOfDiskCache(t *testing.T) {
--- a/cmd/cairnfront/config.go
+++ b/cmd/cairnfront/config.go
@@ -1,6 +1,8 @@
 package main
 
 import (
+	"fmt"
+
 	"cairnfront/internal/config"
 
 	"github.com/spf13/cobra"
@@ -36,13 +38,34 @@
 				if err != nil {
 					return err
 				}
-				printf(cmd, "%s: edge cache %s (role %s, %d request classes), disk cache directory %q, "+
-					"peer address %q (%d routers in the roster)\n",
-					args[0], file.EdgeCache.ID, file.EdgeCache.Role, len(file.EdgeCache.Classes),
-					file.DiskCache.Directory, file.Membership.Listen, len(file.Membership.Roster))
+				printf(cmd, "%s is valid\n", args[0])
+				printConfig(cmd, file)
 				return nil
 			},
 		},
 	)
 	return c
 }
+
+// printConfig prints a line for each section of a configuration file.
+func printConfig(cmd *cobra.Command, file config.File) {
+	retryBudget := "no retry budget"
+	if file.Router.RetryShare > 0 {
+		retryBudget = fmt.Sprintf("retry budget of %g per first attempt", file.Router.RetryShare)
+	}
+	printf(cmd, "router      admin socket %s, %d entries of endpoint addresses, %s\n",
+		orNone(file.Router.AdminSocket), len(file.Router.Addresses), retryBudget)
+	printf(cmd, "membership  listening address %s, %d routers in the roster\n",
+		orNone(file.Membership.Listen), len(file.Membership.Roster))
+	printf(cmd, "edge cache  %s, role %s, %d request classes\n",
+		file.EdgeCache.ID, file.EdgeCache.Role, len(file.EdgeCache.Classes))
+	printf(cmd, "disk cache  directory %s, %g MB\n", orNone(file.DiskCache.Directory), file.DiskCache.CapacityMB)
+}
+
+// orNone returns a text, or "none" for the empty one.
+func orNone(text string) string {
+	if text == "" {
+		return "none"
+	}
+	return text
+}
--- a/cmd/cairnfront/diskcache.go
+++ b/cmd/cairnfront/diskcache.go
@@ -43,11 +43,22 @@
 	return c
 }
 
+const inspectHelp = `Print how many chunks, bytes and purges a disk cache holds, and its faults.
+
+  chunks     stored chunks; how many of each retention rank (0 is not kept, lower ranks are evicted first)
+  bytes      of live chunks and of all segments, the files that chunks are stored in
+  purges     stored purges, and the last event of the discovery service that was applied
+  validity   chunks written up to this sequence number need a confirmation by their source before they are served;
+             so do copies issued before a purge that is not stored any more
+  oldest     when the oldest copy was issued by the origin, in UTC
+  opened     how long opening took, how much of it the index snapshot saved, and damaged records by kind`
+
 func diskCacheInspectCommand() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "inspect DIR",
 		Short: "Print how many chunks, bytes and purges a disk cache holds, and its faults",
+		Long:  inspectHelp,
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			summary, err := diskcache.Inspect(args[0])
--- a/cmd/cairnfront/diskcache_test.go
+++ b/cmd/cairnfront/diskcache_test.go
@@ -117,8 +117,13 @@
 	out, _, code := runCommand(t, "config", "defaults")
 	assert.Equal(t, 0, code)
 	require.NoError(t, os.WriteFile(file, []byte(out), 0o600))
-	_, errs, code := runCommand(t, "config", "check", file)
+	out, errs, code := runCommand(t, "config", "check", file)
 	assert.Equal(t, 0, code, errs)
+	assert.Equal(t, file+" is valid\n"+
+		"router      admin socket none, 0 entries of endpoint addresses, no retry budget\n"+
+		"membership  listening address none, 0 routers in the roster\n"+
+		"edge cache  s-00000001, role cache, 0 request classes\n"+
+		"disk cache  directory none, 4096 MB\n", out)
 	require.NoError(t, os.WriteFile(file, []byte("tier:\n  alpha: dear\n"), 0o600))
 	_, errs, code = runCommand(t, "config", "check", file)
 	assert.Equal(t, 1, code)
--- a/cmd/cairnfront/peers.go
+++ b/cmd/cairnfront/peers.go
@@ -22,15 +22,29 @@
 	privateKeyMode = 0o600
 )
 
+const peersHelp = `Show the membership view of a running router.
+
+The first line has its partition state, the epoch (which counts changes of the state), how many routers of the roster
+are present, and its local health score: 0 is healthy; with each point it suspects others more slowly, as the fault may
+be its own.
+Then its traffic and detection times, a line for each peer, and the endpoints whose health it doubts from what peers
+observed.
+
+Partition states:
+  complete      every router of the roster is present
+  majority      more than half are present
+  disagreeing   too many peers have another view of who is present
+  minority      half or fewer are present
+  alone         no other router is present`
+
 func peersCommand() *cobra.Command {
 	var socket string
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "peers",
 		Short: "Show the membership view of a running router",
-		Long: "Show the membership view of a running router: its partition state, then the other routers (peers)\n" +
-			"that it exchanges datagrams with, and the endpoints whose health it doubts from what peers observed.",
-		Args: cobra.NoArgs,
+		Long:  peersHelp,
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			data, err := callAdmin(socket, admin.ShowPeers, nil)
 			if err != nil {
