--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -35,11 +35,11 @@
 //	stalled    cancelled  its request has ended
 //	lost       cancelled  its request has ended
 //	abandoned  cancelled  at once, where attempts may be cancelled
-//	awaited    ended      its end was heard, as from each state below
-//	stalled    ended
-//	lost       ended
-//	abandoned  ended
-//	cancelled  ended
+//	awaited    ended      its end was heard
+//	stalled    ended      its end was heard
+//	lost       ended      its end was heard: an answer counts though it was not waited for
+//	abandoned  ended      its end was heard, where attempts may not be cancelled
+//	cancelled  ended      its end was heard: the cancel was carried out, or the answer was faster
 type attemptState uint8
 
 const (
@@ -98,7 +98,7 @@
 	sourceOnly                   // the source, a parent, gives what it has cached
 )
 
-// missExpected says whether the target is thought to have no copy and another endpoint to have one.
+// missExpected says whether the target is thought to have no copy, so that what it sends comes from its source.
 func (f fillPlan) missExpected() bool { return f == expectFill || f == fillFromPeer || f == sourceOnly }
 
 // cacheOnly says whether an attempt must not use the path behind its target or its source because that is full.
--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -2,9 +2,13 @@
 
 import (
 	"math"
+	"os"
+	"regexp"
+	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
 func TestAttemptInFlightMayAlwaysEndAndEndedStaysEnded(t *testing.T) {
@@ -53,3 +57,19 @@
 		assert.Equal(t, step.want == requestQueued, len(r.queue) == 1)
 	}
 }
+
+// The table in the comment is what is read at night: it must list just the transitions that the code has.
+func TestAttemptTransitionsAreThoseOfTheComment(t *testing.T) {
+	text, err := os.ReadFile("attempt.go")
+	require.NoError(t, err)
+	states := []string{"planned", "awaited", "stalled", "lost", "abandoned", "cancelled", "ended"}
+	require.Len(t, states, int(attemptStateCount))
+	var documented [attemptStateCount][attemptStateCount]bool
+	for _, row := range regexp.MustCompile(`(?m)^//\t(\w+) +(\w+) +\S`).FindAllStringSubmatch(string(text), -1) {
+		from, to := slices.Index(states, row[1]), slices.Index(states, row[2])
+		if from >= 0 && to >= 0 {
+			documented[from][to] = true
+		}
+	}
+	assert.Equal(t, attemptTransitions, documented)
+}
