--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -13,7 +13,6 @@
 // How a limit moves.
 const (
 	growthPerRound          = 0.5  // attempts added a round, over the root of the routers: more outruns decreases
-	maxGrowthStep           = 1.0  // attempts added a round at most
 	recoveryStep            = 1.0  // attempts that an answer in time adds up to the proven limit
 	usedLimitShare          = 0.5  // share of a limit in use above which it grows: an unused one proves nothing
 	decreaseFactor          = 0.8  // share of a limit that a late or refused attempt leaves
@@ -65,10 +64,10 @@
 	}
 }
 
-// setShare starts a limiter at this router's share of what a number of routers use together.
+// setShare starts a limiter at this router's share of what a number of routers, one at least, use together.
 func (l *limiter) setShare(limit, routers float64) {
 	l.limit = max(limit, minStartingLimit)
-	l.growthStep = min(growthPerRound/math.Sqrt(routers), maxGrowthStep)
+	l.growthStep = growthPerRound / math.Sqrt(routers)
 	l.provenLimit, l.minLimit = l.limit, minLimitShare*l.limit
 }
 
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -107,7 +107,7 @@
 	r := newTestRouter(WithIdempotencyKey)
 	r.settings[SettingDrainGrace], r.settings[SettingPurgeGrace] = "1", "0.5"
 	first := actionsOf[StartAttempt](r.Decide(100, newArrival("a", "x")))
-	assert.InDelta(t, 100.5-sendMarginSeconds, first[0].SendBefore, 1e-9)
+	assert.InDelta(t, 100.45, first[0].SendBefore, 1e-9, "the traces do not have it: the margin of 50 ms is held here")
 
 	req := addSentRequest(r, ConnectionBroken, false)
 	r.now = 104.6
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"slices"
 	"testing"
 
@@ -89,3 +90,27 @@
 	r.requests["t"].chunk.filledByParent = true // a parent has it: the origin is not reached
 	assert.False(t, actionsOf[StartAttempt](r.Decide(100, newArrival("u", "x")))[0].CacheOnly)
 }
+
+// The traces do not notice these numbers: their values are held here.
+func TestMissRateCountsFromEightSamples(t *testing.T) {
+	r := newTestRouter(Idempotent)
+	r.missSamples = []float64{0, 0, 0, 0, 0, 0, 0}
+	assert.Equal(t, 1.0, r.missRate(), "each attempt may miss until enough are known")
+	r.missSamples = append(r.missSamples, 1)
+	assert.InDelta(t, 1.0/8, r.missRate(), 1e-9)
+}
+
+func TestEndpointWithoutWeightCountsForALittleInTheHashOrder(t *testing.T) {
+	assert.InDelta(t, math.Log(0.5)*1000, hashScore(0.5, &endpoint{}), 1e-9)
+	assert.InDelta(t, math.Log(0.5)*1000, hashScore(0.5, &endpoint{Endpoint: Endpoint{Weight: 0.001}}), 1e-9)
+	assert.InDelta(t, math.Log(0.5)*500, hashScore(0.5, &endpoint{Endpoint: Endpoint{Weight: 0.002}}), 1e-9)
+}
+
+func TestChoiceTriesSixtyFourCandidates(t *testing.T) {
+	r := newBenchmarkRouter(100)
+	caches := r.cacheCandidates(r.findOrAddObject("x", 0))
+	for rank := range 64 {
+		assert.NotNil(t, caches.at(rank), "rank %d", rank)
+	}
+	assert.Nil(t, caches.at(64))
+}
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -123,3 +123,13 @@
 	}
 	assert.Positive(t, r.findOrAddEndpoint("c").limiter.inFlight)
 }
+
+// The least number of samples is held here, apart from that of the miss rate, which is as large.
+func TestWorkIsTheMeanSendingTimeFromEightSamples(t *testing.T) {
+	r := newTestRouter(Idempotent)
+	req, cache := &request{sendSeconds: 0.3}, r.findOrAddEndpoint("c0")
+	r.class(0).sendSecondsSamples = []float64{.1, .1, .1, .1, .1, .1, .1}
+	assert.InDelta(t, 0.5, r.workOf(req, cache), 1e-9, "the objective, as too few sending times are known")
+	r.class(0).sendSecondsSamples = append(r.class(0).sendSecondsSamples, .1)
+	assert.InDelta(t, 0.1, r.workOf(req, cache), 1e-9)
+}
