--- a/cmd/cairnfront/requests_test.go
+++ b/cmd/cairnfront/requests_test.go
@@ -199,7 +199,7 @@
 	require.NoError(t, s.Process.Signal(syscall.SIGUSR1))
 	attempts := func() int { return s.counters()[`upstream_attempts_total{class="page"}`] }
 	require.Eventually(t, func() bool { return attempts() >= 400 }, patience, time.Millisecond)
-	assert.Less(t, attempts(), 440, "few attempts are lost to a cache that is dead and listed")
+	assert.Less(t, attempts(), 440, "few attempts are lost to a cache that has ended and is listed")
 	ln, err := net.Listen("tcp", addr)
 	require.NoError(t, err)
 	fresh := &cacheStub{
--- a/internal/membership/partition/tracker.go
+++ b/internal/membership/partition/tracker.go
@@ -12,7 +12,7 @@
 	reportExpiry  = 3.0 // after which a member's last report on its view is stale
 )
 
-// View is what the membership view shows at a moment.
+// View is what the membership view shows at a given time.
 type View struct {
 	Roster  int // members that should be present, this one among them
 	Present int // members that are, this one among them
@@ -116,7 +116,7 @@
 	case v.Present < v.Roster || v.Stuck > 0:
 		return Majority
 	}
-	return Whole
+	return Complete
 }
 
 // NextDeadline is when Update is to be called again although nothing was received; 0 for never.
--- a/internal/membership/swim/snapshot.go
+++ b/internal/membership/swim/snapshot.go
@@ -14,7 +14,7 @@
 	ViewDiffers          bool
 }
 
-// Snapshot is the whole view, in the order of the roster.
+// Snapshot is what the view holds of each member, in the order of the roster.
 func (c *Core) Snapshot(now float64) []MemberInfo {
 	var list []MemberInfo
 	for i := range c.members {
@@ -65,9 +65,6 @@
 	return id != c.self && m.state.Present() && recent && m.viewHash != c.viewHash
 }
 
-// HealthScore is Lifeguard's health multiplier, from 0 to 8: how much more slowly this member judges others.
-func (c *Core) HealthScore() int { return c.healthScore }
-
 // QueueLength is the number of pieces of gossip that wait, for tests of its bound.
 func (c *Core) QueueLength() int { return len(c.gossip.newest) }
 
