--- a/cmd/cairnfront/diskcache.go
+++ b/cmd/cairnfront/diskcache.go
@@ -45,7 +45,7 @@
 
 const inspectHelp = `Print how many chunks, bytes and purges a disk cache holds, and its faults.
 
-  chunks     stored chunks; how many of each retention rank (0 is not kept, lower ranks are evicted first)
+  chunks     stored chunks; how many of each retention rank (0 is not cached, lower ranks are evicted first)
   bytes      of live chunks and of all segments, the files that chunks are stored in
   purges     stored purges, and the last event of the discovery service that was applied
   validity   chunks written up to this sequence number need a confirmation by their source before they are served;
--- a/internal/lab/cluster/in_process_peers.go
+++ b/internal/lab/cluster/in_process_peers.go
@@ -16,6 +16,7 @@
 	"cairnfront/internal/lab/timing"
 	"cairnfront/internal/membership"
 	"cairnfront/internal/membership/datagram"
+	"cairnfront/internal/membership/partition"
 	"cairnfront/internal/membership/ratelimit"
 	"cairnfront/internal/telemetry"
 )
@@ -24,7 +25,6 @@
 	peersFoundTimeout = 60 * time.Second
 	peerKeyFileName   = "peer.key"
 	peerMaxByzantine  = 1
-	partitionComplete = "whole" // as the admin socket names it
 )
 
 // Rate limits of the peers in this process. They let a router hear from hundreds of them.
@@ -164,7 +164,7 @@
 func AwaitPeers(router *Router, peers int) error {
 	err := timing.WaitUntil(peersFoundTimeout, func() bool {
 		state, _ := QueryMembership(router)
-		return state.PartitionState == partitionComplete
+		return state.PartitionState == partition.Complete.WireName()
 	})
 	if err == nil {
 		return nil
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -4,8 +4,8 @@
 // A scenario is a script of load and faults drawn from a seed, and named checks. The checks read what clients and
 // stand-ins recorded, never the router's own counters. Each check has a test that shows that it can fail.
 //
-// Processes and their lives are those of package cluster, stand-ins those of package standin, verdicts those of package
-// verify. Package report writes the outcome; package simulation simulates clusters on virtual time.
+// Package cluster runs the processes, package standin has the stand-ins, package verify gives the verdicts. Package
+// report writes the outcome; package simulation simulates clusters on virtual time.
 package scenario
 
 import (
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestScenarioDirectoryIsMade holds that a named folder is made, with those above it, and kept; a temporary one is
+// TestScenarioDirectoryIsMade holds that a named folder is made, with those above it, and stays; a temporary one is
 // removed.
 func TestScenarioDirectoryIsMade(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "not", "there")
