--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -7,7 +7,7 @@
 	target        *endpoint
 	source        *endpoint  // who fills a miss; the target for nobody
 	fillLimiters  []*limiter // of the paths behind the target
-	originLimiter *limiter   // of an attempt thought to reach the origin
+	originLimiter *limiter   // of an attempt that the origin probably gets
 	expectedFills float64    // load at the fill limiters: how likely a fill is
 	fill          fillPlan
 	state         attemptState
@@ -65,8 +65,8 @@
 	attemptCancelled: {attemptEnded: true},
 }
 
-// move takes an attempt to another state where the table has the transition, and says whether it did. Events that come
-// late, of attempts that have ended or were given up meanwhile, are told apart by that.
+// move takes an attempt to another state where the table has the transition, and says whether it did. An event that
+// comes late, of an attempt that has ended or was given up meanwhile, asks for a transition that is not in the table.
 func (a *attempt) move(to attemptState) bool {
 	if !a.mayMove(to) {
 		return false
--- a/routing/caching_test.go
+++ b/routing/caching_test.go
@@ -78,7 +78,7 @@
 	assert.Contains(t, []EndpointID{"p0", "p1"}, starts[0].Source)
 }
 
-// The number of objects that are remembered is out of reach of a trace: its value is held here. Above it the time of
+// The traces do not fill the memory of objects: its size is held here. Above it the time of
 // forgetting is halved until half of the number is left.
 func TestObjectsAreRememberedUpToTheirNumber(t *testing.T) {
 	const remembered = 131072
--- a/routing/decide.go
+++ b/routing/decide.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Decide takes one event at the time now, in seconds, and returns what is to be done, in order. The slice is valid
+// Decide takes one event at the time now, in seconds, and returns what is to be done, in order. The list is valid
 // until the next call. The result of a probe changes nothing.
 func (r *Router) Decide(now float64, event Event) []Action {
 	r.now = now
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,6 +1,6 @@
-// Package routing decides what a router of a two-tier cache does with each request: which endpoint an attempt goes
-// to, who fills a miss there and whether the copy is stored, when an attempt is cancelled or retried, which requests
-// wait and which are answered without a response.
+// Package routing decides what a router in front of caches of two levels does with each request: which endpoint an
+// attempt goes to, who fills a miss and whether the copy is stored, when an attempt is cancelled or retried, which
+// requests wait and which are answered without a response.
 //
 // It is a pure state machine. Decide takes one Event with the time and returns the Actions to carry out; the package
 // has no I/O, no clock, no goroutine and no lock, and draws its random numbers from a seed. The same seed and events
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Until it is forgotten, a removed endpoint that is listed again continues as it was. The time is out of reach of the
-// decision traces: its value is held here.
+// Until it is forgotten, a removed endpoint that is listed again continues as it was. The decision
+// traces do not notice the time: its value is held here.
 func TestRemovedEndpointIsRememberedForAMinute(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	removed := Endpoint{ID: "c0", Zone: 1, Weight: 4, Status: Removed}
--- a/routing/hashorder.go
+++ b/routing/hashorder.go
@@ -25,7 +25,7 @@
 	moves     []*endpoint // that came, left or got another score, with the last changes
 }
 
-// listing is an endpoint's place in a list, and what its score depends on there.
+// listing is an endpoint's place in a list, and what its score in that list depends on.
 type listing struct {
 	list              *endpointList // nil for none
 	weight, zonesAway float64
--- a/routing/purge_test.go
+++ b/routing/purge_test.go
@@ -57,7 +57,7 @@
 	assert.Zero(t, r.maxCopyAge(req, a), "a late answer is worth more")
 }
 
-// The number of purges that are remembered is out of reach of a trace's other rules: its value is held here.
+// The number of purges that are remembered; a trace notices it only through endpoints that start later.
 func TestPurgesAreRememberedUpToTheirNumber(t *testing.T) {
 	const remembered = 16384
 	r := newTestRouter(WithIdempotencyKey)
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -77,8 +77,8 @@
 	assert.Nil(t, finalAction(r))
 }
 
-// A spent budget stops the retries of a class and leaves first attempts alone; that of an endpoint bars it alone.
-func TestSpentRetryBudgetStopsRetriesOnly(t *testing.T) {
+// An exhausted budget stops the retries of a class and leaves first attempts alone; that of an endpoint bars it alone.
+func TestExhaustedRetryBudgetStopsRetriesOnly(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	fresh, once := &request{}, &request{attempts: []*attempt{{state: attemptEnded, result: Overloaded}}}
 	r.settings[SettingMaxAttempts] = "6"
--- a/routing/settingnames.go
+++ b/routing/settingnames.go
@@ -124,7 +124,7 @@
 
 // Values of settings that are words.
 const (
-	DiscoveryOnRequest = "on_request" // of SettingDiscoveryMode: endpoints are told to who asks or subscribes
+	DiscoveryOnRequest = "on_request" // of SettingDiscoveryMode: only who asks or subscribes gets endpoints
 	LoadFromResponses  = "responses"  // of SettingLoadReportSource: each response carries a report
 	LoadFromProbes     = "probes"     // of SettingLoadReportSource: a health check asks for it
 	PeerCachesInZone   = "zone"       // of SettingPeerCaches: caches of the same zone may fill a miss
