--- a/internal/codestyle/decisions_test.go
+++ b/internal/codestyle/decisions_test.go
@@ -8,6 +8,7 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 
@@ -32,6 +33,7 @@
 	file      string
 	functions []string
 	constants []string
+	evidence  []string // counters, with label="value" where only some of them show the rule
 }
 
 // declarations are the names that a Go file declares at its top level.
@@ -81,6 +83,52 @@
 	assert.Len(t, decisionFaults(t, root, "", policy), 3, "an empty page")
 }
 
+// TestEvidenceOfDecisionsIsPrinted holds that the counters that show a rule at work are in the dump, with those labels.
+func TestEvidenceOfDecisionsIsPrinted(t *testing.T) {
+	rows, faults := parseDecisions(readFile(t, "../../docs/decisions.md"))
+	require.Empty(t, faults)
+	counters := countersIn(t, "../../internal/telemetry/table.go")
+	for _, row := range rows {
+		for _, shown := range row.evidence {
+			assert.True(t, isCounter(shown, counters), "line %d: no counter %s", row.line, shown)
+		}
+	}
+}
+
+// TestEvidenceThatIsNotPrintedIsFound shows that the check can fail.
+func TestEvidenceThatIsNotPrintedIsFound(t *testing.T) {
+	counters := []string{"lost_total", "ended_total{class,result}"}
+	for shown, want := range map[string]bool{
+		"lost_total":                    true,
+		"ended_total":                   true,
+		`ended_total{result="broken"}`:  true,
+		"ended_total{class,result}":     true,
+		"gone_total":                    false,
+		`lost_total{result="broken"}`:   false,
+		`ended_total{reason="unknown"}`: false,
+	} {
+		assert.Equal(t, want, isCounter(shown, counters), shown)
+	}
+}
+
+// isCounter says whether a text names one of the counters, each with the names of its labels, and only labels of it.
+func isCounter(shown string, counters []string) bool {
+	name, labels, _ := strings.Cut(strings.TrimSuffix(shown, "}"), "{")
+	return slices.ContainsFunc(counters, func(counter string) bool {
+		known, has, _ := strings.Cut(strings.TrimSuffix(counter, "}"), "{")
+		if known != name {
+			return false
+		}
+		for _, label := range strings.Split(labels, ",") {
+			label, _, _ = strings.Cut(label, "=")
+			if label != "" && !slices.Contains(strings.Split(has, ","), label) {
+				return false
+			}
+		}
+		return true
+	})
+}
+
 // decisionFaults lists what is wrong with a page of decisions about the code under root.
 func decisionFaults(t *testing.T, root, page string, policy []string) []string {
 	t.Helper()
@@ -150,6 +198,7 @@
 			file:      where[0],
 			functions: where[1:],
 			constants: quotedNames(cells[constantsColumn]),
+			evidence:  quotedNames(cells[evidenceColumn]),
 		})
 	}
 	return rows, faults
