--- a/internal/admission/connections_test.go
+++ b/internal/admission/connections_test.go
@@ -29,3 +29,13 @@
 	c.ClientDone()
 	assert.Equal(t, ClientRefused, c.AdmitClient(), "its place is free again")
 }
+
+// TestClientDecisionsAtTheLimits: the last one within each limit, and the first one past it.
+func TestClientDecisionsAtTheLimits(t *testing.T) {
+	l := limits{clients: 3, refusedClients: 2}
+	for open, decision := range map[int64]ClientDecision{
+		1: ClientAdmitted, 3: ClientAdmitted, 4: ClientRefused, 5: ClientRefused, 6: ClientDropped,
+	} {
+		assert.Equal(t, decision, l.decideClient(open), "%d open", open)
+	}
+}
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -22,9 +22,7 @@
 	openRequests  atomic.Int64
 	clients       atomic.Int64
 	endpointConns atomic.Int64
-	ready         atomic.Bool
-	draining      atomic.Bool
-	ending        atomic.Bool
+	phase         atomic.Int32 // a phase; changed by enter alone
 
 	mu      sync.Mutex
 	drained chan struct{} // closed once no request is open; nil while nobody waits for that
@@ -40,7 +38,7 @@
 }
 
 // BodiesNearlyFull reports whether the body budget is nearly used up.
-func (c *Controller) BodiesNearlyFull() bool { return c.Bodies.UsedBytes() > c.limits.nearlyFullBytes }
+func (c *Controller) BodiesNearlyFull() bool { return c.limits.bodiesNearlyFull(c.Bodies.UsedBytes()) }
 
 // AdmitRequest counts a request as open and returns ReasonNone, or returns why it is rejected. bodyBytes is what the
 // request's own body takes of the budget already. It does not count here, so that requests are admitted alike whatever
@@ -49,7 +47,7 @@
 	if c.Ending() {
 		return request.ReasonShutdown
 	}
-	if c.Bodies.UsedBytes()-int64(bodyBytes) > c.limits.nearlyFullBytes {
+	if c.limits.bodiesNearlyFull(c.Bodies.UsedBytes() - int64(bodyBytes)) {
 		return request.ReasonMemoryShort
 	}
 	if c.openRequests.Add(1) > c.limits.requests {
--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -70,5 +70,11 @@
 	}
 }
 
+// bodiesNearlyFull reports whether the body budget with so many bytes in use has no room for another request's bodies.
+//
+// It guards against a budget that open requests fill with bodies which they need to end: each would wait for the
+// others, and show as a request without an answer. The tenth that is left is for bodies of requests admitted before.
+func (l limits) bodiesNearlyFull(usedBytes int64) bool { return usedBytes > l.nearlyFullBytes }
+
 // HeapLimitBytes returns the soft limit of the runtime's heap for a process that may use memoryMB.
 func HeapLimitBytes(memoryMB int) int64 { return int64(heapShare * float64(memoryMB) * bytesPerMB) }
--- a/internal/admission/readiness.go
+++ b/internal/admission/readiness.go
@@ -5,23 +5,50 @@
 	"time"
 )
 
+// phase is where the process is between its start and its end. It only goes forward; Controller.enter makes all
+// transitions:
+//
+//	from       to         when
+//	starting   ready      the endpoints are known and the listener is up
+//	starting   draining   a signal asks for the end before that
+//	ready      draining   a signal asks for the end
+//	draining   ending     the time of the drain is up
+type phase int32
+
+const (
+	phaseStarting phase = iota // requests are served, and clients that ask are told that the process is not ready
+	phaseReady                 // the process wants requests
+	phaseDraining              // clients are told to bring no new request; those that come are served
+	phaseEnding                // requests are rejected
+)
+
+// enter takes the process to a phase. One that lies before the present phase is not entered again.
+func (c *Controller) enter(next phase) {
+	for {
+		present := c.phase.Load()
+		if phase(present) >= next || c.phase.CompareAndSwap(present, int32(next)) {
+			return
+		}
+	}
+}
+
 // Ready reports whether the process wants requests: SetReady was called, and StartDraining was not.
-func (c *Controller) Ready() bool { return c.ready.Load() && !c.draining.Load() }
+func (c *Controller) Ready() bool { return phase(c.phase.Load()) == phaseReady }
 
 // SetReady says that the endpoints are known and the listener is up.
-func (c *Controller) SetReady() { c.ready.Store(true) }
+func (c *Controller) SetReady() { c.enter(phaseReady) }
 
 // StartDraining says that the process is about to end.
-func (c *Controller) StartDraining() { c.draining.Store(true) }
+func (c *Controller) StartDraining() { c.enter(phaseDraining) }
 
 // Draining reports whether the process is about to end.
-func (c *Controller) Draining() bool { return c.draining.Load() }
+func (c *Controller) Draining() bool { return phase(c.phase.Load()) >= phaseDraining }
 
-// StartEnding says that the time of the drain is up: no request is admitted any more.
-func (c *Controller) StartEnding() { c.ending.Store(true) }
+// StartEnding says that the time of the drain is up: no request is admitted any more. It follows StartDraining.
+func (c *Controller) StartEnding() { c.enter(phaseEnding) }
 
 // Ending reports whether the time of the drain is up.
-func (c *Controller) Ending() bool { return c.ending.Load() }
+func (c *Controller) Ending() bool { return phase(c.phase.Load()) == phaseEnding }
 
 // WaitDrained waits for at least minWait, and then until no request is open. It returns after maxWait at the latest, or
 // with the context.
--- a/internal/admission/readiness_test.go
+++ b/internal/admission/readiness_test.go
@@ -37,3 +37,23 @@
 	c.WaitDrained(t.Context(), 0, time.Millisecond) // returns though a request is open
 	assert.EqualValues(t, 1, c.OpenRequests())
 }
+
+// TestPhaseOnlyGoesForward: the end of a drain is not undone by what comes late.
+func TestPhaseOnlyGoesForward(t *testing.T) {
+	c := New(192, 1024)
+	for _, step := range []struct {
+		enter                   func()
+		ready, draining, ending bool
+	}{
+		{func() {}, false, false, false},
+		{c.SetReady, true, false, false},
+		{c.StartDraining, false, true, false},
+		{c.SetReady, false, true, false},
+		{c.StartEnding, false, true, true},
+		{c.StartDraining, false, true, true},
+		{c.SetReady, false, true, true},
+	} {
+		step.enter()
+		assert.Equal(t, []bool{step.ready, step.draining, step.ending}, []bool{c.Ready(), c.Draining(), c.Ending()})
+	}
+}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -23,7 +23,7 @@
 	mu           sync.Mutex            // guards all below
 	addr         string                // empty while several are dialed
 	listedAddrs  map[address.Addr]bool // those that the endpoint still has; nil for any
-	conn         *netconn.Conn         // nil until it is established
+	conn         *netconn.Conn         // nil while connecting, and where it was never established
 	attempts     map[string]*Attempt   // open, by id
 	cancelled    map[string]*Attempt   // cancelled, and the cancel was not sent yet
 	writeQueue   []command             // not begun
@@ -31,7 +31,7 @@
 	lastUsed     clock.Instant         // when an attempt was last added or ended
 	silentSince  clock.Instant         // when the first attempt was written of those since which nothing came
 	suspectSince clock.Instant         // when an attempt was cancelled during which nothing came; zero for never
-	closing      bool                  // takes no more attempts
+	state        connState
 }
 
 // command is what the writing goroutine writes next: an attempt, or the line that cancels one.
@@ -68,7 +68,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	lateResponse := len(c.attempts) == 0 && c.conn != nil && !c.conn.FrameStart().IsZero()
-	return len(c.attempts), !c.closing && !c.isSilentLocked() && !lateResponse
+	return len(c.attempts), c.state.takesAttempts() && !c.isSilentLocked() && !lateResponse
 }
 
 // isSilentLocked says whether nothing came since an attempt was cancelled during which nothing had come.
@@ -80,7 +80,7 @@
 func (c *Connection) add(a *Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing || c.attempts[a.id] != nil || c.cancelled[a.id] != nil {
+	if !c.state.takesAttempts() || c.attempts[a.id] != nil || c.cancelled[a.id] != nil {
 		return false
 	}
 	a.connection = c
@@ -117,7 +117,7 @@
 		c.dequeueLocked(a)
 		return routing.NotSent, true
 	}
-	if c.closing || a.isHealthCheck {
+	if !c.state.takesAttempts() || a.isHealthCheck {
 		return result, true
 	}
 	a.cancelResult = result
@@ -168,7 +168,7 @@
 func (c *Connection) silentWait(now clock.Instant) (longest time.Duration, addr address.Addr, waiting []*Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.conn == nil || c.closing {
+	if c.state != connReady {
 		return 0, "", nil
 	}
 	for _, a := range c.attempts {
--- a/internal/upstream/lifecycle.go
+++ b/internal/upstream/lifecycle.go
@@ -45,7 +45,7 @@
 func (c *Connection) closeIfIdle(code netconn.EndCode, since clock.Instant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing || c.conn == nil || len(c.attempts) > 0 {
+	if c.state != connReady || len(c.attempts) > 0 {
 		return
 	}
 	if c.isSilentLocked() {
@@ -53,7 +53,7 @@
 	} else if c.lastUsed > since {
 		return
 	}
-	c.closing = true
+	c.moveLocked(connClosing)
 	c.conn.RequestClose(code)
 }
 
@@ -63,7 +63,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	poolEnds := ctx.Err() != nil
-	unused := c.closing && len(c.attempts) == 0
+	unused := !c.state.takesAttempts() && len(c.attempts) == 0
 	if !poolEnds && !unused {
 		return nil
 	}
@@ -130,6 +130,7 @@
 	conn.DiscardInput = true // an end is only decided while no attempt is open: no unread input is waited for
 	c.mu.Lock()
 	c.conn = conn
+	c.moveLocked(connReady)
 	c.mu.Unlock()
 	stopShutdown := context.AfterFunc(ctx, func() { conn.RequestClose(netconn.Shutdown) })
 	defer stopShutdown()
@@ -167,7 +168,7 @@
 // nothing is known to have been sent end with the result given.
 func (c *Connection) endAttempts(conn *netconn.Conn, unsent routing.AttemptResult) {
 	c.mu.Lock()
-	c.closing = true
+	c.moveLocked(connClosed)
 	attempts, cancelled := c.attempts, slices.Collect(maps.Values(c.cancelled))
 	c.attempts = map[string]*Attempt{}
 	c.writeQueue = nil
