--- a/internal/upstream/address/observation.go
+++ b/internal/upstream/address/observation.go
@@ -1,54 +1,20 @@
 package address
 
 import (
-	"math"
 	"slices"
 
 	"cairnfront/routing"
 )
 
 const (
-	// minSilenceSeconds is the least wait without input after which an address is held to be silent. It is
-	// under the wait after which an endpoint is ejected (0.35 s).
+	// minSilenceSeconds is the least wait without input after which an address is held to be silent. It is under the
+	// silence for which routing ejects an endpoint, so that the address is at fault before its endpoint is.
 	minSilenceSeconds = 0.12
 
 	// silenceFactor is how many usual waits for a first byte tell of silence.
 	silenceFactor = 4.0
-
-	// firstCooldownSeconds and maxCooldownSeconds bound the cooldown of an address that a probe can reinstate.
-	firstCooldownSeconds = 0.2
-	maxCooldownSeconds   = 5.0
-
-	// maxSilentCooldownSeconds bounds the cooldown of a silent address: only an attempt or a health check can
-	// tell that it responds.
-	maxSilentCooldownSeconds = 20.0
-
-	// cooldownGrowth bounds a cooldown by the one before it (decorrelated jitter).
-	cooldownGrowth = 3.0
-
-	// healthyResetSeconds is how long an address has to respond until its next cooldown is a first one again.
-	// An address that flaps does not reset it.
-	healthyResetSeconds = 2.0
-)
-
-// Condition says what is held against an address.
-type Condition int
-
-// The conditions. A connection alone does not reinstate an address that is Silent or Disabled.
-const (
-	Healthy  Condition = iota
-	Refused            // a dial was refused
-	TimedOut           // a dial was not established in its time
-	Broken             // a connection ended while attempts were open on it
-	Silent             // it accepted, took an attempt and sent nothing
-	Disabled           // by an operator
 )
 
-// String returns the condition as operators see it.
-func (c Condition) String() string {
-	return [...]string{"well", "refused", "hung", "broken", "quiet", "by-hand"}[c]
-}
-
 // DialResult says how a dial of an address ended.
 type DialResult int
 
@@ -88,7 +54,7 @@
 	switch result {
 	case DialSucceeded:
 		a.connectSeconds.add(seconds)
-		if a.condition == Refused || a.condition == TimedOut || a.condition == Broken {
+		if a.condition.endsWithConnection() {
 			a.reinstate(s.now)
 		}
 	case DialRefused:
@@ -121,19 +87,29 @@
 // Whether the endpoint is silent follows from its other addresses; see ReachableElsewhere.
 func (s *Selector) AwaitingResponse(now float64, id routing.EndpointID, addr Addr, waitSeconds float64) bool {
 	e, a := s.lookup(now, id, addr)
-	if a == nil || len(e.addresses) < 2 || a.condition == Disabled {
+	if a == nil || !e.hasAlternatives() || a.condition == Disabled {
 		return false
 	}
 	if a.condition == Silent && a.inCooldown(s.now) {
 		return true
 	}
-	if waitSeconds < max(minSilenceSeconds, silenceFactor*a.firstByteSeconds.mean()) {
+	if !isSilent(waitSeconds, a.firstByteSeconds.mean()) {
 		return false
 	}
 	s.startCooldown(e, a, Silent)
 	return true
 }
 
+// isSilent says whether a wait without input tells of silence over an address with a usual wait for a first byte; that
+// is 0 where it is not known.
+//
+// It guards against addresses that accept connections and take attempts but never respond, as behind a broken
+// forwarder: attempts there run into their deadline although the endpoint responds over another address. An address
+// with slow responses is not held to be silent, since the wait has to be a multiple of what is usual there.
+func isSilent(waitSeconds, usualSeconds float64) bool {
+	return waitSeconds >= max(minSilenceSeconds, silenceFactor*usualSeconds)
+}
+
 // ReachableElsewhere says whether an endpoint has sent something over another address since a time, or may be asked
 // over another one now: then a silent address is at fault before its endpoint is. Where every other address is
 // silent too, all are in cooldown, and the next attempt fails at once.
@@ -151,68 +127,3 @@
 		s.startCooldown(e, a, Broken)
 	}
 }
-
-// startCooldown puts an address into cooldown. Cooldowns grow by decorrelated jitter until the address has responded
-// for a while.
-func (s *Selector) startCooldown(e *endpoint, a *address, condition Condition) {
-	a.inTrial = false
-	repeated := a.condition == condition && a.inCooldown(s.now)
-	if a.condition == Disabled || len(e.addresses) < 2 || repeated {
-		return
-	}
-	if a.healthySince > 0 && s.now-a.healthySince >= healthyResetSeconds {
-		a.lastCooldownSeconds = 0
-	}
-	longest := maxCooldownSeconds
-	if condition == Silent {
-		longest = maxSilentCooldownSeconds
-		e.inDoubt = true
-	}
-	a.healthySince = 0
-	previous := max(a.lastCooldownSeconds, firstCooldownSeconds)
-	a.lastCooldownSeconds = min(longest, firstCooldownSeconds+s.random()*(previous*cooldownGrowth-firstCooldownSeconds))
-	a.condition = condition
-	a.changedAt = s.now
-	a.cooldownUntil = s.now + a.lastCooldownSeconds
-	if condition == Refused || condition == TimedOut {
-		a.connectSeconds = nil
-	}
-}
-
-// reinstate ends an address's cooldown.
-func (a *address) reinstate(now float64) {
-	a.condition = Healthy
-	a.changedAt = now
-	a.cooldownUntil = 0
-}
-
-// Disable takes an address out of use until Reinstate, for an operator. It returns false for an unknown address, and
-// for the endpoint's last one that is not disabled.
-func (s *Selector) Disable(now float64, id routing.EndpointID, addr Addr) bool {
-	e, a := s.lookup(now, id, addr)
-	if a == nil {
-		return false
-	}
-	othersEnabled := slices.ContainsFunc(e.addresses, func(other *address) bool {
-		return other != a && other.condition != Disabled
-	})
-	if !othersEnabled {
-		return false
-	}
-	a.condition = Disabled
-	a.changedAt = s.now
-	a.cooldownUntil = math.Inf(1)
-	return true
-}
-
-// Reinstate ends any cooldown of an address, for an operator. It returns false for an unknown address.
-func (s *Selector) Reinstate(now float64, id routing.EndpointID, addr Addr) bool {
-	_, a := s.lookup(now, id, addr)
-	if a == nil {
-		return false
-	}
-	a.reinstate(s.now)
-	a.lastCooldownSeconds = 0
-	a.inTrial = false
-	return true
-}
--- a/internal/upstream/address/probe.go
+++ b/internal/upstream/address/probe.go
@@ -13,10 +13,11 @@
 	// spareIntervalSeconds is the least time between two probes for a spare connection.
 	spareIntervalSeconds = 5.0
 
-	// minProbeIntervalSeconds and probeTimeoutSeconds bound how soon an address is probed again: after any probe, and
-	// after one whose end was not heard of.
+	// minProbeIntervalSeconds is the least time between two probes of an address: that of its shortest cooldown.
 	minProbeIntervalSeconds = firstCooldownSeconds
-	probeTimeoutSeconds     = maxCooldownSeconds
+
+	// probeTimeoutSeconds is the time after which a probe whose end was not heard of does not keep back another one.
+	probeTimeoutSeconds = maxCooldownSeconds
 )
 
 // Probe asks for a connection that carries no attempt: to see whether an address can be reached again, or to have a
@@ -37,7 +38,7 @@
 	for _, id := range s.ids() {
 		e := s.endpoints[id]
 		unused := s.now-e.lastPlanned >= recentUseSeconds
-		if len(e.addresses) < 2 || (unused && e.isHealthy()) { // most endpoints, most of the time
+		if !e.hasAlternatives() || (unused && e.isHealthy()) { // most endpoints, most of the time
 			continue
 		}
 		probes = append(probes, s.endpointProbes(id, e, hasConnection)...)
--- a/internal/upstream/address/race.go
+++ b/internal/upstream/address/race.go
@@ -10,11 +10,34 @@
 	states   []dialState
 	deadline float64 // monotonic seconds; no dial succeeds after it
 	lastDial float64 // monotonic seconds at which the latest dial began
-	won      bool
-	stopped  bool
+	outcome  raceOutcome
 }
 
-// dialState is the state of one dial of a race.
+// raceOutcome says whether a race was decided. Neither Won nor Stopped ever changes: a dial that succeeds after that
+// has its connection closed, so that an attempt is never written on two of them.
+type raceOutcome int
+
+const (
+	raceOpen    raceOutcome = iota // no dial has succeeded yet; past the deadline none is to any more
+	raceWon                        // the connection of one dial is used
+	raceStopped                    // its user needs no connection any more
+)
+
+// decide sets the outcome of a race that is open, and says whether it was.
+func (r *Race) decide(outcome raceOutcome) bool {
+	if r.outcome != raceOpen {
+		return false
+	}
+	r.outcome = outcome
+	return true
+}
+
+// dialState is the state of one dial of a race. These are all transitions; Race.moveDial makes them and no other:
+//
+//	from       to           when
+//	waiting    under way    its delay has passed, or the dials before it have failed (NextDial)
+//	under way  established  it has succeeded, also where another one was faster (Connected)
+//	under way  failed       it was refused or took too long (Failed)
 type dialState int
 
 const (
@@ -22,8 +45,24 @@
 	dialUnderWay
 	dialFailed
 	dialEstablished
+	dialStateCount
 )
 
+// dialTransitions has, by its state, the states that a dial may take next.
+var dialTransitions = [dialStateCount][dialStateCount]bool{
+	dialWaiting:  {dialUnderWay: true},
+	dialUnderWay: {dialFailed: true, dialEstablished: true},
+}
+
+// moveDial takes a dial to another state where the table has the transition, and says whether it did.
+func (r *Race) moveDial(index int, to dialState) bool {
+	if !dialTransitions[r.states[index]][to] {
+		return false
+	}
+	r.states[index] = to
+	return true
+}
+
 // NewRace returns a race over a plan, to be won by a deadline in monotonic seconds.
 func NewRace(plan []PlannedDial, deadline float64) *Race {
 	return &Race{
@@ -35,7 +74,7 @@
 }
 
 // isOver says whether no more dials begin.
-func (r *Race) isOver(now float64) bool { return r.won || r.stopped || now >= r.deadline }
+func (r *Race) isOver(now float64) bool { return r.outcome != raceOpen || now >= r.deadline }
 
 // NextDial returns the index of the dial that begins now, -1 for none. Admit is asked for each dial beside another
 // one: where it returns false, the dial waits until the others have failed.
@@ -49,7 +88,7 @@
 			return -1
 		}
 	}
-	r.states[next] = dialUnderWay
+	r.moveDial(next, dialUnderWay)
 	r.lastDial = now
 	return next
 }
@@ -98,26 +137,17 @@
 // Connected says that a dial has succeeded, and returns whether its connection is the one to use. Any other one has
 // to be closed.
 func (r *Race) Connected(index int, now float64) (use bool) {
-	if r.states[index] != dialUnderWay {
-		return false
-	}
-	r.states[index] = dialEstablished
-	if r.isOver(now) {
-		return false
-	}
-	r.won = true
-	return true
+	return r.moveDial(index, dialEstablished) && !r.isOver(now) && r.decide(raceWon)
 }
 
-// Failed says that a dial has failed.
-func (r *Race) Failed(index int) {
-	if r.states[index] == dialUnderWay {
-		r.states[index] = dialFailed
-	}
-}
+// Failed says that a dial has failed. It changes nothing for one that has ended already.
+func (r *Race) Failed(index int) { r.moveDial(index, dialFailed) }
+
+// Won says whether the connection of a dial is used.
+func (r *Race) Won() bool { return r.outcome == raceWon }
 
 // Lost says whether the race cannot be won any more.
 func (r *Race) Lost(now float64) bool {
 	noneLeft := r.count(dialWaiting)+r.count(dialUnderWay) == 0
-	return !r.won && (r.stopped || now >= r.deadline || noneLeft)
+	return !r.Won() && (r.isOver(now) || noneLeft)
 }
--- /dev/null
+++ b/internal/upstream/address/random.go
@@ -0,0 +1,21 @@
+package address
+
+// Parameters of the permuted congruential generator PCG32 (XSH RR), as published by O'Neill.
+const (
+	pcgMultiplier    = 6364136223846793005
+	pcgIncrement     = 1442695040888963407
+	pcgXorShift      = 18
+	pcgOutputShift   = 27
+	pcgRotationShift = 59
+	pcgRotationMask  = 31
+	pcgOutputRange   = 1 << 32
+)
+
+// random returns the next number of the generator, at least 0 and below 1.
+func (s *Selector) random() float64 {
+	old := s.randomState
+	s.randomState = old*pcgMultiplier + pcgIncrement
+	shifted := uint32((old>>pcgXorShift ^ old) >> pcgOutputShift)
+	rotation := uint32(old >> pcgRotationShift)
+	return float64(shifted>>rotation|shifted<<(-rotation&pcgRotationMask)) / pcgOutputRange
+}
--- a/internal/upstream/address/selector.go
+++ b/internal/upstream/address/selector.go
@@ -62,7 +62,7 @@
 	probedAt            float64 // monotonic seconds at which a probe last began
 	probing             bool
 	respondedAt         float64 // monotonic seconds at which a response last came
-	inTrial             bool    // an attempt was let through to see whether it responds
+	inTrial             bool    // it is Silent, and an attempt was let through to see whether it responds
 
 	connectSeconds   samples
 	firstByteSeconds samples
@@ -80,15 +80,6 @@
 	return &Selector{randomState: seed, endpoints: map[routing.EndpointID]*endpoint{}}
 }
 
-// random returns the next number of a permuted congruential generator, at least 0 and below 1.
-func (s *Selector) random() float64 {
-	old := s.randomState
-	s.randomState = old*6364136223846793005 + 1442695040888963407
-	shifted := uint32((old>>18 ^ old) >> 27)
-	rotation := uint32(old >> 59)
-	return float64(shifted>>rotation|shifted<<(-rotation&31)) / (1 << 32)
-}
-
 // advance moves the clock on. A clock that jumps back is not followed.
 func (s *Selector) advance(now float64) { s.now = max(s.now, now) }
 
@@ -123,9 +114,12 @@
 // are the endpoint's.
 func (s *Selector) HasAlternatives(id routing.EndpointID) bool {
 	e := s.endpoints[id]
-	return e != nil && len(e.addresses) > 1
+	return e != nil && e.hasAlternatives()
 }
 
+// hasAlternatives says whether the endpoint has more than one address.
+func (e *endpoint) hasAlternatives() bool { return len(e.addresses) > 1 }
+
 // Plan returns the addresses to dial for a new connection, in order. It is empty where all are in cooldown: then the
 // endpoint counts as unreachable at once. An idempotent attempt may also try an address that was silent; others go
 // only where responses came.
@@ -139,7 +133,7 @@
 	var plan []PlannedDial
 	delay, usualConnect := 0.0, 0.0
 	for _, a := range e.byPreference() {
-		if len(e.addresses) > 1 && !a.isUsable(s.now, idempotent) {
+		if e.hasAlternatives() && !a.isUsable(s.now, idempotent) {
 			continue
 		}
 		if len(plan) > 0 {
@@ -169,7 +163,7 @@
 	}
 	for i, a := range e.byPreference() {
 		if a.Addr == addr {
-			return i, len(e.addresses) == 1 || a.isUsable(s.now, idempotent)
+			return i, !e.hasAlternatives() || a.isUsable(s.now, idempotent)
 		}
 	}
 	return 0, false // the address has left the list
@@ -190,19 +184,23 @@
 func (e *endpoint) byPreference() []*address {
 	ordered := slices.Clone(e.addresses)
 	for i := 0; i+1 < len(ordered); i++ {
-		this, next := ordered[i].connectSeconds.mean(), ordered[i+1].connectSeconds.mean()
-		if this > 0 && next > 0 && this > slowerFactor*next && this > next+slowerMarginSeconds {
+		if connectsSlower(ordered[i].connectSeconds.mean(), ordered[i+1].connectSeconds.mean()) {
 			ordered[i], ordered[i+1] = ordered[i+1], ordered[i]
 		}
 	}
 	return ordered
 }
 
-// inCooldown says whether the address is not used for attempts now.
-func (a *address) inCooldown(now float64) bool { return now < a.cooldownUntil }
+// connectsSlower says whether an address with a usual connect time is clearly slower than the next one; a time of 0 is
+// not known.
+func connectsSlower(seconds, nextSeconds float64) bool {
+	known := seconds > 0 && nextSeconds > 0
+	return known && seconds > slowerFactor*nextSeconds && seconds > nextSeconds+slowerMarginSeconds
+}
 
 // isUsable says whether a new attempt may go over the address. One idempotent attempt at a time tries a silent
-// address whose cooldown is over.
+// address whose cooldown is over: whether an attempt there has run is never known, so a request that must not run twice
+// would be lost. After a dial that failed, a probe has to establish a connection first: no attempt waits for that.
 func (a *address) isUsable(now float64, idempotent bool) bool {
 	switch {
 	case a.inCooldown(now):
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -2,7 +2,6 @@
 
 import (
 	"sync"
-	"time"
 
 	"cairnfront/internal/cacheproto"
 	"cairnfront/internal/clock"
@@ -67,13 +66,12 @@
 func (c *Connection) load() (open int, available bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	lateResponse := len(c.attempts) == 0 && c.conn != nil && !c.conn.FrameStart().IsZero()
-	return len(c.attempts), c.state.takesAttempts() && !c.isSilentLocked() && !lateResponse
+	return len(c.attempts), c.state.takesAttempts() && !c.isSilentLocked() && !c.receivesLateResponseLocked()
 }
 
-// isSilentLocked says whether nothing came since an attempt was cancelled during which nothing had come.
-func (c *Connection) isSilentLocked() bool {
-	return !c.suspectSince.IsZero() && c.conn != nil && c.conn.LastRead() < c.suspectSince
+// receivesLateResponseLocked says whether a response is coming though no attempt is open: that of a cancelled one.
+func (c *Connection) receivesLateResponseLocked() bool {
+	return len(c.attempts) == 0 && c.conn != nil && !c.conn.FrameStart().IsZero()
 }
 
 // add queues an attempt, unless the connection takes no more or carries the same id already.
@@ -123,21 +121,10 @@
 	a.cancelResult = result
 	c.cancelled[a.id] = a
 	c.enqueueLocked(command{attempt: a, cancelLine: cacheproto.AppendCancel(nil, a.id)})
-	nothingCame := c.conn != nil && c.conn.LastRead() < c.silentSince
-	if nothingCame && now.Sub(c.silentSince) > c.pool.ConnectTimeout {
-		c.suspectSince = now
-	}
+	c.suspectSilenceLocked(now)
 	return result, false
 }
 
-// noteWrittenLocked notes that an attempt is written. Those that follow one another without any input count together:
-// attempts with little time are cancelled before they could show by themselves that the connection is dead.
-func (c *Connection) noteWrittenLocked(now clock.Instant, conn *netconn.Conn) {
-	if c.silentSince.IsZero() || conn.LastRead() >= c.silentSince {
-		c.silentSince = now
-	}
-}
-
 // dequeueLocked takes an attempt that was not begun out of the write queue.
 func (c *Connection) dequeueLocked(a *Attempt) {
 	for i, queued := range c.writeQueue {
@@ -162,20 +149,3 @@
 func (c *Connection) reportEnd(a *Attempt, end request.AttemptEnd) {
 	c.pool.OnEvent(AttemptEnded{Attempt: a, End: end})
 }
-
-// silentWait returns how long a written attempt has waited without any input since, the connection's address, and all
-// attempts that wait so.
-func (c *Connection) silentWait(now clock.Instant) (longest time.Duration, addr address.Addr, waiting []*Attempt) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.state != connReady {
-		return 0, "", nil
-	}
-	for _, a := range c.attempts {
-		if a.written && c.conn.LastRead() < a.writtenAt {
-			longest = max(longest, now.Sub(a.writtenAt))
-			waiting = append(waiting, a)
-		}
-	}
-	return longest, address.Addr(c.addr), waiting
-}
--- a/internal/upstream/connstate_test.go
+++ b/internal/upstream/connstate_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestConnectionStatesOnlyGoForward: whatever moves are tried, a connection that takes no more attempts never does again,
-// and one that has closed stays closed.
+// TestConnectionStatesOnlyGoForward: whatever moves are tried, a connection that takes no more attempts never does
+// again, and one that has closed stays closed.
 func TestConnectionStatesOnlyGoForward(t *testing.T) {
 	for from := range connStateCount {
 		for to := range connStateCount {
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -14,7 +14,8 @@
 // errNoUsableAddress says that every address of an endpoint is in cooldown.
 var errNoUsableAddress = errors.New("every address is in cooldown")
 
-// minDialWait is the shortest wait between two checks of a dial race.
+// minDialWait is the shortest wait between two checks of a dial race, which a due time that has just passed would turn
+// into a busy loop.
 const minDialWait = 500 * time.Microsecond
 
 // dialNetwork establishes a connection to host:port or unix:PATH.
@@ -53,7 +54,6 @@
 	race       *address.Race
 	results    chan dialResult
 	underWay   int
-	won        bool
 	lastErr    error
 }
 
@@ -113,7 +113,6 @@
 	addr := r.connection.dialPlan[result.index].Addr
 	established := result.err == nil
 	if established && r.connection.isListed(addr) && r.race.Connected(result.index, clock.NowSeconds()) {
-		r.won = true
 		r.connection.setDialedAddr(string(addr))
 		return true
 	}
@@ -144,7 +143,7 @@
 func (r *dialRace) releaseRest() {
 	p := r.connection.pool
 	for i := range r.underWay {
-		holdsOwnDescriptor := i == 0 && !r.won
+		holdsOwnDescriptor := i == 0 && !r.race.Won()
 		p.group.Go(func() error {
 			r.discard(<-r.results)
 			if !holdsOwnDescriptor {
@@ -163,7 +162,7 @@
 		_ = result.conn.Close()
 		return
 	}
-	if !r.won && classifyDial(result.err) == address.DialTimedOut {
+	if !r.race.Won() && classifyDial(result.err) == address.DialTimedOut {
 		r.report(result)
 	}
 }
--- a/internal/upstream/lifecycle.go
+++ b/internal/upstream/lifecycle.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"cairnfront/internal/admission"
-	"cairnfront/internal/clock"
 	"cairnfront/internal/netconn"
 	"cairnfront/internal/request"
 	"cairnfront/internal/telemetry"
@@ -41,22 +40,6 @@
 	errConnectionEnded = errors.New("connection ended")
 )
 
-// closeIfIdle closes the connection if no attempt is open on it and none was since a time.
-func (c *Connection) closeIfIdle(code netconn.EndCode, since clock.Instant) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.state != connReady || len(c.attempts) > 0 {
-		return
-	}
-	if c.isSilentLocked() {
-		code = netconn.Unresponsive
-	} else if c.lastUsed > since {
-		return
-	}
-	c.moveLocked(connClosing)
-	c.conn.RequestClose(code)
-}
-
 // readyToClose says whether the connection may end now: it takes no more attempts and has none, or the pool ends. It
 // returns errCloseRequested where it may.
 func (c *Connection) readyToClose(ctx context.Context, code netconn.EndCode) error {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,7 +13,6 @@
 	"cairnfront/internal/cacheproto"
 	"cairnfront/internal/clock"
 	"cairnfront/internal/discovery"
-	"cairnfront/internal/netconn"
 	"cairnfront/internal/telemetry"
 	"cairnfront/internal/upstream/address"
 	"cairnfront/routing"
@@ -21,10 +20,6 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// idleCloseFraction is the part of the endpoints' idle timeout after which an idle connection is closed from this
-// side, so that no attempt crosses a close of theirs.
-const idleCloseFraction = 0.8
-
 // Pool holds the connections to all endpoints. Its methods belong to one goroutine, its owner. What it learns it
 // hands to OnEvent, which is called by the connections' goroutines.
 type Pool struct {
@@ -183,22 +178,6 @@
 	p.forgetIfUnused(e)
 }
 
-// CloseIdle closes connections on which no attempt is open and none will be: those that were idle for too long, and
-// those to an endpoint or an address that left the endpoint list.
-func (p *Pool) CloseIdle(now clock.Instant) {
-	idleTimeout := time.Duration(idleCloseFraction * float64(p.EndpointIdleTimeout))
-	for _, e := range p.connected {
-		for _, c := range e.connections {
-			switch {
-			case e.removed || !p.isCurrent(e, c):
-				c.closeIfIdle(netconn.EndpointRemoved, now)
-			case idleTimeout > 0:
-				c.closeIfIdle(netconn.IdleTimeout, now.Add(-idleTimeout))
-			}
-		}
-	}
-}
-
 // ConnectionCount returns how many connections there are.
 func (p *Pool) ConnectionCount() int {
 	n := 0
--- a/internal/upstream/retrybudget/budget.go
+++ b/internal/upstream/retrybudget/budget.go
@@ -20,6 +20,7 @@
 	// slotCount is the number of slots of the window. Old attempts leave it by one slot at a time.
 	slotCount = 8
 
+	// slotSeconds is the time that one slot counts.
 	slotSeconds = windowSeconds / slotCount
 
 	// reopenShare is the share of the budget under which an exhausted one is available again, so that it does not
@@ -121,16 +122,31 @@
 
 // update notes whether a budget was exhausted or became available.
 func (b *Budget) update(scope Scope, w *window) {
-	allowed := b.limits.MinRetries + b.limits.RetryRatio*sum(w.firstAttempts)
-	used := sum(w.retries)
-	exhaustedNow := !w.exhausted && used >= allowed
-	availableAgain := w.exhausted && used < reopenShare*allowed
-	if exhaustedNow || availableAgain {
-		w.exhausted = exhaustedNow
-		b.changes = append(b.changes, Change{Scope: scope, Available: availableAgain})
+	allowed := b.limits.allowedRetries(sum(w.firstAttempts))
+	exhausted := isExhausted(sum(w.retries), allowed, w.exhausted)
+	if exhausted != w.exhausted {
+		w.exhausted = exhausted
+		b.changes = append(b.changes, Change{Scope: scope, Available: !exhausted})
 	}
 }
 
+// allowedRetries returns how many retries the budget allows for so many first attempts in the window.
+func (l Limits) allowedRetries(firstAttempts float64) float64 {
+	return l.MinRetries + l.RetryRatio*firstAttempts
+}
+
+// isExhausted says whether a budget is exhausted with so many retries in the window, by whether it was before.
+//
+// It guards against retries that hold an overloaded endpoint down: the more requests fail, the more attempts they make.
+// That shows as many more attempts than requests. A budget that is exhausted stays so until retries are clearly fewer
+// than allowed, so that it does not change with every single one.
+func isExhausted(retries, allowed float64, before bool) bool {
+	if before {
+		return retries >= reopenShare*allowed
+	}
+	return retries >= allowed
+}
+
 // sortedScopes returns the scopes in order, so that changes come in the same order for the same events.
 func (b *Budget) sortedScopes() []Scope {
 	return slices.SortedFunc(maps.Keys(b.windows), func(x, y Scope) int {
--- a/internal/upstream/selection.go
+++ b/internal/upstream/selection.go
@@ -47,10 +47,9 @@
 // leastLoaded returns the connection with the fewest open attempts that takes more, and how many are open on it; nil
 // where there is none.
 func (p *Pool) leastLoaded(e *endpoint, avoid []*Connection) (best *Connection, load int) {
-	load = p.MaxAttemptsPerConnection
 	for _, c := range e.connections {
-		open, available := c.load()
-		if available && open < load && c.dialedAddr() == e.listed.Address && !slices.Contains(avoid, c) {
+		open, shareable := p.shareableLoad(c, avoid)
+		if shareable && c.dialedAddr() == e.listed.Address && (best == nil || open < load) {
 			best, load = c, open
 		}
 	}
@@ -81,8 +80,7 @@
 	if best.connection != nil && best.load == 0 && p.useConnection(now, best.connection, a) {
 		return a
 	}
-	atShare := best.connection != nil && len(e.connections) >= p.Admission.MaxConnsPerEndpoint()
-	if atShare || !p.Admission.AdmitEndpointConn(best.connection == nil) {
+	if !p.mayOpen(e, best.connection) {
 		if best.connection != nil && p.useConnection(now, best.connection, a) {
 			return a
 		}
@@ -98,19 +96,25 @@
 	return a
 }
 
+// mayOpen says whether a connection to an endpoint with several addresses may be opened, and holds its descriptor if
+// so. Shareable is a connection that would take the attempt, nil for none.
+//
+// It guards against an endpoint that does not answer and so gets one connection after another until none is left for
+// the other endpoints. That shows as attempts to these that are not sent.
+func (p *Pool) mayOpen(e *endpoint, shareable *Connection) bool {
+	hasItsShare := shareable != nil && len(e.connections) >= p.Admission.MaxConnsPerEndpoint()
+	return !hasItsShare && p.Admission.AdmitEndpointConn(shareable == nil)
+}
+
 // bestCandidate returns the best connection for an attempt; its connection is nil where there is none.
 func (p *Pool) bestCandidate(now float64, e *endpoint, a *Attempt, avoid []*Connection) (best candidate) {
 	for _, c := range e.connections {
-		open, available := c.load()
-		full := open >= p.MaxAttemptsPerConnection
-		if !available || full || c.endpointStartedAt != e.startedAt || slices.Contains(avoid, c) {
+		load, shareable := p.shareableLoad(c, avoid)
+		if !shareable || c.endpointStartedAt != e.startedAt {
 			continue
 		}
-		rank, usable := len(e.connections), true // behind the established ones while it is not established
-		if addr := c.dialedAddr(); addr != "" {
-			rank, usable = p.AddressSelector.Usable(now, e.listed.ID, address.Addr(addr), a.isIdempotent)
-		}
-		next := candidate{connection: c, load: open, rank: rank}
+		rank, usable := p.addressRank(now, e, c, a.isIdempotent)
+		next := candidate{connection: c, load: load, rank: rank}
 		if usable && (best.connection == nil || next.compare(best) < 0) {
 			best = next
 		}
@@ -118,6 +122,24 @@
 	return best
 }
 
+// addressRank returns the rank of a connection's address, and whether an attempt may go over it. A connection that is
+// not established yet comes behind all that are: its address is not known, and the attempt would wait for the dial.
+func (p *Pool) addressRank(now float64, e *endpoint, c *Connection, idempotent bool) (rank int, usable bool) {
+	addr := c.dialedAddr()
+	if addr == "" {
+		return len(e.connections), true
+	}
+	return p.AddressSelector.Usable(now, e.listed.ID, address.Addr(addr), idempotent)
+}
+
+// shareableLoad returns how many attempts are open on a connection, and whether another one may be started there: the
+// connection takes more, its number of attempts is below the limit, and the request has had no attempt on it. A late
+// response to such an earlier attempt would be taken for that to the new one, as both have the request's id.
+func (p *Pool) shareableLoad(c *Connection, avoid []*Connection) (load int, shareable bool) {
+	load, available := c.load()
+	return load, available && load < p.MaxAttemptsPerConnection && !slices.Contains(avoid, c)
+}
+
 // useConnection starts an attempt on a connection that exists and tells the address selector of it. It returns false
 // where the connection takes none.
 func (p *Pool) useConnection(now float64, c *Connection, a *Attempt) bool {
--- a/internal/upstream/writer.go
+++ b/internal/upstream/writer.go
@@ -17,7 +17,7 @@
 // the deadline in the line may exceed what the client has left by 0.15 s when all of the attempt has arrived.
 const maxLineAge = 100 * time.Millisecond
 
-// minTimeLeft is the least time to an attempt's deadline with which its line is begun.
+// minTimeLeft is the least time to an attempt's deadline with which its line is begun: the line has whole milliseconds.
 const minTimeLeft = time.Millisecond
 
 // connectionWriter is the writing goroutine's side of a connection.
@@ -169,6 +169,12 @@
 }
 
 // mayBegin says whether the attempt's line may be begun at a time.
+//
+// It guards against attempts that run though nobody waits for them, or after a drain, a purge or the window of a key,
+// because they waited for a dial or for their turn. These would show as work at an endpoint that is about to end, or as
+// a request that runs twice. The check and the mark that the attempt is written are one step under the connection's
+// lock, so no cancel of the attempt
+// comes between them.
 func (a *Attempt) mayBegin(now clock.Instant) bool {
 	switch {
 	case a.request == nil: // a health check
