--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/binary"
 	"errors"
-	"fmt"
 	"hash/crc32"
 	"net"
 	"time"
@@ -14,14 +13,12 @@
 )
 
 const (
-	bufferBytes      = 16 << 10
-	heartbeatTimeout = 2500 * time.Millisecond // two heartbeats of the service and a margin
-	initialBackoff   = 100 * time.Millisecond
-	maxBackoff       = 400 * time.Millisecond
-)
+	// bufferBytes is the size of each of the connection's two ring buffers.
+	bufferBytes = 16 << 10
 
-// ErrRevisionGap ends a connection whose revisions do not follow on from those that the client has.
-var ErrRevisionGap = errors.New("revision gap")
+	// heartbeatTimeout is how long nothing may come on a connection: two heartbeats of the service and a margin.
+	heartbeatTimeout = 2500 * time.Millisecond
+)
 
 // errAddressChanged is the cause with which a connection to an earlier address is cancelled.
 var errAddressChanged = errors.New("discovery service has another address")
@@ -34,14 +31,15 @@
 	Telemetry    *telemetry.Metrics
 
 	// OnEvent is handed each event after LastRevision once, in the order of the revisions, and no heartbeats. It is
-	// called on the goroutine that reads the connection.
+	// called on the goroutine that reads the connection. It may wait for room in a queue, but not for a socket or
+	// a disk: no heartbeat is read meanwhile.
 	OnEvent func(Event)
 
 	// AddressChanges brings new addresses of the service. The connection to the former one is closed at once.
 	AddressChanges chan string
 
-	// OnRawEvent, where set, is handed every event as it came, heartbeats too, in place of OnEvent. Its error ends the
-	// connection. StartRevision then returns the revision after which the service is asked on each new connection.
+	// OnRawEvent, where set, is handed every event as it came, heartbeats too, in place of OnEvent and on the same
+	// goroutine. Its error ends the connection. StartRevision then returns the revision after which the service is asked on each new connection.
 	OnRawEvent    func(Event) error
 	StartRevision func() uint64
 
@@ -66,7 +64,7 @@
 				backoff = initialBackoff
 			}
 			newAddress = c.wait(ctx, backoff)
-			backoff = min(2*backoff, maxBackoff)
+			backoff = nextBackoff(backoff)
 		}
 		if newAddress != "" {
 			c.Address = newAddress
@@ -204,41 +202,3 @@
 	}
 	return c.acceptInOrder(ev)
 }
-
-// acceptInOrder hands on an event that follows the last one, and passes over one that was handed on before. A revision
-// that skips some ends the connection once, so that the service is asked again after the last revision. If the same
-// revision then comes again, the service holds nothing between, and the event is accepted.
-func (c *Client) acceptInOrder(ev Event) error {
-	if ev.Revision <= c.LastRevision {
-		c.Telemetry.Inc(telemetry.DiscoveryEventsRepeated)
-		return nil
-	}
-	if ev.Revision > c.LastRevision+1 {
-		if err := c.reportGapOnce(ev.Revision); err != nil {
-			return err
-		}
-	}
-	c.LastRevision = ev.Revision
-	c.gapRevision = 0
-	c.OnEvent(ev)
-	return nil
-}
-
-// checkHeartbeat compares the heartbeat's revision, that of the service's last event, with the last one received. An
-// event that was lost or is held back on this connection is asked for once on another: on a connection that brings
-// heartbeats and no events a drain would never be heard of.
-func (c *Client) checkHeartbeat(revision uint64) error {
-	if revision <= c.LastRevision {
-		return nil
-	}
-	return c.reportGapOnce(revision)
-}
-
-// reportGapOnce returns an error the first time that this revision is seen after a gap.
-func (c *Client) reportGapOnce(revision uint64) error {
-	if c.gapRevision == revision {
-		return nil
-	}
-	c.gapRevision = revision
-	return fmt.Errorf("%w: revision %d came after %d", ErrRevisionGap, revision, c.LastRevision)
-}
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -9,19 +9,37 @@
 	"cairnfront/routing"
 )
 
-// attemptState is the state of an attempt. It changes in the order of the constants and may skip attemptCancelled:
+// attemptState is the state of an attempt. These are all transitions; attempt.move makes them and no other:
 //
-//	attemptOpen       -> attemptCancelled   cancelAttempt: the decisions gave it up, or its deadline passed
-//	attemptOpen       -> attemptEnded       finishAttempt: its connection reported its end, or it could not be sent
-//	attemptCancelled  -> attemptEnded       finishAttempt: its connection reported its end, or will not report one
+//	from       to         when
+//	open       cancelled  the decisions gave it up, or its deadline passed (cancelAttempt)
+//	open       ended      its connection reported its end, or it could not be sent (finishAttempt)
+//	cancelled  ended      its connection reported its end, or will not report one (finishAttempt)
 type attemptState uint8
 
 const (
-	attemptOpen attemptState = iota
-	attemptCancelled
-	attemptEnded
+	attemptOpen      attemptState = iota // it may complete
+	attemptCancelled                     // given up; its connection still has to tell how it ended
+	attemptEnded                         // the decisions know its end
+	attemptStateCount
 )
 
+// attemptTransitions has, by its state, the states that an attempt may take next.
+var attemptTransitions = [attemptStateCount][attemptStateCount]bool{
+	attemptOpen:      {attemptCancelled: true, attemptEnded: true},
+	attemptCancelled: {attemptEnded: true},
+}
+
+// move takes an attempt to another state where the table has the transition, and says whether it did. An end that is
+// reported twice is told apart by that: the decisions hear of one.
+func (a *attempt) move(to attemptState) bool {
+	if !attemptTransitions[a.state][to] {
+		return false
+	}
+	a.state = to
+	return true
+}
+
 // attempt is one try of a request at an endpoint.
 type attempt struct {
 	request    *openRequest
@@ -57,10 +75,7 @@
 	earlier := o.connections()
 	o.attempts = append(o.attempts, a)
 	o.running++
-	deadline := o.request.Deadline
-	if action.Deadline > 0 {
-		deadline = min(deadline, action.Deadline)
-	}
+	deadline := attemptEndsBy(o.request.Deadline, action.Deadline)
 	if d.RetryBudget != nil {
 		d.RetryBudget.RecordAttempt(d.now, o.request.Class, a.endpoint, a.number > 0)
 		d.runNext(retryBudgetCheck{})
@@ -68,7 +83,7 @@
 	switch {
 	case o.request.Cancelled(): // its cancellation is not handled yet
 		d.runNext(requestDisconnected{o})
-	case !o.ended && deadline > d.now:
+	case o.state == requestOpen && deadline > d.now:
 		d.Metrics.Inc(telemetry.AttemptsSent.With(telemetry.Class(o.request.ClassName)))
 		a.sent = d.Pool.Send(cacheproto.Attempt{
 			Request:      o.request,
@@ -87,6 +102,15 @@
 	d.schedule(deadline, attemptDeadline{a})
 }
 
+// attemptEndsBy returns by when an attempt ends, by its request's deadline and the one that the decisions gave it; that
+// is 0 for none.
+func attemptEndsBy(requestDeadline, attemptDeadline float64) float64 {
+	if attemptDeadline > 0 {
+		return min(requestDeadline, attemptDeadline)
+	}
+	return requestDeadline
+}
+
 // connections returns the connections that the request's attempts were sent on. A further attempt avoids them: what
 // went wrong on one is likely to go wrong there again.
 func (o *openRequest) connections() []*upstream.Connection {
@@ -101,12 +125,11 @@
 
 // finishAttempt handles the end of an attempt, once. The first one that completed answers the request.
 func (d *Dispatcher) finishAttempt(a *attempt, end request.AttemptEnd) {
-	if a.state == attemptEnded {
+	if !a.move(attemptEnded) {
 		end.Body.Free()
 		return
 	}
 	o := a.request
-	a.state = attemptEnded
 	a.sent = nil // it holds the body, and a timer still holds the attempt
 	o.running--
 	elapsed := d.now - a.startedAt
@@ -136,7 +159,7 @@
 		Result:         end.Result,
 		Detail:         end.Detail,
 		ElapsedSeconds: elapsed,
-		RequestDone:    o.ended,
+		RequestDone:    o.state != requestOpen,
 		LoadReport:     end.LoadReport,
 	}, o)
 	d.forgetIfDone(o)
@@ -145,10 +168,10 @@
 // cancelAttempt gives an attempt up. Its end is reported once its endpoint was sent the cancel. If the endpoint can't
 // know of the attempt, its end is handled after the event in hand.
 func (d *Dispatcher) cancelAttempt(a *attempt, result routing.AttemptResult) {
-	if a.state != attemptOpen || a.sent == nil { // one that was not sent is about to end
+	notSent := a.sent == nil // then it is about to end
+	if notSent || !a.move(attemptCancelled) {
 		return
 	}
-	a.state = attemptCancelled
 	if result, atOnce := d.Pool.Cancel(a.sent, result); atOnce {
 		d.runNext(attemptFinished{a, request.AttemptEnd{Result: result}})
 	}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -24,14 +24,12 @@
 )
 
 const (
-	// queueCapacity is how many events may wait for the loop.
+	// queueCapacity is how many events may wait for the loop. A request that finds no room is rejected at once.
 	queueCapacity = 4096
 	// closeIdleInterval is the time between sweeps of the pool for idle connections.
 	closeIdleInterval = time.Second
 	// watchInterval is the time between checks for silent attempts and for the retry budget's windows.
 	watchInterval = 20 * time.Millisecond
-	// overdueGrace is the time after a request's deadline at which it is aborted if the decisions failed to end it.
-	overdueGrace = 20 * time.Millisecond
 )
 
 // Dispatcher brings events to the routing decisions and carries out their actions. It has to be made by New. The
@@ -45,7 +43,7 @@
 	Wall        *clock.Wall         // translates the Unix times of discovery events
 	RetryBudget *retrybudget.Budget // nil for no budget
 
-	// OnAttemptEnd is called for each attempt that ended, if not nil. It must not block.
+	// OnAttemptEnd is called for each attempt that ended, if not nil, on the loop's goroutine. It must not block.
 	OnAttemptEnd func(AttemptReport)
 
 	queue   chan event
@@ -114,7 +112,7 @@
 		d.handleCancelled()
 		d.recovering(d.runDueTimers)
 		if due, ok := d.timers.next(); ok {
-			nextTimer.Reset(time.Duration(max(due-d.Clock(), 0) * float64(time.Second)))
+			nextTimer.Reset(waitUntil(due, d.Clock()))
 		}
 	}
 }
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -44,9 +44,9 @@
 
 // applyDiscovery handles a purge or a change of the endpoint list. Kind is that of an update which is no snapshot.
 func (d *Dispatcher) applyDiscovery(ev discovery.Event, kind routing.UpdateKind) {
-	if ev.IsPurge() { // a copy counts as older than the purge wherever that can't be excluded (rule 5)
+	if ev.IsPurge() {
 		d.decide(routing.Purge{
-			AgeSeconds:  max(d.now-d.Wall.LatestInstant(ev.Purge.PurgedAt), 0),
+			AgeSeconds:  purgeAge(d.Wall.LatestInstant(ev.Purge.PurgedAt), d.now),
 			ObjectGroup: ev.Purge.Group,
 			Object:      ev.Purge.Object,
 		}, nil)
@@ -74,6 +74,11 @@
 	d.decide(routing.EndpointUpdate{Kind: kind, Endpoints: endpoints}, nil)
 }
 
+// purgeAge returns how many seconds ago a purge was, which was at a time at the latest. It is not older than it may be,
+// so that a copy counts as older than the purge wherever that can't be excluded (rule 5). Else a purged copy could be
+// answered after a step of the wall clock.
+func purgeAge(latest, now float64) float64 { return max(now-latest, 0) }
+
 // fillSource is the source of a fill as the attempt names it, empty for none. An edge cache that is its own source
 // fills nothing; a parent cache or the origin is named all the same.
 func (d *Dispatcher) fillSource(action routing.StartAttempt) string {
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -2,22 +2,58 @@
 
 import (
 	"strings"
+	"time"
 
 	"cairnfront/internal/request"
 	"cairnfront/routing"
 )
 
+// overdueGrace is the time after a request's deadline at which it is aborted if the decisions failed to end it.
+const overdueGrace = 20 * time.Millisecond
+
 // openRequest is a request that has no final response yet, or has attempts in progress.
 type openRequest struct {
 	request  *request.Request
 	attempts []*attempt // by number
 	running  int        // attempts that have not ended
 
-	ended              bool // it had its final response, or its client disconnected
-	disconnected       bool // the decisions know that its client disconnected
+	state              requestState
 	abandonmentPending bool // the decisions have been notified, or are about to be, that it was abandoned
 }
 
+// requestState is what became of a request. These are all transitions; openRequest.move makes them and no other:
+//
+//	from      to         when
+//	open      answered   it gets its final response (respond)
+//	open      cancelled  its client does not wait any more (disconnect)
+//	answered  cancelled  likewise, while attempts of it are in progress (disconnect)
+//
+// The loop forgets a request that is not open once none of its attempts is in progress (forgetIfDone).
+type requestState uint8
+
+const (
+	requestOpen      requestState = iota // it is owed a final response
+	requestAnswered                      // it had its final response
+	requestCancelled                     // the decisions know that its client disconnected
+	requestStateCount
+)
+
+// requestTransitions has, by its state, the states that a request may take next.
+var requestTransitions = [requestStateCount][requestStateCount]bool{
+	requestOpen:     {requestAnswered: true, requestCancelled: true},
+	requestAnswered: {requestCancelled: true},
+}
+
+// move takes a request to another state where the table has the transition, and says whether it did. A second final
+// response, or a second cancellation, is told apart by that.
+func (o *openRequest) move(to requestState) bool {
+	if !requestTransitions[o.state][to] {
+		return false
+	}
+	o.state = to
+	return true
+}
+
 // id is the request's id as the decisions know it.
 func (o *openRequest) id() routing.RequestID { return o.request.ID }
 
@@ -40,7 +76,7 @@
 	}
 	o := &openRequest{request: r}
 	d.requests[id] = o
-	d.schedule(r.Deadline+overdueGrace.Seconds(), requestOverdue{o})
+	d.schedule(overdueAt(r.Deadline), requestOverdue{o})
 	d.decide(routing.RequestArrived{
 		Request:     id,
 		Class:       r.Class,
@@ -53,6 +89,13 @@
 	}, o)
 }
 
+// overdueAt returns when a request with a deadline is aborted if the decisions failed to end it.
+//
+// It guards against a request that the decisions forget, as after a panic: its client would wait in vain, and its body
+// and attempts would never be freed. The decisions end each request by its deadline, so a little later nothing is cut
+// short.
+func overdueAt(deadline float64) float64 { return deadline + overdueGrace.Seconds() }
+
 // handleRequestCancelled handles that a client does not wait any more. A request whose id was in use already is not
 // open.
 func (d *Dispatcher) handleRequestCancelled(r *request.Request) {
@@ -64,29 +107,26 @@
 
 // disconnect tells the decisions, once, that the client of a request does not wait any more.
 func (d *Dispatcher) disconnect(o *openRequest) {
-	if o.disconnected {
+	if !o.move(requestCancelled) {
 		return
 	}
-	o.disconnected = true
-	o.ended = true
 	d.decide(routing.ClientDisconnected{Request: o.id()}, o)
 	d.forgetIfDone(o)
 }
 
 // respond gives a request its final response, if it had none.
 func (d *Dispatcher) respond(o *openRequest, response request.Response) {
-	if o.ended {
+	if !o.move(requestAnswered) {
 		response.Body.Free()
 		return
 	}
-	o.ended = true
 	o.request.ResponseWriter.Respond(o.request, response)
 	d.forgetIfDone(o)
 }
 
 // forgetIfDone forgets a request that has ended and has no attempt in progress.
 func (d *Dispatcher) forgetIfDone(o *openRequest) {
-	if !o.ended || o.running > 0 || d.requests[o.id()] != o {
+	if o.state == requestOpen || o.running > 0 || d.requests[o.id()] != o {
 		return
 	}
 	delete(d.requests, o.id())
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -2,6 +2,7 @@
 
 import (
 	"container/heap"
+	"time"
 
 	"cairnfront/internal/request"
 	"cairnfront/internal/telemetry"
@@ -55,7 +56,7 @@
 }
 
 func (t requestOverdue) run(d *Dispatcher) {
-	if !t.request.ended {
+	if t.request.state == requestOpen {
 		d.Metrics.Log.Error("request aborted after deadline", "request_id", t.request.request.ID)
 		d.abandon(t.request, request.ReasonDeadlineExceeded)
 	}
@@ -89,6 +90,11 @@
 // runNext runs a task once the event in hand is done with, before all timers that are due.
 func (d *Dispatcher) runNext(task timerTask) { d.timers.add(runNextDue, task) }
 
+// waitUntil returns how long to wait for a time, both in monotonic seconds; 0 for one that has passed.
+func waitUntil(due, now float64) time.Duration {
+	return time.Duration(max(due-now, 0) * float64(time.Second))
+}
+
 // runDueTimers runs the tasks that are due, with those that they add.
 func (d *Dispatcher) runDueTimers() {
 	d.advanceClock()
