--- a/internal/edgecache/loop.go
+++ b/internal/edgecache/loop.go
@@ -16,7 +16,7 @@
 type event interface{ edgeCacheEvent() }
 
 type (
-	// requestReceived is a request with its whole body.
+	// requestReceived is a request with its complete body.
 	requestReceived struct{ request *openRequest }
 	// requestCancelled is a client's cancel of a request.
 	requestCancelled struct {
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -4,7 +4,6 @@
 	"errors"
 
 	"cairnfront/internal/membership/datagram"
-	"cairnfront/internal/membership/partition"
 )
 
 // refusalReason says why a datagram was refused. Its text is a label of the counter of refused datagrams.
@@ -48,18 +47,6 @@
 	return refusedOther
 }
 
-// partitionStateText is a partition state as log lines and labels of counters have it. On the wire and in JSON the
-// state Whole keeps the text "whole".
-type partitionStateText partition.State
-
-// String returns the state's text.
-func (s partitionStateText) String() string {
-	if partition.State(s) == partition.Whole {
-		return "complete"
-	}
-	return partition.State(s).String()
-}
-
 // traffic counts datagrams and their bytes.
 type traffic struct{ bytes, datagrams int64 }
 
