--- a/internal/codestyle/rulefiles_test.go
+++ b/internal/codestyle/rulefiles_test.go
@@ -105,14 +105,16 @@
 	t.Helper()
 	rows, _ := parseDecisions(page) // rows that lack something are found by TestDecisionsAreIndexed
 	named := namesOfRows(root, rows)
-	constants := map[string]map[string]bool{} // by folder
-	missing := func(path, name string) {
+	check := func(path string, names []string) {
 		relative, err := filepath.Rel(root, path)
 		require.NoError(t, err)
-		if !named[filepath.Dir(path)+" "+name] {
-			faults = append(faults, filepath.ToSlash(relative)+": "+name+" has no row")
+		for _, name := range names {
+			if !named[filepath.Dir(path)+" "+name] {
+				faults = append(faults, filepath.ToSlash(relative)+": "+name+" has no row")
+			}
 		}
 	}
+	constants := map[string]map[string]bool{} // by folder
 	for _, file := range files {
 		path := filepath.Join(root, file)
 		folder, tree := filepath.Dir(path), parseWithComments(t, path)
@@ -121,23 +123,15 @@
 		}
 		for _, name := range ruleConstants(tree) {
 			constants[folder][name] = true
-			missing(path, name)
-		}
-		for _, function := range functionsOf(tree) {
-			if strings.Contains(strings.Join(strings.Fields(function.Doc.Text()), " "), guardWords) {
-				missing(path, function.Name.Name)
-			}
 		}
+		check(path, ruleConstants(tree))
+		check(path, functionsWhere(tree, isGuard))
 	}
-	for folder, read := range constants {
+	for folder, names := range constants {
 		for _, path := range goFiles(t, folder) {
-			if filepath.Dir(path) != folder || strings.HasSuffix(path, "_test.go") {
-				continue
-			}
-			for _, function := range functionsOf(parseWithComments(t, path)) {
-				if readsOne(function, read) {
-					missing(path, function.Name.Name)
-				}
+			if filepath.Dir(path) == folder && !strings.HasSuffix(path, "_test.go") {
+				tree := parseWithComments(t, path)
+				check(path, functionsWhere(tree, func(f *ast.FuncDecl) bool { return readsOne(f, names) }))
 			}
 		}
 	}
@@ -152,13 +146,19 @@
 	return tree
 }
 
-func functionsOf(tree *ast.File) (functions []*ast.FuncDecl) {
+// functionsWhere returns the names of a file's functions of which a condition is true.
+func functionsWhere(tree *ast.File, condition func(*ast.FuncDecl) bool) (names []string) {
 	for _, declaration := range tree.Decls {
-		if function, ok := declaration.(*ast.FuncDecl); ok {
-			functions = append(functions, function)
+		if function, ok := declaration.(*ast.FuncDecl); ok && condition(function) {
+			names = append(names, function.Name.Name)
 		}
 	}
-	return functions
+	return names
+}
+
+// isGuard says whether a function's comment names the failure that it guards against.
+func isGuard(function *ast.FuncDecl) bool {
+	return strings.Contains(strings.Join(strings.Fields(function.Doc.Text()), " "), guardWords)
 }
 
 // ruleConstants are the constants of a file, apart from groups that count with iota: their table is beside them.
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -39,8 +39,8 @@
 	AddressChanges chan string
 
 	// OnRawEvent, where set, is handed every event as it came, heartbeats too, in place of OnEvent and on the same
-	// goroutine. Its error ends the connection. StartRevision then returns the revision after which the service is asked
-	// on each new connection.
+	// goroutine. Its error ends the connection. StartRevision then returns the revision after which the service is
+	// asked on each new connection.
 	OnRawEvent    func(Event) error
 	StartRevision func() uint64
 
