--- a/internal/codestyle/rulefiles_test.go
+++ b/internal/codestyle/rulefiles_test.go
@@ -46,6 +46,7 @@
 	"internal/netconn/errors.go",
 	"internal/netconn/read.go",
 	"internal/netconn/write.go",
+	"internal/request/body.go",
 	"internal/upstream/address/cooldown.go",
 	"internal/upstream/address/observation.go",
 	"internal/upstream/address/probe.go",
--- a/internal/netconn/close.go
+++ b/internal/netconn/close.go
@@ -58,9 +58,11 @@
 func (c *Conn) IsClosed() bool { return c.closed.Load() }
 
 // CloseGracefully ends a connection on which no request is open and all output is written. It ends the sending side,
-// then discards input until the other side ends too, lingerTimeout has passed or lingerBytes have come, and closes. A
-// close with unread input would reset the connection and destroy the output on its way. It is for the reading
-// goroutine.
+// then discards input until the other side ends too, lingerTimeout has passed or lingerBytes have come, and closes. It
+// is for the reading goroutine.
+//
+// It guards against a close with unread input, which resets the connection and destroys the output on its way: the
+// peer would miss an answer that was sent. Time and bytes are bounded, so a peer that sends on cannot hold the socket.
 func (c *Conn) CloseGracefully(code EndCode, cause error, lingerTimeout time.Duration, lingerBytes int64) {
 	c.SetEndCode(code, cause)
 	defer c.Close(code, cause)
--- a/internal/netconn/read.go
+++ b/internal/netconn/read.go
@@ -72,6 +72,9 @@
 
 // DiscardUntilClosed reads on and drops all input until an error: that the connection has ended, or that it was
 // requested to and may. Past allowanceBytes it reads slowly.
+//
+// It guards against a peer that floods while its open requests are answered, which would take a core. The peer's own
+// end is still noticed, as reading goes on.
 func (c *Conn) DiscardUntilClosed(allowanceBytes int64) error {
 	c.DiscardInput = true
 	limit := c.bytesRead.Load() + allowanceBytes
@@ -107,8 +110,10 @@
 	}
 }
 
-// fill does one read that brings input. A requested end is handled after a read that brought none: what came before
-// the end was decided is taken in and not destroyed by it.
+// fill does one read that brings input. A requested end is handled after a read that brought none.
+//
+// It guards against a request that had arrived as the end was decided: unread, it would be destroyed by the close, and
+// its client would see a reset. The reading goroutine alone decides the end, with nothing unread.
 func (c *Conn) fill() error {
 	var failingSince clock.Instant // when reads began to fail for a cause on this machine; zero while they don't
 	for {
@@ -151,6 +156,9 @@
 
 // waitForShortage pauses after a read that failed for a cause on this machine. It returns false where reads are not
 // tried again: the deadline or shortageTimeout has passed, or the connection is closed.
+//
+// It guards against connections that end, with all that is open on them, for a want that passes. The pause keeps the
+// tries from taking a core.
 func (c *Conn) waitForShortage(failingSince *clock.Instant, deadline time.Time) bool {
 	now := clock.Now()
 	if failingSince.IsZero() {
--- a/internal/request/body.go
+++ b/internal/request/body.go
@@ -29,8 +29,10 @@
 	return b.newBody(n)
 }
 
-// Allocate returns a body of n bytes as soon as the budget has room for it. Callers are served in their order. The
-// error is that of the context.
+// Allocate returns a body of n bytes as soon as the budget has room for it. The error is that of the context.
+//
+// It guards against a large body that waits while smaller ones take each byte that becomes free; that would show as
+// large requests alone that time out. Callers are served in their order, TryAllocate included.
 func (b *BodyBudget) Allocate(ctx context.Context, n int) (*Body, error) {
 	if err := b.sem.Acquire(ctx, int64(n)); err != nil {
 		return nil, err
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -41,7 +41,8 @@
 // Cancelled reports whether Cancel has been called.
 func (r *Request) Cancelled() bool { return atomic.LoadUint32(&r.cancelled) == 1 }
 
-// ResponseWriter takes the final response to a request.
+// ResponseWriter takes the final response to a request. The event loop calls it, and the goroutine that reads the
+// client's connection for a request that it does not hand on. It must not wait for the client.
 type ResponseWriter interface {
 	// Respond takes the response and reports whether it was accepted. Only the first response to a request that was
 	// not cancelled is. The body of a response that was not accepted is freed.
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -62,7 +62,7 @@
 
 // load returns how many attempts are open, and whether the connection takes more. It takes none while it is silent
 // after a cancel: the endpoint may have vanished or be a new process. Nor does it while the response to a cancelled
-// attempt is still coming.
+// attempt is still coming, which the next response would wait behind.
 func (c *Connection) load() (open int, available bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,8 +97,11 @@
 }
 
 // cancel gives an attempt up and returns how it ends by that, and whether at once. One that the endpoint may know of
-// is over only when the socket has taken the cancel line, or the connection has ended: a retry sent before
-// that line would be out at the same time as the attempt. Its end then comes like any other.
+// is over only when the socket has taken the cancel line, or the connection has ended. Its end then comes like any
+// other.
+//
+// It guards against two attempts of a request at once: a retry that is sent before the cancel line would run beside the
+// attempt, which the settings may forbid.
 func (c *Connection) cancel(a *Attempt, result routing.AttemptResult) (end routing.AttemptResult, atOnce bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/lifecycle.go
+++ b/internal/upstream/lifecycle.go
@@ -163,9 +163,11 @@
 	c.pool.OnEvent(ConnectionClosed{Connection: c})
 }
 
-// resultAtEnd returns how an attempt ends whose connection ended. One whose last byte the socket took may have run;
-// any other surely did not. One of which nothing was written crossed the end of an idle connection, which is no
-// fault of the endpoint.
+// resultAtEnd returns how an attempt ends whose connection ended. One of which nothing was written crossed the end of
+// an idle connection, which is no fault of the endpoint.
+//
+// It guards against a request that runs twice, and against one that is not retried though it cannot have run. One whose
+// last byte the socket took may have run; any other did not, as an endpoint runs no attempt that is incomplete.
 func resultAtEnd(conn *netconn.Conn, a *Attempt, unsent routing.AttemptResult) routing.AttemptResult {
 	switch {
 	case conn == nil:
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -20,19 +20,23 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Pool holds the connections to all endpoints. Its methods belong to one goroutine, its owner. What it learns it
-// hands to OnEvent, which is called by the connections' goroutines.
+// Pool holds the connections to all endpoints. Its methods belong to one goroutine, its owner, and none of them
+// but Wait waits for a connection.
 type Pool struct {
 	Admission *admission.Controller
 	Metrics   *telemetry.Metrics
-	OnEvent   func(Event)
+
+	// OnEvent takes what the pool learns. The connections' goroutines call it, several at once and never with a lock
+	// held. It may wait for room in the owner's queue, but not for the owner to have handled the event.
+	OnEvent func(Event)
 
 	ConnectTimeout           time.Duration // longest wait for a connection to be established
 	EndpointIdleTimeout      time.Duration // after which endpoints close idle connections, 0 for never
 	MaxAttemptsPerConnection int           // attempts open at once on one connection
 	RequestLoadReports       bool          // health checks ask for the load report
 
-	// Dial establishes a connection; the network's own dialer where nil. An address is host:port or unix:PATH.
+	// Dial establishes a connection; the network's own dialer where nil. An address is host:port or unix:PATH. The
+	// connections' goroutines call it, several at once. It has to return soon after its context has ended.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 	// AddressSelector decides over which address an endpoint is reached, and EndpointAddresses returns the addresses
--- a/internal/upstream/writer.go
+++ b/internal/upstream/writer.go
@@ -74,8 +74,10 @@
 
 // writeAttempt writes an attempt to the socket, behind nothing that is unwritten. If the socket takes nothing of it for
 // a while, the attempt goes back to the head of the queue, so that its line is formatted anew. If it takes a part, the
-// connection has to end: the line could arrive with a deadline that the client does not have any more, and an attempt
-// that is incomplete does not run.
+// connection has to end.
+//
+// It guards against a line that arrives with a deadline that the client does not have any more: the endpoint would work
+// on for nobody. An attempt of which the socket took a part does not run, as it is incomplete.
 func (w *connectionWriter) writeAttempt(a *Attempt) error {
 	before := w.conn.BytesWritten()
 	w.conn.SetWriteDeadline(a.writtenAt.Add(maxLineAge).Time())
