--- a/cmd/cairnfront/serve.go
+++ b/cmd/cairnfront/serve.go
@@ -70,10 +70,14 @@
 	extensions *extensions // nil without a configuration file
 }
 
+// pendingSignals is how many signals may wait while one is handled. Those beyond it are lost, as the runtime does not
+// wait for a channel.
+const pendingSignals = 4
+
 // serve runs the router until a signal ends it. It reads the bootstrap file, and the configuration file if a path is
 // given, at the start and again on SIGHUP.
 func serve(load loadBootstrap, configPath string) error {
-	signals := make(chan os.Signal, 4)
+	signals := make(chan os.Signal, pendingSignals)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
 	reloads := make(chan os.Signal, 1) // a channel of its own: many of them must not displace other signals
 	signal.Notify(reloads, syscall.SIGHUP)
--- a/internal/netconn/close.go
+++ b/internal/netconn/close.go
@@ -9,6 +9,17 @@
 // interruptDeadline is a read deadline in the past. It interrupts the read under way.
 var interruptDeadline = time.Unix(1, 0)
 
+// How a connection ends. Each step is made by one method, and none is undone but the second:
+//
+//	from             to               when
+//	open             close requested  any goroutine wants the end (RequestClose)
+//	close requested  open             the reader was asked and refuses: OnCloseRequest returned nil
+//	close requested  half-closed      OnCloseRequest returned an error, and the reader calls CloseGracefully
+//	half-closed      closed           the other side has ended, or lingerTimeout or lingerBytes are over
+//	any              closed           the socket failed, the peer does not read, or the process ends (Close)
+//
+// The end code is set once, by the first of these that has one (SetEndCode).
+
 // RequestClose asks the reading goroutine to end the connection, and interrupts its read for that. The newest code
 // replaces one that was not handled yet. Any goroutine may call it.
 func (c *Conn) RequestClose(code EndCode) {
--- a/internal/upstream/address/selector.go
+++ b/internal/upstream/address/selector.go
@@ -21,8 +21,8 @@
 	// minDialDelaySeconds is the least delay between two dials (RFC 8305, section 5).
 	minDialDelaySeconds = 0.01
 
-	// dialDelayFactor is how many usual connect times pass before the next dial begins. One dial in some dozens takes
-	// longer.
+	// dialDelayFactor is how many usual connect times pass before the next dial begins: few dials take longer, so
+	// second dials are rare.
 	dialDelayFactor = 4.0
 
 	// slowerFactor and slowerMarginSeconds say by how much an address has to connect slower than the
@@ -51,7 +51,7 @@
 	inDoubt     bool    // an address fell silent, and it is not known whether the endpoint did
 }
 
-// address is what is known of one address, in about 250 bytes.
+// address is what is known of one address.
 type address struct {
 	Addr
 	condition           Condition
--- a/internal/upstream/retrybudget/budget.go
+++ b/internal/upstream/retrybudget/budget.go
@@ -49,7 +49,7 @@
 	Available bool
 }
 
-// window is the attempts of one scope in the last seconds, in about 150 bytes.
+// window is the attempts of one scope in the last seconds.
 type window struct {
 	firstAttempts [slotCount]float64
 	retries       [slotCount]float64
