--- a/internal/codestyle/surface_test.go
+++ b/internal/codestyle/surface_test.go
@@ -69,9 +69,7 @@
 	t.Helper()
 	places = map[string]string{}
 	inspectFile(t, file, func(node ast.Node, place string) {
-		if list, ok := node.(*ast.CompositeLit); ok && isAttributeList(list) {
-			faults = append(faults, badKeys(list.Elts, place)...)
-		}
+		faults = append(faults, badKeys(attributesIn(node), place)...)
 		call, ok := node.(*ast.CallExpr)
 		if !ok || !isLogCall(call) {
 			return
@@ -87,9 +85,6 @@
 		default:
 			places["msg="+message] = place
 		}
-		if call.Ellipsis == token.NoPos {
-			faults = append(faults, badKeys(call.Args[1:], place)...)
-		}
 	})
 	return places, faults
 }
@@ -132,6 +127,46 @@
 	return faults
 }
 
+// logKeysIn returns the keys of a file's log lines.
+func logKeysIn(t *testing.T, file string) (keys []string) {
+	t.Helper()
+	inspectFile(t, file, func(node ast.Node, _ string) {
+		attributes := attributesIn(node)
+		for i := 0; i < len(attributes); i += 2 {
+			if key, ok := stringLiteral(attributes[i]); ok {
+				keys = append(keys, key)
+			}
+		}
+	})
+	return keys
+}
+
+// attributesIn returns the keys and values of a log line that a node has: the arguments of a call that writes the line,
+// a list of them, or what is appended to such a list.
+func attributesIn(node ast.Node) []ast.Expr {
+	switch node := node.(type) {
+	case *ast.CompositeLit:
+		if isAttributeList(node) {
+			return node.Elts
+		}
+	case *ast.CallExpr:
+		if node.Ellipsis == token.NoPos && (isLogCall(node) || isAppendToAttributes(node)) {
+			return node.Args[1:]
+		}
+	}
+	return nil
+}
+
+// isAppendToAttributes reports whether a call appends to a variable that is named attributes.
+func isAppendToAttributes(call *ast.CallExpr) bool {
+	function, ok := call.Fun.(*ast.Ident)
+	if !ok || function.Name != "append" || len(call.Args) < 2 {
+		return false
+	}
+	list, ok := call.Args[0].(*ast.Ident)
+	return ok && list.Name == "attributes"
+}
+
 // stringLiteral returns the value of a string literal.
 func stringLiteral(expression ast.Expr) (value string, ok bool) {
 	literal, ok := expression.(*ast.BasicLit)
@@ -168,7 +203,7 @@
 	t.Helper()
 	inspectFile(t, file, func(node ast.Node, _ string) {
 		call, ok := node.(*ast.CallExpr)
-		if !ok || len(call.Args) < 2 {
+		if !ok || !strings.HasPrefix(calledName(call.Fun), "new") {
 			return
 		}
 		var texts []string
@@ -189,6 +224,19 @@
 	return names
 }
 
+// calledName returns the name of a function that is called, also with type arguments; empty for a method.
+func calledName(function ast.Expr) string {
+	switch function := function.(type) {
+	case *ast.Ident:
+		return function.Name
+	case *ast.IndexExpr:
+		return calledName(function.X)
+	case *ast.IndexListExpr:
+		return calledName(function.X)
+	}
+	return ""
+}
+
 // textsOf returns the string literals in the value of a variable or a constant, without empty ones.
 func textsOf(t *testing.T, file, name string) (texts []string) {
 	t.Helper()
@@ -307,6 +355,7 @@
 	s.Metrics.Log.Warn("panic: " + s.cause)
 	logger.Error("Serving", key, 1)
 	attributes := []any{"tookS", 3}
+	attributes = append(attributes, "bytes_sent", 4, "by-hand", 5)
 	logger.Error("serving", attributes...)
 	_ = err.Error()
 }
@@ -314,7 +363,8 @@
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	lines, faults := logLinesIn(t, file)
 	assert.ElementsMatch(t, []string{`msg="connection closed"`, "msg=serving"}, slices.Collect(maps.Keys(lines)))
-	assert.Len(t, faults, 5, "%q", faults)
+	assert.Len(t, faults, 6, "%q", faults)
+	assert.Contains(t, logKeysIn(t, file), "bytes_sent")
 	assert.Equal(t, []string{"peer_closed", "peer_reset"}, textsOf(t, file, "reasonTexts"))
 	assert.Equal(t, []string{"none"}, textsOf(t, file, "noneLabel"))
 	assert.Empty(t, textsOf(t, file, "otherTexts"))
--- a/internal/upstream/lifecycle.go
+++ b/internal/upstream/lifecycle.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"cairnfront/internal/admission"
-	"cairnfront/internal/clock"
 	"cairnfront/internal/netconn"
 	"cairnfront/internal/request"
 	"cairnfront/internal/telemetry"
@@ -41,29 +40,13 @@
 	errConnectionEnded = errors.New("connection ended")
 )
 
-// closeIfIdle closes the connection if no attempt is open on it and none was since a time.
-func (c *Connection) closeIfIdle(code netconn.EndCode, since clock.Instant) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closing || c.conn == nil || len(c.attempts) > 0 {
-		return
-	}
-	if c.isSilentLocked() {
-		code = netconn.Unresponsive
-	} else if c.lastUsed > since {
-		return
-	}
-	c.closing = true
-	c.conn.RequestClose(code)
-}
-
 // readyToClose says whether the connection may end now: it takes no more attempts and has none, or the pool ends. It
 // returns errCloseRequested where it may.
 func (c *Connection) readyToClose(ctx context.Context, code netconn.EndCode) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	poolEnds := ctx.Err() != nil
-	unused := c.closing && len(c.attempts) == 0
+	unused := !c.state.takesAttempts() && len(c.attempts) == 0
 	if !poolEnds && !unused {
 		return nil
 	}
@@ -130,6 +113,7 @@
 	conn.DiscardInput = true // an end is only decided while no attempt is open: no unread input is waited for
 	c.mu.Lock()
 	c.conn = conn
+	c.moveLocked(connReady)
 	c.mu.Unlock()
 	stopShutdown := context.AfterFunc(ctx, func() { conn.RequestClose(netconn.Shutdown) })
 	defer stopShutdown()
@@ -167,7 +151,7 @@
 // nothing is known to have been sent end with the result given.
 func (c *Connection) endAttempts(conn *netconn.Conn, unsent routing.AttemptResult) {
 	c.mu.Lock()
-	c.closing = true
+	c.moveLocked(connClosed)
 	attempts, cancelled := c.attempts, slices.Collect(maps.Values(c.cancelled))
 	c.attempts = map[string]*Attempt{}
 	c.writeQueue = nil
@@ -179,9 +163,11 @@
 	c.pool.OnEvent(ConnectionClosed{Connection: c})
 }
 
-// resultAtEnd returns how an attempt ends whose connection ended. One whose last byte the socket took may have run;
-// any other surely did not. One of which nothing was written crossed the end of an idle connection, which is no
-// fault of the endpoint.
+// resultAtEnd returns how an attempt ends whose connection ended. One of which nothing was written crossed the end of
+// an idle connection, which is no fault of the endpoint.
+//
+// It guards against a request that runs twice, and against one that is not retried though it cannot have run. One whose
+// last byte the socket took may have run; any other did not, as an endpoint runs no attempt that is incomplete.
 func resultAtEnd(conn *netconn.Conn, a *Attempt, unsent routing.AttemptResult) routing.AttemptResult {
 	switch {
 	case conn == nil:
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,7 +13,6 @@
 	"cairnfront/internal/cacheproto"
 	"cairnfront/internal/clock"
 	"cairnfront/internal/discovery"
-	"cairnfront/internal/netconn"
 	"cairnfront/internal/telemetry"
 	"cairnfront/internal/upstream/address"
 	"cairnfront/routing"
@@ -21,23 +20,23 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// idleCloseFraction is the part of the endpoints' idle timeout after which an idle connection is closed from this
-// side, so that no attempt crosses a close of theirs.
-const idleCloseFraction = 0.8
-
-// Pool holds the connections to all endpoints. Its methods belong to one goroutine, its owner. What it learns it
-// hands to OnEvent, which is called by the connections' goroutines.
+// Pool holds the connections to all endpoints. Its methods belong to one goroutine, its owner, and none of them
+// but Wait waits for a connection.
 type Pool struct {
 	Admission *admission.Controller
 	Metrics   *telemetry.Metrics
-	OnEvent   func(Event)
+
+	// OnEvent takes what the pool learns. The connections' goroutines call it, several at once and never with a lock
+	// held. It may wait for room in the owner's queue, but not for the owner to have handled the event.
+	OnEvent func(Event)
 
 	ConnectTimeout           time.Duration // longest wait for a connection to be established
 	EndpointIdleTimeout      time.Duration // after which endpoints close idle connections, 0 for never
 	MaxAttemptsPerConnection int           // attempts open at once on one connection
 	RequestLoadReports       bool          // health checks ask for the load report
 
-	// Dial establishes a connection; the network's own dialer where nil. An address is host:port or unix:PATH.
+	// Dial establishes a connection; the network's own dialer where nil. An address is host:port or unix:PATH. The
+	// connections' goroutines call it, several at once. It has to return soon after its context has ended.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 	// AddressSelector decides over which address an endpoint is reached, and EndpointAddresses returns the addresses
@@ -183,22 +182,6 @@
 	p.forgetIfUnused(e)
 }
 
-// CloseIdle closes connections on which no attempt is open and none will be: those that were idle for too long, and
-// those to an endpoint or an address that left the endpoint list.
-func (p *Pool) CloseIdle(now clock.Instant) {
-	idleTimeout := time.Duration(idleCloseFraction * float64(p.EndpointIdleTimeout))
-	for _, e := range p.connected {
-		for _, c := range e.connections {
-			switch {
-			case e.removed || !p.isCurrent(e, c):
-				c.closeIfIdle(netconn.EndpointRemoved, now)
-			case idleTimeout > 0:
-				c.closeIfIdle(netconn.IdleTimeout, now.Add(-idleTimeout))
-			}
-		}
-	}
-}
-
 // ConnectionCount returns how many connections there are.
 func (p *Pool) ConnectionCount() int {
 	n := 0
