--- a/internal/replication/history/history.go
+++ b/internal/replication/history/history.go
@@ -6,6 +6,7 @@
 package history
 
 import (
+	"fmt"
 	"time"
 
 	"github.com/anishathalye/porcupine"
@@ -38,7 +39,7 @@
 	Partition: partitionByKey,
 	Init:      func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		return nextStates(state.(string), input.(Input), output.(Output))
+		return nextStates(valueAs[string](state), valueAs[Input](input), valueAs[Output](output))
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
@@ -46,7 +47,7 @@
 func partitionByKey(operations []porcupine.Operation) [][]porcupine.Operation {
 	byKey := map[string][]porcupine.Operation{}
 	for _, operation := range operations {
-		key := operation.Input.(Input).Key
+		key := valueAs[Input](operation.Input).Key
 		byKey[key] = append(byKey[key], operation)
 	}
 	partitions := make([][]porcupine.Operation, 0, len(byKey))
@@ -56,6 +57,16 @@
 	return partitions
 }
 
+// valueAs is a value that porcupine keeps as any. It panics at another type: a caller that recorded one has a history
+// that says nothing.
+func valueAs[T any](value any) T {
+	typed, ok := value.(T)
+	if !ok {
+		panic(fmt.Sprintf("history: a value of type %T instead of %T", value, typed))
+	}
+	return typed
+}
+
 // nextStates are the states in which an operation can leave the register, none where its output was
 // not possible.
 func nextStates(reserved string, in Input, out Output) []any {
--- a/internal/replication/history/history_test.go
+++ b/internal/replication/history/history_test.go
@@ -37,6 +37,8 @@
 	return porcupine.Operation{Input: Input{Key: "k", Group: group}, Output: Output{}, Return: Unanswered}
 }
 
+// TestLinearizable holds the checker itself to histories that are known to be right or wrong. A checker that takes a
+// lost grant, or a key granted to two groups, for right would pass every other test of replication.
 func TestLinearizable(t *testing.T) {
 	for name, test := range map[string]struct {
 		history []porcupine.Operation
--- a/internal/replication/node.go
+++ b/internal/replication/node.go
@@ -130,7 +130,8 @@
 	return n, nil
 }
 
-// Run plays the router's part until the context ends or its disk fails.
+// Run plays the router's part until the context ends or its disk fails. It owns the goroutine of the replicas and those
+// of the transport, and returns when they have ended.
 func (n *Node) Run(ctx context.Context, listener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return n.config.Transport.Run(ctx, listener) })
--- a/internal/replication/node_test.go
+++ b/internal/replication/node_test.go
@@ -38,21 +38,29 @@
 type runningNode struct {
 	*Node
 	stop        func()
-	fs          vfs.FS
+	fs          *vfs.FaultFS
 	lastRequest uint64
 }
 
+func listen(t *testing.T, address string) (net.Listener, error) {
+	t.Helper()
+	return (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
+}
+
 func newTestCluster(t *testing.T, size int) *testCluster {
+	t.Helper()
 	c := &testCluster{t: t, net: faultproxy.New(1, size), nodes: make([]*runningNode, size)}
 	t.Cleanup(c.net.Close)
 	for i := range size {
 		key := ed25519.NewKeyFromSeed([]byte(strings.Repeat(string(rune('a'+i)), 32)))
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		public, ok := key.Public().(ed25519.PublicKey)
+		require.True(t, ok)
+		listener, err := listen(t, "127.0.0.1:0")
 		require.NoError(t, err)
 		c.keys = append(c.keys, key)
 		c.listeners = append(c.listeners, listener)
 		c.addresses = append(c.addresses, listener.Addr().String())
-		c.peers = append(c.peers, transport.Peer{Name: fmt.Sprint("r", i), PublicKey: key.Public().(ed25519.PublicKey)})
+		c.peers = append(c.peers, transport.Peer{Name: fmt.Sprint("r", i), PublicKey: public})
 	}
 	for i := range size {
 		var proxies []string
@@ -74,7 +82,8 @@
 	return c
 }
 
-func (c *testCluster) start(i int, fs vfs.FS) {
+func (c *testCluster) start(i int, fs *vfs.FaultFS) {
+	c.t.Helper()
 	var peers []transport.Peer
 	var names []string
 	for j, peer := range c.peers {
@@ -85,7 +94,7 @@
 	if c.listeners[i] == nil {
 		var err error
 		require.Eventually(c.t, func() bool { // its port may still be in use
-			c.listeners[i], err = net.Listen("tcp", c.addresses[i])
+			c.listeners[i], err = listen(c.t, c.addresses[i])
 			return err == nil
 		}, testTimeout, 10*time.Millisecond)
 	}
@@ -114,8 +123,8 @@
 	c.nodes[i] = &runningNode{Node: node, fs: fs, stop: stop}
 }
 
-// stop stops a node. What it did not sync is not on its disk.
-func (c *testCluster) stop(i int) vfs.FS {
+// stop stops a node, if it runs, and returns its disk. What it did not sync is not on the disk.
+func (c *testCluster) stop(i int) *vfs.FaultFS {
 	node := c.nodes[i]
 	if node == nil {
 		return nil
@@ -155,6 +164,7 @@
 }
 
 func (c *testCluster) report(i int) Report {
+	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	report, err := c.nodes[i].Report(ctx)
@@ -207,7 +217,7 @@
 	c.net.StartScript(faults.Script{Processes: 3, Duration: 1e6, Faults: []faults.Fault{cut}})
 	minority := c.nodes[0].Propose(reserveCommand("r0", 1<<50, "k", "g1"), time.Now().Add(1500*time.Millisecond))
 	assert.True(t, c.reserve(1, "k", "g2").Granted)
-	assert.ErrorIs(t, (<-minority).Err, ErrNoAnswer)
+	require.ErrorIs(t, (<-minority).Err, ErrNoAnswer)
 	c.net.StartScript(faults.Script{Processes: 3, Duration: 1e6})
 	result := c.reserve(0, "k", "g3")
 	assert.False(t, result.Granted)
@@ -220,12 +230,12 @@
 	c := newTestCluster(t, 3)
 	c.waitUntilHealthy()
 	assert.True(t, c.reserve(0, "k", "g1").Granted)
-	var disks []vfs.FS
+	var disks []*vfs.FaultFS
 	for i := range 3 {
 		disks = append(disks, c.stop(i))
 	}
 	for i := range 3 {
-		disks[i].(*vfs.FaultFS).Restart()
+		disks[i].Restart()
 		c.start(i, disks[i])
 	}
 	assert.False(t, c.reserve(2, "k", "g2").Granted)
--- a/internal/replication/placement/placement.go
+++ b/internal/replication/placement/placement.go
@@ -29,7 +29,7 @@
 
 // weight is a node's preference for a shard; the highest come first.
 func weight(shard int, name string) uint64 {
-	digest := xxhash.New()
+	digest := xxhash.New() // takes all that is written
 	_, _ = digest.Write([]byte{byte(shard), byte(shard >> 8)})
 	_, _ = digest.WriteString(name)
 	return digest.Sum64()
--- a/internal/replication/placement/placement_test.go
+++ b/internal/replication/placement/placement_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"slices"
+	"strconv"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -21,6 +22,8 @@
 	return nodes[slices.IndexFunc(nodes, func(node Node) bool { return node.Name == name })].Zone
 }
 
+// TestReplicasAreSpreadOverZones places the replicas of each shard for several sizes of cluster. With two of three
+// replicas in one zone its loss stops the shard. No zone may have more than the placement needs.
 func TestReplicasAreSpreadOverZones(t *testing.T) {
 	for _, test := range []struct{ nodes, zones, replicas, maxPerZone int }{
 		{9, 3, 3, 1},
@@ -45,6 +48,8 @@
 	}
 }
 
+// TestRemovedNodeMovesOnlyItsOwnShards removes one of twenty routers. A placement that moves other replicas as well
+// would copy most of the data for each router that goes. Only shards of that router may move.
 func TestRemovedNodeMovesOnlyItsOwnShards(t *testing.T) {
 	nodes := nodesInZones(20, 4)
 	fewer := slices.Delete(slices.Clone(nodes), 7, 8)
@@ -61,6 +66,8 @@
 	assert.Less(t, moved, 2*ShardCount*3/20+8, "about its share")
 }
 
+// TestShardsAndKeysAreSpreadEvenly counts shards a router and keys a shard. A router with many times its share would
+// be the first to fill up. Both must stay near the mean.
 func TestShardsAndKeysAreSpreadEvenly(t *testing.T) {
 	nodes := nodesInZones(20, 4)
 	shardsPerNode := map[string]int{}
@@ -82,6 +89,8 @@
 	}
 }
 
+// TestFaultTolerance holds how many routers and zones a set of replicas can lose. Operators decide by this figure
+// whether a machine may be taken away. It must be exact, and below zero where the majority is lost already.
 func TestFaultTolerance(t *testing.T) {
 	for _, test := range []struct {
 		zonesPresent           string // a letter a node
@@ -97,7 +106,7 @@
 	} {
 		var present []Node
 		for i, zone := range test.zonesPresent {
-			present = append(present, Node{fmt.Sprint(i), string(zone)})
+			present = append(present, Node{strconv.Itoa(i), string(zone)})
 		}
 		nodes, zones := FaultTolerance(test.replicas, present)
 		assert.Equal(t, []int{test.nodes, test.zones}, []int{nodes, zones}, test.zonesPresent)
--- a/internal/replication/placement/rebalancer_test.go
+++ b/internal/replication/placement/rebalancer_test.go
@@ -99,6 +99,8 @@
 	assert.Positive(t, held)
 }
 
+// TestLearnerThatIsLostIsRemoved loses a router while its replica is still a learner. A learner that never catches
+// up would block each further change of the shard. It must be removed.
 func TestLearnerThatIsLostIsRemoved(t *testing.T) {
 	statuses := statusesOf(nodesInZones(4, 1))
 	statuses[3].Up = false
--- a/internal/replication/reservation/core_test.go
+++ b/internal/replication/reservation/core_test.go
@@ -56,6 +56,9 @@
 	return result
 }
 
+// TestAttemptIsAllowedOnceItsLocationIsReserved plays a request from its first attempt to its end. An attempt before
+// its location is reserved may run a second time elsewhere. Each attempt must wait for a grant, further ones of the
+// group need no second one, and another group is denied.
 func TestAttemptIsAllowedOnceItsLocationIsReserved(t *testing.T) {
 	c := reachableCore()
 	first := submitted(t, c.RequestAttempt(0, attemptOf("t", 0, "g")))
@@ -73,6 +76,8 @@
 	assert.Contains(t, c.RequestAttempt(1.5, attemptOf("u", 0, "g")), Action(ReportLocation{"u", "g", 6.01, true}))
 }
 
+// TestEarlierAttemptInAnotherGroupIsReported asks for a key that another router reserved for another group. An
+// attempt would run a second time. It must be denied, and the group in which the key is known must be reported.
 func TestEarlierAttemptInAnotherGroupIsReported(t *testing.T) {
 	c := reachableCore()
 	first := submitted(t, c.RequestAttempt(0, attemptOf("t", 0, "g2")))
@@ -82,6 +87,9 @@
 	assert.Equal(t, []Action{AllowAttempt{"t", 1}}, c.HandleResult(0.2, first.Number, granted("g1")))
 }
 
+// TestSecondRequestOfAKeyJoinsThePendingReservation has two requests of one key arrive while the reservation is
+// under way. Two reservations would double the load at the moment of a storm. The second request must wait for the
+// first one's result.
 func TestSecondRequestOfAKeyJoinsThePendingReservation(t *testing.T) {
 	c := reachableCore()
 	first := submitted(t, c.RequestAttempt(0, attemptOf("t", 0, "g")))
@@ -92,6 +100,8 @@
 	assert.Equal(t, []Action{AllowAttempt{"t", 0}, AllowAttempt{"u", 1}}, actions)
 }
 
+// TestSharedReservationIsSettledOnceBothRequestsWereNotExecuted ends two requests that share a reservation. Settled
+// after the first one, the key would be free while the other's attempt may have run. It must be settled after both.
 func TestSharedReservationIsSettledOnceBothRequestsWereNotExecuted(t *testing.T) {
 	c := reachableCore()
 	first := submitted(t, c.RequestAttempt(0, attemptOf("t", 0, "g")))
@@ -102,13 +112,17 @@
 	assert.Equal(t, statemachine.StatusNotExecuted, settled.Command.Status)
 }
 
+// TestNothingIsAllowedWhileUnreachable asks for an attempt while no replica can be reached. An attempt without a
+// reservation may run twice; an error without a time has all clients return at once. It must be denied with a time
+// to return, unless the installation prefers to proceed.
 func TestNothingIsAllowedWhileUnreachable(t *testing.T) {
 	c := reachableCore()
 	c.SetReachable(0, false)
 	actions := c.RequestAttempt(0, attemptOf("t", 0, "g"))
 	require.Len(t, actions, 2)
 	assert.Equal(t, DenyAttempt{"t", 0}, actions[0])
-	rejected := actions[1].(RejectRequest)
+	rejected, ok := actions[1].(RejectRequest)
+	require.True(t, ok)
 	assert.Equal(t, ReasonUnreachable, rejected.Reason)
 	assert.GreaterOrEqual(t, rejected.RetryAfterSeconds, minRetryAfterSeconds)
 	assert.LessOrEqual(t, rejected.RetryAfterSeconds, maxRetryAfterSeconds)
@@ -117,6 +131,9 @@
 		"an installation may prefer to proceed")
 }
 
+// TestReservationWithoutResultIsResubmittedAndThenAbandoned loses the result of a reservation. A client would wait
+// past its deadline, and a late grant would hold the key though no attempt was sent. The command must be submitted
+// again unchanged, then given up, and a late grant settled as not executed.
 func TestReservationWithoutResultIsResubmittedAndThenAbandoned(t *testing.T) {
 	c := reachableCore()
 	first := submitted(t, c.RequestAttempt(0, attemptOf("t", 0, "g")))
@@ -131,6 +148,8 @@
 	assert.Empty(t, c.HandleResult(2.96, first.Number, granted("g")))
 }
 
+// TestReservationOfCancelledRequestIsSettledAsNotExecuted cancels a request while its reservation is under way.
+// Without a settlement the key would stay reserved for the whole window though nothing ran.
 func TestReservationOfCancelledRequestIsSettledAsNotExecuted(t *testing.T) {
 	c := reachableCore()
 	first := submitted(t, c.RequestAttempt(0, attemptOf("t", 0, "g")))
@@ -140,6 +159,8 @@
 	assert.Equal(t, statemachine.StatusNotExecuted, submitted(t, actions).Command.Status)
 }
 
+// TestReservationOfLeastWeightIsDisplaced fills the reservations that may be pending. Refusing whatever comes last
+// would turn important requests away behind others. The one of least weight must give way, and the bound must hold.
 func TestReservationOfLeastWeightIsDisplaced(t *testing.T) {
 	c := New(Config{MaxPending: 2}, "r", 1, 1)
 	c.SetReachable(0, true)
--- a/internal/replication/reservation/trace_test.go
+++ b/internal/replication/reservation/trace_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"crypto/sha256"
+	"encoding/hex"
 	"fmt"
+	"hash"
 	"math/rand/v2"
 	"testing"
 
@@ -14,6 +16,11 @@
 // goldenTrace is the SHA-256 of the trace as an earlier version wrote it.
 const goldenTrace = "8e2fb655b783e8a496a580da50a43d6a10e0119fe38a9601974630b51a894c12"
 
+const (
+	traceEvents    = 20_000
+	traceMaxChoice = 12 // of the oldest submitted commands, from which one is drawn
+)
+
 // reasonCodes number the reasons of a rejection as the trace does.
 var reasonCodes = map[RejectReason]int{
 	ReasonUnreachable:    1,
@@ -42,72 +49,96 @@
 	return fmt.Sprintf("unknown %T", action)
 }
 
+// tracePlay plays a script drawn from a seed against the state machine and hashes all actions.
+type tracePlay struct {
+	random   *rand.Rand
+	core     *Core
+	state    *statemachine.State
+	revision uint64
+	now      float64
+	commands []SubmitCommand // submitted; a few of them are carried out more than once
+	hash     hash.Hash
+	counts   map[string]int // of the actions, by their first word
+}
+
+func (p *tracePlay) record(actions []Action) {
+	for _, action := range actions {
+		text := actionText(action)
+		_, _ = fmt.Fprintf(p.hash, "%.6f %s\n", p.now, text)
+		var word string
+		_, _ = fmt.Sscan(text, &word)
+		p.counts[word]++
+		if command, ok := action.(SubmitCommand); ok {
+			p.commands = append(p.commands, command)
+		}
+	}
+}
+
+// step plays one drawn event. i counts the events.
+func (p *tracePlay) step(i int) {
+	p.now += 0.05 * p.random.Float64()
+	key := fmt.Sprint("k", p.random.IntN(40)+i/500)
+	request := RequestID(fmt.Sprint("t", p.random.IntN(30)))
+	switch event := p.random.IntN(100); {
+	case event < 35:
+		p.record(p.core.RequestAttempt(p.now, Attempt{
+			RequestID:      request,
+			Index:          i,
+			Key:            key,
+			Group:          fmt.Sprint("g", p.random.IntN(3)),
+			WindowSeconds:  2 + 4*p.random.Float64(),
+			Deadline:       p.now + 2*p.random.Float64(),
+			PriorityWeight: float64(p.random.IntN(4)),
+		}))
+	case event < 65 && len(p.commands) > 0:
+		p.carryOut()
+	case event < 80:
+		p.record(p.core.Tick(p.now))
+	case event < 98:
+		outcomes := []Outcome{OutcomeUnknown, OutcomeCompleted, OutcomeNotExecuted}
+		outcome := p.random.IntN(len(outcomes))
+		p.record(p.core.RequestEnded(request, key, outcomes[outcome]))
+	default:
+		p.core.config.ProceedWhenUnavailable = p.random.IntN(2) == 0
+		p.record(p.core.SetReachable(p.now, p.random.IntN(3) > 0))
+	}
+	_, _ = fmt.Fprintf(p.hash, "next %.6f pending %d\n", p.core.NextTick(), p.core.PendingCount())
+}
+
+// carryOut applies one of the submitted commands, at times keeps it to be applied again, and at times loses its
+// result.
+func (p *tracePlay) carryOut() {
+	j := p.random.IntN(min(len(p.commands), traceMaxChoice))
+	command := p.commands[j]
+	if p.random.IntN(8) > 0 {
+		p.commands = append(p.commands[:j:j], p.commands[j+1:]...)
+	}
+	p.revision++
+	command.Command.Now = 1000 + p.now
+	result := p.state.Apply(p.revision, command.Command)
+	if p.random.IntN(6) > 0 && command.Command.Op == statemachine.OpReserve {
+		p.record(p.core.HandleResult(p.now, command.Number, result))
+	}
+}
+
 // TestTraceOfSeededScript plays a script drawn from a seed against the state machine and compares
-// all actions by hash.
+// all actions by hash. A change of structure that changes a decision shows as another hash.
 func TestTraceOfSeededScript(t *testing.T) {
-	rnd := rand.New(rand.NewPCG(7, 11))
-	core := New(Config{MaxPending: 6}, "r1", 3, 5)
-	state := statemachine.New()
-	hash := sha256.New()
-	counts := map[string]int{}
-	outcomes := []Outcome{OutcomeUnknown, OutcomeCompleted, OutcomeNotExecuted}
-	var commands []SubmitCommand
-	now, revision := 0.0, uint64(0)
-	record := func(actions []Action) {
-		for _, action := range actions {
-			text := actionText(action)
-			_, _ = fmt.Fprintf(hash, "%.6f %s\n", now, text)
-			var word string
-			_, _ = fmt.Sscan(text, &word)
-			counts[word]++
-			if command, ok := action.(SubmitCommand); ok {
-				commands = append(commands, command)
-			}
-		}
+	p := &tracePlay{
+		random: rand.New(rand.NewPCG(7, 11)),
+		core:   New(Config{MaxPending: 6}, "r1", 3, 5),
+		state:  statemachine.New(),
+		hash:   sha256.New(),
+		counts: map[string]int{},
 	}
-	record(core.SetReachable(now, true))
-	for i := range 20_000 {
-		now += 0.05 * rnd.Float64()
-		key := fmt.Sprint("k", rnd.IntN(40)+i/500)
-		request := RequestID(fmt.Sprint("t", rnd.IntN(30)))
-		switch event := rnd.IntN(100); {
-		case event < 35:
-			record(core.RequestAttempt(now, Attempt{
-				RequestID:      request,
-				Index:          i,
-				Key:            key,
-				Group:          fmt.Sprint("g", rnd.IntN(3)),
-				WindowSeconds:  2 + 4*rnd.Float64(),
-				Deadline:       now + 2*rnd.Float64(),
-				PriorityWeight: float64(rnd.IntN(4)),
-			}))
-		case event < 65 && len(commands) > 0:
-			j := rnd.IntN(min(len(commands), 12))
-			command := commands[j]
-			if rnd.IntN(8) > 0 {
-				commands = append(commands[:j:j], commands[j+1:]...)
-			}
-			revision++
-			command.Command.Now = 1000 + now
-			result := state.Apply(revision, command.Command)
-			if rnd.IntN(6) > 0 && command.Command.Op == statemachine.OpReserve {
-				record(core.HandleResult(now, command.Number, result))
-			}
-		case event < 80:
-			record(core.Tick(now))
-		case event < 98:
-			outcome := rnd.IntN(3)
-			record(core.RequestEnded(request, key, outcomes[outcome]))
-		default:
-			core.config.ProceedWhenUnavailable = rnd.IntN(2) == 0
-			record(core.SetReachable(now, rnd.IntN(3) > 0))
-		}
-		_, _ = fmt.Fprintf(hash, "next %.6f pending %d\n", core.NextTick(), core.PendingCount())
+	p.record(p.core.SetReachable(p.now, true))
+	for i := range traceEvents {
+		p.step(i)
 	}
-	_, _ = fmt.Fprintln(hash, core.Granted, core.AlreadyReserved, core.Denied, core.Shed, core.Expired)
-	t.Log(counts)
+	_, _ = fmt.Fprintln(p.hash, p.core.Granted, p.core.AlreadyReserved, p.core.Denied, p.core.Shed, p.core.Expired)
+	t.Log(p.counts)
 	for _, word := range []string{"submit", "allow", "deny", "location", "reject"} {
-		assert.Greater(t, counts[word], 100, word)
+		assert.Greater(t, p.counts[word], 100, word)
 	}
-	assert.Equal(t, goldenTrace, fmt.Sprintf("%x", hash.Sum(nil)))
+	assert.Equal(t, goldenTrace, hex.EncodeToString(p.hash.Sum(nil)))
 }
--- a/internal/replication/shard/cluster_test.go
+++ b/internal/replication/shard/cluster_test.go
@@ -67,6 +67,7 @@
 }
 
 func newCluster(t *testing.T, seed uint64, size int, defect defect) *cluster {
+	t.Helper()
 	c := &cluster{
 		t:          t,
 		rnd:        rand.New(rand.NewPCG(seed, 2)),
@@ -111,7 +112,7 @@
 		disk.Entries = nil
 	}
 	if ready.HardState != nil {
-		disk.HardState = proto.Clone(ready.HardState).(*pb.HardState)
+		disk.HardState = proto.CloneOf(ready.HardState)
 	}
 	for _, entry := range ready.Entries {
 		disk.Entries = slices.DeleteFunc(slices.Clone(disk.Entries), func(old *pb.Entry) bool {
--- a/internal/replication/shard/replica_test.go
+++ b/internal/replication/shard/replica_test.go
@@ -1,8 +1,8 @@
 package shard
 
 import (
-	"fmt"
 	"slices"
+	"strconv"
 	"testing"
 	"time"
 
@@ -16,6 +16,7 @@
 
 // playFaults plays a number of faults and checks the answers that clients got.
 func playFaults(t *testing.T, seed uint64, faults int, defect defect) (linearizable bool, c *cluster) {
+	t.Helper()
 	c = newCluster(t, seed, 3+2*int(seed%2), defect)
 	c.run(200)
 	for range faults {
@@ -34,7 +35,9 @@
 		assert.True(t, linearizable, "seed %d", seed)
 		for _, operation := range c.history {
 			requested++
-			if operation.Output.(history.Output).Answered {
+			output, ok := operation.Output.(history.Output)
+			require.True(t, ok)
+			if output.Answered {
 				answered++
 			}
 		}
@@ -45,6 +48,7 @@
 
 // isFound says whether a seed's history shows a defect, or raft panics because of it.
 func isFound(t *testing.T, seed uint64, defect defect) (found bool) {
+	t.Helper()
 	defer func() {
 		if recover() != nil {
 			found = true
@@ -82,7 +86,7 @@
 		_ = replica.Propose(statemachine.Command{
 			Op:              statemachine.OpReserve,
 			Now:             100,
-			Key:             fmt.Sprint(c.lastRequest),
+			Key:             strconv.FormatUint(c.lastRequest, 10),
 			Group:           "g",
 			LifetimeSeconds: 60,
 			Requester:       "x",
@@ -96,7 +100,7 @@
 	for _, id := range c.ids {
 		r := c.replicas[id]
 		snapshot, err := r.replica.Compact()
-		assert.NoError(c.t, err)
+		require.NoError(c.t, err)
 		if snapshot == nil {
 			continue
 		}
@@ -107,6 +111,9 @@
 	}
 }
 
+// TestNewMemberCatchesUpBySnapshot replaces a replica after the log was compacted. The entries that the new one
+// lacks are gone, and without a snapshot it would wait for ever. It must get the snapshot and hold as many
+// reservations as the others.
 func TestNewMemberCatchesUpBySnapshot(t *testing.T) {
 	c := newCluster(t, 5, 3, defect{})
 	c.run(300)
--- a/internal/replication/shard/trace_test.go
+++ b/internal/replication/shard/trace_test.go
@@ -3,6 +3,7 @@
 import (
 	crand "crypto/rand"
 	"crypto/sha256"
+	"encoding/hex"
 	"fmt"
 	"math/rand/v2"
 	"testing"
@@ -58,5 +59,5 @@
 	t.Logf("%d steps, %d responses", steps, responses)
 	assert.Greater(t, steps, 1000)
 	assert.Greater(t, responses, 100)
-	assert.Equal(t, goldenTrace, fmt.Sprintf("%x", hash.Sum(nil)))
+	assert.Equal(t, goldenTrace, hex.EncodeToString(hash.Sum(nil)))
 }
--- a/internal/replication/statemachine/command.go
+++ b/internal/replication/statemachine/command.go
@@ -46,7 +46,7 @@
 // grant.
 func (c Command) grant() uint64 {
 	h := fnv.New64a()
-	_, _ = fmt.Fprintf(h, "%s/%d", c.Requester, c.RequestNumber)
+	_, _ = fmt.Fprintf(h, "%s/%d", c.Requester, c.RequestNumber) // a hash takes all
 	return h.Sum64()
 }
 
--- a/internal/replication/statemachine/golden_test.go
+++ b/internal/replication/statemachine/golden_test.go
@@ -12,6 +12,7 @@
 
 // goldenBytes reads lines of "name hex" that an earlier version wrote.
 func goldenBytes(t *testing.T, path string) map[string][]byte {
+	t.Helper()
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	golden := map[string][]byte{}
--- a/internal/replication/statemachine/state_test.go
+++ b/internal/replication/statemachine/state_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"fmt"
 	"math"
+	"strconv"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -35,6 +36,9 @@
 	}
 }
 
+// TestRetryIsGrantedForTheReservedGroupOnly reserves a key again in the same and in another group. A retry that
+// reaches a group which does not know the key runs a second time. Only the reserved group may be granted, until the
+// client cannot retry any more.
 func TestRetryIsGrantedForTheReservedGroupOnly(t *testing.T) {
 	s := New()
 	assert.True(t, s.Apply(1, reserve(100, "k", "g1", "a", 1)).Granted)
@@ -43,6 +47,7 @@
 	assert.Equal(t, []any{"g1", 106.0}, []any{r.Reservation.Group, r.Reservation.ExpiresAt})
 	r = s.Apply(3, reserve(102, "k", "g1", "b", 2))
 	assert.True(t, r.Granted)
+	//nolint:testifylint // exact by intent
 	assert.Equal(t, 106.0, r.Reservation.ExpiresAt, "the window starts with the first attempt")
 	s.Apply(4, settle(103, "g1", "a", 1, StatusCompleted))
 	r = s.Apply(5, reserve(104, "k", "g1", "c", 1))
@@ -52,6 +57,8 @@
 	assert.True(t, s.Apply(7, reserve(106.1+RetentionSeconds, "k", "g2", "c", 3)).Granted)
 }
 
+// TestNothingIsGrantedNearTheEndOfTheWindow reserves a key shortly before its window ends. The attempt would arrive
+// after the group has forgotten the key, and run a second time. It must be refused.
 func TestNothingIsGrantedNearTheEndOfTheWindow(t *testing.T) {
 	s := New()
 	s.Apply(1, reserve(100, "k", "g1", "a", 1))
@@ -61,6 +68,9 @@
 	assert.InDelta(t, -0.1, r.RemainingSeconds, 1e-9)
 }
 
+// TestKeyIsFreeOnceEachGrantWasNotExecuted settles grants as not executed, some of them twice. Were a repeated
+// settlement counted for another grant, a key would be free though an attempt may have run. Each grant must be
+// settled by itself, and beyond the grants that are distinguished the key must stay reserved.
 func TestKeyIsFreeOnceEachGrantWasNotExecuted(t *testing.T) {
 	s := New()
 	s.Apply(1, reserve(100, "k", "g1", "a", 1))
@@ -81,12 +91,14 @@
 	assert.False(t, s.Apply(200, reserve(100, "k", "other", "b", 1)).Granted, "more grants than are distinguished")
 }
 
+// TestTimeNeverGoesBack applies a command of a leader whose clock is behind. Time that goes back would make expired
+// reservations valid again, and differently on each replica. It must stay.
 func TestTimeNeverGoesBack(t *testing.T) {
 	s := New()
 	s.Apply(1, reserve(1000, "k", "g1", "a", 1))
 	r := s.Apply(2, reserve(100, "x", "g1", "a", 2)) // a leader whose clock is behind
-	assert.Equal(t, 1000.0, r.Reservation.CreatedAt)
-	assert.Equal(t, 1000.0, s.Now())
+	assert.Equal(t, 1000.0, r.Reservation.CreatedAt) //nolint:testifylint // exact by intent
+	assert.Equal(t, 1000.0, s.Now())                 //nolint:testifylint // exact by intent
 }
 
 // drawCommand draws any valid command.
@@ -95,8 +107,8 @@
 		Op:              Op(rapid.IntRange(1, 4).Draw(t, "op")),
 		Now:             now,
 		Kind:            KindPurge,
-		Key:             fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key")),
-		Group:           fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "group")),
+		Key:             strconv.Itoa(rapid.IntRange(0, 2).Draw(t, "key")),
+		Group:           strconv.Itoa(rapid.IntRange(0, 1).Draw(t, "group")),
 		LifetimeSeconds: 6,
 		Status:          Status(rapid.IntRange(1, 2).Draw(t, "status")),
 		Requester:       "r",
@@ -174,10 +186,12 @@
 	})
 }
 
+// TestExpiredReservationsAreRemoved lets ten thousand reservations expire. What is never removed fills the memory of
+// all replicas. Commands that only move the time on must remove them.
 func TestExpiredReservationsAreRemoved(t *testing.T) {
 	s := New()
 	for i := range 10_000 {
-		s.Apply(uint64(i+1), reserve(100+float64(i)/1000, fmt.Sprint(i), "g", "a", 1))
+		s.Apply(uint64(i+1), reserve(100+float64(i)/1000, strconv.Itoa(i), "g", "a", 1))
 	}
 	assert.Equal(t, 10_000, s.Len())
 	for i := range 60 {
@@ -188,6 +202,9 @@
 	assert.False(t, ok)
 }
 
+// TestInvalidCommandsAndSnapshotsAreRefused encodes commands that break one rule each, and restores snapshots with
+// one wrong bit or cut off. A replica that applies what others refuse differs from them for good. Each must be
+// refused.
 func TestInvalidCommandsAndSnapshotsAreRefused(t *testing.T) {
 	for _, c := range []Command{
 		{},
@@ -203,7 +220,7 @@
 		{Op: OpPut, Key: "k", Kind: KindPurge, Value: make([]byte, MaxValueBytes+1)},
 	} {
 		_, err := c.Encode()
-		assert.ErrorIs(t, err, ErrInvalid, "%+v", c)
+		require.ErrorIs(t, err, ErrInvalid, "%+v", c)
 	}
 	s := New()
 	s.Apply(1, reserve(100, "k", "g", "a", 1))
@@ -213,7 +230,7 @@
 		bad := bytes.Clone(snapshot)
 		bad[i] ^= 1
 		_, err := Restore(bad)
-		assert.ErrorIs(t, err, ErrInvalid, "byte %d", i)
+		require.ErrorIs(t, err, ErrInvalid, "byte %d", i)
 	}
 	for n := range snapshot {
 		_, err := Restore(snapshot[:n])
@@ -221,6 +238,7 @@
 	}
 }
 
+// FuzzRestore restores any bytes as a snapshot, and decodes them as a command. Neither may end the process.
 func FuzzRestore(f *testing.F) {
 	s := New()
 	s.Apply(1, reserve(100, "k", "g", "a", 1))
--- a/internal/replication/transport/frame.go
+++ b/internal/replication/transport/frame.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
 
@@ -56,6 +57,9 @@
 	SeenStartCounts map[uint64]uint32 `cbor:"12,keyasint,omitempty"`
 }
 
+// errFrameTooLong tells a frame over the bound from a connection that failed.
+var errFrameTooLong = errors.New("frame is too long")
+
 var encoding, decoding = cborcodec.NewModes(maxFrameItems)
 
 // encodeFrame writes a frame with its length before it.
@@ -65,7 +69,7 @@
 		return nil, fmt.Errorf("encode frame: %w", err)
 	}
 	if len(body) > MaxFrameBytes {
-		return nil, fmt.Errorf("encode frame: %d bytes, %d are allowed", len(body), MaxFrameBytes)
+		return nil, fmt.Errorf("encode frame: %w: %d bytes, %d are allowed", errFrameTooLong, len(body), MaxFrameBytes)
 	}
 	encoded := binary.BigEndian.AppendUint32(make([]byte, 0, lengthBytes+len(body)), uint32(len(body)))
 	return append(encoded, body...), nil
@@ -80,7 +84,7 @@
 	}
 	size := binary.BigEndian.Uint32(length)
 	if size > MaxFrameBytes {
-		return frame, fmt.Errorf("read frame: %d bytes, %d are allowed", size, MaxFrameBytes)
+		return frame, fmt.Errorf("read frame: %w: %d bytes, %d are allowed", errFrameTooLong, size, MaxFrameBytes)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
--- a/internal/replication/transport/transport.go
+++ b/internal/replication/transport/transport.go
@@ -46,7 +46,8 @@
 	queues map[string]*queue // by peer
 }
 
-// Run serves connections until the context ends. Of two routers the one whose name sorts first dials.
+// Run serves connections until the context ends. Of two routers the one whose name sorts first dials. Run owns the
+// goroutines that accept, dial and serve, and returns when they have ended.
 func (t *Transport) Run(ctx context.Context, listener net.Listener) error {
 	config, err := t.tlsConfig()
 	if err != nil {
@@ -58,19 +59,17 @@
 		return listener.Close()
 	})
 	group.Go(func() error {
-		for {
+		for ctx.Err() == nil {
 			conn, err := listener.Accept()
 			if err != nil {
-				if ctx.Err() != nil {
-					return nil
-				}
-				continue
+				continue // the context ended and closed the listener, or this one connection failed
 			}
 			group.Go(func() error {
 				t.serve(ctx, tls.Server(conn, config), "")
 				return nil
 			})
 		}
+		return nil
 	})
 	for _, peer := range t.Peers {
 		if t.Name < peer.Name {
@@ -104,7 +103,8 @@
 	}
 }
 
-// serve carries one connection until it ends. The peer's name is known before where this side dialed.
+// serve carries one connection until it ends. The peer's name is known before where this side dialed. It owns the
+// goroutine that writes and waits for it.
 func (t *Transport) serve(ctx context.Context, conn *tls.Conn, expected string) {
 	defer func() { _ = conn.Close() }() // both ends close it
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -125,8 +125,8 @@
 		queue.writeTo(ctx, conn)
 	}()
 	t.readFrames(name, conn)
-	_ = conn.Close()
-	queue.notify() // the writer finds the connection closed
+	_ = conn.Close() // the writer may have closed it
+	queue.notify()   // the writer finds the connection closed
 	<-written
 }
 
--- a/internal/replication/transport/transport_test.go
+++ b/internal/replication/transport/transport_test.go
@@ -1,8 +1,10 @@
 package transport
 
 import (
+	"bytes"
 	"context"
 	"crypto/ed25519"
+	"encoding/binary"
 	"net"
 	"strings"
 	"testing"
@@ -18,13 +20,19 @@
 	return ed25519.NewKeyFromSeed([]byte(strings.Repeat(letter, 32)))
 }
 
-func publicKey(letter string) ed25519.PublicKey { return key(letter).Public().(ed25519.PublicKey) }
+func publicKey(t *testing.T, letter string) ed25519.PublicKey {
+	t.Helper()
+	public, ok := key(letter).Public().(ed25519.PublicKey)
+	require.True(t, ok)
+	return public
+}
 
 // startTransport runs a router's connections until the test ends. What it receives comes out of the
 // channels.
 func startTransport(
 	t *testing.T, name string, privateKey ed25519.PrivateKey, listener net.Listener, peers []Peer,
 ) (transport *Transport, frames chan Frame, connected chan bool) {
+	t.Helper()
 	frames, connected = make(chan Frame, 100), make(chan bool, 100)
 	transport = &Transport{
 		Name:        name,
@@ -47,16 +55,19 @@
 }
 
 func listen(t *testing.T) net.Listener {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	return listener
 }
 
+// TestFramesAreTakenFromListedPeersOnly connects two routers, and then one that uses a listed name with a key of its
+// own. A forged frame could grant a key twice. Frames of the listed peer must arrive, and none of the forger.
 func TestFramesAreTakenFromListedPeersOnly(t *testing.T) {
 	listenerA, listenerB := listen(t), listen(t)
 	peers := []Peer{
-		{"a", publicKey("a"), listenerA.Addr().String()},
-		{"b", publicKey("b"), listenerB.Addr().String()},
+		{"a", publicKey(t, "a"), listenerA.Addr().String()},
+		{"b", publicKey(t, "b"), listenerB.Addr().String()},
 	}
 	transportA, _, connected := startTransport(t, "a", key("a"), listenerA, peers)
 	_, framesB, _ := startTransport(t, "b", key("b"), listenerB, peers)
@@ -76,7 +87,7 @@
 	}
 
 	// Another router under the name of a, with a key of its own.
-	forgedPeers := []Peer{{"a", publicKey("x"), ""}, peers[1]}
+	forgedPeers := []Peer{{"a", publicKey(t, "x"), ""}, peers[1]}
 	forger, _, connected := startTransport(t, "a", key("x"), listen(t), forgedPeers)
 	forger.Send("b", Frame{Kind: KindRead, Key: "forged"})
 	select {
@@ -102,8 +113,15 @@
 	return sent
 }
 
+// TestQueueIsBounded sends to a peer that is not connected. Frames that wait without a bound would use up the memory
+// while a peer is away. Frames over the count, the bytes or the size of one frame must be dropped, and the last must
+// say why.
 func TestQueueIsBounded(t *testing.T) {
 	assert.Equal(t, maxQueuedFrames, countSent(2*maxQueuedFrames, 10))
 	assert.Zero(t, countSent(1, MaxFrameBytes+1))
 	assert.LessOrEqual(t, countSent(100, 1<<20), maxQueuedBytes>>20)
+	_, err := encodeFrame(Frame{Kind: KindRaft, Payload: make([]byte, MaxFrameBytes+1)})
+	require.ErrorIs(t, err, errFrameTooLong)
+	_, err = readFrame(bytes.NewReader(binary.BigEndian.AppendUint32(nil, MaxFrameBytes+1)))
+	require.ErrorIs(t, err, errFrameTooLong)
 }
--- a/internal/replication/verify_test.go
+++ b/internal/replication/verify_test.go
@@ -16,6 +16,7 @@
 
 // stoppedFolder is the folder of a stopped router that has committed one reservation.
 func stoppedFolder(t *testing.T, group string) string {
+	t.Helper()
 	path := t.TempDir()
 	log, _, err := wal.Open(vfs.Dir(path), "r1", func() uint64 { return 5 })
 	require.NoError(t, err)
@@ -43,6 +44,9 @@
 	return path
 }
 
+// TestVerifyComparesStoppedRouters compares folders that agree, folders that differ at one command, and an empty
+// one. A comparison that passes over a difference hides a key that was granted twice. The index of the first
+// difference must be named, and an unreadable folder must not count as equal.
 func TestVerifyComparesStoppedRouters(t *testing.T) {
 	a, b, c := stoppedFolder(t, "g1"), stoppedFolder(t, "g1"), stoppedFolder(t, "g2")
 	var out bytes.Buffer
--- a/internal/replication/wal/golden_test.go
+++ b/internal/replication/wal/golden_test.go
@@ -1,23 +1,22 @@
 package wal
 
 import (
-	"flag"
 	"fmt"
 	"maps"
 	"os"
+	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 
 	"cairnfront/internal/diskcache/vfs"
+	"cairnfront/internal/golden"
 	"cairnfront/internal/replication/shard"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write testdata/folder-*.txt anew; the folders themselves stay")
-
 // describe prints what a folder holds, shard by shard.
 func describe(id Identity, saved map[int]shard.PersistentState) string {
 	var b strings.Builder
@@ -44,21 +43,14 @@
 // an overwritten entry, a removed shard and an unsynced tail.
 func TestGoldenFoldersAreRead(t *testing.T) {
 	for _, owner := range []string{"r1", "r2"} {
-		golden := "testdata/folder-" + owner
-		if *update {
-			id, saved, err := Inspect(vfs.Dir(golden))
-			require.NoError(t, err)
-			require.NoError(t, os.WriteFile(golden+".txt", []byte(describe(id, saved)), 0o644))
-		}
-		want, err := os.ReadFile(golden + ".txt")
-		require.NoError(t, err)
-
-		id, saved, err := Inspect(vfs.Dir(golden))
+		folder := "folder-" + owner
+		stored := filepath.Join("testdata", folder)
+		id, saved, err := Inspect(vfs.Dir(stored))
 		require.NoError(t, err)
-		assert.Equal(t, string(want), describe(id, saved))
+		golden.Compare(t, folder+".txt", describe(id, saved))
 
 		writable := t.TempDir()
-		require.NoError(t, os.CopyFS(writable, os.DirFS(golden)))
+		require.NoError(t, os.CopyFS(writable, os.DirFS(stored)))
 		opened, reopened, err := Open(vfs.Dir(writable), owner, drawID)
 		require.NoError(t, err)
 		id.StartCount++ // opening counts a start, inspecting does not
--- a/internal/replication/wal/powerloss_test.go
+++ b/internal/replication/wal/powerloss_test.go
@@ -73,6 +73,7 @@
 
 // check holds what is on disk after the power came back against what was acknowledged.
 func (p *powerLossRun) check(t *testing.T, state shard.PersistentState, where string) {
+	t.Helper()
 	found := map[uint64]string{}
 	for _, entry := range state.Entries {
 		found[entry.GetIndex()] = string(entry.Data)
--- a/internal/replication/wal/wal_test.go
+++ b/internal/replication/wal/wal_test.go
@@ -25,6 +25,7 @@
 func drawID() uint64 { return 77 }
 
 func open(t *testing.T, fs vfs.FS) (*WAL, map[int]shard.PersistentState) {
+	t.Helper()
 	w, saved, err := Open(fs, "r1", drawID)
 	require.NoError(t, err)
 	return w, saved
@@ -60,6 +61,9 @@
 	return nil
 }
 
+// TestWrittenStateIsReadAfterReopening writes, rotates, saves a snapshot and reopens. A router that starts with less
+// than it acknowledged can vote twice. All that was written must be there, the folder must be locked while it is
+// open, and another router must be refused.
 func TestWrittenStateIsReadAfterReopening(t *testing.T) {
 	fs, err := vfs.MakeDir(t.TempDir())
 	require.NoError(t, err)
@@ -91,14 +95,17 @@
 	inspectedIdentity, inspected, err := Inspect(fs)
 	require.NoError(t, err)
 	assert.Equal(t, w.Identity(), inspectedIdentity)
-	assert.Equal(t, len(saved), len(inspected))
+	assert.Len(t, inspected, len(saved))
 	_, _, err = Open(fs, "r1", drawID)
-	assert.ErrorIs(t, err, vfs.ErrLocked)
+	require.ErrorIs(t, err, vfs.ErrLocked)
 	w.Close()
 	_, _, err = Open(fs, "r2", drawID)
 	assert.ErrorIs(t, err, ErrForeignOwner)
 }
 
+// TestDamageIsRefusedAndTornEndIsCutOff flips bits in what was synced, and then in what was not. A replica that
+// drops synced records forgets a vote; one that refuses a torn end never starts after a loss of power. The first
+// must be refused, the second cut off.
 func TestDamageIsRefusedAndTornEndIsCutOff(t *testing.T) {
 	fs := vfs.NewFaultFS(3)
 	w, _ := open(t, fs)
@@ -113,7 +120,7 @@
 	for _, at := range []int64{3, 14, 40, size / 2} {
 		fs.FlipBit(name, at, 1)
 		_, _, err := Open(fs, "r1", drawID)
-		assert.ErrorIs(t, err, ErrCorrupt, "byte %d", at)
+		require.ErrorIs(t, err, ErrCorrupt, "byte %d", at)
 		fs.FlipBit(name, at, 1)
 	}
 	w, _ = open(t, fs)
@@ -128,12 +135,15 @@
 	assert.ErrorIs(t, err, ErrCorrupt)
 }
 
+// TestNothingIsWrittenAfterAFailure fills the disk during a write. After a failed write the content of the file is
+// not known, and a later one could leave a hole. All further writes must fail with the same error until the log is
+// opened anew.
 func TestNothingIsWrittenAfterAFailure(t *testing.T) {
 	fs := vfs.NewFaultFS(3)
 	w, _ := open(t, fs)
 	fs.CapacityBytes = 1
 	err := w.Write([]shard.Ready{{Shard: 1, Entries: []*pb.Entry{entry(1, 1, "x")}, MustSync: true}})
-	assert.ErrorIs(t, err, vfs.ErrNoSpace)
+	require.ErrorIs(t, err, vfs.ErrNoSpace)
 	fs.CapacityBytes = 0
 	second := w.Write([]shard.Ready{{Shard: 1, HardState: hardState(1, 1), MustSync: true}})
 	assert.Equal(t, err, second, "the content of the disk is not known")
@@ -144,6 +154,8 @@
 	w.Close()
 }
 
+// TestNewerVersionIsRefused opens a folder of the next version. Read as if it were of this version, records would be
+// dropped without a word. It must be refused with both versions in the message.
 func TestNewerVersionIsRefused(t *testing.T) {
 	fs := vfs.NewFaultFS(4)
 	w, _ := open(t, fs)
@@ -156,10 +168,11 @@
 	}
 	require.NoError(t, replaceFile(fs, identityFile, newer(content)))
 	_, _, err = Open(fs, "r1", drawID)
-	assert.ErrorIs(t, err, ErrNewerVersion)
+	require.ErrorIs(t, err, ErrNewerVersion)
 	assert.ErrorContains(t, err, "2, this program reads 1")
 }
 
+// FuzzRead opens log files of any content. A damaged file must be refused or read, and never end the process.
 func FuzzRead(f *testing.F) {
 	f.Add(appendRecord(appendRecord(nil, kindFileHeader, 0, make([]byte, fileHeaderBytes)), kindEntry, 1, []byte{8, 1}))
 	f.Add(appendRecord(nil, kindHardState, 1, []byte("x")))
@@ -177,8 +190,9 @@
 	})
 }
 
-// TestLeadersSnapshotEndsLaterEntriesOnDisk: a snapshot that a leader sent replaces all entries, also after a
-// reopening.
+// TestLeadersSnapshotEndsLaterEntriesOnDisk takes a snapshot that a leader sent over entries of an older term.
+// Entries behind it that stayed on the disk would come back after a restart. The snapshot must replace all entries,
+// also after a reopening.
 func TestLeadersSnapshotEndsLaterEntriesOnDisk(t *testing.T) {
 	fs := vfs.NewFaultFS(5)
 	w, _ := open(t, fs)
@@ -227,13 +241,14 @@
 	return f.File.Sync()
 }
 
-// TestLogFileIsNotUsedUnlessItIsOnDisk: a rotation whose sync fails leaves the older file the newest.
+// TestLogFileIsNotUsedUnlessItIsOnDisk fails the sync of a rotation. A file that is renamed before it is on the disk
+// may be empty after a loss of power, while the older one is removed. The older file must stay the newest.
 func TestLogFileIsNotUsedUnlessItIsOnDisk(t *testing.T) {
 	fs := &syncFailure{FS: vfs.NewFaultFS(6)}
 	w, _ := open(t, fs)
 	require.NoError(t, w.Write([]shard.Ready{{Shard: 1, HardState: hardState(1, 0), MustSync: true}}))
 	fs.failing, fs.renamed = true, 0
-	assert.ErrorIs(t, w.rotate(), syscall.EIO)
+	require.ErrorIs(t, w.rotate(), syscall.EIO)
 	assert.Zero(t, fs.renamed)
 	w.Close()
 	fs.failing = false
--- /dev/null
+++ b/internal/replication/wal/write.go
@@ -0,0 +1,101 @@
+package wal
+
+import (
+	"encoding/binary"
+	"fmt"
+
+	"cairnfront/internal/replication/shard"
+
+	"google.golang.org/protobuf/proto"
+)
+
+const rotateBytes = 16 << 20 // of a log file, after which the next one begins with what still counts
+
+// Write puts a batch on disk, with one sync if any part of it has to outlast a loss of power. After
+// an error nothing of the batch may be sent or believed, and the log takes nothing more until it is
+// opened anew.
+func (w *WAL) Write(batch []shard.Ready) error {
+	if w.failure != nil {
+		return w.failure
+	}
+	w.buffer = w.buffer[:0]
+	mustSync := false
+	for _, ready := range batch {
+		mustSync = mustSync || ready.MustSync
+		if err := w.appendReady(ready); err != nil {
+			return w.fail(err)
+		}
+	}
+	if err := w.flush(mustSync); err != nil {
+		return w.fail(err)
+	}
+	if w.size > rotateBytes {
+		if err := w.rotate(); err != nil {
+			return w.fail(err)
+		}
+	}
+	return nil
+}
+
+// appendReady adds the records of one shard to the batch. A snapshot's file is written at once.
+func (w *WAL) appendReady(ready shard.Ready) error {
+	log := w.shardLog(ready.Shard)
+	if ready.Snapshot != nil { // of a leader: it replaces all entries
+		index := binary.BigEndian.AppendUint64(nil, ready.Snapshot.GetMetadata().GetIndex())
+		w.buffer = appendRecord(w.buffer, kindTruncate, ready.Shard, index)
+		if err := w.writeSnapshot(ready.Shard, ready.Snapshot); err != nil {
+			return err
+		}
+		log.entries = nil
+	}
+	if ready.HardState != nil {
+		log.hardState = ready.HardState
+		if err := w.appendMessage(kindHardState, ready.Shard, ready.HardState); err != nil {
+			return err
+		}
+	}
+	for _, entry := range ready.Entries {
+		log.put(entry)
+		if err := w.appendMessage(kindEntry, ready.Shard, entry); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (w *WAL) appendMessage(kind recordKind, shard int, message proto.Message) error {
+	payload, err := proto.Marshal(message)
+	if err != nil {
+		return err
+	}
+	w.buffer = appendRecord(w.buffer, kind, shard, payload)
+	return nil
+}
+
+// fail ends the writing for good.
+func (w *WAL) fail(err error) error {
+	w.failure = fmt.Errorf("write to write-ahead log: %w", err)
+	return w.failure
+}
+
+// flush writes the batch after a header, and syncs the file.
+func (w *WAL) flush(sync bool) error {
+	if len(w.buffer) > 0 {
+		batch := append(batchHeader(w.synced), w.buffer...)
+		if _, err := w.file.WriteAt(batch, w.size); err != nil {
+			return err
+		}
+		w.size += int64(len(batch))
+		w.BytesWritten += int64(len(batch))
+		w.buffer = w.buffer[:0]
+	}
+	if !sync {
+		return nil
+	}
+	w.SyncCount++
+	if err := w.file.Sync(); err != nil {
+		return err
+	}
+	w.synced = w.size
+	return nil
+}
