--- a/internal/diskcache/eviction/cafe_test.go
+++ b/internal/diskcache/eviction/cafe_test.go
@@ -71,7 +71,7 @@
 	assert.False(t, c.Contains(key(9, 0)))
 }
 
-// TestChunksRequestedOnceDoNotDisplace requests a thousand chunks once each. A scan of the whole catalog would empty
+// TestChunksRequestedOnceDoNotDisplace requests a thousand chunks once each. A scan of the entire catalog would empty
 // the disk of what is asked for again. None may be admitted, and the ghosts must stay bounded.
 func TestChunksRequestedOnceDoNotDisplace(t *testing.T) {
 	c := fullDisk(2)
--- a/internal/membership/observation/tracker_test.go
+++ b/internal/membership/observation/tracker_test.go
@@ -44,9 +44,9 @@
 	assert.Empty(t, tracker.Tick(2+expiry+2))
 }
 
-// TestWitnessesOfOneZoneCountLess compares doubts of the same number of witnesses. A broken switch makes a whole
-// zone report failures of an endpoint that others reach. Witnesses of several zones must raise more doubt than those
-// of one.
+// TestWitnessesOfOneZoneCountLess compares doubts of the same number of witnesses. A broken switch makes all routers
+// of a zone report failures of an endpoint that others reach. Witnesses of several zones must raise more doubt than
+// those of one.
 func TestWitnessesOfOneZoneCountLess(t *testing.T) {
 	doubt := func(zones ...string) float64 {
 		tracker := New(0, "z", 0, 1)
--- a/internal/membership/ratelimit/limiter_test.go
+++ b/internal/membership/ratelimit/limiter_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestLowPriorityLeavesTheReservedShare sends push-pull exchanges until they are refused. Exchanges that take the
-// whole limit would delay probes, and healthy members would be suspected. A share must be left for probes.
+// entire limit would delay probes, and healthy members would be suspected. A share must be left for probes.
 func TestLowPriorityLeavesTheReservedShare(t *testing.T) {
 	l := New(Limits{PerPeerDatagrams: 1000, PerPeerBytes: 1e6, TotalDatagrams: 100, TotalBytes: 1e6})
 	n := 0
--- a/internal/replication/reservation/core_test.go
+++ b/internal/replication/reservation/core_test.go
@@ -149,7 +149,7 @@
 }
 
 // TestReservationOfCancelledRequestIsSettledAsNotExecuted cancels a request while its reservation is under way.
-// Without a settlement the key would stay reserved for the whole window though nothing ran.
+// Without a settlement the key would stay reserved for the full window though nothing ran.
 func TestReservationOfCancelledRequestIsSettledAsNotExecuted(t *testing.T) {
 	c := reachableCore()
 	first := submitted(t, c.RequestAttempt(0, attemptOf("t", 0, "g")))
