--- a/internal/lab/simulation/mutants_test.go
+++ b/internal/lab/simulation/mutants_test.go
@@ -45,7 +45,7 @@
 	},
 	{
 		name:      "nobody pings members that are not present",
-		file:      "internal/membership/swim/probe.go",
+		file:      "internal/membership/swim/probeorder.go",
 		edits:     [][2]string{{"if c.prober.count%absentPingEvery == 0 {", "if false {"}},
 		arguments: []string{"--seeds", "1..20", "--faults", "8", "--peers", "20"},
 	},
