--- a/internal/bootstrap/config_test.go
+++ b/internal/bootstrap/config_test.go
@@ -11,6 +11,7 @@
 	"cairnfront/routing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
 const validFile = `{"name":"n3","listen":"127.0.0.1:9090","seed":"8c1f30d27a5be964",
@@ -21,9 +22,11 @@
 "limits":{"connect_timeout_s":0.4,"max_streams":32},"stats":{"source":"on_probe"},
 "request_classes":[{"name":"page","effect":"retryable"},{"name":"order","effect":"fragile"}]}}`
 
+// A field that is read wrongly makes the router run with other limits or settings than the deployment gave. The fields
+// of a known file must have their values.
 func TestFileIsParsed(t *testing.T) {
 	config, err := Parse([]byte(validFile))
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	assert.Equal(t, []string{"page", "order"}, config.ClassNames)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), config.Seed)
 	assert.Len(t, config.KnownEvents, 1)
@@ -45,6 +48,8 @@
 	}
 }
 
+// A router that starts with an invalid field fails later and elsewhere. The start must fail with the field's name and
+// an error of its kind.
 func TestInvalidFieldsAreNamed(t *testing.T) {
 	for _, c := range []struct {
 		old, replacement string
@@ -64,34 +69,38 @@
 	} {
 		_, err := Parse([]byte(strings.Replace(validFile, c.old, c.replacement, 1)))
 		var fieldErr *FieldError
-		assert.ErrorAs(t, err, &fieldErr, c.old)
+		require.ErrorAs(t, err, &fieldErr, c.old)
 		assert.Equal(t, c.field, fieldErr.Field, c.old)
-		assert.ErrorIs(t, err, c.want, c.old)
-		assert.ErrorContains(t, err, c.field+": "+c.want.Error())
+		require.ErrorIs(t, err, c.want, c.old)
+		require.ErrorContains(t, err, c.field+": "+c.want.Error())
 	}
 	_, err := Parse([]byte("[" + validFile[1:]))
 	var syntaxErr *json.SyntaxError
-	assert.ErrorAs(t, err, &syntaxErr)
+	require.ErrorAs(t, err, &syntaxErr)
 	assert.ErrorContains(t, err, "JSON")
 }
 
+// A start that fails for want of the file has to say which file. The error must name the variable or the path, and keep
+// its cause.
 func TestUnreadableFilesAreNamed(t *testing.T) {
 	t.Setenv(PathVariable, "")
 	_, err := LoadFromEnv()
-	assert.ErrorIs(t, err, ErrNoPath)
-	assert.ErrorContains(t, err, PathVariable)
+	require.ErrorIs(t, err, ErrNoPath)
+	require.ErrorContains(t, err, PathVariable)
 	path := filepath.Join(t.TempDir(), "x.json")
 	t.Setenv(PathVariable, path)
 	_, err = LoadFromEnv()
-	assert.ErrorIs(t, err, os.ErrNotExist)
-	assert.NoError(t, os.WriteFile(path, []byte("nonsense"), 0o600))
+	require.ErrorIs(t, err, os.ErrNotExist)
+	require.NoError(t, os.WriteFile(path, []byte("nonsense"), 0o600))
 	_, err = LoadFromEnv()
 	assert.ErrorContains(t, err, path)
 }
 
+// Limits and classes can't change while requests are open. A reload that took them in half would leave the stages in
+// disagreement. Only a change of the discovery address must be accepted.
 func TestReloadMayChangeOnlyTheDiscoveryAddress(t *testing.T) {
 	running, err := Parse([]byte(validFile))
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	for _, c := range []struct {
 		old, replacement string
 		fixedField       string
@@ -103,13 +112,13 @@
 		{`"max_streams":32`, `"max_streams":31`, "settings"},
 	} {
 		changed, err := Parse([]byte(strings.Replace(validFile, c.old, c.replacement, 1)))
-		assert.NoError(t, err)
+		require.NoError(t, err)
 		err = changed.CheckReload(running)
 		if c.fixedField == "" {
-			assert.NoError(t, err)
+			require.NoError(t, err)
 			continue
 		}
-		assert.ErrorIs(t, err, ErrFixed)
+		require.ErrorIs(t, err, ErrFixed)
 		assert.ErrorContains(t, err, c.fixedField+": can't change without a restart")
 	}
 }
--- a/internal/bootstrap/golden_test.go
+++ b/internal/bootstrap/golden_test.go
@@ -3,14 +3,13 @@
 import (
 	"fmt"
 	"maps"
-	"os"
 	"slices"
 	"strings"
 	"testing"
 
 	"cairnfront/internal/discovery"
+	"cairnfront/internal/golden"
 
-	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
 
@@ -51,7 +50,5 @@
 func TestFileWithEveryKeyIsReadTheSame(t *testing.T) {
 	config, err := LoadFile("testdata/every-key.json")
 	require.NoError(t, err)
-	want, err := os.ReadFile("testdata/every-key.golden")
-	require.NoError(t, err)
-	assert.Equal(t, string(want), printConfig(config))
+	golden.Compare(t, "every-key.golden", printConfig(config))
 }
--- a/internal/cacheproto/command_test.go
+++ b/internal/cacheproto/command_test.go
@@ -7,6 +7,7 @@
 	"cairnfront/routing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
 // testRequest has every field that a command carries.
@@ -32,6 +33,8 @@
 	Revalidate:    true,
 }
 
+// A field that is left out of a command takes its default at the cache: another age, another retention rank. Every
+// field of an attempt must be written.
 func TestAttemptIsWrittenInFull(t *testing.T) {
 	r := testRequest()
 	options := testOptions
@@ -52,12 +55,14 @@
 	assert.Equal(t, "undo ab\r\nping c1\r\ntop c2\r\n", string(b))
 }
 
+// The writer and the parser of commands are two pieces of code. Where they disagree, the edge cache acts on another
+// command than the router's. What was written must be parsed to the same value.
 func TestWrittenAttemptIsParsedTheSame(t *testing.T) {
 	r := testRequest()
 	attempt := Attempt{Request: r, TimeoutSeconds: 1.5, FillSource: "s-1", StartAttempt: testOptions}
 	line := AppendAttempt(nil, attempt)
 	got, err := ParseCommand(line[:len(line)-len(LineEnd)])
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	assert.Equal(t, Command{
 		ID:             string(r.ID),
 		ClassName:      "page",
@@ -79,6 +84,8 @@
 	}, got)
 }
 
+// After a malformed line the boundaries of the next ones are lost, and a body could be taken for a command. Each must
+// be reported as malformed with its reason.
 func TestMalformedCommandsAreReported(t *testing.T) {
 	const valid = "do a profile=p,thing=7f3a9c21e0b4d655,nth=1"
 	for line, wantText := range map[string]string{
@@ -94,7 +101,7 @@
 		"undo ":                                "bad ID",
 	} {
 		_, err := ParseCommand([]byte(line))
-		assert.ErrorIs(t, err, ErrMalformed, line)
+		require.ErrorIs(t, err, ErrMalformed, line)
 		assert.ErrorContains(t, err, wantText, line)
 	}
 }
--- a/internal/cacheproto/golden_test.go
+++ b/internal/cacheproto/golden_test.go
@@ -85,6 +85,7 @@
 	},
 }
 
+// Caches in service read what earlier versions wrote. Every command must be encoded to the same bytes.
 func TestCommandsAreEncodedToTheGoldenBytes(t *testing.T) {
 	whole := testRequest()
 	plain := &request.Request{ID: "9b1f03aa5c7e2d41", ClassName: "page", Object: "7f3a9c21e0b4d655", Part: "0"}
@@ -108,6 +109,7 @@
 	}
 }
 
+// Routers in service write what earlier versions read. Every command of theirs must be decoded to the same values.
 func TestGoldenCommandsAreDecoded(t *testing.T) {
 	for line, want := range map[string]Command{
 		goldenAttempt: {
@@ -147,6 +149,8 @@
 	}
 }
 
+// The results of attempts pass between programs of different versions. Every result must be written to the same bytes
+// and read back from them.
 func TestResultsMatchTheGoldenBytes(t *testing.T) {
 	for _, c := range goldenResults {
 		c.encoded.BodyBytes = c.bytes
@@ -157,6 +161,8 @@
 	}
 }
 
+// The replies to probes pass between programs of different versions. Every reply must be written to the same bytes and
+// read back from them.
 func TestProbeRepliesMatchTheGoldenBytes(t *testing.T) {
 	const load = "inflight:7;util:0.61"
 	assert.Equal(t, "c1 green report=inflight:7;util:0.61 0\r\n", string(AppendProbeReply(nil, "c1", true, load)))
--- a/internal/cacheproto/response_test.go
+++ b/internal/cacheproto/response_test.go
@@ -7,8 +7,11 @@
 	"cairnfront/routing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
+// A result that is read as another one decides whether a request may run again. Every word of the protocol must be
+// parsed to its result and detail.
 func TestResponsesAreParsed(t *testing.T) {
 	for _, c := range []struct {
 		line string
@@ -59,11 +62,13 @@
 		},
 	} {
 		got, err := ParseResponse([]byte(c.line))
-		assert.NoError(t, err, c.line)
+		require.NoError(t, err, c.line)
 		assert.Equal(t, c.want, got, c.line)
 	}
 }
 
+// After a malformed line the boundaries of the next ones are lost, and another request could get the body. Each must be
+// reported as malformed.
 func TestMalformedResponsesAreReported(t *testing.T) {
 	for _, line := range []string{
 		"",
@@ -81,6 +86,8 @@
 	}
 }
 
+// The writer and the parser of replies are two pieces of code. Where they disagree, the router learns another load than
+// the cache's. What was written must be parsed to the same value.
 func TestWrittenRepliesAreParsedTheSame(t *testing.T) {
 	for _, reply := range []AttemptReply{
 		{
@@ -105,7 +112,7 @@
 	} {
 		line := AppendAttemptReply(nil, "ab", reply)
 		got, err := ParseResponse(line[:len(line)-len(LineEnd)])
-		assert.NoError(t, err, string(line))
+		require.NoError(t, err, string(line))
 		assert.Equal(t, Response{ID: "ab", BodyBytes: reply.BodyBytes, AttemptEnd: request.AttemptEnd{
 			Result:            reply.Result,
 			Detail:            reply.Detail,
--- a/internal/ciscripts/knownred_test.go
+++ b/internal/ciscripts/knownred_test.go
@@ -48,6 +48,8 @@
 	assert.Contains(t, messages, "known to fail, not run: "+fuzz)
 }
 
+// A pattern made from an empty list may match every test, and CI would then pass without running one. An empty list
+// must skip nothing.
 func TestEmptyListOfKnownFailuresSkipsNothing(t *testing.T) {
 	for _, list := range []string{"", "\n# nothing is known to fail\n"} {
 		skip, messages, ok := knownRed(t, list)
--- a/internal/clientproto/golden_test.go
+++ b/internal/clientproto/golden_test.go
@@ -37,6 +37,8 @@
 	"\x04heap\x00\x05412.5" +
 	"\x04etag\x00\x104be0c1927d55a6f3"
 
+// Clients in service read what earlier versions wrote. A byte that moves breaks them all. Every frame must be encoded
+// to the same bytes.
 func TestFramesAreEncodedToTheGoldenBytes(t *testing.T) {
 	const streamID = 258
 	requestPayload := append(AppendFields(nil,
@@ -72,6 +74,7 @@
 	}
 }
 
+// Clients in service write what earlier versions read. Every frame of theirs must be decoded to the same values.
 func TestGoldenBytesAreDecoded(t *testing.T) {
 	for name, want := range map[string]Header{
 		"request":                {TypeRequest, 258, 163},
--- a/internal/clientproto/request_test.go
+++ b/internal/clientproto/request_test.go
@@ -8,6 +8,7 @@
 	"cairnfront/internal/request"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
 // validFields is a request's list of fields, with one at its end that the router does not know.
@@ -25,14 +26,17 @@
 }
 
 func indexOfField(t *testing.T, name string) int {
+	t.Helper()
 	i := slices.IndexFunc(validFields, func(f Field) bool { return f.Name == name })
 	assert.GreaterOrEqual(t, i, 0, name)
 	return i
 }
 
+// A field that is read into the wrong place makes the router ask for another object, or answer by another deadline.
+// Every field of a request must have its value.
 func TestRequestIsParsed(t *testing.T) {
 	got, err := ParseRequest(append(AppendFields(nil, validFields...), "body"...))
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	want := Request{
 		Request: request.Request{
 			ID:             "9b1f03aa5c7e2d41",
@@ -51,6 +55,7 @@
 	assert.Equal(t, want, got)
 }
 
+// A client that sends an unusable value can mend it only if it knows which one. The error must name the field.
 func TestUnusableValuesAreNamed(t *testing.T) {
 	for name, values := range map[string][]string{
 		"op":     {""},
@@ -68,12 +73,13 @@
 			fields[indexOfField(t, name)].Value = value
 			_, err := ParseRequest(AppendFields(nil, fields...))
 			var fieldErr FieldError
-			assert.ErrorAs(t, err, &fieldErr, value)
+			require.ErrorAs(t, err, &fieldErr, value)
 			assert.Equal(t, name, fieldErr.Name, value)
 		}
 	}
 }
 
+// A request without one of its fields must not be guessed at. The error must name the field that is missing.
 func TestMissingFieldsAreNamed(t *testing.T) {
 	for _, name := range []string{"op", "call", "ttl", "row", "seg"} {
 		i := indexOfField(t, name)
@@ -84,23 +90,30 @@
 	}
 }
 
+// Of two values for a field the router and an endpoint may take different ones. A field that stands twice must be
+// refused by name.
 func TestFieldThatStandsTwiceIsNamed(t *testing.T) {
 	_, err := ParseRequest(AppendFields(nil, append(slices.Clone(validFields), validFields[0])...))
 	assert.Equal(t, FieldError{Name: "op"}, err)
 }
 
+// Newer clients send fields that this version does not know. A refusal would cut them off. An unknown field must be
+// passed over, whatever its length.
 func TestUnknownFieldWithTheLongestNameIsPassedOver(t *testing.T) {
 	fields := append(slices.Clone(validFields), Field{strings.Repeat("n", 255), "x"})
 	_, err := ParseRequest(AppendFields(nil, fields...))
 	assert.NoError(t, err)
 }
 
+// The body of a request is held in memory. Without a bound a client could take any amount. A body one byte above the
+// bound must be refused with its size.
 func TestBodyHasABound(t *testing.T) {
 	_, err := ParseRequest(append(AppendFields(nil, validFields...), make([]byte, MaxBodyBytes+1)...))
 	assert.Equal(t, BodySizeError{Bytes: MaxBodyBytes + 1}, err)
 	assert.ErrorContains(t, err, "body")
 }
 
+// A length of a field that points past the frame would read another request's bytes. Every such frame must be refused.
 func TestTruncatedFieldsAreRejected(t *testing.T) {
 	whole := AppendFields(nil, validFields...)
 	for n := range whole {
@@ -111,9 +124,9 @@
 
 // TestFaultTextsStayTheSame: the texts are sent to the client.
 func TestFaultTextsStayTheSame(t *testing.T) {
-	assert.EqualError(t, FieldError{Name: "op"}, "field op is missing or can't be used")
-	assert.EqualError(t, BodySizeError{Bytes: 48001}, "body of 48001 bytes is over 48000")
-	assert.EqualError(t, FrameLengthError{Length: 4}, "frame length 4 is out of bounds")
+	require.EqualError(t, FieldError{Name: "op"}, "field op is missing or can't be used")
+	require.EqualError(t, BodySizeError{Bytes: 48001}, "body of 48001 bytes is over 48000")
+	require.EqualError(t, FrameLengthError{Length: 4}, "frame length 4 is out of bounds")
 	assert.EqualError(t, ErrFieldsTruncated, "fields overrun the frame")
 }
 
--- a/internal/clientproto/response_test.go
+++ b/internal/clientproto/response_test.go
@@ -6,8 +6,11 @@
 	"cairnfront/internal/request"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
+// A client tells completed, rejected and aborted apart by one code. A wrong code lets it repeat what must not run
+// twice. Each response must be encoded with its code and fields.
 func TestResponsesAreEncoded(t *testing.T) {
 	body := &request.Body{Bytes: []byte("abc")}
 	const header = "\x65\x00\x00\x00\x07"
@@ -22,13 +25,14 @@
 	} {
 		got := AppendResponse(nil, 7, response)
 		header, err := ParseHeader(got)
-		assert.NoError(t, err)
+		require.NoError(t, err)
 		withBody := len(got) + response.Body.Len()
 		assert.Equal(t, withBody-HeaderSize, header.PayloadBytes, "the length counts the body that follows")
 		assert.Equal(t, want[4:], string(got[4:]))
 	}
 }
 
+// The deployment sends traffic by the readiness reply. Both replies must be encoded as the protocol says.
 func TestReadinessRepliesAreEncoded(t *testing.T) {
 	assert.Equal(t, "\x00\x00\x00\x07\x6f\x00\x00\x00\x03\x01\x00", string(AppendReadinessReply(nil, 3, true)))
 	assert.Equal(t, "\x00\x00\x00\x07\x6f\x00\x00\x00\x03\x00\x00", string(AppendReadinessReply(nil, 3, false)))
--- a/internal/codestyle/decisions_test.go
+++ b/internal/codestyle/decisions_test.go
@@ -271,7 +271,9 @@
 				continue
 			}
 			for _, spec := range d.Specs {
-				for _, name := range spec.(*ast.ValueSpec).Names {
+				values, ok := spec.(*ast.ValueSpec)
+				require.True(t, ok)
+				for _, name := range values.Names {
 					found.constants[name.Name] = true
 				}
 			}
--- a/internal/codestyle/words_test.go
+++ b/internal/codestyle/words_test.go
@@ -237,6 +237,8 @@
 // its format.
 func isProse(text string) bool { return prose.MatchString(text) }
 
+// A check that reads data as prose reports names that have to stay, and one that takes prose for data finds nothing.
+// The examples must be told apart.
 func TestProseIsToldFromData(t *testing.T) {
 	for text, want := range map[string]bool{
 		"the box was asked twice":         true,
@@ -285,6 +287,8 @@
 	return names
 }
 
+// A subcommand that is not found in the help is not checked for withdrawn words. Those of a known help text must be
+// found.
 func TestSubcommandsAreReadFromTheHelp(t *testing.T) {
 	help := "What it does\n\nAvailable Commands:\n  completion  x\n  edge-cache  y\n  serve       z\n\nFlags:\n  -h\n"
 	assert.Equal(t, []string{"edge-cache", "serve"}, subcommandsIn(help))
@@ -300,4 +304,6 @@
 	}
 }
 
+// A file that was renamed and is still listed as an exception would hide nothing and mislead its reader. Every listed
+// file must exist.
 func TestEdgeFilesExist(t *testing.T) { existingFiles(t, slices.Concat(edgeFiles, edgeTests)) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"errors"
 	"os"
 	"testing"
 
@@ -9,22 +8,28 @@
 	"github.com/stretchr/testify/require"
 )
 
+// An installation that sets nothing gets the defaults. If they differ from those of the schema, the printed
+// documentation is wrong. An empty file must give the values that the schema names.
 func TestEmptyFileHasTheDefaults(t *testing.T) {
 	empty, err := Parse("empty", nil)
 	require.NoError(t, err)
 	full, err := Parse("defaults", Defaults())
 	require.NoError(t, err)
 	assert.Equal(t, empty, full)
-	assert.Equal(t, 4096.0, empty.DiskCache.CapacityMB)
+	assert.Equal(t, 4096.0, empty.DiskCache.CapacityMB) //nolint:testifylint // exact by intent
 	assert.Empty(t, empty.DiskCache.Directory, "nothing is on by default")
 }
 
+// Operators start from the file under deploy. If it falls behind the program, they set values that they did not mean.
+// It must be what the program prints.
 func TestFileUnderDeployHoldsTheDefaults(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/operators.yaml")
 	require.NoError(t, err)
 	assert.Equal(t, string(Defaults()), string(text), "cairnfront config defaults > deploy/operators.yaml")
 }
 
+// A mistake that is reported without its place is searched for by trial. Every mistake of a file must be reported at
+// once, each with line, column, key and reason.
 func TestMistakesAreNamedWithTheirPlace(t *testing.T) {
 	for text, want := range map[string]string{
 		"box:\n  colour: red\n":              "f:2:3: box.colour: unknown key",
@@ -46,10 +51,12 @@
 	}
 }
 
+// A reload is tried again where the file could not be read, and not where it is invalid. The two must be told apart by
+// the type of the error.
 func TestFileThatCannotBeReadIsNoFieldError(t *testing.T) {
 	_, err := Read(t.TempDir() + "/none.yaml")
 	require.ErrorIs(t, err, os.ErrNotExist)
-	assert.False(t, errors.As(err, &FieldError{}))
+	assert.NotErrorAs(t, err, &FieldError{})
 }
 
 func FuzzParse(f *testing.F) {
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -95,7 +95,10 @@
 	case json.Delim('{'):
 		object := &orderedObject{values: map[string]any{}}
 		for decoder.More() {
-			key := nextToken(decoder).(string)
+			key, ok := nextToken(decoder).(string)
+			if !ok {
+				panic("decode schema: a key is not a string")
+			}
 			object.keys = append(object.keys, key)
 			object.values[key] = decodeValue(decoder)
 		}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -2,39 +2,30 @@
 
 import (
 	"encoding/json"
-	"flag"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
+	"cairnfront/internal/golden"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.yaml.in/yaml/v3"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// assertGolden compares a text with a golden file byte for byte.
-func assertGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	assert.Equal(t, string(want), got)
-}
-
+// A renamed field of the code may cease to read its key, and the default takes its place in silence. A file with every
+// key must give the same value as in an earlier version.
 func TestFileWithEveryKeyParsesToTheGoldenValue(t *testing.T) {
 	file, err := Read("testdata/every-key.yaml")
 	require.NoError(t, err)
 	text, err := json.MarshalIndent(file, "", "  ")
 	require.NoError(t, err)
-	assertGolden(t, "every-key.golden.json", string(text)+"\n")
+	golden.Compare(t, "every-key.golden.json", string(text)+"\n")
 }
 
+// A key that is added to the schema alone would not be held by the golden value. The file must have every key of the
+// schema.
 func TestEveryKeyOfTheSchemaStandsInTheFile(t *testing.T) {
 	text, err := os.ReadFile("testdata/every-key.yaml")
 	require.NoError(t, err)
@@ -54,23 +45,27 @@
 		if !assert.Contains(t, value, name, key) {
 			continue
 		}
-		sub := property.(map[string]any)
+		sub := mustObject(property)
 		switch v := value[name].(type) {
 		case map[string]any:
 			assertHasKeys(t, key, sub, v)
 		case []any:
 			if item, ok := v[0].(map[string]any); ok {
-				assertHasKeys(t, key, sub["items"].(map[string]any), item)
+				assertHasKeys(t, key, mustObject(sub["items"]), item)
 			}
 		}
 	}
 }
 
+// Editors and scripts of installations use the printed schema and defaults. A change that nobody wanted would reach
+// them unseen. Both must stay byte for byte.
 func TestSchemaAndDefaultsStayAsPublished(t *testing.T) {
-	assertGolden(t, "schema.golden.json", string(Schema))
-	assertGolden(t, "defaults.golden.yaml", string(Defaults()))
+	golden.Compare(t, "schema.golden.json", string(Schema))
+	golden.Compare(t, "defaults.golden.yaml", string(Defaults()))
 }
 
+// Operators mend a file by its errors. Errors that lose their place or reason in a refactoring leave them searching.
+// The errors of each broken file must stay as they were.
 func TestErrorsOfBrokenFilesKeepPlaceAndReason(t *testing.T) {
 	paths, err := filepath.Glob("testdata/broken/*.yaml")
 	require.NoError(t, err)
@@ -83,5 +78,5 @@
 		require.Error(t, err, path)
 		out.WriteString(err.Error() + "\n\n")
 	}
-	assertGolden(t, "broken.golden.txt", out.String())
+	golden.Compare(t, "broken.golden.txt", out.String())
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -168,6 +168,7 @@
 		return items
 	case yaml.ScalarNode:
 		return c.convertScalar(n, path)
+	case yaml.AliasNode, yaml.DocumentNode: // a document never stands within another node
 	}
 	c.reject(n, path, "anchors and aliases are not supported")
 	return nil
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	_ "embed" // for the schema
+	"fmt"
 	"sync"
 
 	"github.com/santhosh-tekuri/jsonschema/v6"
@@ -42,7 +43,7 @@
 		properties, _ := object["properties"].(map[string]any)
 		for name, property := range properties {
 			if _, present := v[name]; !present {
-				addDefault(v, name, property.(map[string]any))
+				addDefault(v, name, mustObject(property))
 			}
 			if item, present := v[name]; present {
 				fillDefaults(property, item)
@@ -51,6 +52,15 @@
 	}
 }
 
+// mustObject returns a part of the program's own schema that is an object. It panics at anything else.
+func mustObject(part any) map[string]any {
+	object, ok := part.(map[string]any)
+	if !ok {
+		panic(fmt.Sprintf("read schema: %T in place of an object", part))
+	}
+	return object
+}
+
 // addDefault adds a property's default to an object: an empty object if it is an object, nothing if it has none.
 func addDefault(object map[string]any, name string, property map[string]any) {
 	if value, ok := property["default"]; ok {
--- a/internal/ringbuffer/buffer_test.go
+++ b/internal/ringbuffer/buffer_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
 // FuzzBuffer plays steps on a buffer and on plain bytes. Each byte is a step and its size.
@@ -34,7 +35,7 @@
 			case 3:
 				var out bytes.Buffer
 				count, err := b.WriteOnceTo(&out)
-				assert.NoError(t, err)
+				require.NoError(t, err)
 				assert.Equal(t, string(want[:count]), out.String())
 				want = want[count:]
 			}
@@ -45,11 +46,13 @@
 	})
 }
 
+// A read into a full buffer has no room. If it returned as if the peer had ended, a connection would be closed for a
+// slow consumer. It must read nothing and lose nothing.
 func TestFullBufferReadsNothing(t *testing.T) {
 	b := New(2)
 	assert.Equal(t, 2, b.Write([]byte("abc")))
 	_, err := b.ReadOnceFrom(bytes.NewReader([]byte("x")))
-	assert.ErrorIs(t, err, io.ErrShortBuffer)
+	require.ErrorIs(t, err, io.ErrShortBuffer)
 	assert.Equal(t, 2, b.Discard(5))
 	assert.Equal(t, -1, b.IndexByte('a', 0))
 }
--- a/internal/telemetry/metrics_test.go
+++ b/internal/telemetry/metrics_test.go
@@ -16,6 +16,8 @@
 
 func (l label) String() string { return string(l) }
 
+// A counter with labels has a value for each combination of them. An update under the wrong one makes the figures of an
+// incident wrong. Each value and each total must be the sum of its updates.
 func TestCountersAddUp(t *testing.T) {
 	m := New(&bytes.Buffer{}, "")
 	for range 2 {
@@ -32,13 +34,15 @@
 		`requests_cancelled_total{class="page",reason="client_cancelled"}`:            1,
 		"requests_open": 1,
 	} {
-		assert.Equal(t, want, m.Value(name), name)
+		assert.Equal(t, want, m.Value(name), name) //nolint:testifylint // exact by intent
 	}
-	assert.EqualValues(t, 3, m.Total("requests_received_total"))
-	assert.EqualValues(t, 1, m.Total("requests_answered_total"))
-	assert.EqualValues(t, 1, m.Total("requests_cancelled_total"))
+	assert.EqualValues(t, 3, m.Total("requests_received_total"))  //nolint:testifylint // exact by intent
+	assert.EqualValues(t, 1, m.Total("requests_answered_total"))  //nolint:testifylint // exact by intent
+	assert.EqualValues(t, 1, m.Total("requests_cancelled_total")) //nolint:testifylint // exact by intent
 }
 
+// Scripts compare dumps line by line. An order that changes from dump to dump makes every line differ. The dump must be
+// sorted, with one line a value.
 func TestDumpIsSortedWithOneLineForEachValue(t *testing.T) {
 	m := New(&bytes.Buffer{}, "")
 	m.RequestReceived("page")
@@ -62,12 +66,14 @@
 `, got)
 }
 
+// A label's value with a quote or a line break would break the line of the dump in two. Such values must be escaped,
+// and the series must be found by its escaped name.
 func TestLabelValuesAreEscaped(t *testing.T) {
 	series := CacheRequests.With("a \"b\" \\ c\nd")
 	assert.Equal(t, `cache_requests_total{class="a \"b\" \\ c\nd"}`, series.String())
 	m := New(&bytes.Buffer{}, "")
 	m.Inc(series)
-	assert.EqualValues(t, 1, m.Value(series.String()))
+	assert.EqualValues(t, 1, m.Value(series.String())) //nolint:testifylint // exact by intent
 }
 
 // TestValuesOfUnknownSeriesAreNaN: a misspelt name in a test does not pass for a counter that never counted.
@@ -108,9 +114,12 @@
 	want := `time=* level=INFO msg="connection closed" router=n1 side=client reason=peer_reset ` +
 		"remote_address=192.0.2.1:5 duration_seconds=* bytes_received=3 bytes_sent=4 error=gone"
 	assert.Equal(t, want+"\n", got)
-	assert.EqualValues(t, 0, m.Value(`connections_open{side="client"}`))
+	assert.EqualValues(t, 0, m.Value(`connections_open{side="client"}`)) //nolint:testifylint // exact by intent
+	//nolint:testifylint // exact by intent
 	assert.EqualValues(t, 1, m.Value(`connections_closed_total{side="client",reason="peer_reset"}`))
+	//nolint:testifylint // exact by intent
 	assert.EqualValues(t, 3, m.Value(`connection_received_bytes_total{side="client"}`))
+	//nolint:testifylint // exact by intent
 	assert.EqualValues(t, 4, m.Value(`connection_sent_bytes_total{side="client"}`))
 }
 
@@ -124,5 +133,5 @@
 	}()
 	assert.Regexp(t, `level=ERROR msg="panic recovered" component=routing error="a fault" event=e stack="goroutine .*`+
 		`TestRecoveredPanicIsCountedAndLogged`, out.String())
-	assert.EqualValues(t, 1, m.Value("panics_total"))
+	assert.EqualValues(t, 1, m.Value("panics_total")) //nolint:testifylint // exact by intent
 }
--- a/internal/telemetry/table_test.go
+++ b/internal/telemetry/table_test.go
@@ -76,6 +76,8 @@
 	return faults
 }
 
+// A metric without a unit or a help text is read wrongly during an incident. Every metric of the table must follow the
+// conventions of names and have a help text.
 func TestMetricsFollowTheConventions(t *testing.T) {
 	helpTexts := map[string]string{}
 	names := map[string]bool{}
--- a/internal/wirenames/wirenames_test.go
+++ b/internal/wirenames/wirenames_test.go
@@ -8,6 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// A setting that is not translated is unknown to the routing module, which then takes its default in silence. Settings
+// of the wire must come out under the module's names.
 func TestSettingsAreTranslated(t *testing.T) {
 	for _, c := range []struct {
 		path, value string
@@ -66,12 +68,15 @@
 	}
 }
 
+// Newer deployments send fields that this version does not know. Such a field must keep its name and disturb no other.
 func TestUnknownClassFieldKeepsItsName(t *testing.T) {
 	name, value := Setting("request_classes.0.deep.er", "x")
 	assert.Equal(t, routing.ClassSetting(0, "deep.er"), name)
 	assert.Equal(t, "x", value)
 }
 
+// A load metric under an unknown name is not used, and an overloaded cache looks idle. Each metric of the wire must
+// come out under the module's name.
 func TestLoadMetricsAreTranslated(t *testing.T) {
 	for word, want := range map[string]LoadMetricName{
 		"concurrent": "inflight", "inflight": LoadInFlight,
--- a/simadapter/server_test.go
+++ b/simadapter/server_test.go
@@ -7,6 +7,7 @@
 	"cairnfront/routing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
 // fakeRouter records the events that it is handed and returns the same actions to each.
@@ -37,6 +38,8 @@
 // startBatch starts router 3.
 const startBatch = "BATCH 1 0\nNEW_INSTANCE 3 9 me=2\nEND\n"
 
+// The simulator reads each action by its position on the line. A field that is missing or misplaced would play another
+// decision than the module's. Every action must be written in the form of the protocol.
 func TestActionsAreWritten(t *testing.T) {
 	attempt := routing.StartAttempt{
 		Request:       "ab",
@@ -57,7 +60,7 @@
 		routing.Probe{Endpoint: "x:1"},
 		routing.SubscribeEndpoints{},
 		routing.LogNote{Message: "a\nb"})
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	assert.Equal(t, "EOR 0\n"+
 		"ANSWER_FROM 3 ab 1.2.3.4:5 2.250000 p:1 2 0.500000 9\n"+
 		"STOP_ATTEMPT 3 ab 1\n"+
@@ -70,6 +73,8 @@
 		"EOR 1\n", out)
 }
 
+// A field that is read into the wrong place makes the module decide on other events than the simulator's. Every line of
+// the protocol must become its event with every field.
 func TestEventsAreParsed(t *testing.T) {
 	_, events, err := serve(startBatch + "BATCH 2 1\n" +
 		"SNAPSHOT_ROWS 0 1\nROW a:1 3 0 7 ready 1.5 6.1\nENDPOINTS 3 0 SAVED 1\n" +
@@ -77,7 +82,7 @@
 		"ACCEPT 3 8b 1 0 h:k 8.5 640 11 3 4\n" +
 		"REPLY 3 8b 0.5 204 8 a:1 0.7 2 1 load_share:0.5,x1:2\n" +
 		"TIMED_OUT_CLIENT 3 8b\nBELL 3 5\nSTATUS_BACK 3 a:1 521 0.4 -\nEXPIRED_NOW 3 0.1 11 -\nNEWS 3 what\nEND\n")
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	restored := routing.Endpoint{ID: "a:1", Zone: 3, Cell: 7, Weight: 1.5, StartedAt: 6.1}
 	changed := routing.Endpoint{ID: "b:1", Zone: 3, Cell: 7, Weight: 1, Status: routing.Draining}
 	assert.Equal(t, []routing.Event{
@@ -111,20 +116,26 @@
 	}, events)
 }
 
+// The simulator stops a router within a batch and may start another one under its number. Actions of the stopped router
+// would be taken for those of the new one. They must be dropped.
 func TestActionsOfAStoppedRouterAreDropped(t *testing.T) {
 	out, events, err := serve(startBatch+"BATCH 2 1\nBELL 3 1\nDOWN 3\nNEW_INSTANCE 3 8 me=2\nBELL 3 2\nEND\n"+
 		"BATCH 3 2\nEND\n", routing.SetTimer{AfterSeconds: 1, Token: 4})
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	assert.Len(t, events, 2)
 	assert.Equal(t, "EOR 0\nNOTIFY_ME 3 1.000000 4\nEOR 1\nEOR 2\n", out)
 }
 
+// A panic in the module would end the adapter, and the simulator could not say which router failed. It must be written
+// as a fault of that router, on one line, and the session must go on.
 func TestPanicIsReportedAsTheRoutersFault(t *testing.T) {
 	out, _, err := serve(startBatch + "BATCH 2 1\nACCEPT 3 8b 0 0 " + panicObject + " 8 - - - -\nEND\n")
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	assert.Equal(t, "EOR 0\nBUG 3 two lines\nEOR 1\n", out)
 }
 
+// A line that is passed over lets the simulation go on with a missing event. Input that is not of the protocol must end
+// the session with an error of its kind that says what is wrong.
 func TestBadInputIsReported(t *testing.T) {
 	for _, c := range []struct {
 		in       string
@@ -144,11 +155,13 @@
 		{"BATCH 2 1\nSNAPSHOT_ROWS 0 2\nROW a 0 0 0 ready 1 -\nEND\n", ErrSyntax, "expected a row"},
 	} {
 		_, _, err := serve(c.in)
-		assert.ErrorIs(t, err, c.want, c.in)
+		require.ErrorIs(t, err, c.want, c.in)
 		assert.ErrorContains(t, err, c.wantText, c.in)
 	}
 }
 
+// A line longer than a reader's buffer would be cut and read as two. Lists of many endpoints and batches of many events
+// must be read in full.
 func TestLinesAndBatchesMayBeLong(t *testing.T) {
 	const events = 50000
 	var in strings.Builder
@@ -157,6 +170,6 @@
 		in.WriteString("BELL 3 1\n")
 	}
 	_, heard, err := serve(in.String() + "END\n")
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	assert.Len(t, heard, events)
 }
