--- a/cmd/cairnfront/killed_test.go
+++ b/cmd/cairnfront/killed_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"io"
 	"sync"
 	"sync/atomic"
@@ -45,11 +44,13 @@
 // readAnswers reads until the connection has ended. It returns how many requests are lost: those without an answer that
 // did not cross the end.
 func (c *steadyClient) readAnswers(t *testing.T) (answered, lost int) {
+	t.Helper()
 	head := make([]byte, clientproto.HeaderSize)
 	for {
 		_, err := io.ReadFull(c, head)
 		if err != nil {
-			assert.True(t, errors.Is(err, io.EOF), "ended without a reset: %v", err)
+			//nolint:testifylint // assert: the callers are goroutines of clients
+			assert.ErrorIs(t, err, io.EOF, "ended without a reset: %v", err)
 			break
 		}
 		h, err := clientproto.ParseHeader(head)
@@ -77,6 +78,9 @@
 
 // TestClientsThatGoOnSendingUntilTheKillLoseNothing has clients send on their open connections until these end, and
 // kills the router at the protocol's earliest moment. SIGTERM comes once, or in series with SIGHUP.
+//
+// Some clients do not heed GOAWAY. If their connections stayed open until SIGKILL, their last requests would be lost
+// without an answer.
 func TestClientsThatGoOnSendingUntilTheKillLoseNothing(t *testing.T) {
 	for name, test := range map[string]struct {
 		signals []syscall.Signal
--- a/cmd/cairnfront/limits_test.go
+++ b/cmd/cairnfront/limits_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"fmt"
 	"io"
-	"net"
 	"os"
 	"strconv"
 	"strings"
@@ -20,8 +19,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMalformedInputEndsOnlyItsConnection sends a few kinds of malformed input; the tests of the codecs have all
-// kinds.
+// TestMalformedInputEndsOnlyItsConnection sends a few kinds of malformed input; the tests of the codecs have all kinds.
+//
+// A malformed frame that ends the process, or another client's connection, lets one bad client stop the service.
 func TestMalformedInputEndsOnlyItsConnection(t *testing.T) {
 	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
 	s := startRouter(t, 192, m, m)
@@ -33,7 +33,7 @@
 		assert.EqualValues(t, 0, stream)
 		assert.Contains(t, payload, "error")
 		_, err := c.Read(make([]byte, 1))
-		assert.Error(t, err)
+		require.Error(t, err)
 	}
 	good.send("what", objectID, "")
 	code, fields, _ := good.readResponse(t)
@@ -44,9 +44,11 @@
 	assert.EqualValues(t, 1, code)
 }
 
-// TestMemoryAndConnectionLimitsHold fills every client connection with requests for the largest objects and reads
-// none of the responses. The router stays within its memory and descriptors, rejects what does not fit, and
-// afterwards holds no more than before.
+// TestMemoryAndConnectionLimitsHold fills every client connection with requests for the largest objects and reads none
+// of the responses. The router stays within its memory and descriptors, rejects what does not fit, and afterwards holds
+// no more than before.
+//
+// Responses that nobody reads pile up in memory until the system kills the process.
 func TestMemoryAndConnectionLimitsHold(t *testing.T) {
 	if testing.Short() {
 		t.Skip("long")
@@ -114,6 +116,8 @@
 
 // TestBadClientsDoNotDisturbAGoodOne shows that a client that violates the protocol gets an error or is closed, never
 // served, and that a good one beside it loses nothing.
+//
+// Clients that send slowly, never read or break off take descriptors and memory from the others.
 func TestBadClientsDoNotDisturbAGoodOne(t *testing.T) {
 	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
 	s := startRouter(t, 64, m, m)
@@ -146,7 +150,7 @@
 		assert.Equal(t, "x", body)
 		select {
 		case err := <-ends:
-			assert.NotErrorIs(t, err, os.ErrDeadlineExceeded)
+			require.NotErrorIs(t, err, os.ErrDeadlineExceeded)
 			open--
 		default:
 		}
@@ -162,14 +166,16 @@
 		code, _, _ := odd.readResponse(t)
 		assert.EqualValues(t, 9, code, f)
 	}
-	assert.NoError(t, s.stop(t, syscall.SIGTERM))
+	require.NoError(t, s.stop(t, syscall.SIGTERM))
 	for _, code := range []string{"protocol_error", "partial_frame", "no_first_frame"} {
 		assert.Contains(t, s.log.String(), "reason="+code)
 	}
 }
 
-// TestDescriptorsGoroutinesAndHeapStayFlat uses ever new endpoints, clients and objects; what the router holds does
-// not grow with them.
+// TestDescriptorsGoroutinesAndHeapStayFlat uses ever new endpoints, clients and objects; what the router holds does not
+// grow with them.
+//
+// Something that is held for each endpoint, client or object that ever was ends the process after days.
 func TestDescriptorsGoroutinesAndHeapStayFlat(t *testing.T) {
 	o := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
 	s := startRouter(t, 64, o, o)
@@ -201,6 +207,8 @@
 
 // TestRouterUsesOneCoreAtATime pins all threads of a router to one core: it serves as many clients at once as with
 // several cores, and while it has no requests it uses less than a tenth of the time that passes.
+//
+// The deployment gives a router one core. A router that waits by spinning, or needs several cores, is late there.
 func TestRouterUsesOneCoreAtATime(t *testing.T) {
 	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
 	s := startRouter(t, 64, m, m)
@@ -215,13 +223,15 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	assert.Less(t, cpuSeconds(t, s.Process.Pid)-before, 0.1*time.Since(since).Seconds())
-	assert.NoError(t, s.stop(t, syscall.SIGTERM))
+	require.NoError(t, s.stop(t, syscall.SIGTERM))
 	assert.Equal(t, 400, s.counters().completed("page"))
 }
 
-// TestDiscoveryComesBackWhileClientsFillTheDescriptors lowers the system's limit below the configured one. Idle
-// clients take all the connections that they may; the discovery service goes away and comes back, and new clients
-// are served.
+// TestDiscoveryComesBackWhileClientsFillTheDescriptors lowers the system's limit below the configured one. Idle clients
+// take all the connections that they may; the discovery service goes away and comes back, and new clients are served.
+//
+// Clients that take the last descriptors keep the router from connecting to the discovery service, and it goes on with
+// an old endpoint list.
 func TestDiscoveryComesBackWhileClientsFillTheDescriptors(t *testing.T) {
 	old, m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "old") }), startCache(t,
 		func(h receivedAttempt) string { return okResponse(h, "new") })
@@ -239,7 +249,7 @@
 					return
 				default:
 				}
-				if c, err := net.Dial("tcp", s.addr); err == nil {
+				if c, err := dialTCP(t.Context(), s.addr); err == nil {
 					_, _ = c.Write(append(clientproto.AppendHeader(nil, clientproto.TypeReadinessQuery, 0, 1), 0))
 					_ = c.SetReadDeadline(time.Now().Add(time.Second))
 					_, _ = io.Copy(io.Discard, c)
@@ -259,7 +269,7 @@
 	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
 	next.send <- discoveryFrame(2, 2, append(endpointRecord(9, m, 0), endpointRecord(1, old, 2)...))
 	require.Eventually(t, func() bool {
-		c, err := net.Dial("tcp", s.addr)
+		c, err := dialTCP(t.Context(), s.addr)
 		if err != nil {
 			return false
 		}
--- a/cmd/cairnfront/print_test.go
+++ b/cmd/cairnfront/print_test.go
@@ -48,7 +48,7 @@
 			return response, nil
 		}
 	}
-	ln, err := admin.Listen(socket)
+	ln, err := admin.Listen(t.Context(), socket)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -61,6 +61,8 @@
 }
 
 // TestAddressesPrintsTheTermsForWireNames checks the term of each condition, which has another name in the response.
+//
+// A condition that is printed by its name on the wire is found in no page for operators.
 func TestAddressesPrintsTheTermsForWireNames(t *testing.T) {
 	terms := map[string]string{
 		"well": "healthy", "refused": "connect_refused", "hung": "connect_timed_out",
@@ -82,6 +84,8 @@
 	}
 }
 
+// Without a path, connecting fails with a text about an empty address. Each command that needs the admin socket must
+// say which flag or variable sets it.
 func TestCommandsWithoutAnAdminSocketSaySo(t *testing.T) {
 	t.Setenv(adminSocketVariable, "")
 	for _, args := range [][]string{
@@ -98,6 +102,8 @@
 }
 
 // TestPeersPrintsTheReport compares the text for a report with every optional part with the expected one.
+//
+// A part of the report that is not printed is missing when an incident is looked into.
 func TestPeersPrintsTheReport(t *testing.T) {
 	report := membership.Report{
 		Name: "r0", PartitionState: "whole", Epoch: 3, SinceSeconds: 12, Present: 2, Roster: 3, Health: 1, Silent: true,
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -26,12 +26,12 @@
 }
 
 // Listen opens the socket. It replaces a socket that a program which has ended left behind, but no other file.
-func Listen(path string) (net.Listener, error) {
-	if err := removeStaleSocket(path); err != nil {
+func Listen(ctx context.Context, path string) (net.Listener, error) {
+	if err := removeStaleSocket(ctx, path); err != nil {
 		return nil, fmt.Errorf("open admin socket: %w", err)
 	}
 	oldMask := syscall.Umask(0o177) // no other user may connect, not even before a chmod
-	ln, err := net.Listen("unix", path)
+	ln, err := new(net.ListenConfig).Listen(ctx, "unix", path)
 	syscall.Umask(oldMask)
 	if err != nil {
 		return nil, fmt.Errorf("open admin socket: %w", err)
@@ -40,22 +40,24 @@
 }
 
 // removeStaleSocket removes a socket on which no program listens.
-func removeStaleSocket(path string) error {
+func removeStaleSocket(ctx context.Context, path string) error {
 	info, err := os.Lstat(path)
-	if err != nil { // no file, or one that listening will fail at
-		return nil
+	if err != nil {
+		return nil //nolint:nilerr // no file, or one that listening fails at, whose error is reported
 	}
 	if info.Mode()&os.ModeSocket == 0 {
 		return fmt.Errorf("%s: %w", path, ErrNotASocket)
 	}
-	if conn, err := net.DialTimeout("unix", path, requestTimeout); err == nil {
-		_ = conn.Close()
+	conn, err := (&net.Dialer{Timeout: requestTimeout}).DialContext(ctx, "unix", path)
+	if err == nil {
+		_ = conn.Close() // nothing was sent
 		return fmt.Errorf("%s: %w", path, ErrSocketInUse)
 	}
 	return os.Remove(path)
 }
 
-// Run serves until the context ends or the listener is closed. It returns once all connections have ended.
+// Run serves until the context ends or the listener is closed. It owns a goroutine for each connection, and closes the
+// connections when the context ends. It returns once all of them have ended.
 func (s *Server) Run(ctx context.Context, ln net.Listener) error {
 	if s.allowed == nil {
 		s.allowed = func(uid uint32) bool { return uid == 0 || int(uid) == os.Getuid() }
@@ -76,7 +78,7 @@
 		case slots <- struct{}{}:
 		default:
 			s.count(telemetry.AdminConnectionsRejected)
-			_ = conn.Close()
+			_ = conn.Close() // nothing was read or sent
 			continue
 		}
 		g.Go(func() error {
@@ -88,14 +90,15 @@
 }
 
 // serveConnection answers the requests of one client until the client closes, exceeds a limit or is idle for
-// requestTimeout.
+// requestTimeout. Errors of closing and of setting deadlines are ignored: they come only from a connection that has
+// ended, where the next read or write fails too.
 func (s *Server) serveConnection(ctx context.Context, conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
 	_ = conn.SetDeadline(time.Now().Add(requestTimeout))
 	if err := s.authorize(conn); err != nil {
 		s.count(telemetry.AdminUsersRefused)
-		_ = respond(conn, nil, err)
+		_ = respond(conn, nil, err) // the connection ends in any case
 		return
 	}
 	in := bufio.NewReaderSize(io.LimitReader(conn, maxConnectionBytes), maxRequestBytes)
@@ -103,7 +106,8 @@
 		_ = conn.SetDeadline(time.Now().Add(requestTimeout))
 		line, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			_ = respond(conn, nil, fmt.Errorf("read request: %w: over %d bytes", ErrRequestTooLong, maxRequestBytes))
+			err = fmt.Errorf("read request: %w: over %d bytes", ErrRequestTooLong, maxRequestBytes)
+			_ = respond(conn, nil, err) // the connection ends in any case
 			return
 		}
 		if err != nil {
@@ -188,7 +192,7 @@
 	if err != nil {
 		return err
 	}
-	_ = conn.SetWriteDeadline(time.Now().Add(requestTimeout))
+	_ = conn.SetWriteDeadline(time.Now().Add(requestTimeout)) // it fails only where writing fails too
 	_, err = conn.Write(append(text, '\n'))
 	return err
 }
