--- a/cmd/cairnfront/peers.go
+++ b/cmd/cairnfront/peers.go
@@ -10,6 +10,7 @@
 	"cairnfront/internal/admin"
 	"cairnfront/internal/membership"
 	"cairnfront/internal/membership/datagram"
+	"cairnfront/internal/membership/partition"
 
 	"github.com/spf13/cobra"
 )
@@ -21,17 +22,31 @@
 	privateKeyMode = 0o600
 )
 
+const peersHelp = `Show the membership view of a running router.
+
+The first line has its partition state, the epoch (which counts changes of the state), how many routers of the roster
+are present, and its local health score: 0 is healthy; with each point it suspects others more slowly, as the fault may
+be its own.
+Then its traffic and detection times, a line for each peer, and the endpoints whose health it doubts from what peers
+observed.
+
+Partition states:
+  complete      every router of the roster is present
+  majority      more than half are present
+  disagreeing   too many peers have another view of who is present
+  minority      half or fewer are present
+  alone         no other router is present`
+
 func peersCommand() *cobra.Command {
 	var socket string
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "peers",
 		Short: "Show the membership view of a running router",
-		Long: "Show the membership view of a running router: its partition state, then the other routers (peers)\n" +
-			"that it exchanges datagrams with, and the endpoints whose health it doubts from what peers observed.",
-		Args: cobra.NoArgs,
+		Long:  peersHelp,
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			data, err := admin.Call(socket, admin.ShowPeers, nil)
+			data, err := callAdmin(socket, admin.ShowPeers, nil)
 			if err != nil {
 				return err
 			}
@@ -59,7 +74,7 @@
 		Short: "Leave the membership; the router goes on serving, without peers until its next start",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			_, err := admin.Call(*socket, admin.LeavePeers, nil)
+			_, err := callAdmin(*socket, admin.LeavePeers, nil)
 			return err
 		},
 	}
@@ -98,7 +113,7 @@
 func printReport(cmd *cobra.Command, r membership.Report) {
 	printf(cmd, "%s: partition state %s for %.0f s, epoch %d; %d of %d routers present, "+
 		"local health score %d of 8 (0 is healthy)\n",
-		r.Name, admin.PartitionState(r.PartitionState), r.SinceSeconds, r.Epoch, r.Present, r.Roster, r.Health)
+		r.Name, partitionStateText(r.PartitionState), r.SinceSeconds, r.Epoch, r.Present, r.Roster, r.Health)
 	uptime := max(r.UptimeSeconds, 1)
 	printf(cmd, "received %.0f bytes/s, %.1f datagrams/s; sent %.0f bytes/s, %.1f datagrams/s, "+
 		"%d not sent (rate limit); %d failures detected, p50 %.1f s, p99 %.1f s\n",
@@ -116,6 +131,14 @@
 	}
 }
 
+// partitionStateText returns the term for a partition state in the JSON of a report, and an unknown one unchanged.
+func partitionStateText(wireName string) string {
+	if state, ok := partition.ParseWireName(wireName); ok {
+		return state.String()
+	}
+	return wireName
+}
+
 // printMember prints the line of one peer: its state, then accusations against it and its reputation.
 func printMember(cmd *cobra.Command, m membership.MemberReport) {
 	printf(cmd, "%-16s %-8s for %6.0f s  zone %-10s %-21s incarnation %d.%d",
