--- /dev/null
+++ b/internal/lab/timing/timing_test.go
@@ -0,0 +1,24 @@
+package timing
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// TestWaitUntilEnds: a scenario that waits for a process that never starts must end with an error, and one whose context
+// ends must not sleep on.
+func TestWaitUntilEnds(t *testing.T) {
+	calls := 0
+	require.NoError(t, WaitUntil(time.Minute, func() bool {
+		calls++
+		return calls == 2
+	}))
+	assert.ErrorContains(t, WaitUntil(time.Millisecond, func() bool { return false }), "no success within 1ms")
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	assert.ErrorIs(t, Sleep(ctx, time.Hour), context.Canceled)
+}
