--- a/internal/netconn/close.go
+++ b/internal/netconn/close.go
@@ -9,6 +9,17 @@
 // interruptDeadline is a read deadline in the past. It interrupts the read under way.
 var interruptDeadline = time.Unix(1, 0)
 
+// How a connection ends. Each step is made by one method, and none is undone but the second:
+//
+//	from             to               when
+//	open             close requested  any goroutine wants the end (RequestClose)
+//	close requested  open             the reader was asked and refuses: OnCloseRequest returned nil
+//	close requested  half-closed      OnCloseRequest returned an error, and the reader calls CloseGracefully
+//	half-closed      closed           the other side has ended, or lingerTimeout or lingerBytes are over
+//	any              closed           the socket failed, the peer does not read, or the process ends (Close)
+//
+// The end code is set once, by the first of these that has one (SetEndCode).
+
 // RequestClose asks the reading goroutine to end the connection, and interrupts its read for that. The newest code
 // replaces one that was not handled yet. Any goroutine may call it.
 func (c *Conn) RequestClose(code EndCode) {
@@ -58,9 +69,11 @@
 func (c *Conn) IsClosed() bool { return c.closed.Load() }
 
 // CloseGracefully ends a connection on which no request is open and all output is written. It ends the sending side,
-// then discards input until the other side ends too, lingerTimeout has passed or lingerBytes have come, and closes. A
-// close with unread input would reset the connection and destroy the output on its way. It is for the reading
-// goroutine.
+// then discards input until the other side ends too, lingerTimeout has passed or lingerBytes have come, and closes. It
+// is for the reading goroutine.
+//
+// It guards against a close with unread input, which resets the connection and destroys the output on its way: the
+// peer would miss an answer that was sent. Time and bytes are bounded, so a peer that sends on cannot hold the socket.
 func (c *Conn) CloseGracefully(code EndCode, cause error, lingerTimeout time.Duration, lingerBytes int64) {
 	c.SetEndCode(code, cause)
 	defer c.Close(code, cause)
