--- a/internal/diskcache/cache_test.go
+++ b/internal/diskcache/cache_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"io"
 	"log/slog"
 	"strconv"
 	"sync"
@@ -41,30 +40,37 @@
 	ReadTimeout: 50 * time.Millisecond, WriteQueue: 64, SyncInterval: 20 * time.Millisecond,
 }
 
-// running is a cache that runs and has caught up with an event stream of one event.
-func running(t *testing.T, fs vfs.FS, p Config) (*Cache, *counts, func()) {
+// openStopped opens a cache that does not run.
+func openStopped(t *testing.T, fs vfs.FS, config Config, counters *counts) *Cache {
 	t.Helper()
-	c := &counts{}
-	x, _, err := OpenCache(fs, p, c, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	cache, _, err := OpenCache(fs, config, counters, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
+	return cache
+}
+
+// running is a cache that runs and has caught up with an event stream of one event.
+func running(t *testing.T, fs vfs.FS, config Config) (*Cache, *counts, func()) {
+	t.Helper()
+	counters := &counts{}
+	cache := openStopped(t, fs, config, counters)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { _ = x.Run(ctx); close(done) }()
+	go func() { _ = cache.Run(ctx); close(done) }()
 	var once sync.Once
 	stop := func() { once.Do(func() { cancel(); <-done }) }
 	t.Cleanup(stop)
-	x.StreamOpened()
-	x.Apply(validity.Event{Number: 1, Checksum: 1})
-	x.Apply(validity.Event{Heartbeat: true})
-	return x, c, stop
+	cache.StreamOpened()
+	cache.Apply(validity.Event{Number: 1, Checksum: 1})
+	cache.Apply(validity.Event{Heartbeat: true})
+	return cache, counters, stop
 }
 
-func admitted(t *testing.T, x *Cache, o int, dated int64) {
+func admitted(t *testing.T, cache *Cache, object int, dated int64) {
 	t.Helper()
 	for range 2 { // the first request is not admitted
-		x.Admit(meta(k(o, 0), dated), body(k(o, 0), dated, 300), x.Epoch())
+		cache.Admit(meta(k(object, 0), dated), body(k(object, 0), dated, 300), cache.Epoch())
 	}
-	require.Eventually(t, func() bool { return x.store.Contains(k(o, 0)) }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return cache.store.Contains(k(object, 0)) }, 5*time.Second, time.Millisecond)
 }
 
 // TestRestartKeepsChunksNotPurgedMeanwhile restarts a cache while purges go on. A cache that drops everything at a
@@ -72,27 +78,27 @@
 // invalid, the others valid.
 func TestRestartKeepsChunksNotPurgedMeanwhile(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	x, _, stop := running(t, fs, testConfig)
-	for o := range 5 {
-		admitted(t, x, o, 100)
+	cache, _, stop := running(t, fs, testConfig)
+	for object := range 5 {
+		admitted(t, cache, object, 100)
 	}
-	_, v, err := x.Get(k(1, 0))
+	_, verdict, err := cache.Get(k(1, 0))
 	require.NoError(t, err)
-	assert.Equal(t, validity.Valid, v)
+	assert.Equal(t, validity.Valid, verdict)
 	stop()
-	require.NoError(t, x.Close())
+	require.NoError(t, cache.Close())
 
-	x, _, _ = running(t, fs, testConfig)
-	x.Apply(validity.Event{Number: 2, Purge: true, Object: 1, PurgedAt: 150})
-	x.Apply(validity.Event{Number: 3, Purge: true, ByGroup: true, Group: 2, PurgedAt: 150})
-	_, _, err = x.Get(k(1, 0))
+	cache, _, _ = running(t, fs, testConfig)
+	cache.Apply(validity.Event{Number: 2, Purge: true, Object: 1, PurgedAt: 150})
+	cache.Apply(validity.Event{Number: 3, Purge: true, ByGroup: true, Group: 2, PurgedAt: 150})
+	_, _, err = cache.Get(k(1, 0))
 	require.ErrorIs(t, err, ErrInvalidated)
-	_, _, err = x.Get(k(2, 0))
+	_, _, err = cache.Get(k(2, 0))
 	require.ErrorIs(t, err, ErrInvalidated)
-	p, v, err := x.Get(k(3, 0))
+	chunk, verdict, err := cache.Get(k(3, 0))
 	require.NoError(t, err)
-	assert.Equal(t, validity.Valid, v)
-	assert.Equal(t, body(k(3, 0), 100, 300), p.Body)
+	assert.Equal(t, validity.Valid, verdict)
+	assert.Equal(t, body(k(3, 0), 100, 300), chunk.Body)
 }
 
 // TestFlushedPurgeSurvivesPowerLoss loses the power after a purge was flushed. An acknowledged purge that is
@@ -100,35 +106,34 @@
 // requested again.
 func TestFlushedPurgeSurvivesPowerLoss(t *testing.T) {
 	fs := vfs.NewFaultFS(3)
-	x, _, stop := running(t, fs, testConfig)
-	admitted(t, x, 1, 100)
-	require.NoError(t, x.store.Sync())
-	x.Apply(validity.Event{Number: 2, Checksum: 9, Purge: true, Object: 1, PurgedAt: 150})
+	cache, _, stop := running(t, fs, testConfig)
+	admitted(t, cache, 1, 100)
+	require.NoError(t, cache.store.Sync())
+	cache.Apply(validity.Event{Number: 2, Checksum: 9, Purge: true, Object: 1, PurgedAt: 150})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	require.NoError(t, x.Flush(ctx))
+	require.NoError(t, cache.Flush(ctx))
 	fs.PowerLossAfter = 1
-	_ = x.store.Sync()
+	_ = cache.store.Sync()
 	stop()
 	fs.Restart()
-	x, _, err := OpenCache(fs, testConfig, &counts{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	require.NoError(t, err)
-	assert.Equal(t, validity.Invalidated, x.Evaluate(validity.Copy{Object: 1, IssuedAt: 100, Seq: 1}))
-	assert.Equal(t, uint64(1), x.ResumeAfter(), "the last event is requested again")
+	cache = openStopped(t, fs, testConfig, &counts{})
+	assert.Equal(t, validity.Invalidated, cache.Evaluate(validity.Copy{Object: 1, IssuedAt: 100, Seq: 1}))
+	assert.Equal(t, uint64(1), cache.ResumeAfter(), "the last event is requested again")
 }
 
 // While a disk hangs, reads are misses after their timeout, or at once when the queue is full. Chunks are not stored,
 // and purges apply.
 func TestHangingDiskCostsOnlyMisses(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	x, c, stop := running(t, fs, testConfig)
-	for o := range 30 {
-		admitted(t, x, o, 100)
+	cache, counters, stop := running(t, fs, testConfig)
+	for object := range 30 {
+		admitted(t, cache, object, 100)
 	}
 	release := fs.Hang()
 	slow, busy := 0, 0
-	for o := range 30 {
-		_, _, err := x.Get(k(o, 0))
+	for object := range 30 {
+		_, _, err := cache.Get(k(object, 0))
 		switch {
 		case errors.Is(err, ErrReadTimeout):
 			slow++
@@ -140,43 +145,43 @@
 	}
 	assert.LessOrEqual(t, slow, testConfig.Readers+testConfig.ReadQueue)
 	assert.Equal(t, 30, slow+busy)
-	for o := range 500 {
+	for object := range 500 {
 		for range 2 {
-			x.Admit(meta(k(1000+o, 0), 100), body(k(1000+o, 0), 100, 300), x.Epoch())
+			cache.Admit(meta(k(1000+object, 0), 100), body(k(1000+object, 0), 100, 300), cache.Epoch())
 		}
 	}
-	assert.Positive(t, c.get("disk_offer_queue_full_total"))
-	assert.LessOrEqual(t, len(x.writes), testConfig.WriteQueue)
-	x.Apply(validity.Event{Number: 2, Purge: true, Object: 3, PurgedAt: 150})
+	assert.Positive(t, counters.get("disk_offer_queue_full_total"))
+	assert.LessOrEqual(t, len(cache.writes), testConfig.WriteQueue)
+	cache.Apply(validity.Event{Number: 2, Purge: true, Object: 3, PurgedAt: 150})
 	assert.Equal(
 		t,
 		validity.Invalidated,
-		x.Evaluate(validity.Copy{Object: 3, IssuedAt: 100, Seq: 1}),
+		cache.Evaluate(validity.Copy{Object: 3, IssuedAt: 100, Seq: 1}),
 		"purges do not wait for the disk",
 	)
 	release()
 	readable := func() bool {
-		_, _, err := x.Get(k(1, 0))
+		_, _, err := cache.Get(k(1, 0))
 		return err == nil
 	}
 	require.Eventually(t, readable, 5*time.Second, time.Millisecond)
 	stop()
-	require.NoError(t, x.Close())
+	require.NoError(t, cache.Close())
 }
 
 // TestPurgeAppliesToChunkBeingWritten purges a chunk while a hanging disk holds up its write. The chunk would be on
 // the disk after its purge, as if it were newer. It must not be readable.
 func TestPurgeAppliesToChunkBeingWritten(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	x, _, _ := running(t, fs, testConfig)
+	cache, _, _ := running(t, fs, testConfig)
 	release := fs.Hang()
 	for range 2 {
-		x.Admit(meta(k(1, 0), 100), body(k(1, 0), 100, 300), x.Epoch())
+		cache.Admit(meta(k(1, 0), 100), body(k(1, 0), 100, 300), cache.Epoch())
 	}
-	x.Apply(validity.Event{Number: 2, Purge: true, Object: 1, PurgedAt: 150})
+	cache.Apply(validity.Event{Number: 2, Purge: true, Object: 1, PurgedAt: 150})
 	release()
-	admitted(t, x, 2, 200)
-	_, _, err := x.Get(k(1, 0))
+	admitted(t, cache, 2, 200)
+	_, _, err := cache.Get(k(1, 0))
 	assert.Error(t, err)
 }
 
@@ -184,32 +189,32 @@
 // older than a purge that was missed, and with a new sequence number it would count as newer. It must be refused,
 // and older copies must be unconfirmed until they are confirmed.
 func TestFillRequestedInEarlierEpochIsNotStored(t *testing.T) {
-	x, _, _ := running(t, vfs.NewFaultFS(1), testConfig)
-	admitted(t, x, 1, 100)
-	before := x.Epoch()
-	x.Apply(validity.Event{Number: 9}) // a gap
-	assert.False(t, x.Admit(meta(k(2, 0), 100), body(k(2, 0), 100, 300), before))
-	_, v, err := x.Get(k(1, 0))
+	cache, _, _ := running(t, vfs.NewFaultFS(1), testConfig)
+	admitted(t, cache, 1, 100)
+	before := cache.Epoch()
+	cache.Apply(validity.Event{Number: 9}) // a gap
+	assert.False(t, cache.Admit(meta(k(2, 0), 100), body(k(2, 0), 100, 300), before))
+	_, verdict, err := cache.Get(k(1, 0))
 	require.NoError(t, err)
-	assert.Equal(t, validity.Unconfirmed, v)
-	x.Confirm(k(1, 0), x.store.LastSeq(), x.Epoch())
-	_, v, _ = x.Get(k(1, 0))
-	assert.Equal(t, validity.Valid, v)
+	assert.Equal(t, validity.Unconfirmed, verdict)
+	cache.Confirm(k(1, 0), cache.store.LastSeq(), cache.Epoch())
+	_, verdict, _ = cache.Get(k(1, 0))
+	assert.Equal(t, validity.Valid, verdict)
 }
 
 // TestSpaceStaysWithinBound admits far more than fits. Dead records that are not reclaimed would fill the disk of
 // the machine. The folder must stay within its space and one segment.
 func TestSpaceStaysWithinBound(t *testing.T) {
-	p := testConfig
-	p.SpaceBytes = 64 << 10
-	x, _, _ := running(t, vfs.NewFaultFS(1), p)
+	config := testConfig
+	config.SpaceBytes = 64 << 10
+	cache, _, _ := running(t, vfs.NewFaultFS(1), config)
 	for i := range 3000 {
-		o := i % 400
-		x.Admit(meta(k(o, 0), 100), body(k(o, 0), 100, 300), x.Epoch())
+		object := i % 400
+		cache.Admit(meta(k(object, 0), 100), body(k(object, 0), 100, 300), cache.Epoch())
 		if i%50 == 0 {
-			x.compact(context.Background())
-			_, all := x.store.Sizes()
-			require.LessOrEqual(t, all, p.SpaceBytes+p.SegmentBytes, strconv.Itoa(i))
+			cache.compact(context.Background())
+			_, all := cache.store.Sizes()
+			require.LessOrEqual(t, all, config.SpaceBytes+config.SegmentBytes, strconv.Itoa(i))
 		}
 	}
 }
@@ -218,36 +223,35 @@
 // from the queue would be forgotten at a restart. The complete log must be written instead.
 func TestFullRecordQueueRewritesPurgeLog(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	x, _, stop := running(t, fs, testConfig)
+	cache, _, stop := running(t, fs, testConfig)
 	release := fs.Hang()
 	for n := range uint64(maxPendingRecords + 10) {
-		x.Apply(validity.Event{Number: 2 + n, Purge: true, Object: n % 1000, PurgedAt: int64(n)})
+		cache.Apply(validity.Event{Number: 2 + n, Purge: true, Object: n % 1000, PurgedAt: int64(n)})
 	}
 	release()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	require.NoError(t, x.Flush(ctx))
+	require.NoError(t, cache.Flush(ctx))
 	stop()
-	require.NoError(t, x.Close())
-	y, _, err := OpenCache(fs, testConfig, &counts{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	require.NoError(t, err)
-	assert.Equal(t, uint64(maxPendingRecords+10), y.ResumeAfter())
+	require.NoError(t, cache.Close())
+	reopened := openStopped(t, fs, testConfig, &counts{})
+	assert.Equal(t, uint64(maxPendingRecords+10), reopened.ResumeAfter())
 }
 
 // A chunk that is evicted while it waits for the disk is not written: the policy would not count it.
 func TestChunkEvictedWhileWaitingIsNotWritten(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	x, c, _ := running(t, fs, testConfig)
+	cache, counters, _ := running(t, fs, testConfig)
 	release := fs.Hang()
 	for range 2 {
-		x.Admit(meta(k(1, 0), 100), body(k(1, 0), 100, 300), x.Epoch())
-		x.Admit(meta(k(2, 0), 100), body(k(2, 0), 100, 300), x.Epoch())
-		x.Admit(meta(k(3, 0), 100), body(k(3, 0), 100, 300), x.Epoch())
+		cache.Admit(meta(k(1, 0), 100), body(k(1, 0), 100, 300), cache.Epoch())
+		cache.Admit(meta(k(2, 0), 100), body(k(2, 0), 100, 300), cache.Epoch())
+		cache.Admit(meta(k(3, 0), 100), body(k(3, 0), 100, 300), cache.Epoch())
 	}
-	x.removeFromPolicy(k(2, 0)) // as if another chunk had displaced it
+	cache.removeFromPolicy(k(2, 0)) // as if another chunk had displaced it
 	release()
-	bothWritten := func() bool { return c.get("disk_chunks_written_total") == 2 }
+	bothWritten := func() bool { return counters.get("disk_chunks_written_total") == 2 }
 	require.Eventually(t, bothWritten, 5*time.Second, time.Millisecond)
-	assert.False(t, x.store.Contains(k(2, 0)))
-	assert.True(t, x.store.Contains(k(3, 0)))
+	assert.False(t, cache.store.Contains(k(2, 0)))
+	assert.True(t, cache.store.Contains(k(3, 0)))
 }
--- a/internal/edgecache/handler/handler_test.go
+++ b/internal/edgecache/handler/handler_test.go
@@ -43,12 +43,12 @@
 )
 
 func newHandler() (*Handler, *fakeEnvironment) {
-	w := &fakeEnvironment{
+	env := &fakeEnvironment{
 		verdict: map[uint64]validity.Verdict{},
 		void:    map[uint64]int64{},
 		disk:    map[eviction.Key]bool{},
 	}
-	return New(w, Limits{MemoryBytes: 10000, MaxFills: 4, FillTimeoutSeconds: 3}), w
+	return New(env, Limits{MemoryBytes: 10000, MaxFills: 4, FillTimeoutSeconds: 3}), env
 }
 
 func newRequest(id uint64, r Class) Request {
@@ -66,20 +66,27 @@
 }
 
 // cacheCopy puts a copy of an age in seconds into memory.
-func cacheCopy(d *Handler, age float64) {
-	d.begin(now)
-	e := fetchedCopy(age)
-	d.memory.put(&Copy{Key: key, ETag: e.ETag, IssuedAt: e.IssuedAt, Rank: 2, Body: e.Body, Seq: 5})
+func cacheCopy(handler *Handler, age float64) {
+	handler.begin(now)
+	result := fetchedCopy(age)
+	handler.memory.put(&Copy{
+		Key:      key,
+		ETag:     result.ETag,
+		IssuedAt: result.IssuedAt,
+		Rank:     2,
+		Seq:      5,
+		Body:     result.Body,
+	})
 }
 
-func responseCodes(acts []Action) []routing.AttemptResult {
-	var out []routing.AttemptResult
-	for _, a := range acts {
-		if x, ok := a.(Respond); ok {
-			out = append(out, x.Result)
+func responseCodes(actions []Action) []routing.AttemptResult {
+	var codes []routing.AttemptResult
+	for _, action := range actions {
+		if response, ok := action.(Respond); ok {
+			codes = append(codes, response.Result)
 		}
 	}
-	return out
+	return codes
 }
 
 // actionAt is an action of a type at a place in a list.
@@ -95,46 +102,47 @@
 // source most when it is slow. Requests that may join must wait for the first fetch, one that may not has its own,
 // and later ones must hit.
 func TestMissIsFetchedOnceForAllWaiting(t *testing.T) {
-	d, _ := newHandler()
-	acts := d.HandleRequest(now, newRequest(1, video))
-	assert.Len(t, acts, 1)
-	f := actionAt[Fetch](t, acts, 0)
-	assert.Equal(t, "s-1", f.Source)
-	assert.Empty(t, d.HandleRequest(now, newRequest(2, video)))
+	handler, _ := newHandler()
+	actions := handler.HandleRequest(now, newRequest(1, video))
+	assert.Len(t, actions, 1)
+	fetch := actionAt[Fetch](t, actions, 0)
+	assert.Equal(t, "s-1", fetch.Source)
+	assert.Empty(t, handler.HandleRequest(now, newRequest(2, video)))
 	alone := newRequest(3, video)
 	alone.JoinFill = false
-	assert.Len(t, d.HandleRequest(now, alone), 1, "a request that may not join has its own fetch")
-	acts = append([]Action{}, d.HandleFetched(now+0.1, f.Fill, fetchedCopy(0))...)
-	assert.IsType(t, WriteDisk{}, acts[0])
-	assert.Equal(t, routing.Filled, actionAt[Respond](t, acts, 1).Detail)
-	assert.Equal(t, routing.JoinedFill, actionAt[Respond](t, acts, 2).Detail)
-	hit := d.HandleRequest(now+0.2, newRequest(4, video))
+	assert.Len(t, handler.HandleRequest(now, alone), 1, "a request that may not join has its own fetch")
+	actions = append([]Action{}, handler.HandleFetched(now+0.1, fetch.Fill, fetchedCopy(0))...)
+	assert.IsType(t, WriteDisk{}, actions[0])
+	assert.Equal(t, routing.Filled, actionAt[Respond](t, actions, 1).Detail)
+	assert.Equal(t, routing.JoinedFill, actionAt[Respond](t, actions, 2).Detail)
+	hit := handler.HandleRequest(now+0.2, newRequest(4, video))
 	assert.Equal(t, routing.CacheHit, actionAt[Respond](t, hit, 1).Detail)
 }
 
 // TestMissWithoutSource misses a chunk without a named source. A cache that chose a source itself could form loops.
 // It must answer that it has nothing.
 func TestMissWithoutSource(t *testing.T) {
-	d, _ := newHandler()
-	x := newRequest(1, video)
-	x.Source = ""
-	assert.Equal(t, []routing.AttemptResult{routing.CacheMiss}, responseCodes(d.HandleRequest(now, x)))
+	handler, _ := newHandler()
+	request := newRequest(1, video)
+	request.Source = ""
+	assert.Equal(t, []routing.AttemptResult{routing.CacheMiss}, responseCodes(handler.HandleRequest(now, request)))
 }
 
 // TestDiskIsReadOnceAndMissIsFetched has two requests for a chunk on the disk. A read for each would use up the
 // disk. Both must wait for one read, and a read that finds nothing must lead to a fetch.
 func TestDiskIsReadOnceAndMissIsFetched(t *testing.T) {
-	d, w := newHandler()
-	w.disk[key] = true
-	assert.Equal(t, []Action{ReadDisk{key}}, d.HandleRequest(now, newRequest(1, video)))
-	assert.Empty(t, d.HandleRequest(now, newRequest(2, video)))
-	e := fetchedCopy(50)
-	acts := d.HandleDiskRead(now, key, &Copy{Key: key, ETag: "v", IssuedAt: e.IssuedAt, Rank: 2, Seq: 4, Body: e.Body})
-	assert.Equal(t, []routing.AttemptResult{routing.Completed, routing.Completed}, responseCodes(acts))
-	d, w = newHandler()
-	w.disk[key] = true
-	d.HandleRequest(now, newRequest(1, video))
-	assert.IsType(t, Fetch{}, d.HandleDiskRead(now, key, nil)[0])
+	handler, env := newHandler()
+	env.disk[key] = true
+	assert.Equal(t, []Action{ReadDisk{key}}, handler.HandleRequest(now, newRequest(1, video)))
+	assert.Empty(t, handler.HandleRequest(now, newRequest(2, video)))
+	result := fetchedCopy(50)
+	stored := &Copy{Key: key, ETag: "v", IssuedAt: result.IssuedAt, Rank: 2, Seq: 4, Body: result.Body}
+	actions := handler.HandleDiskRead(now, key, stored)
+	assert.Equal(t, []routing.AttemptResult{routing.Completed, routing.Completed}, responseCodes(actions))
+	handler, env = newHandler()
+	env.disk[key] = true
+	handler.HandleRequest(now, newRequest(1, video))
+	assert.IsType(t, Fetch{}, handler.HandleDiskRead(now, key, nil)[0])
 }
 
 // TestUnconfirmedCopyIsServedAfterConfirmation asks for a copy that may be older than a missed purge. Served as it
@@ -142,36 +150,36 @@
 // source it must count as a miss.
 func TestUnconfirmedCopyIsServedAfterConfirmation(t *testing.T) {
 	for _, same := range []bool{true, false} {
-		d, w := newHandler()
-		w.verdict[7], w.epoch = validity.Unconfirmed, 9
-		cacheCopy(d, 50)
-		f := actionAt[Fetch](t, d.HandleRequest(now, newRequest(1, video)), 0)
-		assert.Equal(t, "v", f.ETag)
-		e := fetchedCopy(1)
-		if e.NotModified = same; same {
-			e.Body, e.ETag = nil, ""
+		handler, env := newHandler()
+		env.verdict[7], env.epoch = validity.Unconfirmed, 9
+		cacheCopy(handler, 50)
+		fetch := actionAt[Fetch](t, handler.HandleRequest(now, newRequest(1, video)), 0)
+		assert.Equal(t, "v", fetch.ETag)
+		result := fetchedCopy(1)
+		if result.NotModified = same; same {
+			result.Body, result.ETag = nil, ""
 		}
-		acts := d.HandleFetched(now+0.1, f.Fill, e)
-		assert.Equal(t, []routing.AttemptResult{routing.Completed}, responseCodes(acts))
+		actions := handler.HandleFetched(now+0.1, fetch.Fill, result)
+		assert.Equal(t, []routing.AttemptResult{routing.Completed}, responseCodes(actions))
 		if same {
-			assert.Contains(t, acts, ConfirmOnDisk{key, 5, 9})
+			assert.Contains(t, actions, ConfirmOnDisk{key, 5, 9})
 		}
 		assert.Equal(
 			t,
 			[]routing.AttemptResult{routing.Completed},
-			responseCodes(d.HandleRequest(now+0.2, newRequest(2, video))),
+			responseCodes(handler.HandleRequest(now+0.2, newRequest(2, video))),
 			"valid from then on",
 		)
 	}
-	d, w := newHandler()
-	w.verdict[7], w.epoch = validity.Unconfirmed, 9
-	cacheCopy(d, 50)
-	x := newRequest(1, video)
-	x.Source = ""
+	handler, env := newHandler()
+	env.verdict[7], env.epoch = validity.Unconfirmed, 9
+	cacheCopy(handler, 50)
+	request := newRequest(1, video)
+	request.Source = ""
 	assert.Equal(
 		t,
 		[]routing.AttemptResult{routing.CacheMiss},
-		responseCodes(d.HandleRequest(now, x)),
+		responseCodes(handler.HandleRequest(now, request)),
 		"no source to confirm it",
 	)
 }
@@ -179,29 +187,29 @@
 // TestInvalidatedCopyIsNeverServed purges a copy, and has the source send one that is older than the purge too. A
 // cache that serves it shows what was withdrawn. It must be fetched once more, and then the request must fail.
 func TestInvalidatedCopyIsNeverServed(t *testing.T) {
-	d, w := newHandler()
-	cacheCopy(d, 50)
-	w.void[7] = int64((now - 20) * 1000)
-	acts := d.HandleRequest(now, newRequest(1, video))
-	assert.Contains(t, acts, DeleteFromDisk{key})
-	f := actionAt[Fetch](t, acts, 1)
-	assert.Empty(t, f.ETag)
+	handler, env := newHandler()
+	cacheCopy(handler, 50)
+	env.void[7] = int64((now - 20) * 1000)
+	actions := handler.HandleRequest(now, newRequest(1, video))
+	assert.Contains(t, actions, DeleteFromDisk{key})
+	fetch := actionAt[Fetch](t, actions, 1)
+	assert.Empty(t, fetch.ETag)
 	// The source's copy is older than the purge too: it is fetched once more, then the request fails.
-	acts = append([]Action{}, d.HandleFetched(now+0.1, f.Fill, fetchedCopy(30))...)
-	assert.Empty(t, responseCodes(acts))
-	again := actionAt[Fetch](t, acts, 1)
+	actions = append([]Action{}, handler.HandleFetched(now+0.1, fetch.Fill, fetchedCopy(30))...)
+	assert.Empty(t, responseCodes(actions))
+	again := actionAt[Fetch](t, actions, 1)
 	assert.Equal(
 		t,
 		[]routing.AttemptResult{routing.ServerError},
-		responseCodes(d.HandleFetched(now+0.2, again.Fill, fetchedCopy(30))),
+		responseCodes(handler.HandleFetched(now+0.2, again.Fill, fetchedCopy(30))),
 	)
-	assert.Empty(t, d.memory.entries)
+	assert.Empty(t, handler.memory.entries)
 }
 
 // TestMaxAgeLimitsCopies asks for copies of several ages with limits. A copy that is too old for its request must be
 // fetched, a stale one may be served and renewed, and without a source there is a miss.
 func TestMaxAgeLimitsCopies(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		rule          Class
 		age, most     float64
 		renew, source bool
@@ -217,14 +225,14 @@
 		{page, 21, 20, true, true, "fetch"},
 		{page, 12, 0, false, false, "miss"},
 	} {
-		d, _ := newHandler()
-		cacheCopy(d, c.age)
-		x := newRequest(1, c.rule)
-		if x.MaxAgeSeconds, x.Revalidate = c.most, c.renew; !c.source {
-			x.Source = ""
+		handler, _ := newHandler()
+		cacheCopy(handler, test.age)
+		request := newRequest(1, test.rule)
+		if request.MaxAgeSeconds, request.Revalidate = test.most, test.renew; !test.source {
+			request.Source = ""
 		}
 		got := ""
-		for _, a := range d.HandleRequest(now, x) {
+		for _, a := range handler.HandleRequest(now, request) {
 			switch a := a.(type) {
 			case Respond:
 				got = map[routing.ResultDetail]string{
@@ -239,7 +247,7 @@
 				got += "fetch"
 			}
 		}
-		assert.Equal(t, c.want, got, "%+v", c)
+		assert.Equal(t, test.want, got, "%+v", test)
 	}
 }
 
@@ -255,14 +263,14 @@
 		routing.ServerError:      routing.ServerError,
 		routing.Cancelled:        routing.ServerError,
 	} {
-		d, _ := newHandler()
-		f := actionAt[Fetch](t, d.HandleRequest(now, newRequest(1, order)), 0)
-		assert.Equal(t, uint64(1), f.Request)
-		assert.False(t, f.JoinFill)
+		handler, _ := newHandler()
+		fetch := actionAt[Fetch](t, handler.HandleRequest(now, newRequest(1, order)), 0)
+		assert.Equal(t, uint64(1), fetch.Request)
+		assert.False(t, fetch.JoinFill)
 		assert.Equal(
 			t,
 			[]routing.AttemptResult{to},
-			responseCodes(d.HandleFetched(now, f.Fill, FetchResult{Result: from})),
+			responseCodes(handler.HandleFetched(now, fetch.Fill, FetchResult{Result: from})),
 		)
 	}
 }
@@ -270,53 +278,53 @@
 // TestCancelStopsPassThroughAndKeepsFill cancels a request that is passed through and one that fills. The first has
 // nobody left to wait for it and must stop; the second is of use to others and must be stored.
 func TestCancelStopsPassThroughAndKeepsFill(t *testing.T) {
-	d, _ := newHandler()
-	f := actionAt[Fetch](t, d.HandleRequest(now, newRequest(1, order)), 0)
-	assert.Equal(t, []Action{CancelFetch{f.Fill}}, d.HandleCancel(now, 1, key))
-	f = actionAt[Fetch](t, d.HandleRequest(now, newRequest(2, video)), 0)
-	assert.Empty(t, d.HandleCancel(now, 2, key))
-	assert.IsType(t, WriteDisk{}, d.HandleFetched(now+1, f.Fill, fetchedCopy(0))[0])
+	handler, _ := newHandler()
+	fetch := actionAt[Fetch](t, handler.HandleRequest(now, newRequest(1, order)), 0)
+	assert.Equal(t, []Action{CancelFetch{fetch.Fill}}, handler.HandleCancel(now, 1, key))
+	fetch = actionAt[Fetch](t, handler.HandleRequest(now, newRequest(2, video)), 0)
+	assert.Empty(t, handler.HandleCancel(now, 2, key))
+	assert.IsType(t, WriteDisk{}, handler.HandleFetched(now+1, fetch.Fill, fetchedCopy(0))[0])
 }
 
 // TestFillsAreBoundedAndTimeOut begins more fetches than are allowed at a source that does not answer. Without a
 // bound the requests that wait for it would take all memory. The one over the bound must be refused, and all must
 // end at their timeout.
 func TestFillsAreBoundedAndTimeOut(t *testing.T) {
-	d, _ := newHandler()
+	handler, _ := newHandler()
 	for i := range uint64(5) {
-		x := newRequest(i+1, video)
-		x.Key.Chunk = uint32(i)
-		acts := d.HandleRequest(now, x)
+		request := newRequest(i+1, video)
+		request.Key.Chunk = uint32(i)
+		actions := handler.HandleRequest(now, request)
 		if i == 4 {
-			assert.Equal(t, []routing.AttemptResult{routing.Overloaded}, responseCodes(acts))
+			assert.Equal(t, []routing.AttemptResult{routing.Overloaded}, responseCodes(actions))
 		}
 	}
-	assert.Empty(t, d.HandleTick(now+2.9))
+	assert.Empty(t, handler.HandleTick(now+2.9))
 	assert.Equal(
 		t,
 		[]routing.AttemptResult{routing.ServerError, routing.ServerError, routing.ServerError, routing.ServerError},
-		responseCodes(d.HandleTick(now+3)),
+		responseCodes(handler.HandleTick(now+3)),
 	)
-	assert.Zero(t, d.Fills())
+	assert.Zero(t, handler.Fills())
 }
 
 // TestLowRanksAreEvictedFirst fills the memory with copies of several ranks. A copy of low rank that pushes out one
 // of high rank undoes what the router decided. The lowest rank must go first, then the least recently used copy.
 func TestLowRanksAreEvictedFirst(t *testing.T) {
-	d, _ := newHandler()
+	handler, _ := newHandler()
 	put := func(o uint64, rank int) {
-		d.memory.put(&Copy{Key: eviction.Key{Object: o}, Rank: rank, Body: make([]byte, 3000-copyBytes)})
+		handler.memory.put(&Copy{Key: eviction.Key{Object: o}, Rank: rank, Body: make([]byte, 3000-copyBytes)})
 	}
 	put(1, 3)
 	put(2, 1)
 	put(3, 2)
 	put(4, 2)
-	assert.Nil(t, d.memory.entries[eviction.Key{Object: 2}])
+	assert.Nil(t, handler.memory.entries[eviction.Key{Object: 2}])
 	put(5, 1)
-	assert.Nil(t, d.memory.entries[eviction.Key{Object: 5}])
+	assert.Nil(t, handler.memory.entries[eviction.Key{Object: 5}])
 	put(6, 3)
-	assert.Nil(t, d.memory.entries[eviction.Key{Object: 3}], "the least recently used one")
-	assert.NotNil(t, d.memory.entries[eviction.Key{Object: 1}])
+	assert.Nil(t, handler.memory.entries[eviction.Key{Object: 3}], "the least recently used one")
+	assert.NotNil(t, handler.memory.entries[eviction.Key{Object: 1}])
 }
 
 // TestCopyUseByVerdictAndAge holds that a purge counts first, then an unconfirmed copy or one that is too old, then
--- a/internal/edgecache/server_test.go
+++ b/internal/edgecache/server_test.go
@@ -81,7 +81,7 @@
 	stop func()
 }
 
-func start(t *testing.T, b *discoveryStub, change func(*Server)) *testServer {
+func start(t *testing.T, discoveryService *discoveryStub, change func(*Server)) *testServer {
 	t.Helper()
 	const configuration = "box: {rules: [{name: video}, {name: page, fresh_s: 10, stale_s: 10}, " +
 		"{name: order, kept: false, effect: keyed}]}"
@@ -89,21 +89,22 @@
 	require.NoError(t, err)
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	x := &Server{Config: rules.EdgeCache, Telemetry: telemetry.New(io.Discard, "")}
-	x.Config.DiscoveryAddress, x.Config.DrainTimeout = b.Addr().String(), 0.2
+	server := &Server{Config: rules.EdgeCache, Telemetry: telemetry.New(io.Discard, "")}
+	server.Config.DiscoveryAddress, server.Config.DrainTimeout = discoveryService.Addr().String(), 0.2
 	if change != nil {
-		change(x)
+		change(server)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { _ = x.Run(ctx, ln); close(done) }()
+	go func() { _ = server.Run(ctx, ln); close(done) }()
 	var once sync.Once
-	r := &testServer{Server: x, addr: ln.Addr().String(), stop: func() { once.Do(func() { cancel(); <-done }) }}
-	t.Cleanup(r.stop)
+	stop := func() { once.Do(func() { cancel(); <-done }) }
+	running := &testServer{Server: server, addr: ln.Addr().String(), stop: stop}
+	t.Cleanup(running.stop)
 	eventually(t, func() bool {
-		return r.Telemetry.Value(`connections_opened_total{side="discovery"}`) > 0 || r.Origin != nil
+		return running.Telemetry.Value(`connections_opened_total{side="discovery"}`) > 0 || running.Origin != nil
 	})
-	return r
+	return running
 }
 
 func (r *testServer) update(id string, kind int) discovery.Event {
@@ -115,12 +116,14 @@
 }
 
 // startOrigin starts a server with a synthetic origin.
-func startOrigin(t *testing.T, b *discoveryStub) (*testServer, *SyntheticOrigin) {
+func startOrigin(t *testing.T, discoveryService *discoveryStub) (*testServer, *SyntheticOrigin) {
 	t.Helper()
-	m := &SyntheticOrigin{Seed: 7, MinBytes: 100, MaxBytes: 3000, Groups: 16, KeyRetention: time.Minute}
-	r := start(t, b, func(x *Server) { x.Origin, x.Config.Role, x.Config.ID = m, "origin", "s-000000ff" })
-	b.publish(r.update("s-000000ff", 2))
-	return r, m
+	origin := &SyntheticOrigin{Seed: 7, MinBytes: 100, MaxBytes: 3000, Groups: 16, KeyRetention: time.Minute}
+	running := start(t, discoveryService, func(server *Server) {
+		server.Origin, server.Config.Role, server.Config.ID = origin, "origin", "s-000000ff"
+	})
+	discoveryService.publish(running.update("s-000000ff", 2))
+	return running, origin
 }
 
 // testClient is a client of the cache protocol.
@@ -198,86 +201,88 @@
 // missing source, an unknown class, a repeated idempotency key and a purge. Each must have the response that the
 // protocol names, and the repeated key must run once.
 func TestServerFillsCachesAndRevalidates(t *testing.T) {
-	b := startDiscovery(t)
-	_, m := startOrigin(t, b)
-	x := start(t, b, nil)
-	a := x.dial(t)
+	discoveryService := startDiscovery(t)
+	_, origin := startOrigin(t, discoveryService)
+	server := start(t, discoveryService, nil)
+	client := server.dial(t)
 	const filled = ",parent=s-000000ff,shelf=2,hints=ride"
-	a.untilServed(t, 9, filled)
+	client.untilServed(t, 9, filled)
 
-	word, f, body := a.request(t, "video", 5, filled)
+	word, fields, body := client.request(t, "video", 5, filled)
 	assert.Equal(t, "served", word)
-	assert.Equal(t, "f", f["remark"])
-	assert.Equal(t, "5", f["bucket"])
+	assert.Equal(t, "f", fields["remark"])
+	assert.Equal(t, "5", fields["bucket"])
 	assert.Equal(t, string(SyntheticBody(7, eviction.Key{Object: 5, Chunk: 1}, 0, 100, 3000)), body)
-	word, f, _ = a.request(t, "video", 5, "")
-	assert.Equal(t, "served h", word+" "+f["remark"])
-	word, _, body = a.request(t, "video", 5, ",got="+f["digest"])
+	word, fields, _ = client.request(t, "video", 5, "")
+	assert.Equal(t, "served h", word+" "+fields["remark"])
+	word, _, body = client.request(t, "video", 5, ",got="+fields["digest"])
 	assert.Equal(t, "still_good", word)
 	assert.Empty(t, body)
-	word, _, _ = a.request(t, "video", 6, "")
+	word, _, _ = client.request(t, "video", 6, "")
 	assert.Equal(t, "not_here", word, "no source is named")
-	word, _, _ = a.request(t, "video", 6, ",parent=s-00000bad")
+	word, _, _ = client.request(t, "video", 6, ",parent=s-00000bad")
 	assert.Equal(t, "overload", word, "a source that is not listed: nothing was executed")
-	word, _, _ = a.request(t, "nothing", 6, "")
+	word, _, _ = client.request(t, "nothing", 6, "")
 	assert.Equal(t, "crashed", word)
 
 	for range 3 { // the origin does not execute a repeated idempotency key again
-		word, _, _ = a.request(t, "order", 1, ",replay=k1,parent=s-000000ff")
+		word, _, _ = client.request(t, "order", 1, ",replay=k1,parent=s-000000ff")
 		assert.Equal(t, "served", word)
 	}
-	assert.Len(t, m.executed, 1)
+	assert.Len(t, origin.executed, 1)
 
-	b.publish(purgeNow(5))
-	eventually(t, func() bool { return x.Telemetry.Value("cache_purges_total") == 1 })
-	word, _, _ = a.request(t, "video", 5, "")
+	discoveryService.publish(purgeNow(5))
+	eventually(t, func() bool { return server.Telemetry.Value("cache_purges_total") == 1 })
+	word, _, _ = client.request(t, "video", 5, "")
 	assert.Equal(t, "not_here", word, "purged")
 }
 
 // TestProbesAndProtocolErrors sends probes and then a line that is no command. A connection that goes on after it
 // would read a body as commands. It must end, and be counted by its reason.
 func TestProbesAndProtocolErrors(t *testing.T) {
-	b := startDiscovery(t)
-	x := start(t, b, nil)
-	a := x.dial(t)
-	_, _ = fmt.Fprint(a, "ping p1\r\ntop p2\r\n")
-	id, word, _, _ := a.next(t)
+	discoveryService := startDiscovery(t)
+	server := start(t, discoveryService, nil)
+	client := server.dial(t)
+	_, _ = fmt.Fprint(client, "ping p1\r\ntop p2\r\n")
+	id, word, _, _ := client.next(t)
 	assert.Equal(t, "p1 green", id+" "+word)
-	_, _, f, _ := a.next(t)
-	assert.Contains(t, f["report"], "inflight:0")
-	_, _ = fmt.Fprint(a, "what is this\r\n")
-	_, err := a.r.ReadByte()
+	_, _, fields, _ := client.next(t)
+	assert.Contains(t, fields["report"], "inflight:0")
+	_, _ = fmt.Fprint(client, "what is this\r\n")
+	_, err := client.r.ReadByte()
 	require.Error(t, err, "the connection ends")
 	eventually(t, func() bool {
-		return x.Telemetry.Value(`connections_closed_total{side="cache_client",reason="protocol_error"}`) == 1
+		return server.Telemetry.Value(`connections_closed_total{side="cache_client",reason="protocol_error"}`) == 1
 	})
 }
 
 // TestDrainAnswersOpenRequests stops a server while a request is open. A server that closes at once fails what it
 // has accepted. The request must be answered first.
 func TestDrainAnswersOpenRequests(t *testing.T) {
-	b := startDiscovery(t)
-	o, _ := startOrigin(t, b)
-	slow := start(t, b, func(x *Server) { x.Config.Capacity.LatencyMS, x.Config.DrainTimeout = 100, 5 })
-	a := slow.dial(t)
-	a.untilServed(t, 9, ",parent=s-000000ff")
+	discoveryService := startDiscovery(t)
+	originServer, _ := startOrigin(t, discoveryService)
+	slow := start(t, discoveryService, func(server *Server) {
+		server.Config.Capacity.LatencyMS, server.Config.DrainTimeout = 100, 5
+	})
+	client := slow.dial(t)
+	client.untilServed(t, 9, ",parent=s-000000ff")
 	const command = "do 0123456789abcdef profile=video,thing=0000000000000005,nth=1,max=3000,parent=s-000000ff 0"
-	_, _ = fmt.Fprint(a, command+"\r\n\r\n")
-	eventually(t, func() bool { return o.Telemetry.Value(`cache_requests_total{class="video"}`) >= 2 })
+	_, _ = fmt.Fprint(client, command+"\r\n\r\n")
+	eventually(t, func() bool { return originServer.Telemetry.Value(`cache_requests_total{class="video"}`) >= 2 })
 	go slow.stop()
-	_, word, _, _ := a.next(t)
+	_, word, _, _ := client.next(t)
 	assert.Equal(t, "served", word)
 }
 
 // After a restart the chunks that were not purged meanwhile are served, the purged ones are not. When the event
 // stream's numbering has restarted, copies are served only once their source has confirmed them.
 func TestServerRestartsWithItsDisk(t *testing.T) {
-	b := startDiscovery(t)
-	o, _ := startOrigin(t, b)
+	discoveryService := startDiscovery(t)
+	originServer, _ := startOrigin(t, discoveryService)
 	dir, err := vfs.MakeDir(t.TempDir() + "/d")
 	require.NoError(t, err)
-	with := func(x *Server) {
-		p := DiskCacheConfig(config.DiskCache{
+	with := func(server *Server) {
+		diskConfig := DiskCacheConfig(config.DiskCache{
 			CapacityMB:   8,
 			SegmentMB:    1,
 			Alpha:        1,
@@ -289,42 +294,43 @@
 			SyncInterval: 0.01,
 		})
 		var err error
-		x.Disk, _, err = diskcache.OpenCache(dir, p, x.Telemetry, slog.New(slog.DiscardHandler))
+		server.Disk, _, err = diskcache.OpenCache(dir, diskConfig, server.Telemetry, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
 	}
 	const filled = ",parent=s-000000ff,shelf=2,hints=ride"
-	x := start(t, b, with)
-	a := x.dial(t)
-	a.untilServed(t, 9, filled)
+	server := start(t, discoveryService, with)
+	client := server.dial(t)
+	client.untilServed(t, 9, filled)
 	for _, object := range []int{5, 6, 5, 6, 5, 6} {
-		a.request(t, "video", object, filled)
+		client.request(t, "video", object, filled)
 	}
-	eventually(t, func() bool { return x.Telemetry.Value("disk_chunks_written_total") >= 2 })
-	x.stop()
-	require.NoError(t, x.Disk.Close())
+	eventually(t, func() bool { return server.Telemetry.Value("disk_chunks_written_total") >= 2 })
+	server.stop()
+	require.NoError(t, server.Disk.Close())
 
-	b.publish(purgeNow(6))
-	x = start(t, b, with)
-	a = x.dial(t)
-	a.untilServed(t, 5, "")
-	word, _, _ := a.request(t, "video", 6, "")
+	discoveryService.publish(purgeNow(6))
+	server = start(t, discoveryService, with)
+	client = server.dial(t)
+	client.untilServed(t, 5, "")
+	word, _, _ := client.request(t, "video", 6, "")
 	assert.Equal(t, "not_here", word)
-	x.stop()
-	require.NoError(t, x.Disk.Close())
+	server.stop()
+	require.NoError(t, server.Disk.Close())
 
 	other := startDiscovery(t) // with other events under the same numbers
 	other.publish(discovery.Event{Kind: discovery.PurgeGroup, Purge: discovery.Purge{Group: 200, PurgedAt: 1}})
-	other.publish(o.update("s-000000ff", 2))
-	x = start(t, other, with)
-	a = x.dial(t)
+	other.publish(originServer.update("s-000000ff", 2))
+	server = start(t, other, with)
+	client = server.dial(t)
 	eventually(t, func() bool {
-		return x.Telemetry.Value("cache_discovery_restarts_total") == 1 && x.Disk.Status().UpToDate
+		return server.Telemetry.Value("cache_discovery_restarts_total") == 1 && server.Disk.Status().UpToDate
 	})
-	word, _, _ = a.request(t, "video", 5, "")
+	word, _, _ = client.request(t, "video", 5, "")
 	assert.Equal(t, "not_here", word, "unconfirmed, and no source to confirm it")
-	word, f, _ := a.request(t, "video", 5, filled)
-	assert.Equal(t, "served h", word+" "+f["remark"])
-	assert.EqualValues(t, 1, x.Telemetry.Value("cache_copies_confirmed_total")) //nolint:testifylint // exact by intent
-	word, _, _ = a.request(t, "video", 5, "")
+	word, fields, _ := client.request(t, "video", 5, filled)
+	assert.Equal(t, "served h", word+" "+fields["remark"])
+	//nolint:testifylint // exact by intent
+	assert.EqualValues(t, 1, server.Telemetry.Value("cache_copies_confirmed_total"))
+	word, _, _ = client.request(t, "video", 5, "")
 	assert.Equal(t, "served", word)
 }
