--- a/cmd/cairnfront/wallclock_test.go
+++ b/cmd/cairnfront/wallclock_test.go
@@ -65,7 +65,8 @@
 }
 
 // TestWallClockStepsMoveNoSpan steps the wall clock of a running router while requests are open, inside the window of
-// an idempotency key, around a purge, with the discovery service away, and in a drain.
+// an idempotency key, around a purge, with the discovery service away, and in a drain. A clock that is slewed a little
+// after it was set forward and back once made a new purge seem an hour old, so that purged copies were accepted.
 //
 // An administrator or a time service sets the clock of a machine. A deadline or a window that is computed from the wall
 // clock would end at once, or hours late.
@@ -73,6 +74,7 @@
 	for name, steps := range map[string][]float64{
 		"an hour back": {-3600}, "5 s back": {-5}, "5 s forward": {5}, "an hour forward": {3600},
 		"twice back": {-3600, -3600}, "forward and back": {3600, -3600},
+		"forward, back and slewed": {3600, -3600, 0.02}, "back, forward and slewed": {-3600, 3600, 0.02},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -73,6 +73,26 @@
 	})
 }
 
+// TestSlewedClockKeepsNewTimesNew sets the wall clock forward and back, and then slews it by less than a step. A time that
+// was just read from it is a little ahead of the setting that is remembered.
+//
+// Such a time was taken for one of the other setting, an hour ago: a new purge seemed old, and copies from before it were
+// accepted.
+func TestSlewedClockKeepsNewTimesNew(t *testing.T) {
+	for _, slew := range []time.Duration{-minStep + 1, -5 * time.Millisecond, 0, time.Millisecond, minStep - 1} {
+		clocks := &steppedClock{monotonic: 10000 * time.Second}
+		wall := NewWall(clocks.read)
+		for _, offset := range []time.Duration{time.Hour, 0, slew} {
+			clocks.offset = offset
+			wall.Observe()
+		}
+		now := clocks.monotonic.Seconds()
+		latest := wall.LatestInstant(now + slew.Seconds())
+		assert.LessOrEqual(t, latest, now, "%v", slew)
+		assert.GreaterOrEqual(t, latest, now+min(slew.Seconds(), 0)-1e-6, "%v", slew)
+	}
+}
+
 // TestStepsAreBounded shows that the memory of a clock that is stepped without end does not grow.
 //
 // A machine whose clock is set again and again would let the process grow.
