--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -57,6 +57,10 @@
 
 // LatestInstant returns the latest instant, now at the latest, that a Unix time may stand for, both in seconds. Where
 // the wall clock was never stepped that is the time itself, unchanged.
+//
+// A setting is known to less than minStep, as the clock may be slewed after it. So a time that is ahead of now by less
+// than that was read just now. Passing over it would leave settings under which it is hours old: a new purge would seem
+// old, and copies from before it would be served.
 func (w *Wall) LatestInstant(unixSeconds float64) (instantSeconds float64) {
 	w.Observe()
 	if len(w.offsets) == 1 {
@@ -66,7 +70,11 @@
 	latest, found := now, false
 	for _, offset := range w.offsets {
 		candidate := unixSeconds - offset.Seconds()
-		if candidate <= now && (!found || candidate > latest) {
+		if candidate-now >= minStep.Seconds() { // under this setting it is still to come
+			continue
+		}
+		candidate = min(candidate, now)
+		if !found || candidate > latest {
 			latest, found = candidate, true
 		}
 	}
