--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -9,31 +9,32 @@
 	"cairnfront/routing"
 )
 
-// attemptState is the state of an attempt. These are all transitions; attempt.move makes them and no other:
+// sendState says how far an attempt has come on the connection that it is sent on. What the decisions expect of it is
+// routing's attemptState. These are all transitions; attempt.move makes them and no other:
 //
 //	from       to         when
 //	open       cancelled  the decisions gave it up, or its deadline passed (cancelAttempt)
 //	open       ended      its connection reported its end, or it could not be sent (finishAttempt)
 //	cancelled  ended      its connection reported its end, or will not report one (finishAttempt)
-type attemptState uint8
+type sendState uint8
 
 const (
-	attemptOpen      attemptState = iota // it may complete
-	attemptCancelled                     // given up; its connection still has to tell how it ended
-	attemptEnded                         // the decisions know its end
-	attemptStateCount
+	sendOpen      sendState = iota // it may complete
+	sendCancelled                  // given up; its connection still has to tell how it ended
+	sendEnded                      // the decisions know its end
+	sendStateCount
 )
 
-// attemptTransitions has, by its state, the states that an attempt may take next.
-var attemptTransitions = [attemptStateCount][attemptStateCount]bool{
-	attemptOpen:      {attemptCancelled: true, attemptEnded: true},
-	attemptCancelled: {attemptEnded: true},
+// sendTransitions has, by its state, the states that an attempt may take next.
+var sendTransitions = [sendStateCount][sendStateCount]bool{
+	sendOpen:      {sendCancelled: true, sendEnded: true},
+	sendCancelled: {sendEnded: true},
 }
 
 // move takes an attempt to another state where the table has the transition, and says whether it did. An end that is
 // reported twice is told apart by that: the decisions hear of one.
-func (a *attempt) move(to attemptState) bool {
-	if !attemptTransitions[a.state][to] {
+func (a *attempt) move(to sendState) bool {
+	if !sendTransitions[a.state][to] {
 		return false
 	}
 	a.state = to
@@ -49,7 +50,7 @@
 	sent       *upstream.Attempt    // nil if it could not be sent, and once it has ended
 	connection *upstream.Connection // nil if it could not be sent
 
-	state         attemptState
+	state         sendState
 	stallReported bool // the decisions know that its connection is silent
 }
 
@@ -125,7 +126,7 @@
 
 // finishAttempt handles the end of an attempt, once. The first one that completed answers the request.
 func (d *Dispatcher) finishAttempt(a *attempt, end request.AttemptEnd) {
-	if !a.move(attemptEnded) {
+	if !a.move(sendEnded) {
 		end.Body.Free()
 		return
 	}
@@ -169,7 +170,7 @@
 // know of the attempt, its end is handled after the event in hand.
 func (d *Dispatcher) cancelAttempt(a *attempt, result routing.AttemptResult) {
 	notSent := a.sent == nil // then it is about to end
-	if notSent || !a.move(attemptCancelled) {
+	if notSent || !a.move(sendCancelled) {
 		return
 	}
 	if result, atOnce := d.Pool.Cancel(a.sent, result); atOnce {
@@ -182,7 +183,7 @@
 func (d *Dispatcher) reportStalled(stalled []*upstream.Attempt) {
 	for _, sent := range stalled {
 		a, ok := sent.Owner.(*attempt)
-		if !ok || a.state == attemptEnded || a.stallReported {
+		if !ok || a.state == sendEnded || a.stallReported {
 			continue
 		}
 		a.stallReported = true
--- a/internal/dispatch/states_test.go
+++ b/internal/dispatch/states_test.go
@@ -9,8 +9,8 @@
 
 // TestStatesOnlyGoForward: an attempt ends once, and a request has one final response.
 func TestStatesOnlyGoForward(t *testing.T) {
-	for from := range attemptStateCount {
-		for to := range attemptStateCount {
+	for from := range sendStateCount {
+		for to := range sendStateCount {
 			a := &attempt{state: from}
 			assert.Equal(t, to > from, a.move(to), "attempt: %d to %d", from, to)
 			assert.Equal(t, max(from, to), a.state, "attempt: %d to %d", from, to)
