--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -13,7 +13,7 @@
 // How a limit moves.
 const (
 	growthPerRound          = 0.5  // attempts added a round, over the root of the routers: more outruns decreases
-	recoveryStep            = 1.0  // attempts that an answer in time adds up to the proven limit
+	recoveryStep            = 1.0  // attempts that an answer in time adds below the proven limit
 	usedLimitShare          = 0.5  // share of a limit in use above which it grows: an unused one proves nothing
 	decreaseFactor          = 0.8  // share of a limit that a late or refused attempt leaves
 	decreaseIntervalSeconds = 0.25 // time between decreases: attempts in flight then tell of the same congestion
@@ -28,11 +28,15 @@
 )
 
 // limiter bounds what this router has in flight at an endpoint, on a link or on the path to the origin. The limit
-// grows with answers in time, fast up to what is proven, and shrinks with late and refused ones. Limits and loads are
-// numbers of attempts in flight, or parts of one where many routers share an endpoint.
+// grows with answers in time and shrinks with late and refused ones. Limits and loads are numbers of attempts in
+// flight, or parts of one where many routers share an endpoint.
+//
+// A limit is in its recovery ramp while it is below the proven limit. Only an ejection or a cold start puts it there;
+// each answer in time then adds recoveryStep. A decrease lowers the proven limit to the limit that it leaves, so no ramp
+// follows it and it ends one that is under way. Growth above the proven limit is slow and does not raise it.
 type limiter struct {
 	limit       float64
-	provenLimit float64 // limit in use when the last decrease ended
+	provenLimit float64 // this router's share at the start, then the limit that the last decrease left
 	minLimit    float64
 	growthStep  float64 // what a round of answers in time adds above the proven limit
 	inFlight    float64
@@ -46,24 +50,30 @@
 // flight. With pauses each sends, over time, no more than its share.
 func (l *limiter) hasRoom(now float64) bool { return l.inFlight < l.limit && now >= l.pausedUntil }
 
-// hasRoomFor says whether a limiter lets a request's attempt through. Writes pass a limit that is not below what was
-// proven.
-func (l *limiter) hasRoomFor(write bool, now float64) bool {
-	return l.hasRoom(now) || (write && l.recovered())
+// admits says whether a limiter lets an attempt of a read or of a write through. A read needs room. A write passes a
+// full or paused limiter too, also right after a decrease, unless the limit is in its recovery ramp.
+func (l *limiter) admits(write bool, now float64) bool {
+	return l.hasRoom(now) || (write && l.atProvenLimit())
 }
 
-// recovered says whether a limit is back where it was before its last decrease.
-func (l *limiter) recovered() bool { return l.limit >= l.provenLimit }
+// atProvenLimit says whether a limit is at its proven limit or above, which is to say in no recovery ramp.
+func (l *limiter) atProvenLimit() bool { return l.limit >= l.provenLimit }
 
-// release takes back an attempt's load after the seconds that it lasted, and closes a limit below the load for as long
-// as its share asks. Used says that the attempt came as far as this limiter.
+// release takes back an attempt's load after the seconds that it lasted, and pauses a limit below the load. Used says
+// that the attempt came as far as this limiter.
 func (l *limiter) release(now, load, lastedSeconds float64, used bool) {
 	l.inFlight = max(l.inFlight-load, 0)
 	if used && l.limit < load {
-		l.pausedUntil = now + lastedSeconds*(load/l.limit-1)
+		l.pausedUntil = now + l.pauseSeconds(load, lastedSeconds)
 	}
 }
 
+// pauseSeconds is how long a limit below an attempt's load is paused after an attempt that lasted some seconds. The
+// load, averaged over the attempt and the pause, is then the limit: load*lasted = limit*(lasted+pause).
+func (l *limiter) pauseSeconds(load, lastedSeconds float64) float64 {
+	return lastedSeconds * (load/l.limit - 1)
+}
+
 // setShare starts a limiter at this router's share of what a number of routers, one at least, use together.
 func (l *limiter) setShare(limit, routers float64) {
 	l.limit = max(limit, minStartingLimit)
@@ -78,7 +88,8 @@
 	l.minLimit = max(minLimitShare, 1/math.Sqrt(routers)) * l.limit
 }
 
-// increase takes an answer in time: the limit grows fast up to the proven limit, then slowly and while it is used.
+// increase takes an answer in time: the limit grows fast in its recovery ramp, and above it slowly and while it is
+// used.
 func (l *limiter) increase() {
 	l.lateSamples = appendSample(l.lateSamples, 0, maxLateSamples)
 	if l.limit < l.provenLimit {
@@ -88,19 +99,28 @@
 	}
 }
 
-// decrease takes a sign of congestion: a refusal counts at once, a late answer if many of the last were late.
+// decrease takes a sign of congestion: a refusal counts at once, a late answer if many of the last were late. The
+// lowered limit is the proven one from then on: it grows back slowly, not in a recovery ramp. A limit that a ramp has
+// below its minimum goes up to that.
 func (l *limiter) decrease(now float64, refused bool) {
 	l.lateSamples = appendSample(l.lateSamples, 1, maxLateSamples)
-	if now > l.decreasedAt+decreaseIntervalSeconds && (refused || mean(l.lateSamples) >= congestionShare) {
+	intervalOver := now > l.decreasedAt+decreaseIntervalSeconds
+	if intervalOver && (refused || mean(l.lateSamples) >= congestionShare) {
 		l.limit = max(l.limit*decreaseFactor, l.minLimit)
-		l.provenLimit, l.decreasedAt = l.limit, now
+		l.provenLimit = l.limit
+		l.decreasedAt = now
 	}
 }
 
-// setStartingLimit gives this router its share of an endpoint's capacity, and little while that endpoint is cold.
+// setStartingLimit gives this router its share of an endpoint's capacity as proven limit. The limit of a cold endpoint
+// starts below it, in a recovery ramp.
 func (r *Router) setStartingLimit(e *endpoint) {
 	share := limitPerCapacity * e.Weight / e.routersSharing
-	burst := indicator(e.role == edgeCache) * burstAllowance * math.Sqrt(share*(1-1/e.routersSharing))
+	burstRoots := 0.0 // none at parents and origins: in a burst all routers would use theirs at once
+	if e.role == edgeCache {
+		burstRoots = burstAllowance
+	}
+	burst := burstRoots * math.Sqrt(share*(1-1/e.routersSharing))
 	e.limiter.setShare(share+burst, e.routersSharing)
 	if e.role == parentCache {
 		e.limiter.raiseMinimum(e.routersSharing)
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -23,7 +23,7 @@
 
 	heardAt        []float64 // the last few times at which it was heard
 	recentFailures []float64 // the last few results, 1 for a failure
-	ejections      int       // since it last worked at its proven limit
+	ejections      int       // since an answer at its proven limit or above
 	ejectedUntil   float64
 	suspectedUntil float64 // by other routers
 
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -28,7 +28,7 @@
 	ejectFailureShare    = 0.5 // share of them that ejects: below it attempts cost less than a lost cache
 	firstEjectionSeconds = 1.0 // time of the first ejection; each further one is twice as long
 	maxEjectionSeconds   = 4.0 // time of the longest: an endpoint that is back is wanted soon
-	limitAfterEjection   = 1.0 // attempts in flight at an endpoint that returns; each answer adds one
+	limitAfterEjection   = 1.0 // attempts in flight at an endpoint that returns, in a recovery ramp
 	suspicionThreshold   = 0.5 // suspicion, of 1, from which one own failure ejects: two honest routers say so
 	suspicionEjections   = 2.0 // number of earlier ejections that other routers' suspicion counts for
 )
@@ -161,7 +161,7 @@
 
 // recordResult counts a result of an endpoint: errors, refused fills, broken connections and completed attempts.
 func (r *Router) recordResult(e *endpoint, failed bool) {
-	if !failed && e.limiter.recovered() {
+	if !failed && e.limiter.atProvenLimit() {
 		e.ejections = 0
 	}
 	e.recentFailures = appendSample(e.recentFailures, indicator(failed), maxResultSamples)
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -101,7 +101,7 @@
 // the endpoint as target, or as source.
 func (r *Router) usable(req *request, e *endpoint, level strictness, used usedFunc) bool {
 	return !r.barredByEjection(e, level) &&
-		e.limiter.hasRoomFor(req.Write, r.now) &&
+		e.limiter.admits(req.Write, r.now) &&
 		!barredByRetryBudget(e, len(req.attempts)) &&
 		!triedAlready(req, e, level, r.now, used) &&
 		r.withinColdBudget(req, e)
