--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -5,7 +5,7 @@
 // attempt is one try of a request at an endpoint.
 type attempt struct {
 	target        *endpoint
-	source        *endpoint  // who fills a miss; the target for nobody
+	source        *endpoint  // who fills a miss; the target for nobody, as on the wire: see hasSource
 	fillLimiters  []*limiter // of the paths behind the target
 	originLimiter *limiter   // of an attempt that the origin probably gets
 	expectedFills float64    // load at the fill limiters: how likely a fill is
@@ -87,6 +87,9 @@
 // awaited says whether a request waits for an attempt that was not taken for lost.
 func (s attemptState) awaited() bool { return s == attemptAwaited || s == attemptStalled }
 
+// hasSource says whether an endpoint other than the target fills a miss.
+func (a *attempt) hasSource() bool { return a.source != a.target }
+
 // fillPlan is what an attempt does about a copy that its target lacks.
 type fillPlan uint8
 
--- a/routing/hashorder.go
+++ b/routing/hashorder.go
@@ -135,6 +135,15 @@
 	return best[rank]
 }
 
+// first returns the first candidate that fits, nil where none does.
+func (c candidates) first(fits func(*endpoint) bool) *endpoint {
+	for rank := 0; ; rank++ {
+		if e := c.at(rank); e == nil || fits(e) {
+			return e
+		}
+	}
+}
+
 // release lets go of what was worked out past the candidates that an object keeps.
 func (c candidates) release() {
 	if c.order != nil && len(c.order.best) > storedCandidates {
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -61,7 +61,7 @@
 	r.recordResult(a.target, false)
 	r.slownessSamples = appendSample(r.slownessSamples, slowness, maxSlownessSamples)
 	filled := !end.answeredFromCache()
-	if filled && a.source != a.target {
+	if filled && a.hasSource() {
 		a.source.recordHeard(r.now)
 		r.recordResult(a.source, false)
 	}
@@ -105,7 +105,7 @@
 // fill counts as a failure of the source: one that is lost behind a cache shows as refusals of that cache alone.
 func (r *Router) learnFromUnexplained(a *attempt, end AttemptEnded) {
 	refused := end.Result == Overloaded
-	sourceMayBeAtFault := a.fill.missExpected() && a.source != a.target && !r.reportsAllDetails()
+	sourceMayBeAtFault := a.fill.missExpected() && a.hasSource() && !r.reportsAllDetails()
 	refusedFill := refused && sourceMayBeAtFault
 	switch {
 	case end.Detail == FillSlotsExhausted || refusedFill && end.ElapsedSeconds < localRefusalSeconds:
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -129,11 +129,11 @@
 	return slices.ContainsFunc(peers, func(peer *endpoint) bool { return peer != e && peer.ejectedUntil <= r.now })
 }
 
-// barredByEjection says whether an ejected endpoint is left out at a level of strictness. At the last level it is used
+// barredByEjection says whether an ejected endpoint is left out at a fallback level. At the last level it is used
 // if all of its role are ejected: requests would find nobody else. A full alternative does not open it, as a burst
 // would then be sent to the endpoint that failed.
-func (r *Router) barredByEjection(e *endpoint, level strictness) bool {
-	return e.ejectedUntil > r.now && (level < anyAllowed || r.hasAlternative(e))
+func (r *Router) barredByEjection(e *endpoint, level fallbackLevel) bool {
+	return e.ejectedUntil > r.now && (level < ejectedAllowed || r.hasAlternative(e))
 }
 
 // mayEject allows an ejection where another endpoint can stand in. It guards against ejecting all endpoints of a role:
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -57,12 +57,12 @@
 	return e.retryBudgetExhausted && attempts > 0
 }
 
-// triedAlready says whether a request has used an endpoint: at all at the first level of strictness, just now at the
+// triedAlready says whether a request has used an endpoint: at all at the first fallback level, just now at the
 // others. It guards against a request that uses up its attempts within milliseconds at one endpoint that refuses at
 // once. Used tells whether an attempt has used it as target, or as source.
-func triedAlready(req *request, e *endpoint, level strictness, now float64, used usedFunc) bool {
+func triedAlready(req *request, e *endpoint, level fallbackLevel, now float64, used usedFunc) bool {
 	for _, a := range req.attempts {
-		if used(a, e) && (level == untried || now < a.endedAt+endpointPauseSeconds) {
+		if used(a, e) && (level == untriedOnly || now < a.endedAt+endpointPauseSeconds) {
 			return true
 		}
 	}
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -16,14 +16,15 @@
 	peerFreshShare       = 0.5  // share of the fresh time after which a peer's copy is too near to its end
 )
 
-// strictness says which endpoints a request may use. Limits, budgets of retries and cold budgets hold at each level.
-type strictness int
+// fallbackLevel says which endpoints a request may use. Each level allows more than the one before it and is used where
+// no endpoint is usable at that. Limits, budgets of retries and cold budgets hold at each level.
+type fallbackLevel int
 
 const (
-	untried    strictness = iota // not used by this request, and not ejected
-	retryable                    // not failed for this request just now, and not ejected
-	anyAllowed                   // as before; ejected ones too if there is no other
-	strictnessLevels
+	untriedOnly    fallbackLevel = iota // not used by this request, and not ejected
+	triedAllowed                        // no attempt of this request ended there just now, and not ejected
+	ejectedAllowed                      // as before; ejected ones too if there is no other
+	fallbackLevelCount
 )
 
 // chooseAttempt picks the target and the fill's source of a next attempt, or returns nil if no endpoint has room.
@@ -62,44 +63,44 @@
 }
 
 // chooseTarget is the first usable cache in hash order. Where caches may be bypassed, uncacheable requests do so, and
-// others do if no cache is usable at the first level of strictness and the zone's link has room.
+// others do if no cache is usable at the first fallback level and the zone's link has room.
 func (r *Router) chooseTarget(req *request, caches candidates, sources [2]candidates) *endpoint {
 	direct, uncacheable := r.settings.Bool(SettingDirectAttempts), r.uncacheable(req)
-	for level := untried; level < strictnessLevels; level++ {
+	for level := untriedOnly; level < fallbackLevelCount; level++ {
 		lists := []candidates{caches}
 		if direct && uncacheable {
 			lists = []candidates{sources[0], sources[1], caches}
-		} else if direct && level > untried && r.zoneLink.hasRoom(r.now) {
+		} else if direct && level > untriedOnly && r.zoneLink.hasRoom(r.now) {
 			lists = []candidates{caches, sources[0], sources[1]}
 		}
 		for _, list := range lists {
-			for rank, e := 0, list.at(0); e != nil; rank, e = rank+1, list.at(rank+1) {
-				if r.usable(req, e, level, wasTarget) && r.inDeduplicationScope(req, e) {
-					return e
-				}
+			target := list.first(func(e *endpoint) bool {
+				return r.usable(req, e, level, wasTarget) && r.inDeduplicationScope(req, e)
+			})
+			if target != nil {
+				return target
 			}
 		}
 	}
 	return nil
 }
 
-// chooseSource is the first usable parent or origin, or the target itself if there is none.
+// chooseSource is the first usable parent or origin, or the target itself if there is none: see attempt.hasSource.
 func (r *Router) chooseSource(req *request, target *endpoint, sources [2]candidates) *endpoint {
-	for level := untried; level < strictnessLevels; level++ {
+	for level := untriedOnly; level < fallbackLevelCount; level++ {
 		for _, list := range sources {
-			for rank, e := 0, list.at(0); e != nil; rank, e = rank+1, list.at(rank+1) {
-				if r.usable(req, e, level, wasSource) {
-					return e
-				}
+			source := list.first(func(e *endpoint) bool { return r.usable(req, e, level, wasSource) })
+			if source != nil {
+				return source
 			}
 		}
 	}
 	return target
 }
 
-// usable says whether a request may use an endpoint at a level of strictness. Used tells whether an attempt has used
+// usable says whether a request may use an endpoint at a fallback level. Used tells whether an attempt has used
 // the endpoint as target, or as source.
-func (r *Router) usable(req *request, e *endpoint, level strictness, used usedFunc) bool {
+func (r *Router) usable(req *request, e *endpoint, level fallbackLevel, used usedFunc) bool {
 	return !r.barredByEjection(e, level) &&
 		e.limiter.admits(req.Write, r.now) &&
 		!barredByRetryBudget(e, len(req.attempts)) &&
@@ -107,36 +108,49 @@
 		r.withinColdBudget(req, e)
 }
 
-// limitFill holds a fill to the limits on its way, and says whether there is room. Where a limit is reached, one
-// attempt goes only as far as the cache or the parent. It guards against requests that wait for a full link while a
-// cache has what they ask for, as a router with few requests does not know all copies. A wrong guess costs one short
-// attempt.
+// limitFill holds a fill to the limits on its way, and says whether the attempt may be made. Where a limit is reached,
+// one attempt goes only as far as the cache or the parent.
 func (r *Router) limitFill(req *request, a *attempt) bool {
-	a.fill, a.expectedFills = expectFill, r.missRate()
+	var origin *limiter // nil where the origin is not reached
 	if !req.chunk.filledByParent {
-		a.originLimiter = r.originLimiter()
-	}
-	fillBlocked := a.source == a.target || (!req.Write && !r.zoneLink.hasRoom(r.now))
-	originBlocked := !req.Write && a.originLimiter != nil && !a.originLimiter.hasRoom(r.now)
-	if fillBlocked || originBlocked {
-		a.originLimiter, a.fill = nil, sourceOnly
-		if fillBlocked || a.source.role == originServer {
-			a.source, a.fill = a.target, targetOnly
-		}
-		if !r.mayTryCacheOnly(req, a) {
-			return false
-		}
-		if a.fill == targetOnly {
-			return true
-		}
+		origin = r.originLimiter()
+	}
+	a.fill, a.expectedFills = r.fillWithinLimits(req, a, origin), r.missRate()
+	if a.fill.cacheOnly() && !r.mayTryCacheOnly(req, a) {
+		return false
+	}
+	if a.fill == targetOnly {
+		a.source = a.target
+		return true
 	}
 	a.fillLimiters = []*limiter{&a.source.limiter, &r.zoneLink}
-	if a.originLimiter != nil && a.originLimiter != &a.source.limiter {
-		a.fillLimiters = append(a.fillLimiters, a.originLimiter)
+	if a.fill == sourceOnly {
+		return true
+	}
+	a.originLimiter = origin
+	if origin != nil && origin != &a.source.limiter {
+		a.fillLimiters = append(a.fillLimiters, origin)
 	}
 	return true
 }
 
+// fillWithinLimits is how far an attempt may go for a chunk that its target lacks. It guards against requests that wait
+// for a full link while a cache has what they ask for, as a router with few requests does not know all copies. A wrong
+// guess costs one short attempt. Writes pass these limits: nothing cached answers them.
+func (r *Router) fillWithinLimits(req *request, a *attempt, origin *limiter) fillPlan {
+	linkFull := !req.Write && !r.zoneLink.hasRoom(r.now)
+	originFull := !req.Write && origin != nil && !origin.hasRoom(r.now)
+	switch {
+	case !a.hasSource() || linkFull:
+		return targetOnly
+	case originFull && a.source.role == originServer:
+		return targetOnly
+	case originFull:
+		return sourceOnly
+	}
+	return expectFill
+}
+
 // mayTryCacheOnly allows one cache-only attempt a request, and to the cache alone only where hits are likely.
 func (r *Router) mayTryCacheOnly(req *request, a *attempt) bool {
 	if r.uncacheable(req) || slices.ContainsFunc(req.attempts, isCacheOnly) {
