--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -15,7 +15,7 @@
 	maxAgeSeconds float64
 	sentAt        float64
 	sendBefore    float64 // from when it may not be begun any more
-	suspectAt     float64 // when it is suspected; +Inf once it was taken for lost
+	suspectAt     float64 // when it is suspected; +Inf once it was taken for lost, which makes its slowness 0
 	endedAt       float64
 	result        AttemptResult
 	blame         blame
--- a/routing/caching.go
+++ b/routing/caching.go
@@ -158,7 +158,9 @@
 func (r *Router) ageOfNewestPurge(req *request, a *attempt) float64 {
 	purgedAt := max(r.purges[purgeKey{object: req.Object}], r.purges[purgeKey{group: req.ObjectGroup}])
 	for _, e := range [2]*endpoint{a.target, a.source} {
-		purgedAt = max(purgedAt, r.purgesForgottenUntil*indicator(e.StartedAt > r.purgesForgottenUntil))
+		if e.StartedAt > r.purgesForgottenUntil {
+			purgedAt = max(purgedAt, r.purgesForgottenUntil)
+		}
 	}
 	if purgedAt > 0 {
 		return max(r.now-purgedAt-purgeAgeMarginSeconds, minCopyAgeSeconds)
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -32,8 +32,8 @@
 // flight, or parts of one where many routers share an endpoint.
 //
 // A limit is in its recovery ramp while it is below the proven limit. Only an ejection or a cold start puts it there;
-// each answer in time then adds recoveryStep. A decrease lowers the proven limit to the limit that it leaves, so no ramp
-// follows it and it ends one that is under way. Growth above the proven limit is slow and does not raise it.
+// each answer in time then adds recoveryStep. A decrease sets the proven limit to the limit that it leaves: no ramp
+// follows it, and it ends one that is under way. Growth above the proven limit is slow and does not raise it.
 type limiter struct {
 	limit       float64
 	provenLimit float64 // this router's share at the start, then the limit that the last decrease left
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -28,7 +28,7 @@
 
 // learn takes what an end shows of the attempt's target, its source and the paths between.
 func (r *Router) learn(req *request, a *attempt, end AttemptEnded) {
-	slowness := end.ElapsedSeconds / (a.suspectAt - a.sentAt) // 0 for an attempt that was taken for lost
+	slowness := a.slowness(end.ElapsedSeconds) // 0 for an attempt that was taken for lost
 	r.recordSlowest(slowness, end.Result)
 	if end.Result.isAnswer() {
 		a.target.recordHeard(r.now)
@@ -48,7 +48,8 @@
 }
 
 // learnFromSuccess counts a completed attempt, and the errors of attempts before it. Errors count only now: a request
-// that cannot be served fails everywhere, and would eject one endpoint after another if each error counted at once.
+// that cannot be served fails everywhere, and would eject one endpoint after another if each error counted at once. The
+// slowness of an attempt that was taken for lost is 0: its late answer takes a place among the samples and raises none.
 func (r *Router) learnFromSuccess(req *request, a *attempt, end AttemptEnded, slowness float64) {
 	for _, earlier := range req.attempts {
 		if earlier.blame != noBlame {
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -43,21 +43,25 @@
 // be wrong or lie: an attempt of this router has to fail too.
 func (r *Router) healthObserved(ev HealthObservation) {
 	if e := r.findEndpoint(ev.Endpoint); e != nil {
-		e.suspectedUntil = r.now + ev.ValidSeconds*indicator(ev.Suspicion >= suspicionThreshold)
+		e.suspectedUntil = r.now
+		if ev.Suspicion >= suspicionThreshold {
+			e.suspectedUntil = r.now + ev.ValidSeconds
+		}
 	}
 }
 
-// reviewSuspected says whether a suspected attempt is lost, and ejects an endpoint that is silent. An attempt is lost
-// too if it is slower for its size than any of late and such attempts go unanswered.
+// reviewSuspected says whether a suspected attempt is lost. It is if its endpoint is silent, which is then ejected or
+// has its limit decreased. It is too if it is slower for its size than any of late and such attempts go unanswered.
 func (r *Router) reviewSuspected(a *attempt) bool {
 	if silent := r.silentEndpoint(a); silent != nil {
-		r.eject(silent)
+		r.ejectOrDecreaseLimit(silent)
 		return true
 	}
-	if !r.slowestGoUnanswered() || r.slownessOf(a) <= r.greatestSlowness() {
+	slowness := a.slowness(r.now - a.sentAt)
+	if !r.slowestGoUnanswered() || slowness <= r.greatestSlowness() {
 		return false
 	}
-	raised := lostSlownessFactor * r.slownessOf(a) // so that the next one waits longer
+	raised := lostSlownessFactor * slowness // so that the next one waits longer
 	r.slownessSamples = appendSample(r.slownessSamples, raised, maxSlownessSamples)
 	return true
 }
@@ -69,18 +73,28 @@
 // requests seldom hears an endpoint. So it has to last several times as long as usual, and the attempt has to be slower
 // for its size than any of late. It does harm where all become slow at once.
 func (r *Router) silentEndpoint(a *attempt) *endpoint {
-	suspect, leastSilence := a.target, minSilenceSeconds
-	if suspect.lastHeardAt() >= a.sentAt && a.fill.missExpected() {
-		suspect, leastSilence = a.source, minSourceSilenceSeconds
-	}
-	if suspect.lastHeardAt() >= a.sentAt {
-		return nil
+	switch {
+	case a.target.lastHeardAt() < a.sentAt:
+		if r.silentForTooLong(a, minSilenceSeconds, a.target.heardIntervalSeconds()) {
+			return a.target
+		}
+	case a.fill.missExpected() && a.source.lastHeardAt() < a.sentAt:
+		if r.silentForTooLong(a, minSourceSilenceSeconds, a.source.heardIntervalSeconds()) {
+			return a.source
+		}
 	}
-	usualSilence := r.now-a.sentAt <= max(leastSilence, silenceIntervals*suspect.heardIntervalSeconds())
-	if usualSilence || r.slownessOf(a) <= lostSlownessFactor*r.greatestSlowness() {
-		return nil
+	return nil
+}
+
+// silentForTooLong says whether an endpoint that was not heard since an attempt was sent is silent. The silence has to
+// be longer than the least and than some of the endpoint's usual intervals, both in seconds.
+func (r *Router) silentForTooLong(a *attempt, leastSeconds, usualIntervalSeconds float64) bool {
+	inFlightSeconds := r.now - a.sentAt
+	if inFlightSeconds <= max(leastSeconds, silenceIntervals*usualIntervalSeconds) {
+		return false
 	}
-	return suspect
+	answeredOfLate := a.slowness(inFlightSeconds) <= lostSlownessFactor*r.greatestSlowness()
+	return !answeredOfLate
 }
 
 // slowestGoUnanswered says whether most attempts that were slower than any of late had no answer. It guards against
@@ -90,8 +104,11 @@
 	return len(r.unansweredSamples) >= minUnansweredSamples && mean(r.unansweredSamples) >= unansweredShare
 }
 
-// slownessOf is how long an attempt is in flight over the time after which it is suspected, which goes by its size.
-func (r *Router) slownessOf(a *attempt) float64 { return (r.now - a.sentAt) / (a.suspectAt - a.sentAt) }
+// slowness is the seconds that an attempt is in flight over those after which it is suspected, which go by its size. It
+// is 0 for an attempt that was taken for lost, however long it lasts: its suspectAt is +Inf.
+func (a *attempt) slowness(inFlightSeconds float64) float64 {
+	return inFlightSeconds / (a.suspectAt - a.sentAt)
+}
 
 // greatestSlowness is that of the last attempts that had an answer, 1 at least.
 func (r *Router) greatestSlowness() float64 {
@@ -120,13 +137,18 @@
 	return attemptAbandoned
 }
 
-// hasAlternative says whether another endpoint of the same role is ready and not ejected.
+// hasAlternative says whether another endpoint is ready and not ejected that can stand in: an edge cache of this zone
+// for one of these, a parent for all others. That includes origins and edge caches of other zones, which matters only
+// where an endpoint got that role after an attempt or an ejection: an origin is not ejected, and an edge cache of
+// another zone is not chosen.
 func (r *Router) hasAlternative(e *endpoint) bool {
-	peers := r.parents.endpoints
+	alternatives := r.parents.endpoints
 	if e.role == edgeCache {
-		peers = r.caches.endpoints
+		alternatives = r.caches.endpoints
 	}
-	return slices.ContainsFunc(peers, func(peer *endpoint) bool { return peer != e && peer.ejectedUntil <= r.now })
+	return slices.ContainsFunc(alternatives, func(other *endpoint) bool {
+		return other != e && other.ejectedUntil <= r.now
+	})
 }
 
 // barredByEjection says whether an ejected endpoint is left out at a fallback level. At the last level it is used
@@ -143,20 +165,27 @@
 // ejectionSeconds is how long an endpoint is ejected that was so some times since it last worked. Other routers'
 // suspicion counts like earlier ejections.
 func ejectionSeconds(ejections int, suspected bool) float64 {
-	doublings := float64(ejections) + suspicionEjections*indicator(suspected)
+	doublings := float64(ejections)
+	if suspected {
+		doublings += suspicionEjections
+	}
 	return min(firstEjectionSeconds*math.Pow(2, doublings), maxEjectionSeconds)
 }
 
-// eject keeps attempts from an endpoint for a while. Where it may not be ejected, its limit is decreased.
-func (r *Router) eject(e *endpoint) {
-	switch {
-	case !r.mayEject(e):
+// ejectOrDecreaseLimit keeps attempts from an endpoint for a while. Where it may not be ejected, its limit decreases.
+// An ejection that is under way stays as it is.
+func (r *Router) ejectOrDecreaseLimit(e *endpoint) {
+	if !r.mayEject(e) {
 		e.limiter.decrease(r.now, true)
-	case e.ejectedUntil <= r.now:
-		e.ejectedUntil = r.now + ejectionSeconds(e.ejections, r.now < e.suspectedUntil)
-		e.recentFailures, e.limiter.limit = nil, limitAfterEjection
-		e.ejections++
+		return
+	}
+	if e.ejectedUntil > r.now {
+		return
 	}
+	e.ejectedUntil = r.now + ejectionSeconds(e.ejections, r.now < e.suspectedUntil)
+	e.ejections++
+	e.recentFailures = nil
+	e.limiter.limit = limitAfterEjection
 }
 
 // recordResult counts a result of an endpoint: errors, refused fills, broken connections and completed attempts.
@@ -166,7 +195,7 @@
 	}
 	e.recentFailures = appendSample(e.recentFailures, indicator(failed), maxResultSamples)
 	if failed && failuresEject(e.recentFailures, e.ejections > 0, r.now < e.suspectedUntil) {
-		r.eject(e)
+		r.ejectOrDecreaseLimit(e)
 	}
 }
 
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -131,16 +131,16 @@
 	r := newTestRouter(Idempotent)
 	c := r.findOrAddEndpoint("c0")
 	for i, want := range []float64{1, 2, 4, 4, 4} {
-		r.eject(c)
+		r.ejectOrDecreaseLimit(c)
 		assert.InDelta(t, want, c.ejectedUntil-r.now, 1e-9, "ejection %d", i)
 		r.now = c.ejectedUntil
 	}
 	c.ejections = 1 << 40
-	r.eject(c)
+	r.ejectOrDecreaseLimit(c)
 	assert.InDelta(t, 4, c.ejectedUntil-r.now, 1e-9, "after very many")
 	suspected := r.findOrAddEndpoint("c1")
 	suspected.suspectedUntil = r.now + 1
-	r.eject(suspected)
+	r.ejectOrDecreaseLimit(suspected)
 	assert.InDelta(t, 4, suspected.ejectedUntil-r.now, 1e-9)
 	whenSuspected := firstEjectionSeconds * math.Pow(2, suspicionEjections)
 	assert.Equal(t, maxEjectionSeconds, whenSuspected, "no more and no less than the longest")
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -108,8 +108,11 @@
 // retryAfterSeconds is how long a rejected client should stay away, 0 for no advice. It is drawn, so that clients that
 // were rejected together do not return together.
 func (r *Router) retryAfterSeconds() float64 {
-	allowed := indicator(r.settings.Bool(SettingRetryAfterAllowed))
-	return min(allowed*retryAfterMeanSeconds*(retryAfterLeastShare+r.nextRandom()), r.number(SettingMaxRetryAfter, 0))
+	drawn := retryAfterMeanSeconds * (retryAfterLeastShare + r.nextRandom())
+	if !r.settings.Bool(SettingRetryAfterAllowed) {
+		drawn = 0 // after the draw, so that the settings do not change the sequence of random numbers
+	}
+	return min(drawn, r.number(SettingMaxRetryAfter, 0))
 }
 
 // retryBudgetChanged notes whether there are retries left for an endpoint, or for a class where none is named.
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -37,7 +37,10 @@
 func (r *Router) workOf(req *request, e *endpoint) float64 {
 	class := r.class(req.Class)
 	usual := meanIfEnough(class.sendSecondsSamples, minSendSamples, max(req.sendSeconds, class.objectiveSeconds))
-	return max(usual, indicator(e.role == parentCache)*req.sendSeconds)
+	if e.role == parentCache {
+		return max(usual, req.sendSeconds)
+	}
+	return usual
 }
 
 // recordColdWork charges an attempt to its target, and a fill to its source too, while they are cold.
