--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -84,8 +84,9 @@
 // inFlight says whether an attempt was sent and its end was not heard.
 func (s attemptState) inFlight() bool { return s != attemptPlanned && s != attemptEnded }
 
-// awaited says whether a request waits for an attempt that was not taken for lost.
-func (s attemptState) awaited() bool { return s == attemptAwaited || s == attemptStalled }
+// inFlightNotLost says whether an attempt is in flight and was neither taken for lost nor cancelled. That includes a
+// stalled one, which the next review takes for lost.
+func (s attemptState) inFlightNotLost() bool { return s == attemptAwaited || s == attemptStalled }
 
 // hasSource says whether an endpoint other than the target fills a miss.
 func (a *attempt) hasSource() bool { return a.source != a.target }
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -181,7 +181,7 @@
 func (r *Router) penalizeUnanswered(req *request) {
 	for _, a := range req.attempts {
 		elapsed := r.now - a.sentAt
-		if !a.state.awaited() || !isLate(elapsed, req.objectiveSeconds) {
+		if !a.state.inFlightNotLost() || !isLate(elapsed, req.objectiveSeconds) {
 			continue
 		}
 		r.adjustLimits(req, a, AttemptEnded{ElapsedSeconds: elapsed, FirstByteSeconds: elapsed}, a.fill.missExpected())
--- a/routing/router.go
+++ b/routing/router.go
@@ -53,7 +53,7 @@
 // sets its wake time. It returns the final action of a request that is given up.
 func (r *Router) updateWanted(req *request) Action {
 	req.wakeAt = answerBy(req)
-	step, next := r.nextStep(req)
+	step, next := r.chooseNextStep(req)
 	switch step {
 	case awaitAttempts:
 		r.moveRequest(req, requestOpen)
@@ -80,14 +80,14 @@
 	giveUp                        // a final action without a response
 )
 
-// nextStep decides what a request gets next, and its attempt where that is one. A request is given up when its time is
-// over, or when nothing is in flight for it and no attempt may follow or could still be in time.
-func (r *Router) nextStep(req *request) (nextStep, *attempt) {
+// chooseNextStep decides what a request gets next, and its attempt where that is one. A request is given up when its
+// time is over, or when nothing is in flight for it and no attempt may follow or could still be in time.
+func (r *Router) chooseNextStep(req *request) (nextStep, *attempt) {
 	if r.now >= answerBy(req) {
 		return giveUp, nil
 	}
-	inFlight, waiting := r.reviewAttempts(req)
-	if waiting || (inFlight && !r.settings.Bool(SettingHedging)) {
+	inFlight, awaited := r.reviewAttempts(req)
+	if awaited || (inFlight && !r.settings.Bool(SettingHedging)) {
 		return awaitAttempts, nil
 	}
 	retry := r.mayRetry(req)
@@ -174,21 +174,27 @@
 	r.recordColdWork(req, a)
 }
 
-// reviewAttempts finds lost attempts and tells whether any is in flight, and whether one is waited for.
-func (r *Router) reviewAttempts(req *request) (inFlight, waiting bool) {
+// reviewAttempts reviews the attempts of a request. It tells whether any is in flight, and whether the request still
+// waits for one: attempts that this review or an earlier one took for lost are in flight and not awaited.
+func (r *Router) reviewAttempts(req *request) (inFlight, awaited bool) {
 	for _, a := range req.attempts {
 		if !a.state.inFlight() {
 			continue
 		}
 		inFlight = true
-		suspected := a.state == attemptAwaited && r.now >= a.suspectAt
-		if a.state == attemptStalled || (suspected && r.reviewSuspected(a)) {
-			a.move(r.stateOfLost(req))
-		}
-		if a.state == attemptAwaited {
-			waiting = true
+		r.reviewAttempt(req, a)
+		if a.state == attemptAwaited { // none is stalled after its review
+			awaited = true
 			req.wakeAt = min(req.wakeAt, max(a.suspectAt, r.now+suspectRecheckSeconds))
 		}
 	}
-	return inFlight, waiting
+	return inFlight, awaited
+}
+
+// reviewAttempt takes an attempt in flight for lost if it is stalled, or if it is suspected by now and found lost.
+func (r *Router) reviewAttempt(req *request, a *attempt) {
+	suspected := a.state == attemptAwaited && r.now >= a.suspectAt
+	if a.state == attemptStalled || (suspected && r.reviewSuspected(a)) {
+		a.move(r.stateOfLost(req))
+	}
 }
