--- a/cmd/cairnfront/addresses_test.go
+++ b/cmd/cairnfront/addresses_test.go
@@ -42,7 +42,7 @@
 		c := s.dial(t)
 		c.send("page", objectID, "")
 		code, _, _ := c.readResponse(t)
-		require.EqualValues(t, 1, code)
+		require.Equal(t, codeCompleted, code)
 		return m.lastAttempt().conn.LocalAddr().Network()
 	}
 	assert.Equal(t, "unix", over())
--- a/cmd/cairnfront/client_test.go
+++ b/cmd/cairnfront/client_test.go
@@ -22,6 +22,13 @@
 	ttlMillis int // of the next requests; 0 for 4,000
 }
 
+// The codes of responses on the wire.
+const (
+	codeRejected  byte = 0
+	codeCompleted byte = 1
+	codeAborted   byte = 9
+)
+
 var requestIDs struct {
 	sync.Mutex
 	n int
@@ -76,6 +83,13 @@
 	return payload[0], fields, string(body)
 }
 
+// expectCode reads one response, which has to have a code.
+func (c *client) expectCode(t *testing.T, want byte, reason ...any) {
+	t.Helper()
+	code, _, _ := c.readResponse(t)
+	assert.Equal(t, want, code, reason...)
+}
+
 // sendFromClients has clients send requests at the same time, each one after another.
 func sendFromClients(t *testing.T, s *routerProcess, clients, each int) *sync.WaitGroup {
 	t.Helper()
@@ -85,8 +99,7 @@
 		all.Go(func() {
 			for range each {
 				c.send("page", objectID, "")
-				code, _, _ := c.readResponse(t)
-				assert.EqualValues(t, 1, code)
+				c.expectCode(t, codeCompleted)
 			}
 		})
 	}
--- a/cmd/cairnfront/drain_test.go
+++ b/cmd/cairnfront/drain_test.go
@@ -31,10 +31,8 @@
 	kind, _, _ = late.readFrame(t)
 	assert.Equal(t, clientproto.TypeGoAway, kind)
 	close(release)
-	code, _, _ := late.readResponse(t)
-	assert.EqualValues(t, 1, code)
-	code, _, _ = c.readResponse(t)
-	assert.EqualValues(t, 1, code)
+	late.expectCode(t, codeCompleted)
+	c.expectCode(t, codeCompleted)
 	s.killed = true
 	require.NoError(t, <-s.exited, "exit 0")
 	assert.Equal(t, 0, s.counters()["requests_open"])
@@ -53,8 +51,7 @@
 	require.NoError(t, s.Process.Signal(syscall.SIGTERM))
 	kind, _, _ := c.readFrame(t)
 	assert.Equal(t, clientproto.TypeGoAway, kind)
-	code, _, _ := c.readResponse(t)
-	assert.EqualValues(t, 9, code)
+	c.expectCode(t, codeAborted)
 	s.killed = true
 	require.NoError(t, <-s.exited, "exit 0")
 	assert.Equal(t, 1, s.counters()[`requests_answered_total{class="order",result="aborted",reason="shutdown"}`])
@@ -79,7 +76,7 @@
 				kind, _, payload := c.readFrame(t)
 				if notified = notified || kind == clientproto.TypeGoAway; kind == clientproto.TypeResponse {
 					asked--
-					assert.EqualValues(t, 1, payload[0])
+					assert.Equal(t, codeCompleted, payload[0])
 				}
 				if notified && asked == 0 {
 					return
@@ -113,8 +110,7 @@
 	require.Eventually(t, func() bool { return strings.Contains(s.log.String(), "repeated=true") }, patience,
 		time.Millisecond)
 	close(release)
-	code, _, _ := c.readResponse(t)
-	assert.EqualValues(t, 1, code)
+	c.expectCode(t, codeCompleted)
 	_, err := io.Copy(io.Discard, c)
 	require.NoError(t, err, "ended, not reset")
 	_ = c.Close()
--- a/cmd/cairnfront/golden_test.go
+++ b/cmd/cairnfront/golden_test.go
@@ -14,7 +14,6 @@
 	"cairnfront/internal/clientproto"
 	"cairnfront/internal/golden"
 
-	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
 
@@ -44,8 +43,7 @@
 	c := s.dial(t)
 	for _, class := range []string{"page", "order", "write"} {
 		c.send(class, objectID, "")
-		code, _, _ := c.readResponse(t)
-		assert.EqualValues(t, 1, code)
+		c.expectCode(t, codeCompleted)
 	}
 	before := cache.attemptCount()
 	c.send("page", "00000000000000aa", "")
--- a/cmd/cairnfront/harness_test.go
+++ b/cmd/cairnfront/harness_test.go
@@ -58,16 +58,16 @@
 	buffer bytes.Buffer
 }
 
-func (x *logBuffer) Write(p []byte) (int, error) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.buffer.Write(p)
+func (l *logBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.buffer.Write(p)
 }
 
-func (x *logBuffer) String() string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.buffer.String()
+func (l *logBuffer) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.buffer.String()
 }
 
 // routerProcess is a running router.
--- a/cmd/cairnfront/largecluster_test.go
+++ b/cmd/cairnfront/largecluster_test.go
@@ -63,7 +63,7 @@
 			continue
 		}
 		for range burst {
-			if code, _, _ := c.readResponse(t); code == 1 {
+			if code, _, _ := c.readResponse(t); code == codeCompleted {
 				use.answered++
 			}
 		}
--- a/cmd/cairnfront/limits_test.go
+++ b/cmd/cairnfront/limits_test.go
@@ -37,11 +37,11 @@
 	}
 	good.send("what", objectID, "")
 	code, fields, _ := good.readResponse(t)
-	assert.EqualValues(t, 9, code)
+	assert.Equal(t, codeAborted, code)
 	assert.Contains(t, fields["error"], "what")
 	good.send("page", objectID, "")
 	code, _, _ = good.readResponse(t)
-	assert.EqualValues(t, 1, code)
+	assert.Equal(t, codeCompleted, code)
 }
 
 // TestMemoryAndConnectionLimitsHold fills every client connection with requests for the largest objects and reads none
@@ -110,7 +110,7 @@
 	c := s.dial(t)
 	c.send("page", objectID, "")
 	code, _, body := c.readResponse(t)
-	assert.EqualValues(t, 1, code)
+	assert.Equal(t, codeCompleted, code)
 	assert.Len(t, body, 240_000, "and it serves")
 }
 
@@ -146,7 +146,7 @@
 	for open := len(bad); open > 0; {
 		c.send("page", objectID, "")
 		code, _, body := c.readResponse(t)
-		assert.EqualValues(t, 1, code)
+		assert.Equal(t, codeCompleted, code)
 		assert.Equal(t, "x", body)
 		select {
 		case err := <-ends:
@@ -164,7 +164,7 @@
 	} {
 		odd.send("page", objectID, "", f)
 		code, _, _ := odd.readResponse(t)
-		assert.EqualValues(t, 9, code, f)
+		assert.Equal(t, codeAborted, code, f)
 	}
 	require.NoError(t, s.stop(t, syscall.SIGTERM))
 	for _, code := range []string{"protocol_error", "partial_frame", "no_first_frame"} {
@@ -191,8 +191,7 @@
 		for range 10 {
 			c := s.dial(t)
 			c.send("page", fmt.Sprintf("%016x", requestIDs.n), "")
-			code, _, _ := c.readResponse(t)
-			assert.EqualValues(t, 1, code)
+			c.expectCode(t, codeCompleted)
 			_ = c.Close()
 		}
 	}
--- a/cmd/cairnfront/reload_test.go
+++ b/cmd/cairnfront/reload_test.go
@@ -47,7 +47,7 @@
 	next.send <- discoveryFrame(2, 2, append(endpointRecord(9, m2, 0), endpointRecord(1, m, 2)...))
 	close(release)
 	code, _, body := c.readResponse(t)
-	assert.EqualValues(t, 1, code)
+	assert.Equal(t, codeCompleted, code)
 	assert.Equal(t, "x", body)
 	require.Eventually(t, func() bool {
 		c.send("page", objectID, "")
@@ -73,8 +73,7 @@
 				return
 			default:
 				c.send("page", objectID, "")
-				code, _, _ := c.readResponse(t)
-				assert.EqualValues(t, 1, code)
+				c.expectCode(t, codeCompleted)
 			}
 		}
 	})
@@ -87,8 +86,7 @@
 		b.start(t)
 		c := b.dial(t)
 		c.send("page", objectID, "")
-		code, _, _ := c.readResponse(t)
-		assert.EqualValues(t, 1, code)
+		c.expectCode(t, codeCompleted)
 	}
 	close(stop)
 	asks.Wait()
--- a/cmd/cairnfront/requests_test.go
+++ b/cmd/cairnfront/requests_test.go
@@ -40,7 +40,7 @@
 	assert.Equal(t, []any{byte(1), "1", "t1", ""}, []any{code, fields["notmod"], fields["etag"], body})
 	c.send("write", objectID, "order me")
 	code, _, _ = c.readResponse(t)
-	assert.EqualValues(t, 1, code, "a write's answer has no digest")
+	assert.Equal(t, codeCompleted, code, "a write's answer has no digest")
 	assert.NoError(t, s.Process.Signal(syscall.SIGUSR1))
 	assert.NoError(t, s.stop(t, syscall.SIGTERM))
 	got := s.counters()
@@ -68,13 +68,13 @@
 	c := s.dial(t)
 	c.send("page", objectID, "")
 	code, _, _ := c.readResponse(t)
-	assert.EqualValues(t, 1, code)
+	assert.Equal(t, codeCompleted, code)
 	assert.Equal(t, 1, bad.attemptCount())
 	s = startRouter(t, 192, worse, worse)
 	c = s.dial(t)
 	c.send("order", objectID, "")
 	code, _, _ = c.readResponse(t)
-	assert.EqualValues(t, 9, code)
+	assert.Equal(t, codeAborted, code)
 	assert.Equal(t, 1, worse.attemptCount())
 	gone := startCache(t, nil)
 	_ = gone.Close()
@@ -82,7 +82,7 @@
 	c = s.dial(t)
 	c.send("order", objectID, "")
 	code, fields, _ := c.readResponse(t)
-	assert.EqualValues(t, 0, code, "a refused connection proves that it did not run")
+	assert.Equal(t, codeRejected, code, "a refused connection proves that it did not run")
 	assert.NotEmpty(t, fields["pushback"])
 }
 
@@ -97,7 +97,7 @@
 	first := func() (string, receivedAttempt) {
 		c.send("page", objectID, "")
 		code, _, body := c.readResponse(t)
-		require.EqualValues(t, 1, code)
+		require.Equal(t, codeCompleted, code)
 		return body, map[string]*cacheStub{"a": a, "b": b}[body].lastAttempt()
 	}
 	was, h := first()
@@ -171,7 +171,7 @@
 	for i := range 60 {
 		c.send("page", fmt.Sprintf("%016x", i), "")
 		code, _, body := c.readResponse(t)
-		assert.EqualValues(t, 1, code, i)
+		assert.Equal(t, codeCompleted, code, i)
 		assert.Equal(t, "x", body)
 	}
 	require.NoError(t, s.stop(t, syscall.SIGTERM))
@@ -199,7 +199,7 @@
 		for i := from; i < to; i++ {
 			c.send("page", fmt.Sprintf("%016x", i), "")
 			code, _, body := c.readResponse(t)
-			assert.EqualValues(t, 1, code)
+			assert.Equal(t, codeCompleted, code)
 			bodies[body]++
 		}
 		return bodies
--- a/cmd/cairnfront/restart_test.go
+++ b/cmd/cairnfront/restart_test.go
@@ -31,8 +31,7 @@
 	s.start(t)
 	c = s.dial(t)
 	c.send("page", objectID, "")
-	code, _, _ := c.readResponse(t)
-	assert.EqualValues(t, 1, code)
+	c.expectCode(t, codeCompleted)
 	assert.Equal(t, 2, m.attemptCount())
 }
 
--- a/cmd/cairnfront/wallclock_test.go
+++ b/cmd/cairnfront/wallclock_test.go
@@ -103,8 +103,7 @@
 		s.requestsOutliveStep(t, c, step)
 		brokenOnce.Store(false)
 		c.send("write", "00000000000000cc", "order", clientproto.Field{Name: "dedupe", Value: "k"})
-		code, _, _ := c.readResponse(t)
-		assert.EqualValues(t, 1, code, "retried within the window")
+		c.expectCode(t, codeCompleted, "retried within the window")
 		revision++
 		s.purgeAfterStep(t, c, m, revision)
 	}
@@ -125,11 +124,11 @@
 		_, stream, payload := c.readFrame(t)
 		elapsed := time.Since(startedAt)
 		if stream == c.stream { // the one without an answer: not early, and not after its deadline
-			assert.NotEqualValues(t, 1, payload[0])
+			assert.NotEqual(t, codeCompleted, payload[0])
 			assert.Greater(t, elapsed, 300*time.Millisecond)
 			assert.Less(t, elapsed, 1200*time.Millisecond)
 		} else {
-			assert.EqualValues(t, 1, payload[0])
+			assert.Equal(t, codeCompleted, payload[0])
 		}
 	}
 }
@@ -146,8 +145,7 @@
 	require.Eventually(t, func() bool {
 		before := m.attemptCount()
 		c.send("page", fmt.Sprintf("%016x", object), "")
-		code, _, _ := c.readResponse(t)
-		assert.EqualValues(t, 1, code)
+		c.expectCode(t, codeCompleted)
 		require.Greater(t, m.attemptCount(), before)
 		accept, err := strconv.Atoi(m.lastAttempt().fields["accept"])
 		if err != nil { // not heard yet: any copy will do
@@ -168,8 +166,7 @@
 	s.step(t, step)
 	kind, _, _ := c.readFrame(t)
 	assert.Equal(t, clientproto.TypeGoAway, kind)
-	code, _, _ := c.readResponse(t)
-	assert.EqualValues(t, 9, code)
+	c.expectCode(t, codeAborted)
 	s.killed = true
 	require.NoError(t, <-s.exited, "exit 0")
 	assert.Greater(t, time.Since(startedAt), 3*time.Second, "it was waited for")
