--- a/internal/codestyle/decisions_test.go
+++ b/internal/codestyle/decisions_test.go
@@ -27,7 +27,8 @@
 	decisionColumns
 )
 
-// decisionRow is a row of docs/decisions.md: a rule with the functions that decide it and their constants.
+// decisionRow is a row of docs/decisions.md, or one file of it: a rule with the functions that decide it there and
+// their constants.
 type decisionRow struct {
 	line      int
 	file      string
@@ -72,6 +73,9 @@
 		"no such constant":    strings.Replace(row, "`limit`", "`limit`, `gone`", 1),
 		"no such file":        row + "| a? | `rules/gone.go`: `decide` | none | - | b | c |\n",
 		"no function at all":  row + "| a? | `rules/rules.go` | none | - | b | c |\n",
+		"second file is gone": strings.Replace(row, "`other`", "`other`; `rules/gone.go`: `decide`", 1),
+		"second has no names": row + "| a? | `rules/rules.go`: `decide`; `rules/rules.go` | none | - | b | c |\n",
+		"second lacks a name": strings.Replace(row, "`other`", "`other`; `rules/rules.go`: `gone`", 1),
 		"function not named":  strings.Replace(row, ", `other`", "", 1),
 		"constant not named":  strings.Replace(row, "`limit`", "-", 1),
 		"a cell is missing":   row + "| a? | `rules/rules.go`: `decide` | none | - | b |\n",
@@ -83,18 +87,48 @@
 	assert.Len(t, decisionFaults(t, root, "", policy), 3, "an empty page")
 }
 
-// TestEvidenceOfDecisionsIsPrinted holds that the counters that show a rule at work are in the dump, with those labels.
+// TestEvidenceOfDecisionsIsPrinted holds that what shows a rule at work is printed: a counter of the dump, with those
+// labels; a reason, a message or a key of a log line; or a command's output.
 func TestEvidenceOfDecisionsIsPrinted(t *testing.T) {
 	rows, faults := parseDecisions(readFile(t, "../../docs/decisions.md"))
 	require.Empty(t, faults)
 	counters := countersIn(t, "../../internal/telemetry/table.go")
+	logged := loggedWords(t)
 	for _, row := range rows {
 		for _, shown := range row.evidence {
-			assert.True(t, isCounter(shown, counters), "line %d: no counter %s", row.line, shown)
+			printed := isCounter(shown, counters) || slices.Contains(logged, shown) || isCommand(shown)
+			assert.True(t, printed, "line %d: nothing prints %s", row.line, shown)
 		}
 	}
 }
 
+// loggedWords returns the reasons, and the messages and keys of log lines, that the program prints.
+func loggedWords(t *testing.T) (words []string) {
+	t.Helper()
+	for _, closed := range closedTypes {
+		for _, variable := range closed.variables {
+			words = append(words, textsOf(t, filepath.Join("../..", closed.file), variable)...)
+		}
+	}
+	forEachGoFile(t, func(_, file string) {
+		if strings.HasSuffix(file, "_test.go") {
+			return
+		}
+		words = append(words, logKeysIn(t, file)...)
+		lines, _ := logLinesIn(t, file)
+		for line := range lines {
+			words = append(words, strings.Trim(strings.TrimPrefix(line, "msg="), `"`))
+		}
+	})
+	return words
+}
+
+// isCommand reports whether a text is a command of the program whose output shows a rule at work.
+func isCommand(shown string) bool {
+	words := strings.Fields(shown)
+	return len(words) == 2 && words[0] == "cairnfront" && slices.Contains([]string{"addresses", "peers"}, words[1])
+}
+
 // TestEvidenceThatIsNotPrintedIsFound shows that the check can fail.
 func TestEvidenceThatIsNotPrintedIsFound(t *testing.T) {
 	counters := []string{"lost_total", "ended_total{class,result}"}
@@ -109,6 +143,11 @@
 	} {
 		assert.Equal(t, want, isCounter(shown, counters), shown)
 	}
+	assert.True(t, isCommand("cairnfront addresses"))
+	assert.False(t, isCommand("cairnfront reach"))
+	logged := loggedWords(t)
+	assert.Subset(t, logged, []string{"no_first_frame", "bytes_received", "connection closed"})
+	assert.NotContains(t, logged, "mute")
 }
 
 // isCounter says whether a text names one of the counters, each with the names of its labels, and only labels of it.
@@ -133,13 +172,10 @@
 func decisionFaults(t *testing.T, root, page string, policy []string) []string {
 	t.Helper()
 	rows, faults := parseDecisions(page)
-	named := map[string]bool{} // folder and name
 	for _, row := range rows {
 		faults = append(faults, rowFaults(t, root, row)...)
-		for _, name := range append(row.functions, row.constants...) {
-			named[filepath.Dir(filepath.Join(root, row.file))+" "+name] = true
-		}
 	}
+	named := namesOfRows(root, rows)
 	for _, file := range policy {
 		path := filepath.Join(root, file)
 		declared := declarationsOf(t, path)
@@ -154,6 +190,17 @@
 	return faults
 }
 
+// namesOfRows are the functions and constants that rows name, each behind its folder.
+func namesOfRows(root string, rows []decisionRow) map[string]bool {
+	named := map[string]bool{}
+	for _, row := range rows {
+		for _, name := range append(row.functions, row.constants...) {
+			named[filepath.Dir(filepath.Join(root, row.file))+" "+name] = true
+		}
+	}
+	return named
+}
+
 // rowFaults lists what a row names that does not exist.
 func rowFaults(t *testing.T, root string, row decisionRow) (faults []string) {
 	t.Helper()
@@ -185,25 +232,33 @@
 			continue
 		}
 		cells := strings.Split(strings.Trim(line, "|"), "|")
-		where := []string(nil)
-		if len(cells) == decisionColumns {
-			where = quotedNames(cells[whereColumn])
-		}
-		if len(where) < 2 || hasEmptyCell(cells) {
+		parsed := parseRow(i+1, cells)
+		if parsed == nil {
 			faults = append(faults, fmt.Sprintf("line %d: not a full row: %s", i+1, line))
-			continue
 		}
-		rows = append(rows, decisionRow{
-			line:      i + 1,
-			file:      where[0],
-			functions: where[1:],
-			constants: quotedNames(cells[constantsColumn]),
-			evidence:  quotedNames(cells[evidenceColumn]),
-		})
+		rows = append(rows, parsed...)
 	}
 	return rows, faults
 }
 
+// parseRow reads the cells of a row: one decisionRow for each of its files, the first of which has the constants. It
+// returns nil where something lacks.
+func parseRow(line int, cells []string) (rows []decisionRow) {
+	if len(cells) != decisionColumns || hasEmptyCell(cells) {
+		return nil
+	}
+	for _, part := range strings.Split(cells[whereColumn], ";") {
+		where := quotedNames(part)
+		if len(where) < 2 {
+			return nil
+		}
+		rows = append(rows, decisionRow{line: line, file: where[0], functions: where[1:]})
+	}
+	rows[0].constants = quotedNames(cells[constantsColumn])
+	rows[0].evidence = quotedNames(cells[evidenceColumn])
+	return rows
+}
+
 func hasEmptyCell(cells []string) bool {
 	for _, cell := range cells {
 		if strings.TrimSpace(cell) == "" {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -2,7 +2,6 @@
 
 import (
 	"sync"
-	"time"
 
 	"cairnfront/internal/cacheproto"
 	"cairnfront/internal/clock"
@@ -23,7 +22,7 @@
 	mu           sync.Mutex            // guards all below
 	addr         string                // empty while several are dialed
 	listedAddrs  map[address.Addr]bool // those that the endpoint still has; nil for any
-	conn         *netconn.Conn         // nil until it is established
+	conn         *netconn.Conn         // nil while connecting, and where it was never established
 	attempts     map[string]*Attempt   // open, by id
 	cancelled    map[string]*Attempt   // cancelled, and the cancel was not sent yet
 	writeQueue   []command             // not begun
@@ -31,7 +30,7 @@
 	lastUsed     clock.Instant         // when an attempt was last added or ended
 	silentSince  clock.Instant         // when the first attempt was written of those since which nothing came
 	suspectSince clock.Instant         // when an attempt was cancelled during which nothing came; zero for never
-	closing      bool                  // takes no more attempts
+	state        connState
 }
 
 // command is what the writing goroutine writes next: an attempt, or the line that cancels one.
@@ -63,24 +62,23 @@
 
 // load returns how many attempts are open, and whether the connection takes more. It takes none while it is silent
 // after a cancel: the endpoint may have vanished or be a new process. Nor does it while the response to a cancelled
-// attempt is still coming.
+// attempt is still coming, which the next response would wait behind.
 func (c *Connection) load() (open int, available bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	lateResponse := len(c.attempts) == 0 && c.conn != nil && !c.conn.FrameStart().IsZero()
-	return len(c.attempts), !c.closing && !c.isSilentLocked() && !lateResponse
+	return len(c.attempts), c.state.takesAttempts() && !c.isSilentLocked() && !c.receivesLateResponseLocked()
 }
 
-// isSilentLocked says whether nothing came since an attempt was cancelled during which nothing had come.
-func (c *Connection) isSilentLocked() bool {
-	return !c.suspectSince.IsZero() && c.conn != nil && c.conn.LastRead() < c.suspectSince
+// receivesLateResponseLocked says whether a response is coming though no attempt is open: that of a cancelled one.
+func (c *Connection) receivesLateResponseLocked() bool {
+	return len(c.attempts) == 0 && c.conn != nil && !c.conn.FrameStart().IsZero()
 }
 
 // add queues an attempt, unless the connection takes no more or carries the same id already.
 func (c *Connection) add(a *Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing || c.attempts[a.id] != nil || c.cancelled[a.id] != nil {
+	if !c.state.takesAttempts() || c.attempts[a.id] != nil || c.cancelled[a.id] != nil {
 		return false
 	}
 	a.connection = c
@@ -99,8 +97,11 @@
 }
 
 // cancel gives an attempt up and returns how it ends by that, and whether at once. One that the endpoint may know of
-// is over only when the socket has taken the cancel line, or the connection has ended: a retry sent before
-// that line would be out at the same time as the attempt. Its end then comes like any other.
+// is over only when the socket has taken the cancel line, or the connection has ended. Its end then comes like any
+// other.
+//
+// It guards against two attempts of a request at once: a retry that is sent before the cancel line would run beside the
+// attempt, which the settings may forbid.
 func (c *Connection) cancel(a *Attempt, result routing.AttemptResult) (end routing.AttemptResult, atOnce bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,27 +118,16 @@
 		c.dequeueLocked(a)
 		return routing.NotSent, true
 	}
-	if c.closing || a.isHealthCheck {
+	if !c.state.takesAttempts() || a.isHealthCheck {
 		return result, true
 	}
 	a.cancelResult = result
 	c.cancelled[a.id] = a
 	c.enqueueLocked(command{attempt: a, cancelLine: cacheproto.AppendCancel(nil, a.id)})
-	nothingCame := c.conn != nil && c.conn.LastRead() < c.silentSince
-	if nothingCame && now.Sub(c.silentSince) > c.pool.ConnectTimeout {
-		c.suspectSince = now
-	}
+	c.suspectSilenceLocked(now)
 	return result, false
 }
 
-// noteWrittenLocked notes that an attempt is written. Those that follow one another without any input count together:
-// attempts with little time are cancelled before they could show by themselves that the connection is dead.
-func (c *Connection) noteWrittenLocked(now clock.Instant, conn *netconn.Conn) {
-	if c.silentSince.IsZero() || conn.LastRead() >= c.silentSince {
-		c.silentSince = now
-	}
-}
-
 // dequeueLocked takes an attempt that was not begun out of the write queue.
 func (c *Connection) dequeueLocked(a *Attempt) {
 	for i, queued := range c.writeQueue {
@@ -162,20 +152,3 @@
 func (c *Connection) reportEnd(a *Attempt, end request.AttemptEnd) {
 	c.pool.OnEvent(AttemptEnded{Attempt: a, End: end})
 }
-
-// silentWait returns how long a written attempt has waited without any input since, the connection's address, and all
-// attempts that wait so.
-func (c *Connection) silentWait(now clock.Instant) (longest time.Duration, addr address.Addr, waiting []*Attempt) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.conn == nil || c.closing {
-		return 0, "", nil
-	}
-	for _, a := range c.attempts {
-		if a.written && c.conn.LastRead() < a.writtenAt {
-			longest = max(longest, now.Sub(a.writtenAt))
-			waiting = append(waiting, a)
-		}
-	}
-	return longest, address.Addr(c.addr), waiting
-}
