--- a/internal/codestyle/decisions_test.go
+++ b/internal/codestyle/decisions_test.go
@@ -326,10 +326,8 @@
 				continue
 			}
 			for _, spec := range d.Specs {
-				values, ok := spec.(*ast.ValueSpec)
-				require.True(t, ok)
-				for _, name := range values.Names {
-					found.constants[name.Name] = true
+				for _, name := range constantNames(spec) {
+					found.constants[name] = true
 				}
 			}
 		}
--- a/internal/codestyle/rulefiles_test.go
+++ b/internal/codestyle/rulefiles_test.go
@@ -1,6 +1,7 @@
 package codestyle
 
 import (
+	"fmt"
 	"go/ast"
 	"go/parser"
 	"go/token"
@@ -170,14 +171,24 @@
 			continue
 		}
 		for _, spec := range group.Specs {
-			for _, name := range spec.(*ast.ValueSpec).Names {
-				names = append(names, name.Name)
-			}
+			names = append(names, constantNames(spec)...)
 		}
 	}
 	return names
 }
 
+// constantNames returns the names that one line of a declaration of constants has. It panics at any other declaration.
+func constantNames(spec ast.Spec) (names []string) {
+	values, ok := spec.(*ast.ValueSpec)
+	if !ok {
+		panic(fmt.Sprintf("a declaration of constants with a %T", spec))
+	}
+	for _, name := range values.Names {
+		names = append(names, name.Name)
+	}
+	return names
+}
+
 // readsOne says whether a function reads a constant.
 func readsOne(function *ast.FuncDecl, constants map[string]bool) bool {
 	return function.Body != nil && mentions(function.Body, constants)
