--- a/cmd/cairnfront/drain_test.go
+++ b/cmd/cairnfront/drain_test.go
@@ -107,7 +107,7 @@
 	next := startDiscovery(t)
 	require.NoError(t, os.WriteFile(s.bootstrapPath, bootstrapFile(s.addr, next.Addr().String(), 192, m, m), 0o600))
 	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-	s.waitForLog(t, "configuration reloaded")
+	s.waitForLog(t, "bootstrap file reloaded")
 	next.deliver(t, discoveryFrame(2, 2, endpointRecord(1, m, 1)))
 	require.NoError(t, s.Process.Signal(syscall.SIGTERM))
 	require.Eventually(t, func() bool { return strings.Contains(s.log.String(), "repeated=true") }, patience,
--- a/cmd/cairnfront/harness_test.go
+++ b/cmd/cairnfront/harness_test.go
@@ -286,7 +286,7 @@
 // together may reach a process as one.
 func (s *routerProcess) reload(t *testing.T) {
 	t.Helper()
-	reloads := func() int { return s.logCount("configuration reloaded") }
+	reloads := func() int { return s.logCount("bootstrap file reloaded") }
 	before := reloads()
 	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool { return reloads() == before+1 }, patience, time.Millisecond)
--- a/cmd/cairnfront/reload.go
+++ b/cmd/cairnfront/reload.go
@@ -32,7 +32,7 @@
 		return err
 	}
 	if err := r.extensions.reload(ctx); err != nil {
-		r.logReloadFailure(err)
+		r.logReloadFailure(reloadedConfiguration, err)
 	}
 	return err
 }
@@ -59,11 +59,11 @@
 		err = checkReload(fresh, r.config)
 	}
 	if err != nil {
-		r.logReloadFailure(err)
+		r.logReloadFailure(reloadedBootstrap, err)
 		return err
 	}
 	r.metrics.Inc(telemetry.Reloads)
-	r.metrics.Log.Info("configuration reloaded", "discovery_address", fresh.DiscoveryAddress)
+	r.metrics.Log.Info("bootstrap file reloaded", "discovery_address", fresh.DiscoveryAddress)
 	if fresh.DiscoveryAddress != r.config.DiscoveryAddress {
 		replaceAddress(r.discovery.AddressChanges, fresh.DiscoveryAddress)
 	}
@@ -79,12 +79,6 @@
 	return nil
 }
 
-// logReloadFailure counts and logs a reload that left the configuration unchanged.
-func (r *router) logReloadFailure(err error) {
-	r.metrics.Inc(telemetry.ReloadsFailed)
-	r.metrics.Log.Error("configuration reload failed", "error", err.Error())
-}
-
 // replaceAddress puts an address into a channel of capacity 1, in place of an earlier one that was not received yet. It
 // does not block, as nothing else writes to the channel.
 func replaceAddress(changes chan string, address string) {
--- a/cmd/cairnfront/serve.go
+++ b/cmd/cairnfront/serve.go
@@ -196,7 +196,7 @@
 // It owns the drain's goroutine, which closes drained. A drain ends within drainTimeout and flushTimeout, or with the
 // context; serve does not wait for one that the failure of a stage has cut short.
 func (r *router) handleSignals(ctx context.Context, signals, reloads <-chan os.Signal) {
-	var drained chan struct{} // closed when the drain is over; nil before it
+	var drained chan struct{} // closed when the drain is over; nil, on which no receive proceeds, before it
 	var retry reloadRetry
 	for {
 		select {
