--- a/internal/admission/connections_test.go
+++ b/internal/admission/connections_test.go
@@ -6,6 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// Further connections to busy endpoints can take every descriptor. An endpoint without a connection would then be
+// unreachable until one ends. The last descriptors go to such endpoints only.
 func TestLastEndpointConnsAreForEndpointsWithoutOne(t *testing.T) {
 	c := New(192, 1024)
 	c.limits.endpointConns = 1
@@ -17,6 +19,9 @@
 	assert.True(t, c.AdmitEndpointConn(true))
 }
 
+// Clients come faster than they leave until the descriptors run out, and then endpoints are not reached either. Over
+// the limit a client is refused with an answer. Past a second limit its connection is dropped, and each place that
+// becomes free counts.
 func TestClientsOverTheLimitAreRefusedThenDropped(t *testing.T) {
 	c := New(192, 1024)
 	c.limits.clients = 1
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -40,6 +40,8 @@
 	}
 }
 
+// Limits whose sum exceeds the memory or the descriptors end the process, or leave no descriptor for its files. The
+// limits of one size together stay below both.
 func TestLimitsLeaveRoom(t *testing.T) {
 	c := New(192, 1024)
 	heapBytes := float64(HeapLimitBytes(192))
@@ -48,6 +50,9 @@
 	assert.Less(t, c.limits.clients+c.limits.endpointConns+c.limits.refusedClients, int64(1024-32))
 }
 
+// More requests come than memory allows. Without a limit the process grows until the system ends it. A request over the
+// number, or while memory is nearly full, is not admitted, and the reason says which; a wait for memory ends with its
+// context.
 func TestRequestsOverTheLimitsAreNotAdmitted(t *testing.T) {
 	c := New(192, 1024)
 	c.limits.requests = 2
--- a/internal/admission/readiness_test.go
+++ b/internal/admission/readiness_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// A router that calls itself ready before it can serve, or while it drains, gets requests that it has to reject. It is
+// ready only between the two.
 func TestReadyUntilDraining(t *testing.T) {
 	c := New(192, 1024)
 	assert.False(t, c.Ready())
@@ -17,6 +19,8 @@
 	assert.True(t, c.Draining())
 }
 
+// A process that ends while a request is open loses its answer, and one that waits without bound never ends. The wait
+// lasts until the last request is done, or until its time is over.
 func TestWaitDrainedWaitsForOpenRequests(t *testing.T) {
 	c := New(192, 1024)
 	c.WaitDrained(t.Context(), 0, time.Hour)
--- a/internal/discovery/codec_test.go
+++ b/internal/discovery/codec_test.go
@@ -27,6 +27,9 @@
 	},
 }
 
+// A payload that is cut short, or of an unknown kind, could be read as another event: an endpoint would be lost, or a
+// copy purged that was not meant. Well-formed payloads of each kind are parsed in full, and every other one is
+// malformed.
 func TestPayloadsOfEachKindAreParsed(t *testing.T) {
 	const (
 		object      = "\x7f\x3a\x9c\x21\xe0\xb4\xd6\x55"
@@ -68,6 +71,8 @@
 	}
 }
 
+// A broken length field lets the client wait for bytes that never come, or allocate gigabytes. A length below the
+// header or above the maximum is malformed.
 func TestFrameLengthsHaveBounds(t *testing.T) {
 	for _, length := range []uint32{0, 8, maxFrameLength + 1} {
 		_, err := ParseHeader(append(binary.BigEndian.AppendUint32(nil, length), make([]byte, 9)...))
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -73,6 +73,8 @@
 	},
 }
 
+// A change of the codec that both its directions share is not seen by a round trip, and a service of another version
+// would not be understood. The bytes of each event are those of the golden file.
 func TestEventsMatchTheGoldenBytes(t *testing.T) {
 	for _, c := range goldenEvents {
 		frame, err := AppendEvent(nil, c.event)
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -11,6 +11,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// The end of an attempt is reported twice. The client would get two answers, and the decisions would count the attempt
+// twice. One response and one event come of it.
 func TestFirstCompletedAttemptAnswers(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
@@ -32,6 +34,8 @@
 	assert.Empty(t, f.requests)
 }
 
+// A connection does not come up before the deadline of its attempt, or an attempt can not be sent at all. Its request
+// would wait until the client gives up. Each such attempt ends as not sent, at its deadline or at once.
 func TestAttemptEndsAtItsDeadline(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		if _, ok := ev.(routing.RequestArrived); !ok {
@@ -56,6 +60,8 @@
 	assert.Equal(t, 0, f.requests["ab"].running)
 }
 
+// An attempt is cancelled before any of it was written. Reported as cancelled it would count as one that may have run,
+// and could not be repeated. It ends as not sent, and a second answer or the cancel of an unknown attempt does nothing.
 func TestCancelledAttemptThatWasNeverWrittenEndsAsNotSent(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		switch ev.(type) {
@@ -92,6 +98,8 @@
 	assert.Empty(t, f.requests)
 }
 
+// A probe gets no answer, or its endpoint is unknown. Without an end the decisions would wait for its result for ever.
+// Each probe ends once, at its timeout or at once.
 func TestProbeEndsOnce(t *testing.T) {
 	f := newFixture(t, nil)
 	f.Pool.ConnectTimeout = time.Second
@@ -106,6 +114,8 @@
 	}, f.decider.events[2:])
 }
 
+// An edge cache that is sent its own name as the source would fetch from itself. The name is left out there, and stays
+// for every other endpoint.
 func TestOnlyAnEdgeCacheIsNotNamedAsItsOwnSource(t *testing.T) {
 	f := newFixture(t, nil)
 	f.arrive(f.request)
--- a/internal/dispatch/events_test.go
+++ b/internal/dispatch/events_test.go
@@ -15,6 +15,8 @@
 // purgeAt98 is a purge of the object ff.
 var purgeAt98 = discovery.Event{Kind: discovery.PurgeObject, Purge: discovery.Purge{Object: "ff", PurgedAt: 98}}
 
+// The clock is set back between two events. Decisions that see time run backwards miscount what they measure. Events
+// come in their order, and their times never decrease.
 func TestEventsKeepOrderAndClock(t *testing.T) {
 	f := newFixture(t, nil)
 	f.arrive(f.request)
@@ -57,6 +59,8 @@
 	assert.Equal(t, routing.ClientDisconnected{Request: "ab"}, f.decider.events[before], "before the queue")
 }
 
+// The event loop has stopped while a connection still reports events. Once the queue is full the reporter would wait
+// for ever, and the process would not end. Events are dropped from then on.
 func TestEventsAreDroppedOnceTheLoopStopped(t *testing.T) {
 	f := newFixture(t, nil)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -67,6 +71,8 @@
 	}
 }
 
+// Code of the event loop panics. The process would end with every request that is open. The panic is logged and
+// counted, and the loop goes on.
 func TestPanicOfTheLoopItselfIsSurvived(t *testing.T) {
 	f := newFixture(t, nil)
 	f.request.ResponseWriter = nil
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -10,6 +10,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// A decision panics over one request. The others must not notice, and the client must not wait until its deadline. That
+// request is aborted, the stack is in the log, and the decisions are asked to forget it.
 func TestPanicOfADecisionAbortsOneRequest(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		if _, ok := ev.(routing.RequestArrived); ok {
@@ -27,6 +29,8 @@
 	assert.Equal(t, routing.ClientDisconnected{Request: "ab"}, f.decider.events[len(f.decider.events)-1])
 }
 
+// The decisions start no further attempt and give no answer either. The request would stay open, with its memory, for
+// ever. It is aborted a little after its deadline, and not before.
 func TestRequestThatTheDecisionsForgetIsAborted(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
@@ -40,6 +44,8 @@
 	assert.Empty(t, f.requests)
 }
 
+// A client uses the id of a request that is open. The answers of the two could be confused, and a cancel of one would
+// end the other. The second is rejected and the first goes on.
 func TestRequestWithAnIDInUseIsRejected(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
--- a/internal/dispatch/timers_test.go
+++ b/internal/dispatch/timers_test.go
@@ -8,6 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// Several timers are due at once after the loop was late. Decisions that learn of them in another order differ from run
+// to run. They fire by due time, then in the order in which they were set, and the delay is recorded.
 func TestTimersRunByDueTimeThenInTheOrderInWhichTheyWereSet(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		if ev == (routing.TimerFired{Token: 1}) {
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -19,6 +19,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A client sends queries and reads no answer. The answers would pile up in memory. Its connection is closed as that of
+// a slow reader.
 func TestClientThatDoesNotReadIsClosed(t *testing.T) {
 	c := newTestConn(t, true)
 	for range 1030 {
--- a/internal/frontend/framereader_test.go
+++ b/internal/frontend/framereader_test.go
@@ -16,6 +16,9 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A client cancels a request, or closes its connection, before the answer. An attempt would go on for nobody. The open
+// request is reported as cancelled once, and a response that comes later is dropped. One that is answered already is
+// not.
 func TestRequestIsDecodedAnsweredAndCancelled(t *testing.T) {
 	c := newTestConn(t, true)
 	before := clock.NowSeconds()
@@ -44,6 +47,8 @@
 	assert.EqualValues(t, 1, c.Metrics.Value(`requests_cancelled_total{class="page",reason="connection_closed"}`))
 }
 
+// A client that is not informed of a drain goes on to send requests to a process that ends. Readiness and GOAWAY follow
+// the state of admission, and a request that comes all the same is served.
 func TestReadinessFollowsAdmission(t *testing.T) {
 	c := newTestConn(t, true)
 	query := readinessQuery(5)
@@ -92,6 +97,8 @@
 	assert.EqualValues(t, 7, stream)
 }
 
+// A client opens more requests than a connection may have, or sends a body for which there is no memory. Both would let
+// one client take the memory of all. The request is rejected at once and the reason is counted.
 func TestRequestsOverLimitsAreRejected(t *testing.T) {
 	c := newTestConn(t, true)
 	for stream := uint32(1); stream <= maxOpenRequests; stream++ {
--- a/internal/frontend/responsewriter_test.go
+++ b/internal/frontend/responsewriter_test.go
@@ -28,6 +28,8 @@
 	return w, r
 }
 
+// A client cancels a stream whose response is queued. The client could have forgotten the stream, and the body would
+// stay in memory until it is written. The response is dropped and its body is given back.
 func TestResponseToCancelledStreamIsDropped(t *testing.T) {
 	w, r := newTestWriter(t)
 	body := w.admission.Bodies.TryAllocate(100)
@@ -38,6 +40,9 @@
 	assert.Zero(t, w.admission.OpenRequests())
 }
 
+// A connection ends with one response queued and one request open. Both would stay in memory, and the open request
+// would be answered to nobody. The open request is returned as cancelled, a later response is refused, and both bodies
+// are given back.
 func TestClosedWriterAcceptsNothing(t *testing.T) {
 	w, r := newTestWriter(t)
 	y := &request.Request{StreamID: 2, ClassName: "page"}
@@ -56,6 +61,8 @@
 	})
 }
 
+// A client stops reading in the middle of a response. The writer would wait without end and hold the response in
+// memory. The write fails after its limit.
 func TestWriteToSlowReaderFails(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -20,6 +20,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// The process is asked to end while a connection is open. A server that waits for its clients would not end. It ends
+// with its context, and its connections end too.
 func TestServeEndsWithItsContext(t *testing.T) {
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/frontend/streamwindow_test.go
+++ b/internal/frontend/streamwindow_test.go
@@ -6,6 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// A client uses a stream id twice. The answers of two requests could not be told apart. Each id is used once, and the
+// memory for ids stays bounded also where a client leaves gaps.
 func TestStreamIDsAreUsedOnce(t *testing.T) {
 	w := newStreamWindow()
 	for _, s := range []uint32{2, 1, 3, 1 << 31} {
--- a/internal/netconn/conn_test.go
+++ b/internal/netconn/conn_test.go
@@ -19,6 +19,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Input crosses the end of the ring buffer, or ends in the middle of a frame. Bytes would be lost or read twice, and a
+// cut taken for a clean end. All bytes come in order, and an end within a read is an error of its own.
 func TestReadsWrapAroundTheBuffer(t *testing.T) {
 	near, far := net.Pipe()
 	c := New(near, 8, 0)
@@ -39,6 +41,8 @@
 	assert.ErrorIs(t, c.ReadFull(p), io.EOF)
 }
 
+// A peer sends a line without an end. The buffer would grow without bound. A line longer than the buffer is an error of
+// the protocol.
 func TestLineLongerThanTheBufferIsAProtocolError(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -65,6 +69,8 @@
 	assert.Equal(t, []int64{10, 8}, []int64{c.BytesBuffered(), c.BytesWritten()})
 }
 
+// A peer reads nothing, or too little. The writer would wait for it without end. A write that stalls, and one that
+// outlasts its deadline however steadily it is read, both fail as for a slow reader.
 func TestSlowReadersEndWrites(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -84,6 +90,8 @@
 	_ = far.Close()
 }
 
+// An operator sees a connection end and has to know which side caused it. Each error of a socket, also one that is
+// wrapped, has the end code of its cause.
 func TestErrorsAreClassified(t *testing.T) {
 	for err, want := range map[error]EndCode{
 		io.EOF:                 PeerClosed,
@@ -105,6 +113,8 @@
 	}
 }
 
+// A connection that fails is closed by several goroutines, each with a code of its own. The log would name a
+// consequence in place of the cause. The first code stays, with one line and one count a connection.
 func TestFirstEndCodeStays(t *testing.T) {
 	near, _ := net.Pipe()
 	c := New(near, 8, 0)
--- a/internal/request/request_test.go
+++ b/internal/request/request_test.go
@@ -27,6 +27,8 @@
 	}
 }
 
+// A client disconnects while its request is queued or being sent. Whoever looks at the request from then on sees that
+// it was cancelled.
 func TestCancelIsSeenByAllHolders(t *testing.T) {
 	r := &Request{}
 	assert.False(t, r.Cancelled())
@@ -34,6 +36,8 @@
 	assert.True(t, r.Cancelled())
 }
 
+// Bodies take more memory than the process may use, or one that is freed twice makes the budget count too little. Bytes
+// are bounded, given back once and in full, and a wait for them ends with its context.
 func TestBodyBudgetBoundsBytesUntilFree(t *testing.T) {
 	budget := NewBodyBudget(100)
 	body := budget.TryAllocate(60)
@@ -52,6 +56,7 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
+// A body is needed while the memory for bodies is taken. A caller that may wait gets its memory once a body is freed.
 func TestAllocateWaitsForRoom(t *testing.T) {
 	budget := NewBodyBudget(100)
 	first := budget.TryAllocate(100)
@@ -65,6 +70,7 @@
 	assert.Equal(t, 50, (<-allocated).Len())
 }
 
+// A request has no body, or one that no budget counts. Freeing it must do nothing.
 func TestBodyOfNilAndOfALiteral(t *testing.T) {
 	var none *Body
 	none.Free()
--- a/internal/upstream/address/selector_test.go
+++ b/internal/upstream/address/selector_test.go
@@ -43,11 +43,15 @@
 	return out
 }
 
+// Addresses of the machine itself come first: Unix sockets, then loopback, then all others. Within a family IPv6 and
+// IPv4 take turns.
 func TestAddressesAreSortedByFamily(t *testing.T) {
 	assert.Equal(t, []Addr{sock, six, four, far6, far4, "10.0.0.2:1"},
 		sortAddrs([]Addr{far4, four, "10.0.0.2:1", far6, six, sock, four}))
 }
 
+// The first address is slow to connect. With a fixed delay the second one would be dialed too early or too late. The
+// delay follows the measured connect time, and a slower address goes behind a faster one.
 func TestPlanDelaysDialsByMeasuredConnectTimes(t *testing.T) {
 	c := twoAddresses()
 	assert.Equal(t, []PlannedDial{{sock, 0}, {four, defaultDialDelaySeconds}}, c.Plan(100, "a", true))
@@ -57,6 +61,8 @@
 	assert.Equal(t, []Addr{four, sock}, addrs(c.Plan(100, "a", true)), "the slower one goes behind")
 }
 
+// An address refuses a connection. Attempts that go on trying it lose time. None goes there until one probe, after the
+// cooldown, has succeeded.
 func TestRefusedAddressIsInCooldownUntilAProbeSucceeds(t *testing.T) {
 	c := twoAddresses()
 	c.DialEnded(100, "a", sock, DialRefused, 0)
@@ -69,6 +75,7 @@
 	assert.Equal(t, []Addr{sock, four}, addrs(c.Plan(101.1, "a", true)))
 }
 
+// Every address of an endpoint has failed. An attempt has nowhere to go and should learn so at once. The plan is empty.
 func TestPlanIsEmptyWhileAllAddressesAreInCooldown(t *testing.T) {
 	c := twoAddresses()
 	c.DialEnded(100, "a", sock, DialRefused, 0)
@@ -76,6 +83,8 @@
 	assert.Empty(t, c.Plan(100, "a", true))
 }
 
+// The only address of an endpoint fails. A cooldown would take the endpoint out of use on grounds that the routing
+// decisions judge. The address stays in the plan and is not probed.
 func TestOnlyAddressHasNoCooldown(t *testing.T) {
 	c := New(1)
 	c.SetAddresses(100, "a", 0, []Addr{four})
@@ -131,6 +140,8 @@
 	assert.True(t, c.ReachableElsewhere(101.1, "a", sock, 100.5))
 }
 
+// An endpoint that usually takes long would be taken for silent by a fixed limit. An address counts as silent only
+// after a multiple of its usual wait.
 func TestSilenceIsMeasuredByUsualWaits(t *testing.T) {
 	c := twoAddresses()
 	for range 4 {
@@ -140,6 +151,8 @@
 	assert.True(t, c.AwaitingResponse(100, "a", sock, 0.81))
 }
 
+// An address flaps: it accepts a connection and fails again. With short cooldowns each flap costs attempts. Cooldowns
+// grow up to their bound, and start small again once the address has responded for a while.
 func TestCooldownsGrowUntilItHasRespondedForAWhile(t *testing.T) {
 	c, now, longest := twoAddresses(), 100.0, 0.0
 	for range 40 {
@@ -157,6 +170,9 @@
 	assert.Less(t, lookup(c, now).lastCooldownSeconds, 3*firstCooldownSeconds)
 }
 
+// An endpoint restarts, or its list of addresses changes during a cooldown. What was learned of a former process would
+// be held against the new one. A restart forgets, a change retains what is known of addresses that stay, and a dial to
+// one that has left says nothing.
 func TestRestartForgetsAndAListCanChange(t *testing.T) {
 	c := twoAddresses()
 	c.DialEnded(100, "a", sock, DialRefused, 0)
@@ -169,6 +185,8 @@
 	assert.Equal(t, []Addr{sock, six}, addrs(c.Plan(101, "a", true)))
 }
 
+// An operator disables an address that still responds. The response would put it back into use. It stays unused until
+// it is reinstated, and the last address can not be disabled.
 func TestDisabledAddressIsUnusedUntilReinstated(t *testing.T) {
 	c := twoAddresses()
 	assert.True(t, c.Disable(100, "a", sock))
@@ -181,6 +199,8 @@
 	assert.Equal(t, []Addr{sock, four}, addrs(c.Plan(1e6, "a", true)))
 }
 
+// The address in use fails, and the other one has to be dialed first. A spare connection over it is probed for while
+// the endpoint is in use, and not for one that is idle.
 func TestSpareConnectionIsKeptForEndpointsInUse(t *testing.T) {
 	c := twoAddresses()
 	assert.Empty(t, c.DueProbes(100, unconnected))
@@ -190,70 +210,105 @@
 	assert.Empty(t, c.DueProbes(200, unconnected), "not used lately")
 }
 
-// TestEveryInterleavingOfARace plays every interleaving of what can happen to the dials of two races over two
-// addresses, to a depth of seven: never are two connections used for one race, and none after it was stopped.
-func TestEveryInterleavingOfARace(t *testing.T) {
-	type world struct {
-		races [2]*Race
-		out   [2]map[int]bool
-		used  [2]int
-		dead  [2]bool
-		now   float64
+// raceSteps are what can happen to the dials of two races: a dial is due, one is established or fails (race and dial),
+// the first race is stopped, time passes.
+var raceSteps = []string{"due0", "due1", "up00", "up01", "up10", "down00", "down01", "down10", "stop0", "late"}
+
+// twoRaces plays steps on two races over two addresses and checks what must hold after each.
+type twoRaces struct {
+	t        *testing.T
+	path     []int // of raceSteps, for messages
+	granted  bool  // descriptors for further dials are granted
+	races    [2]*Race
+	underWay [2]map[int]bool
+	used     [2]int // connections
+	stopped  bool   // the first race
+	now      float64
+}
+
+// playRaces plays a path of steps. It returns false for one that ends a dial which is not under way.
+func playRaces(t *testing.T, path []int, granted bool) (legal bool) {
+	t.Helper()
+	w := &twoRaces{t: t, path: path, granted: granted}
+	for i := range w.races {
+		w.races[i], w.underWay[i] = NewRace([]PlannedDial{{sock, 0}, {four, 0.05}}, 0.4), map[int]bool{}
 	}
-	runs := 0
-	steps := []string{"due0", "due1", "up00", "up01", "up10", "down00", "down01", "down10", "stop0", "late"}
-	play := func(path []int) (legal bool) {
-		w := world{now: 0}
-		for i := range w.races {
-			w.races[i], w.out[i] = NewRace([]PlannedDial{{sock, 0}, {four, 0.05}}, 0.4), map[int]bool{}
+	for _, step := range path {
+		w.now += 0.03
+		if !w.step(raceSteps[step]) {
+			return false
 		}
-		for _, p := range path {
-			w.now += 0.03
-			s := steps[p]
-			switch r := int(s[len(s)-1] - '0'); {
-			case s == "late":
-				w.now += 0.2
-			case s[:3] == "due":
-				if i := w.races[r].NextDial(w.now, func() bool { return runs%2 == 0 }); i >= 0 {
-					if w.dead[r] || w.used[r] > 0 {
-						t.Fatalf("an attempt begins after the end: %v", path)
-					}
-					w.out[r][i] = true
-				}
-			case s == "stop0":
-				w.races[0].Stop()
-				w.dead[0] = true
-			default:
-				r, i := int(s[len(s)-2]-'0'), int(s[len(s)-1]-'0')
-				if !w.out[r][i] {
-					return false
-				}
-				delete(w.out[r], i)
-				if s[:2] == "up" {
-					if w.races[r].Connected(i, w.now) {
-						if w.used[r]++; w.used[r] > 1 || w.dead[r] {
-							t.Fatalf("a second connection is used, or one after the end: %v", path)
-						}
-					}
-				} else {
-					w.races[r].Failed(i)
-				}
-			}
-			for r := range w.races {
-				if w.races[r].Lost(w.now) && w.used[r] > 0 {
-					t.Fatalf("lost and won: %v", path)
-				}
+		for r := range w.races {
+			if w.races[r].Lost(w.now) && w.used[r] > 0 {
+				t.Fatalf("lost and won: %v", path)
 			}
 		}
+	}
+	return true
+}
+
+// isStopped reports whether a race was stopped.
+func (w *twoRaces) isStopped(r int) bool { return r == 0 && w.stopped }
+
+// step plays one step.
+func (w *twoRaces) step(step string) (legal bool) {
+	last := int(step[len(step)-1] - '0')
+	switch {
+	case step == "late":
+		w.now += 0.2
+	case step[:3] == "due":
+		w.dial(last)
+	case step == "stop0":
+		w.races[0].Stop()
+		w.stopped = true
+	default:
+		return w.endDial(int(step[len(step)-2]-'0'), last, step[:2] == "up")
+	}
+	return true
+}
+
+// dial begins a dial where one is due.
+func (w *twoRaces) dial(r int) {
+	i := w.races[r].NextDial(w.now, func() bool { return w.granted })
+	if i < 0 {
+		return
+	}
+	if w.isStopped(r) || w.used[r] > 0 {
+		w.t.Fatalf("an attempt begins after the end: %v", w.path)
+	}
+	w.underWay[r][i] = true
+}
+
+// endDial ends a dial, which has to be under way.
+func (w *twoRaces) endDial(r, i int, established bool) (legal bool) {
+	if !w.underWay[r][i] {
+		return false
+	}
+	delete(w.underWay[r], i)
+	if !established {
+		w.races[r].Failed(i)
 		return true
 	}
+	if w.races[r].Connected(i, w.now) {
+		if w.used[r]++; w.used[r] > 1 || w.isStopped(r) {
+			w.t.Fatalf("a second connection is used, or one after the end: %v", w.path)
+		}
+	}
+	return true
+}
+
+// Two dials of a race succeed at almost the same time, or one does after the race was stopped. A request that is
+// written on both connections runs twice. Every interleaving of what can happen to two races is played, to a depth of
+// seven: never are two connections used for one race, and none after it was stopped.
+func TestEveryInterleavingOfARace(t *testing.T) {
+	runs := 0
 	var walk func(path []int)
 	walk = func(path []int) {
 		runs++
-		if !play(path) || len(path) == 7 {
+		if !playRaces(t, path, runs%2 == 0) || len(path) == 7 {
 			return
 		}
-		for i := range steps {
+		for i := range raceSteps {
 			walk(append(path[:len(path):len(path)], i))
 		}
 	}
@@ -261,6 +316,8 @@
 	assert.Greater(t, runs, 100000)
 }
 
+// No descriptor is free for a second dial. A race that needs one would be lost though an address is reachable. The next
+// address is dialed once the one before has failed.
 func TestRaceWithoutDescriptorsDialsOneByOne(t *testing.T) {
 	no := func() bool { return false }
 	r := NewRace([]PlannedDial{{sock, 0}, {four, 0.05}}, 0.4)
@@ -272,8 +329,59 @@
 	assert.True(t, r.Lost(0.1))
 }
 
-// TestPlansNameUsableAddressesOnly tests that after any events in any order a plan names only listed addresses that
-// may be used, and that cooldowns end.
+// playDrawnEvent draws an event and plays it on the endpoint's address.
+func playDrawnEvent(t *rapid.T, c *Selector, now float64, all []Addr) {
+	a := rapid.SampledFrom(all).Draw(t, "a")
+	switch rapid.IntRange(0, 6).Draw(t, "what") {
+	case 0:
+		results := []DialResult{DialSucceeded, DialRefused, DialTimedOut}
+		c.DialEnded(now, "a", a, rapid.SampledFrom(results).Draw(t, "result"), 0.01)
+	case 1:
+		c.ResponseReceived(now, "a", a, 0.02)
+	case 2:
+		c.AwaitingResponse(now, "a", a, 0.5)
+	case 3:
+		c.ConnectionBroken(now, "a", a)
+	case 4:
+		c.AttemptSent(now, "a", a)
+	case 5:
+		c.SetAddresses(now, "a", 0, all[rapid.IntRange(0, 1).Draw(t, "from"):])
+	case 6:
+		c.DueProbes(now, unconnected)
+	}
+}
+
+// checkPlan fails for an address in the plan that may not be used, or that stands before one with a shorter delay.
+func checkPlan(t *rapid.T, c *Selector, now float64) {
+	last := -1.0
+	for _, try := range c.Plan(now, "a", false) {
+		if _, ok := c.Usable(now, "a", try.Addr, false); !ok || try.DelaySeconds < last {
+			t.Fatalf("%v is in the plan %v", try, fmt.Sprint(c.Status(now)))
+		}
+		last = try.DelaySeconds
+	}
+}
+
+// checkCooldownsEnd fails for an address that is in cooldown though its probes have succeeded.
+func checkCooldownsEnd(t *rapid.T, c *Selector, now float64) {
+	for range 3 {
+		now += maxSilentCooldownSeconds + 100
+		c.HealthChecksAllowed = true
+		for _, l := range c.DueProbes(now, connected) {
+			c.DialEnded(now, l.Endpoint, l.Addr, DialSucceeded, 0.01)
+			c.ResponseReceived(now, l.Endpoint, l.Addr, 0.01)
+		}
+	}
+	for _, s := range c.Status(now) {
+		if s.Condition == "refused" || s.Condition == "hung" || s.Condition == "quiet" {
+			t.Fatalf("%+v never came back", s)
+		}
+	}
+}
+
+// An address that is in cooldown, or has left the list, would cost each attempt that goes there, and one whose cooldown
+// never ends is lost for good. After any events in any order a plan names only listed addresses that may be used, and
+// cooldowns end.
 func TestPlansNameUsableAddressesOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, now := New(7), 100.0
@@ -281,45 +389,10 @@
 		c.SetAddresses(now, "a", 0, all)
 		for range rapid.IntRange(1, 80).Draw(t, "n") {
 			now += rapid.Float64Range(-1, 2).Draw(t, "dt") // a clock may jump back
-			a := rapid.SampledFrom(all).Draw(t, "a")
-			switch rapid.IntRange(0, 6).Draw(t, "what") {
-			case 0:
-				results := []DialResult{DialSucceeded, DialRefused, DialTimedOut}
-				c.DialEnded(now, "a", a, rapid.SampledFrom(results).Draw(t, "result"), 0.01)
-			case 1:
-				c.ResponseReceived(now, "a", a, 0.02)
-			case 2:
-				c.AwaitingResponse(now, "a", a, 0.5)
-			case 3:
-				c.ConnectionBroken(now, "a", a)
-			case 4:
-				c.AttemptSent(now, "a", a)
-			case 5:
-				c.SetAddresses(now, "a", 0, all[rapid.IntRange(0, 1).Draw(t, "from"):])
-			case 6:
-				c.DueProbes(now, unconnected)
-			}
-			last := -1.0
-			for _, try := range c.Plan(now, "a", false) {
-				if _, ok := c.Usable(now, "a", try.Addr, false); !ok || try.DelaySeconds < last {
-					t.Fatalf("%v is in the plan %v", try, fmt.Sprint(c.Status(now)))
-				}
-				last = try.DelaySeconds
-			}
-		}
-		for range 3 { // with probes that succeed all addresses come back
-			now += maxSilentCooldownSeconds + 100
-			c.HealthChecksAllowed = true
-			for _, l := range c.DueProbes(now, connected) {
-				c.DialEnded(now, l.Endpoint, l.Addr, DialSucceeded, 0.01)
-				c.ResponseReceived(now, l.Endpoint, l.Addr, 0.01)
-			}
-		}
-		for _, s := range c.Status(now) {
-			if s.Condition == "refused" || s.Condition == "hung" || s.Condition == "quiet" {
-				t.Fatalf("%+v never came back", s)
-			}
+			playDrawnEvent(t, c, now, all)
+			checkPlan(t, c, now)
 		}
+		checkCooldownsEnd(t, c, now)
 	})
 }
 
--- a/internal/upstream/addresses_test.go
+++ b/internal/upstream/addresses_test.go
@@ -114,6 +114,8 @@
 	}
 }
 
+// The first address refuses the connection. The attempt would fail though the endpoint is reachable. It goes over the
+// second address, and the refusal is noted.
 func TestRefusedAddressDoesNotEndTheAttempt(t *testing.T) {
 	s := newMultiAddressPool(t, 20)
 	c := s.send("a", 0)
@@ -188,6 +190,8 @@
 	assert.Equal(t, "do a", readCommand(t, bufio.NewReader(y.establish())))
 }
 
+// All addresses are in cooldown. An attempt that waits loses the time for another endpoint. It fails at once, and
+// nothing is dialed.
 func TestAttemptFailsAtOnceWhileAllAddressesAreInCooldown(t *testing.T) {
 	s := newMultiAddressPool(t, 20)
 	now := clock.NowSeconds()
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -17,6 +17,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// An endpoint answers a later attempt first, and answers one that nobody knows. Responses could be handed to the wrong
+// attempt, or break the connection. Each goes to the attempt with its id, and the unknown one is counted and dropped.
 func TestResponsesComeInAnyOrder(t *testing.T) {
 	s := newTestPool(t)
 	a, b := s.send("a", 0), s.send("b", 0)
@@ -75,6 +77,8 @@
 	assert.Equal(t, routing.NotSent, ends[b])
 }
 
+// An endpoint closes in the middle of a body. The client would get half an object as if it were complete. The attempt
+// ends as broken, and the memory of the body is given back.
 func TestBodyCutShortIsBroken(t *testing.T) {
 	s := newTestPool(t)
 	s.send("a", 0)
@@ -86,6 +90,9 @@
 	assert.Zero(t, s.Admission.Bodies.UsedBytes())
 }
 
+// A connection is refused, does not come up in time, or lacks a descriptor on this machine. In none of these the
+// request ran. The attempt fails as one that can be repeated; a want of descriptors does not count against the
+// endpoint.
 func TestNoConnectionProvesThatNothingRan(t *testing.T) {
 	for cause, result := range map[error]routing.AttemptResult{
 		syscall.ECONNREFUSED: routing.ConnectFailed,
@@ -109,6 +116,9 @@
 	}
 }
 
+// An attempt is cancelled before its line is written, or after. A line that is written all the same would run for
+// nobody, and a late response could be taken for that of a new attempt. Before, nothing is written; after, the endpoint
+// is notified, and the id is not used again on that connection.
 func TestCancel(t *testing.T) {
 	s := newTestPool(t)
 	hold := s.holdDials()
@@ -161,6 +171,7 @@
 	}
 }
 
+// Too many attempts on one connection would all fail with it. Past the maximum a new connection is made.
 func TestConnectionCarriesItsMaximumOfAttempts(t *testing.T) {
 	s := newTestPool(t)
 	a, b, c := s.send("a", 0), s.send("b", 0), s.send("c", 0)
@@ -185,6 +196,7 @@
 	assert.Same(t, b.Connection(), s.send("c", 0).Connection(), "an idle connection is used again")
 }
 
+// A health check asks for the load report and returns it. One of an unknown endpoint is not sent.
 func TestHealthCheckBringsTheLoadReport(t *testing.T) {
 	s := newTestPool(t)
 	s.RequestLoadReports = true
@@ -197,6 +209,8 @@
 	assert.Nil(t, s.SendHealthCheck("nobody", nil))
 }
 
+// Attempts would use every descriptor of the process, and no client could connect. Past the limit no connection is
+// made, and the attempt is not sent.
 func TestDescriptorsAreBounded(t *testing.T) {
 	s := newTestPool(t)
 	s.Admission = admission.New(64, 5) // two for endpoints
--- a/internal/upstream/close_test.go
+++ b/internal/upstream/close_test.go
@@ -17,6 +17,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// An endpoint sends what the protocol does not allow. Everything after it could be misread as the answer to another
+// attempt. The attempt is broken and the connection ends, with one line in the log.
 func TestProtocolErrorsCloseTheConnection(t *testing.T) {
 	for _, bad := range []string{
 		"a what - 0\r\n",
@@ -37,6 +39,8 @@
 	}
 }
 
+// The handling of a response panics. The process would end with all its connections. The panic ends one connection and
+// breaks the attempts that are open on it.
 func TestPanicEndsItsConnectionOnly(t *testing.T) {
 	s := newTestPool(t)
 	a, b := s.send("a", 0), s.send("b", 0)
@@ -100,6 +104,8 @@
 	}
 }
 
+// An endpoint moves to another address, and the former one passes to another machine. An attempt on the old connection
+// would be answered by a stranger. New attempts use a new connection, and the old one ends once it is idle.
 func TestConnectionToAFormerAddressIsClosed(t *testing.T) {
 	s := newTestPool(t)
 	c := s.send("a", 0)
--- a/internal/upstream/retrybudget/budget_test.go
+++ b/internal/upstream/retrybudget/budget_test.go
@@ -7,6 +7,9 @@
 	"pgregory.net/rapid"
 )
 
+// Endpoints fail and every request is sent again, which adds load where it is least wanted. Retries are bounded by a
+// share of the first attempts, with a minimum, by class and by endpoint. A budget is open again once its window has
+// passed.
 func TestBudgetIsAShareOfFirstAttempts(t *testing.T) {
 	b := New(Limits{RetryRatio: 0.2, MinRetries: 2})
 	for i := range 50 {
@@ -25,6 +28,7 @@
 	assert.Empty(t, b.windows, "scopes without attempts are forgotten")
 }
 
+// An installation sets no ratio. Retries are not bounded then, and nothing is remembered.
 func TestWithoutARatioThereIsNoBudget(t *testing.T) {
 	b := New(Limits{})
 	for range 99 {
@@ -34,36 +38,43 @@
 	assert.Empty(t, b.windows)
 }
 
-// TestRetriesStayWithinTheBudget tests that while no retry is sent on an exhausted budget, the retries in any window
-// stay within it.
+// sentAttempt is an attempt as it was recorded.
+type sentAttempt struct {
+	at      float64
+	isRetry bool
+}
+
+// countInWindow counts the retries that lie within the window before a time for sure, and the first attempts that may.
+func countInWindow(sent []sentAttempt, now float64) (firstAttempts, retries float64) {
+	for _, a := range sent {
+		if a.isRetry && a.at > now-windowSeconds+slotSeconds {
+			retries++
+		} else if !a.isRetry && a.at > now-windowSeconds-slotSeconds {
+			firstAttempts++
+		}
+	}
+	return firstAttempts, retries
+}
+
+// A budget whose windows are counted wrongly lets retries through while endpoints fail, and adds to their load. While
+// no retry is sent on an exhausted budget, the retries in any window stay within it.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Limits{RetryRatio: 0.25, MinRetries: 3})
 		now, exhausted := 50.0, map[Scope]bool{}
-		type attempt struct {
-			at      float64
-			isRetry bool
-		}
-		var all []attempt
+		var sent []sentAttempt
 		for range rapid.IntRange(10, 400).Draw(t, "n") {
 			now += rapid.Float64Range(0, 0.1).Draw(t, "dt")
 			isRetry := rapid.Bool().Draw(t, "isRetry")
 			b.Advance(now)
 			if !isRetry || (!exhausted[Scope{0, ""}] && !exhausted[Scope{-1, "a"}]) {
 				b.RecordAttempt(now, 0, "a", isRetry)
-				all = append(all, attempt{now, isRetry})
+				sent = append(sent, sentAttempt{now, isRetry})
 			}
 			for _, c := range b.TakeChanges() {
 				exhausted[c.Scope] = !c.Available
 			}
-			firstAttempts, retries := 0.0, 0.0
-			for _, a := range all {
-				if a.isRetry && a.at > now-windowSeconds+slotSeconds {
-					retries++
-				} else if !a.isRetry && a.at > now-windowSeconds-slotSeconds {
-					firstAttempts++
-				}
-			}
+			firstAttempts, retries := countInWindow(sent, now)
 			if retries > 3+0.25*firstAttempts+1 {
 				t.Fatalf("%v retries for %v first attempts", retries, firstAttempts)
 			}
