--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -10,6 +10,7 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -62,103 +63,162 @@
 
 func (brokenSocket) Read([]byte) (int, error) { return 0, errors.New("wire cut") }
 
-// TestGoldenEndedLines compares the log line of an ended client connection, in full, for each end code of a client.
-func TestGoldenEndedLines(t *testing.T) {
-	query := readinessQuery(0)
-	swept := func(says []byte, age time.Duration) string {
+// endedBySweep returns the line of a client that has sent some bytes, and then nothing for an age.
+func endedBySweep(sent []byte, age time.Duration) func(t *testing.T) string {
+	return func(t *testing.T) string {
+		t.Helper()
 		c := newTestConn(t, true)
-		_, _ = c.Write(says)
-		if len(says) >= len(query) {
+		_, _ = c.Write(sent)
+		if len(sent) >= len(readinessQuery(0)) {
 			c.readFrame(t)
 		}
 		assert.Eventually(t, func() bool { // until the bytes have been seen
 			p := c.conn()
-			return p != nil && p.BytesRead() == int64(len(says))
+			return p != nil && p.BytesRead() == int64(len(sent))
 		}, time.Minute, time.Millisecond)
 		c.sweepUntilDone(age + time.Second)
 		return endedLine(t, c)
 	}
-	lines := []string{
-		"# no first frame\n", swept(nil, firstFrameTimeout),
-		"# partial first frame\n", swept(query[:5], firstFrameTimeout+partialFrameTimeout),
-		"# partial frame\n", swept(append(query[:len(query):len(query)], query[:5]...), partialFrameTimeout),
-		"# idle\n", swept(query, idleTimeout),
+}
+
+// untilDone repeats a step until the connection has ended.
+func (c *testClient) untilDone(step func()) {
+	for {
+		step()
+		select {
+		case <-c.done:
+			return
+		case <-time.After(time.Millisecond):
+		}
 	}
-	add := func(what, line string) { lines = append(lines, "# "+what+"\n", line) }
+}
 
+// endedByEviction returns the line of a client whose place is taken by another one.
+func endedByEviction(t *testing.T) string {
+	t.Helper()
 	c := newTestConn(t, true)
 	assert.Eventually(t, func() bool { return c.evict(clock.Now().Add(time.Hour)) }, time.Minute, time.Millisecond)
-	add("evicted", endedLine(t, c))
+	return endedLine(t, c)
+}
 
-	c = newTestConn(t, true)
+// endedByViolation returns the line of a client that sends a frame of an unknown type.
+func endedByViolation(t *testing.T) string {
+	t.Helper()
+	c := newTestConn(t, true)
 	_, _ = c.Write(clientproto.AppendHeader(nil, 77, 9, 0))
 	c.readFrame(t)
-	add("violation of the protocol", endedLine(t, c))
+	return endedLine(t, c)
+}
 
-	c = newTestConn(t, false)
+// endedOverLimit returns the line of a client that is one too many.
+func endedOverLimit(t *testing.T) string {
+	t.Helper()
+	c := newTestConn(t, false)
 	c.readFrame(t)
-	add("over the limit of connections", endedLine(t, c))
+	return endedLine(t, c)
+}
 
-	c = newTestConn(t, true)
+// endedByShutdown returns the line of a client that is connected at the end of the process.
+func endedByShutdown(t *testing.T) string {
+	t.Helper()
+	c := newTestConn(t, true)
 	c.BeginDrain()
 	go func() { _, _ = io.Copy(io.Discard, c) }()
-	for ended := false; !ended; {
-		c.FinishDrain(canceled(t))
-		select {
-		case <-c.done:
-			ended = true
-		case <-time.After(time.Millisecond):
-		}
-	}
-	add("shutdown", endedLine(t, c, "bytes_sent"))
+	c.untilDone(func() { c.FinishDrain(canceled(t)) })
+	return endedLine(t, c, "bytes_sent")
+}
 
-	c = newTestConn(t, true)
-	_, _ = c.Write(query)
+// endedByPanic returns the line of a client whose reader panics.
+func endedByPanic(t *testing.T) string {
+	t.Helper()
+	c := newTestConn(t, true)
+	_, _ = c.Write(readinessQuery(0))
 	c.readFrame(t)
 	admitted := c.Admission
 	c.Admission = nil
-	_, _ = c.Write(query)
+	_, _ = c.Write(readinessQuery(0))
 	<-c.done
 	c.Admission = admitted
-	add("panic", endedLine(t, c))
+	return endedLine(t, c)
+}
 
-	c = newTestConn(t, true)
-	_, _ = c.Write(query)
+// endedByClient returns the line of a client that closes its connection.
+func endedByClient(t *testing.T) string {
+	t.Helper()
+	c := newTestConn(t, true)
+	_, _ = c.Write(readinessQuery(0))
 	c.readFrame(t)
 	_ = c.Close()
-	add("closed by the client", endedLine(t, c))
+	return endedLine(t, c)
+}
 
-	c = newTestConn(t, true)
-	_, _ = c.Write(query[:5])
+// endedInFrame returns the line of a client that closes its connection in the middle of a frame.
+func endedInFrame(t *testing.T) string {
+	t.Helper()
+	c := newTestConn(t, true)
+	_, _ = c.Write(readinessQuery(0)[:5])
 	_ = c.Close()
-	add("cut in the middle of a frame", endedLine(t, c))
+	return endedLine(t, c)
+}
 
+// endedBySocket returns the line of a client whose socket fails.
+func endedBySocket(t *testing.T) string {
+	t.Helper()
 	near, far := net.Pipe()
-	add("any other error of the socket", endedLine(t, newTestConnOver(t, brokenSocket{near}, far, true)))
+	return endedLine(t, newTestConnOver(t, brokenSocket{near}, far, true))
+}
 
-	c = newTestConn(t, true)
+// endedByUnreadAnswers returns the line of a client that sends queries and reads no answer.
+func endedByUnreadAnswers(t *testing.T) string {
+	t.Helper()
+	c := newTestConn(t, true)
 	for range 3000 { // more than the outgoing ring and the queue hold together
-		if _, err := c.Write(query); err != nil {
+		if _, err := c.Write(readinessQuery(0)); err != nil {
 			break
 		}
 	}
-	add("too many frames wait to be written", endedLine(t, c, "bytes_received", "bytes_sent"))
+	return endedLine(t, c, "bytes_received", "bytes_sent")
+}
 
-	c = newTestConn(t, true)
+// endedByStall returns the line of a client that takes no byte of a response while memory is short.
+func endedByStall(t *testing.T) string {
+	t.Helper()
+	c := newTestConn(t, true)
 	_, _ = c.Write(requestFrame(1, "aa"))
 	r := <-c.sink.arrived
 	body := c.Admission.Bodies.TryAllocate(22 << 20)
 	r.ResponseWriter.Respond(r, request.Response{Body: body})
-	for ended := false; !ended; {
-		c.sweep(clock.Now().Add(2 * stalledTimeout))
-		select {
-		case <-c.done:
-			ended = true
-		case <-time.After(time.Millisecond):
-		}
+	c.untilDone(func() { c.sweep(clock.Now().Add(2 * stalledTimeout)) })
+	return endedLine(t, c)
+}
+
+// A client's connection ends and its log line names another cause, or lacks a field: an operator looks in the wrong
+// place. The line is compared in full for each end code of a client.
+func TestGoldenEndedLines(t *testing.T) {
+	query := readinessQuery(0)
+	var lines strings.Builder
+	for _, test := range []struct {
+		what string
+		line func(t *testing.T) string
+	}{
+		{"no first frame", endedBySweep(nil, firstFrameTimeout)},
+		{"partial first frame", endedBySweep(query[:5], firstFrameTimeout+partialFrameTimeout)},
+		{"partial frame", endedBySweep(slices.Concat(query, query[:5]), partialFrameTimeout)},
+		{"idle", endedBySweep(query, idleTimeout)},
+		{"evicted", endedByEviction},
+		{"violation of the protocol", endedByViolation},
+		{"over the limit of connections", endedOverLimit},
+		{"shutdown", endedByShutdown},
+		{"panic", endedByPanic},
+		{"closed by the client", endedByClient},
+		{"cut in the middle of a frame", endedInFrame},
+		{"any other error of the socket", endedBySocket},
+		{"too many frames wait to be written", endedByUnreadAnswers},
+		{"takes nothing while memory is short", endedByStall},
+	} {
+		fmt.Fprintf(&lines, "# %s\n%s", test.what, test.line(t))
 	}
-	add("takes nothing while memory is short", endedLine(t, c))
-	compareGolden(t, "ended_lines.txt", strings.Join(lines, ""))
+	compareGolden(t, "ended_lines.txt", lines.String())
 }
 
 // canceled is a context that has ended.
@@ -208,17 +268,20 @@
 	return <-s.sink.arrived
 }
 
-// TestGoldenSession compares the bytes that a client sees: readiness, each kind of response, a rejected request, GOAWAY
-// and a graceful close.
-func TestGoldenSession(t *testing.T) {
-	s := &transcript{testClient: newTestConnOverTCP(t, ignoreSocket, ignoreSocket)}
-	query := readinessQuery(7)
+// readiness records the answers before and after the router is ready.
+func (s *transcript) readiness(t *testing.T, query []byte) {
+	t.Helper()
 	s.step("readiness: no, then yes")
 	for range 2 {
 		_, _ = s.Write(query)
 		s.frame(t)
 		s.Admission.SetReady()
 	}
+}
+
+// responses records each kind of response.
+func (s *transcript) responses(t *testing.T) {
+	t.Helper()
 	for i, test := range []struct {
 		step     string
 		response request.Response
@@ -235,6 +298,11 @@
 		assert.True(t, r.ResponseWriter.Respond(r, test.response))
 		s.frame(t)
 	}
+}
+
+// malformedRequests records the answers to requests that can not be decoded.
+func (s *transcript) malformedRequests(t *testing.T) {
+	t.Helper()
 	s.step("malformed requests: no field, too large, unknown class")
 	_, _ = s.Write(append(clientproto.AppendHeader(nil, clientproto.TypeRequest, 20, 1), 9))
 	s.frame(t)
@@ -243,6 +311,11 @@
 	s.frame(t)
 	_, _ = s.Write([]byte(strings.Replace(string(requestFrame(22, "aa")), "page", "what", 1)))
 	s.frame(t)
+}
+
+// rejectedRequests records the answers where there is no room in the queue, and none in memory.
+func (s *transcript) rejectedRequests(t *testing.T) {
+	t.Helper()
 	s.step("no room in the queue")
 	s.sink.accept = func() bool { return false }
 	_, _ = s.Write(requestFrame(23, "ab"))
@@ -253,6 +326,11 @@
 	_, _ = s.Write(requestFrame(24, "ac"))
 	s.frame(t)
 	body.Free()
+}
+
+// drain records a drain with a request that comes during it, and the end.
+func (s *transcript) drain(t *testing.T, query []byte) {
+	t.Helper()
 	s.step("GOAWAY, no longer ready, a request all the same, GOAWAY once more")
 	s.BeginDrain()
 	s.frame(t)
@@ -268,14 +346,32 @@
 		ended = s.conn().EndCode() == netconn.Shutdown
 	}
 	s.end(t)
+}
 
-	s.testClient = newTestConnOverTCP(t, ignoreSocket, ignoreSocket)
+// violation records the end of a connection that violates the protocol while a request is open.
+func (s *transcript) violation(t *testing.T) {
+	t.Helper()
 	s.step("violation with a request open: error on stream 0, then the response, then the end")
-	r = s.request(t, 1, "aa")
+	r := s.request(t, 1, "aa")
 	_, _ = s.Write(requestFrame(1, "bb"))
 	s.frame(t)
 	assert.True(t, r.ResponseWriter.Respond(r, request.Response{ETag: "e3"}))
 	s.end(t)
+}
+
+// A change of a byte that clients see breaks those that are installed. The bytes of a session are compared: readiness,
+// each kind of response, a rejected request, GOAWAY, a graceful close and a violation.
+func TestGoldenSession(t *testing.T) {
+	s := &transcript{testClient: newTestConnOverTCP(t, ignoreSocket, ignoreSocket)}
+	query := readinessQuery(7)
+	s.readiness(t, query)
+	s.responses(t)
+	s.malformedRequests(t)
+	s.rejectedRequests(t)
+	s.drain(t, query)
+
+	s.testClient = newTestConnOverTCP(t, ignoreSocket, ignoreSocket)
+	s.violation(t)
 
 	compareGolden(t, "session.txt", s.text.String())
 }
