--- a/internal/admission/connections_test.go
+++ b/internal/admission/connections_test.go
@@ -35,7 +35,8 @@
 	assert.Equal(t, ClientRefused, c.AdmitClient(), "its place is free again")
 }
 
-// TestClientDecisionsAtTheLimits: the last one within each limit, and the first one past it.
+// A limit that is off by one refuses a client for which there is a place, or drops one that should get an answer. The
+// last client within each limit and the first one past it are decided as stated.
 func TestClientDecisionsAtTheLimits(t *testing.T) {
 	l := limits{clients: 3, refusedClients: 2}
 	for open, decision := range map[int64]ClientDecision{
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -71,7 +71,8 @@
 	body.Free()
 }
 
-// TestOwnBodyDoesNotCount: a request is admitted whatever the size of its own body.
+// A large body makes memory nearly full, and its own request would be rejected for that. Large requests would never be
+// served. A request is admitted whatever the size of its own body.
 func TestOwnBodyDoesNotCount(t *testing.T) {
 	c := New(192, 1024)
 	own := c.Bodies.TryAllocate(int(c.limits.nearlyFullBytes) + 1)
--- a/internal/admission/readiness_test.go
+++ b/internal/admission/readiness_test.go
@@ -42,7 +42,8 @@
 	assert.EqualValues(t, 1, c.OpenRequests())
 }
 
-// TestPhaseOnlyGoesForward: the end of a drain is not undone by what comes late.
+// The start ends late, while the router drains already. It would call itself ready again, and clients would come to a
+// process that ends. A phase is never undone by what comes late.
 func TestPhaseOnlyGoesForward(t *testing.T) {
 	c := New(192, 1024)
 	for _, step := range []struct {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -23,8 +23,9 @@
 	return append(append(b, byte(kind)), payload...)
 }
 
-// TestRevisionGapIsAskedForOnce: an event that was handed on before is passed over. A gap ends the connection, and is
-// accepted if the same revision comes again.
+// Events are lost between the service and the router: a drain or a purge never takes effect, and nothing in the log
+// says so. A gap ends the connection, so that the service is asked again. It is accepted if the same revision comes
+// again, and an event that was handed on before is passed over.
 func TestRevisionGapIsAskedForOnce(t *testing.T) {
 	var got []uint64
 	c := &Client{
@@ -46,8 +47,8 @@
 	assert.Equal(t, []uint64{6, 8, 9, 10}, got)
 }
 
-// TestClientReconnectsFromTheLastRevision: half a record, an unknown kind and silence each end a connection. The next
-// one asks for what follows the last event.
+// A connection to the service ends with half a record, brings an unknown kind, or is silent. Events in between would be
+// lost, or handed on twice. Each of these ends the connection, and the next one asks for what follows the last event.
 func TestClientReconnectsFromTheLastRevision(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -92,8 +93,8 @@
 	assert.Contains(t, log.String(), "reason=protocol_error")
 }
 
-// TestClientFollowsAddressChanges: a new address is asked at once for what follows the last event, although the former
-// one still holds its connection open.
+// The service moves while its former address still holds the connection open. The router would follow a service that
+// has no news. A new address is asked at once for what follows the last event.
 func TestClientFollowsAddressChanges(t *testing.T) {
 	var listeners [3]net.Listener
 	for i := range listeners {
@@ -137,8 +138,8 @@
 	assert.Equal(t, 2, strings.Count(log.String(), "reason=address_changed"))
 }
 
-// TestHeartbeatAheadOfTheLastRevisionIsAGap: a heartbeat that names an event which did not come ends the connection,
-// once for each such revision after each event.
+// A connection brings heartbeats and its events are held back. Nothing fails, and a drain is never heard of. A
+// heartbeat that names an event which did not come ends the connection, once for each such revision after each event.
 func TestHeartbeatAheadOfTheLastRevisionIsAGap(t *testing.T) {
 	var got []uint64
 	c := &Client{
--- a/internal/discovery/dial_test.go
+++ b/internal/discovery/dial_test.go
@@ -15,7 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestConnectionThatComesUpLateIsUsed: a service whose connections take longer than a second to come up is followed.
+// Connections to the service take longer than a second to come up. A router that gives each up after a second never
+// follows the service. The late one is used, and a second dial beside it does not end it.
 func TestConnectionThatComesUpLateIsUsed(t *testing.T) {
 	near, far := net.Pipe()
 	var dials atomic.Int32
--- a/internal/discovery/slow_test.go
+++ b/internal/discovery/slow_test.go
@@ -14,8 +14,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestListThatComesSlowlyIsRead sends a list in pieces, each soon enough after the one before, that take longer than
-// the silence after which a connection is given up.
+// A long list comes over a slow link and takes longer than the silence after which a connection is given up. The router
+// would begin the list again and again and never have it. A list in pieces, each soon enough after the one before, is
+// read to its end.
 func TestListThatComesSlowlyIsRead(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/dispatch/deadline_test.go
+++ b/internal/dispatch/deadline_test.go
@@ -109,8 +109,9 @@
 	return nil
 }
 
-// TestDeadlineToldToEndpointIsWhatTheClientHasLeft holds the deadline of each line against what the client has left as
-// it arrives, for a first attempt and a hedged one, where the connection comes up late or takes nothing for a while.
+// A connection comes up late, or takes nothing for a while, and the deadline in the line was computed before that. The
+// endpoint would work for a client that has given up. The deadline of each line is what the client has left as it
+// arrives, for a first attempt and a hedged one.
 func TestDeadlineToldToEndpointIsWhatTheClientHasLeft(t *testing.T) {
 	for name, test := range map[string]struct {
 		endpoints slowEndpoints
--- a/internal/dispatch/events_test.go
+++ b/internal/dispatch/events_test.go
@@ -39,8 +39,9 @@
 	assert.Empty(t, f.requests)
 }
 
-// TestCancellationsOvertakeAFullQueue shows that neither who reports a cancellation waits, nor do the decisions learn
-// of it after what was queued before.
+// Clients disconnect while the queue of events is full. Attempts would be started for nobody, and the reader of a
+// connection would wait for room. Who reports a cancellation does not wait, and the decisions learn of it before what
+// was queued.
 func TestCancellationsOvertakeAFullQueue(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -59,8 +59,9 @@
 	assert.Equal(t, request.Aborted, f.recorder.responses[1].Result)
 }
 
-// TestNoAttemptOnceTheClientDisconnected shows that, though the cancellation is not handled yet, neither a first nor a
-// further attempt is sent, and the decisions learn of the disconnect before they learn how the attempt ended.
+// A client disconnects, and the end of an attempt is handled before the cancellation. A retry would run for nobody.
+// Neither a first nor a further attempt is sent, and the decisions learn of the disconnect before they learn how the
+// attempt ended.
 func TestNoAttemptOnceTheClientDisconnected(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		switch ev := ev.(type) {
@@ -93,8 +94,8 @@
 	assert.Len(t, f.decider.events, 5, "nothing is decided about one that was cancelled in the queue")
 }
 
-// TestNothingBeginsOnceAllRequestsAreAborted: the attempts of aborted requests are cancelled before their line is
-// begun, and a request that was on its way to the loop is rejected.
+// The process ends while requests wait for their turn. One that is answered as aborted could still be sent and run. Its
+// attempts are cancelled before their line is begun, and a request that was on its way to the loop is rejected.
 func TestNothingBeginsOnceAllRequestsAreAborted(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
--- a/internal/dispatch/states_test.go
+++ b/internal/dispatch/states_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestStatesOnlyGoForward: an attempt ends once, and a request has one final response.
+// An attempt that ends twice, or a request that is answered twice, makes the counts of what is open wrong for good. An
+// attempt ends once, and a request has one final response.
 func TestStatesOnlyGoForward(t *testing.T) {
 	for from := range attemptStateCount {
 		for to := range attemptStateCount {
--- a/internal/dispatch/wallclock_test.go
+++ b/internal/dispatch/wallclock_test.go
@@ -42,8 +42,9 @@
 	return last
 }
 
-// TestPurgeIsNeverTakenForOlderAcrossWallSteps shows rule 5: the age of a purge, by which copies are judged, is not
-// more than the true one, whether its time came from a clock that was stepped or by one that was not.
+// The wall clock is stepped around a purge. A purge that is taken for older than it is leaves copies in use that it has
+// invalidated (rule 5). The age of a purge is not more than the true one, whether its time came from a clock that was
+// stepped or from one that was not.
 func TestPurgeIsNeverTakenForOlderAcrossWallSteps(t *testing.T) {
 	for _, steps := range wallSteps {
 		f := newSteppedFixture(t)
@@ -68,8 +69,9 @@
 	}
 }
 
-// TestStartIsNeverTakenForEarlierAcrossWallSteps shows rule 4: a cache that has just started is not taken for warm, nor
-// is one that is listed again taken for started anew.
+// The wall clock is stepped around the start of a cache. A cold cache would be taken for warm and get too many requests
+// (rule 4). Its start is not taken for earlier than it was, and the same start that is listed again does not count as a
+// new one.
 func TestStartIsNeverTakenForEarlierAcrossWallSteps(t *testing.T) {
 	for _, steps := range wallSteps {
 		f := newSteppedFixture(t)
--- a/internal/frontend/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -32,8 +32,10 @@
 	return l.Listener.Accept()
 }
 
-// TestAcceptGoesOnAfterEachError fails accepts with each error that accept documents, once, in series and for a time. A
-// client is served as soon as they succeed; after a connection that ended in the backlog nothing is waited for.
+// An accept fails, for want of descriptors or since a client in the backlog has left. A listener that ends with it
+// serves nobody any more, and one that waits each time serves everybody late. With each error that accept documents,
+// once, in series and for a time, a client is served as soon as accepts succeed; after a connection that ended in the
+// backlog nothing is waited for.
 func TestAcceptGoesOnAfterEachError(t *testing.T) {
 	descriptors := map[syscall.Errno]bool{
 		syscall.EMFILE: true, syscall.ENFILE: true, syscall.ENOBUFS: true, syscall.ENOMEM: true,
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -32,7 +32,8 @@
 	assert.Contains(t, c.log.String(), "reason=slow_reader")
 }
 
-// TestViolationClosesAfterOpenRequestsAreAnswered: the client gets an error frame first.
+// A client breaks the protocol while a request is open. Closing at once would lose an answer that is paid for, and the
+// client would not learn what was wrong. It gets an error frame, then the answer, then the end.
 func TestViolationClosesAfterOpenRequestsAreAnswered(t *testing.T) {
 	for want, bad := range map[string][]byte{
 		"length": {0xff, 0, 0, 0, 100, 0, 0, 0, 9}, "type 77": clientproto.AppendHeader(nil, 77, 9, 0),
@@ -55,7 +56,8 @@
 	}
 }
 
-// TestDisconnectAfterViolationIsNoticed: frames are not followed any more, but a disconnect cancels open requests.
+// After a violation no frame is followed any more, and the client disconnects while a request is open. The request
+// would go on for nobody. The disconnect cancels it.
 func TestDisconnectAfterViolationIsNoticed(t *testing.T) {
 	c := newTestConn(t, true)
 	_, _ = c.Write(requestFrame(1, "aa"))
@@ -83,8 +85,8 @@
 	return over
 }
 
-// TestFloodIsSlowedWhileRequestIsOpen: after a violation input is read on while a request is open, but slowly, so that
-// a flood does not cost the processor.
+// After a violation a client floods the connection while a request is open. To read and drop all of it would cost the
+// processor that others need. Input is read on, so that a disconnect is noticed, but slowly.
 func TestFloodIsSlowedWhileRequestIsOpen(t *testing.T) {
 	c := newTestConnOverTCP(t, ignoreSocket, ignoreSocket)
 	_, _ = c.Write(requestFrame(1, "aa"))
@@ -104,7 +106,8 @@
 	<-flooded
 }
 
-// TestFloodAfterViolationDoesNotDelayClose: the close comes though input never ends.
+// After a violation a client goes on to send without end. A connection that reads until its input ends would never
+// close. The close comes all the same.
 func TestFloodAfterViolationDoesNotDelayClose(t *testing.T) {
 	c := newTestConnOverTCP(t, ignoreSocket, ignoreSocket)
 	_, _ = c.Write(clientproto.AppendHeader(nil, 77, 9, 0))
@@ -114,7 +117,8 @@
 	assert.Contains(t, c.log.String(), "reason=protocol_error")
 }
 
-// TestLastOutputReachesClientThatStillSends: a close with unread input would reset the connection.
+// A connection is closed with unread input. The system would reset it, and the client would lose the error frame that
+// says why. The last output arrives, and then the end.
 func TestLastOutputReachesClientThatStillSends(t *testing.T) {
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -137,8 +141,9 @@
 	assert.NoError(t, <-done)
 }
 
-// TestRequestThatCrossesIdleClose: a request that arrives before the close is decided is served. One that crosses the
-// close meets a half-closed connection and no reset, so its client knows that it was not served.
+// A request crosses the close of an idle connection. After a reset its client could not know whether it has run. One
+// that arrives before the close is decided is served. One that crosses the close meets a half-closed connection and no
+// reset, so its client knows that it was not served.
 func TestRequestThatCrossesIdleClose(t *testing.T) {
 	query := readinessQuery(5)
 	var came atomic.Bool
@@ -166,7 +171,8 @@
 	assert.Contains(t, c.log.String(), "reason=idle_timeout")
 }
 
-// TestGracefulClosesResetNothing: whatever a client writes at the time of the close, under every timeout.
+// A timeout closes a connection at the moment at which its client writes. A reset would destroy output that is on its
+// way. Under every timeout the client sees an end and no reset.
 func TestGracefulClosesResetNothing(t *testing.T) {
 	query := readinessQuery(5)
 	for code, input := range map[netconn.EndCode][]byte{
--- a/internal/frontend/connstate_test.go
+++ b/internal/frontend/connstate_test.go
@@ -62,7 +62,8 @@
 	assert.Equal(t, now.Add(maxWriteDuration), outgoingFrame{}.writeDeadline(now))
 }
 
-// TestAcceptsThatFailInSeriesAreDelayed: a shortage of descriptors at once, other failures after some.
+// Accepts fail without end, and a loop that tries again at once takes a core. A shortage of descriptors is waited for
+// at once, other failures after some in series.
 func TestAcceptsThatFailInSeriesAreDelayed(t *testing.T) {
 	assert.False(t, acceptAgainAtOnce(true, 1))
 	assert.True(t, acceptAgainAtOnce(false, acceptRetriesAtOnce))
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -13,7 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestConnAcceptedDuringDrainGetsGoAway: at once, before it sends a request.
+// A client connects while the process drains. It would send requests to a process that is about to end. It gets GOAWAY
+// at once, before it sends a request.
 func TestConnAcceptedDuringDrainGetsGoAway(t *testing.T) {
 	s, _, dial := startServer(t, nil)
 	s.BeginDrain()
@@ -21,8 +22,9 @@
 	assert.Equal(t, clientproto.TypeGoAway, kind)
 }
 
-// TestBacklogIsServedDuringDrain: a client that connected and wrote before the listener closed gets a response. The
-// accept deadline has passed before the first accept: without a second wait the listener would reset its backlog.
+// A client connected and wrote before the listener closed, and nobody had accepted it yet. Its request would be reset
+// with the backlog. It gets a response, also where the accept deadline has passed before the first accept, as a second
+// wait follows.
 func TestBacklogIsServedDuringDrain(t *testing.T) {
 	var c *testClient
 	s, sink, _ := startServer(t, func(ln net.Listener) {
@@ -54,8 +56,9 @@
 	<-finished
 }
 
-// TestFinishDrainClosesInOrder: an idle connection is closed at once, one with an open request after the response, one
-// in the middle of a request after that has come and is answered.
+// The end of a drain closes connections that still have requests, and their answers are lost. An idle connection is
+// closed at once, one with an open request after the response, one in the middle of a request after that has come and
+// is answered.
 func TestFinishDrainClosesInOrder(t *testing.T) {
 	s, sink, dial := startServer(t, nil)
 	idleClient, openClient, partialClient := dial(), dial(), dial()
--- a/internal/frontend/framereader_test.go
+++ b/internal/frontend/framereader_test.go
@@ -73,7 +73,8 @@
 	assert.EqualValues(t, 1, stream)
 }
 
-// TestMalformedRequestsAreAnsweredOnTheirStream: the connection goes on.
+// One request of a client can not be decoded. Ending the connection would fail its other requests too. The request is
+// answered with an error on its stream, and the connection goes on.
 func TestMalformedRequestsAreAnsweredOnTheirStream(t *testing.T) {
 	c := newTestConn(t, true)
 	big := clientproto.AppendHeader(nil, clientproto.TypeRequest, 1, clientproto.MaxRequestBytes+1)
@@ -122,7 +123,8 @@
 	assert.EqualValues(t, 1, answered(c, "unknown", "rejected", "body_memory_exhausted"))
 }
 
-// TestFullQueueRejectsAtOnce: and the reader goes on, so it sees what comes next, a disconnect too.
+// The queue of the event loop is full. A reader that waits for room sees neither a cancel nor a disconnect. The request
+// is rejected at once, and the reader goes on.
 func TestFullQueueRejectsAtOnce(t *testing.T) {
 	c := newTestConn(t, true)
 	c.sink.accept = func() bool { return false }
@@ -138,7 +140,8 @@
 	assert.Equal(t, r, <-c.sink.cancelled)
 }
 
-// TestShortMemoryRejectsAllSizesAlike: small requests do not fill what is left of the budget while large ones starve.
+// Memory for bodies is nearly full. Small requests would fill what is left, and large ones would never be served.
+// Requests of all sizes are rejected alike.
 func TestShortMemoryRejectsAllSizesAlike(t *testing.T) {
 	c := newTestConn(t, true)
 	stream := uint32(0)
@@ -170,7 +173,8 @@
 	}
 }
 
-// TestPanicAbortsOneRequest: a panic of the sink aborts the request; one of the reader closes its connection.
+// The handling of one request panics, or the reader itself does. The process would end with all connections. The first
+// aborts its request alone, and the second closes its connection.
 func TestPanicAbortsOneRequest(t *testing.T) {
 	c := newTestConn(t, true)
 	c.sink.accept = func() bool { panic("a fault") }
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -376,7 +376,7 @@
 	compareGolden(t, "session.txt", s.text.String())
 }
 
-// TestGoldenOverLimit compares the bytes that a client sees whose connection is one too many.
+// A client whose connection is one too many has to understand why. The bytes that it sees are compared.
 func TestGoldenOverLimit(t *testing.T) {
 	s := &transcript{testClient: newTestConn(t, false)}
 	s.frame(t)
--- a/internal/frontend/responsewriter_test.go
+++ b/internal/frontend/responsewriter_test.go
@@ -81,8 +81,9 @@
 	assert.True(t, w.queueFull())
 }
 
-// TestQuiesceChecksAndClosesInOneStep: no request may be open, and no output queued or on its way into the socket.
-// After quiesce returned true no control frame is queued.
+// A connection is closed as idle, and between the check and the close a request is opened or a frame is queued. Its
+// answer would be lost. No request may be open, and no output queued or on its way into the socket, and after quiesce
+// returned true no control frame is queued.
 func TestQuiesceChecksAndClosesInOneStep(t *testing.T) {
 	near, far := net.Pipe()
 	w, r := newTestWriter(t)
@@ -102,7 +103,8 @@
 	assert.True(t, w.quiesce())
 }
 
-// TestCancellationTakesEffectAtOnce: everyone with the request sees it before the event loop handles it.
+// A client cancels, and the event loop handles that only after what is queued. Attempts would be sent for nobody
+// meanwhile. Everyone with the request sees the cancellation at once.
 func TestCancellationTakesEffectAtOnce(t *testing.T) {
 	w, r := newTestWriter(t)
 	assert.False(t, r.Cancelled())
@@ -113,7 +115,8 @@
 	assert.True(t, r.Cancelled())
 }
 
-// TestLateResponsesAreCountedAndLogged: those written after the deadline count; those well after it are logged.
+// Responses are written after the deadline, when the client has given up, and the counters of completed requests look
+// well. Each late response counts, and those well after their deadline are logged.
 func TestLateResponsesAreCountedAndLogged(t *testing.T) {
 	const wantLine = `msg="response written after deadline" request_id=ab class=page delay_seconds=36`
 	for _, test := range []struct {
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -42,7 +42,8 @@
 	assert.EqualValues(t, 1, s.Metrics.Value(`connections_closed_total{side="client",reason="shutdown"}`))
 }
 
-// TestClientOverLimitIsTold: a connection over the limit gets an error frame and is closed.
+// A client over the limit of connections is closed without a word, and tries again at once. It gets an error frame that
+// says why before the end.
 func TestClientOverLimitIsTold(t *testing.T) {
 	c := newTestConn(t, false)
 	_, stream, payload := c.readFrame(t)
@@ -69,7 +70,8 @@
 	return s.Listener.Accept()
 }
 
-// TestAcceptWithoutDescriptorEvicts: an idle connection is closed, and the listener goes on.
+// Idle connections take every descriptor, and no client can connect. The accept fails until one of them leaves. An idle
+// connection is closed for the new one, and the listener goes on.
 func TestAcceptWithoutDescriptorEvicts(t *testing.T) {
 	c := newTestConnOverTCP(t, ignoreSocket, ignoreSocket)
 	assert.Eventually(t, func() bool {
@@ -87,7 +89,8 @@
 	assert.NoError(t, <-done, "the listener goes on until the context ends")
 }
 
-// TestRequestsOnConnOverLimitAreRejected: what was read on a connection over the limit is answered before its end.
+// A client over the limit of connections has sent requests already. Closed without an answer, it could not know whether
+// they ran. What was read is rejected before the end.
 func TestRequestsOnConnOverLimitAreRejected(t *testing.T) {
 	c := newTestConn(t, false)
 	for stream := uint32(1); stream <= 3; stream++ {
--- a/internal/frontend/timeouts_test.go
+++ b/internal/frontend/timeouts_test.go
@@ -13,7 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTimeoutsCloseConnections: each under its code, and none while a request is open.
+// Clients connect and send nothing, half a frame, or nothing more. Each takes a place and a descriptor for ever. Each
+// is closed under its own code, and none while a request is open.
 func TestTimeoutsCloseConnections(t *testing.T) {
 	query := readinessQuery(0)
 	for _, test := range []struct {
@@ -54,7 +55,8 @@
 	assert.EqualValues(t, 1, stream, "the open request is answered")
 }
 
-// TestStalledReaderIsClosedWhileMemoryIsShort: but no client that reads, and none while there is memory.
+// Clients that do not read hold their responses in memory, and everybody else is rejected for want of it. While memory
+// is short such a client is closed, but none that reads, and none while there is memory.
 func TestStalledReaderIsClosedWhileMemoryIsShort(t *testing.T) {
 	c := newTestConn(t, true)
 	_, _ = c.Write(requestFrame(1, "aa"))
@@ -73,8 +75,8 @@
 	assert.Zero(t, c.Admission.Bodies.UsedBytes())
 }
 
-// TestEvictionPrefersConnsWithoutRequests: a connection that never carried a request goes first, and none with an open
-// request goes.
+// A place is needed for a new client. Taking it from one that works loses requests. A connection that never carried a
+// request goes first, and none with an open request goes.
 func TestEvictionPrefersConnsWithoutRequests(t *testing.T) {
 	carried := newTestConn(t, true)
 	unused := newTestConn(t, true)
@@ -99,7 +101,8 @@
 	<-carried.done
 }
 
-// TestEvictedConnFreesItsPlaceSoon: even if its client never closes its side.
+// A client that is evicted never closes its side. Its place would be waited for as long as in any graceful close. It is
+// free soon.
 func TestEvictedConnFreesItsPlaceSoon(t *testing.T) {
 	c := newTestConnOverTCP(t, ignoreSocket, ignoreSocket)
 	assert.Eventually(t, func() bool { return c.evict(clock.Now().Add(time.Hour)) }, time.Minute, time.Millisecond)
--- a/internal/netconn/conn_test.go
+++ b/internal/netconn/conn_test.go
@@ -51,8 +51,8 @@
 	assert.Equal(t, ProtocolError, ClassifyError(err))
 }
 
-// TestBytesAreCounted tests the counts of what was handed to Write and of what the socket took: they tell whether a
-// request may have run.
+// A connection breaks while a request is written. Whether the request may have run decides whether it may be repeated.
+// The counts of what was handed to Write and of what the socket took are exact.
 func TestBytesAreCounted(t *testing.T) {
 	near, far := net.Pipe()
 	c := New(near, 8, 0)
@@ -154,8 +154,8 @@
 	return near, far
 }
 
-// TestGracefulCloseDeliversTheOutput tests that the output arrives although input is unread. A close at once would
-// reset the connection.
+// A connection is closed while input is unread. The system would reset it, and the output would not arrive. The output
+// arrives, and the connection reads on until the other side has ended too.
 func TestGracefulCloseDeliversTheOutput(t *testing.T) {
 	near, far := tcpPair(t)
 	c := New(near, 1024, time.Second)
@@ -177,8 +177,8 @@
 	assert.True(t, c.IsClosed())
 }
 
-// TestGracefulCloseIsBounded tests the bounds: in time for a peer that sends nothing and does not close, in bytes for
-// one that floods.
+// A peer neither sends nor closes, or floods the connection. A close that waits for its end would never be over. It is
+// bounded in time and in bytes.
 func TestGracefulCloseIsBounded(t *testing.T) {
 	near, _ := tcpPair(t)
 	c := New(near, 1024, 0)
@@ -213,8 +213,8 @@
 	return nil
 }
 
-// TestCloseRequestReadsPendingInputFirst tests that input which came as the end was requested is taken in. The user
-// is asked whether the connection may end only once nothing is unread, and after a no the connection goes on.
+// Input arrives as the end of a connection is requested. A request would be dropped unread. That input is taken in, the
+// user is asked whether the connection may end only once nothing is unread, and after a no the connection goes on.
 func TestCloseRequestReadsPendingInputFirst(t *testing.T) {
 	timeout := func([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 	bring := func(text string) func([]byte) (int, error) {
--- a/internal/netconn/errors_test.go
+++ b/internal/netconn/errors_test.go
@@ -52,8 +52,9 @@
 // momentaryErrors are those that send and recv document for a cause on this machine.
 var momentaryErrors = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN, syscall.ENETDOWN}
 
-// TestReadsAndWritesThatFailForAMomentAreTriedAgain fails each call once, in series and for a while: the bytes come
-// through, once and in order.
+// A read or a write fails for a want of memory on this machine that passes. The connection would end, with all requests
+// on it. Calls that fail once, in series and for a while are tried again, and the bytes come through, once and in
+// order.
 func TestReadsAndWritesThatFailForAMomentAreTriedAgain(t *testing.T) {
 	for _, errno := range momentaryErrors {
 		for _, duration := range []struct {
@@ -92,7 +93,8 @@
 	}
 }
 
-// TestShortageThatLastsEnds shows that a write is not tried for longer than its limit.
+// The want of memory does not pass. A write that is tried without end would hold its connection for ever. It fails
+// after its limit.
 func TestShortageThatLastsEnds(t *testing.T) {
 	near, _ := net.Pipe()
 	failing := &failingSocket{Conn: near, err: syscall.ENOBUFS, until: time.Now().Add(time.Hour)}
--- a/internal/upstream/address/cooldown_test.go
+++ b/internal/upstream/address/cooldown_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestOnlyAnOperatorChangesADisabledAddress: no fault takes it back into use, and a trial ends with any change.
+// An operator has disabled an address, and a fault or an answer changes its condition. It would be used again against
+// the order. No fault takes it back into use, and a trial ends with any change.
 func TestOnlyAnOperatorChangesADisabledAddress(t *testing.T) {
 	for from := range conditionCount {
 		for to := range conditionCount {
--- a/internal/upstream/address/race_test.go
+++ b/internal/upstream/address/race_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestDialStatesFollowTheTable: a dial begins once and ends once.
+// A dial that ends twice, or ends before it began, makes a race count dials that do not exist, and it would be waited
+// for in vain. A dial begins once and ends once.
 func TestDialStatesFollowTheTable(t *testing.T) {
 	for from := range dialStateCount {
 		for to := range dialStateCount {
@@ -20,7 +21,8 @@
 	}
 }
 
-// TestRaceIsDecidedOnce: neither a second dial that succeeds nor a stop changes what was decided.
+// A second dial succeeds after a race was won or stopped. Its connection would be used too. Neither changes what was
+// decided.
 func TestRaceIsDecidedOnce(t *testing.T) {
 	for _, first := range []raceOutcome{raceWon, raceStopped} {
 		for _, second := range []raceOutcome{raceWon, raceStopped} {
--- a/internal/upstream/address/selector_test.go
+++ b/internal/upstream/address/selector_test.go
@@ -97,8 +97,8 @@
 	assert.Empty(t, c.DueProbes(200, unconnected))
 }
 
-// TestSilentAddressIsTriedByOneIdempotentAttempt tests an address that accepts and stays silent: no attempt goes
-// there. After its cooldown one idempotent attempt tries it, and a non-idempotent one does not.
+// An address accepts and stays silent, so each attempt there waits in vain. No attempt goes there. After its cooldown
+// one idempotent attempt tries it, and a non-idempotent one does not, as it could not be repeated.
 func TestSilentAddressIsTriedByOneIdempotentAttempt(t *testing.T) {
 	c := twoAddresses()
 	assert.False(t, c.AwaitingResponse(100, "a", sock, 0.1))
@@ -120,8 +120,8 @@
 	assert.True(t, ok)
 }
 
-// TestAnotherAddressTellsWhetherTheEndpointIsSilent tests that the other addresses tell a silent address from a
-// silent endpoint. Where health checks are allowed, one is asked.
+// A slow endpoint looks like a silent address, and each of its attempts would be repeated over another address. The
+// other addresses tell the one from the other. Where health checks are allowed, one is asked.
 func TestAnotherAddressTellsWhetherTheEndpointIsSilent(t *testing.T) {
 	c := twoAddresses()
 	c.ResponseReceived(99, "a", four, 0.01)
@@ -396,8 +396,8 @@
 	})
 }
 
-// TestFlappingAddress tests an address that flaps every 300 ms for a minute: attempts go over the other one all the
-// time, and the probes stay few.
+// An address flaps every 300 ms for a minute. Attempts would follow it back and forth. They go over the other one all
+// the time, the probes stay few, and the address is used when it is up.
 func TestFlappingAddress(t *testing.T) {
 	c, probes, tried := twoAddresses(), 0, 0
 	up := func(now float64) bool { return int((now-100)/0.3)%2 == 1 }
@@ -423,8 +423,8 @@
 	assert.Positive(t, tried, "and it is used when it is up")
 }
 
-// TestRoutersProbeAtDifferentTimes tests that routers with different seeds probe an address at different times after
-// it failed for all of them together.
+// An address fails for all routers at once. If all of them probe it at the same moment, it is flooded as it comes back.
+// Routers with different seeds probe at different times.
 func TestRoutersProbeAtDifferentTimes(t *testing.T) {
 	at := map[string]int{}
 	for seed := range uint64(40) {
--- a/internal/upstream/addresses_test.go
+++ b/internal/upstream/addresses_test.go
@@ -132,7 +132,7 @@
 	assert.Equal(t, "refused", s.condition(0))
 }
 
-// TestSecondAddressIsDialedAfterTheDelay tests a first address that does not respond: the second is dialed beside it
+// The first address does not respond. An attempt that waits for the timeout is late. The second is dialed beside it
 // after a delay, and the attempt goes there. The first is closed where it is established later.
 func TestSecondAddressIsDialedAfterTheDelay(t *testing.T) {
 	s := newMultiAddressPool(t, 20)
@@ -148,8 +148,8 @@
 	assert.Equal(t, string(second), s.endpoints["m"].connections[0].dialedAddr())
 }
 
-// TestOneOfTwoEstablishedConnectionsIsUsed tests two that are established at the same time: the other one is closed
-// without a byte.
+// Two addresses are established at the same time. An attempt that is written on both runs twice. The other connection
+// is closed without a byte.
 func TestOneOfTwoEstablishedConnectionsIsUsed(t *testing.T) {
 	s := newMultiAddressPool(t, 20)
 	s.send("a", 0)
@@ -175,7 +175,8 @@
 	assert.Contains(t, one, "do a ")
 }
 
-// TestUnlistedAddressIsNotUsed tests a list that changes while an address is dialed: nothing is written there.
+// The list changes while an address is dialed, as the address has passed to another endpoint. The attempt would reach a
+// stranger. Nothing is written there, and the attempt goes to a listed address.
 func TestUnlistedAddressIsNotUsed(t *testing.T) {
 	s := newMultiAddressPool(t, 20)
 	s.send("a", 0)
@@ -202,7 +203,8 @@
 	assert.Empty(t, s.dials)
 }
 
-// TestDialsGoOneByOneWithoutDescriptors tests that without a descriptor for a second dial the first is waited for.
+// No descriptor is free for a second dial. Dialing all the same would take more than is granted. The first dial is
+// waited for, and the second begins after it has failed.
 func TestDialsGoOneByOneWithoutDescriptors(t *testing.T) {
 	s := newMultiAddressPool(t, 3) // one for endpoints
 	s.send("a", 0)
@@ -217,8 +219,8 @@
 	assert.False(t, s.Admission.AdmitEndpointConn(true), "the connection's own is the only one held")
 }
 
-// TestAttemptCancelledWhileDialingIsNotWritten tests that nothing of it is written once the connection is
-// established.
+// An attempt is cancelled while its address is dialed. It would run for nobody once the connection is established.
+// Nothing of it is written then, and the connection serves the next one.
 func TestAttemptCancelledWhileDialingIsNotWritten(t *testing.T) {
 	s := newMultiAddressPool(t, 20)
 	c := s.send("a", 0)
@@ -231,8 +233,8 @@
 	assert.Equal(t, "do b", readCommand(t, bufio.NewReader(far)))
 }
 
-// TestSilentAddressGetsNoFurtherAttempt tests an address that takes an attempt and stays silent. The attempt stays
-// where it is, the next one goes over the other address, and a non-idempotent one never goes to the silent address.
+// An address takes an attempt and stays silent. Further attempts would wait there too. The attempt stays where it is,
+// the next one goes over the other address, and a non-idempotent one never goes to the silent address.
 func TestSilentAddressGetsNoFurtherAttempt(t *testing.T) {
 	s := newMultiAddressPool(t, 40)
 	a := s.send("a", 0)
@@ -259,7 +261,8 @@
 	assert.Equal(t, "well", s.condition(0))
 }
 
-// TestConnectionsBelongToAStart tests that after a restart of the endpoint its old connections get no attempt.
+// An endpoint restarts, and a connection to its former process still looks usable. An attempt there is lost. After a
+// restart the old connections get no attempt and are closed.
 func TestConnectionsBelongToAStart(t *testing.T) {
 	s := newMultiAddressPool(t, 40)
 	a := s.send("a", 0)
@@ -275,7 +278,8 @@
 	assert.ErrorIs(t, err, io.EOF, "closed")
 }
 
-// TestProbeCarriesNothing tests that an address in cooldown is probed with a connection that carries nothing.
+// An address in cooldown is tried with a request, which is lost if it still fails. The probe is a connection that
+// carries nothing, and the connection is used once it is up.
 func TestProbeCarriesNothing(t *testing.T) {
 	s := newMultiAddressPool(t, 40)
 	s.AddressSelector.DialEnded(clock.NowSeconds(), "m", first, address.DialRefused, 0)
@@ -315,8 +319,8 @@
 	}
 }
 
-// TestBadAddressesOfEveryKindArePassedOver tests real sockets: the file of a Unix socket that is gone, one that is no
-// socket, and a black hole are passed over for the address that accepts, and only that one gets a byte.
+// An installation lists the file of a Unix socket that is gone, one that is no socket, and a black hole. Attempts would
+// fail though one address accepts. With real sockets, they are passed over for that one, and only it gets a byte.
 func TestBadAddressesOfEveryKindArePassedOver(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "file")
@@ -345,7 +349,8 @@
 	}
 }
 
-// TestEndpointKeepsToItsShareOfDescriptors tests that attempts share connections past the endpoint's share.
+// Many attempts to one endpoint take every descriptor, and no other endpoint can be reached. Past the share of an
+// endpoint its attempts share connections.
 func TestEndpointKeepsToItsShareOfDescriptors(t *testing.T) {
 	s := newMultiAddressPool(t, 40) // sixteen for endpoints, four for one
 	s.MaxAttemptsPerConnection = 99
@@ -356,8 +361,8 @@
 	assert.Len(t, connections, 4)
 }
 
-// TestSnapshotForgetsTheAddressesOfWhatItLeavesOut has a list leave out an endpoint with several addresses whose last
-// connection has ended, and checks its addresses as often as the dispatcher does.
+// A list leaves out an endpoint with several addresses whose last connection has ended. Its addresses would be
+// remembered and probed for ever. They are forgotten, however often addresses are checked.
 func TestSnapshotForgetsTheAddressesOfWhatItLeavesOut(t *testing.T) {
 	s := newMultiAddressPool(t, 64)
 	s.AddressSelector.Disable(clock.NowSeconds(), "m", first)
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -42,7 +42,8 @@
 	assert.Equal(t, 1, s.ConnectionCount(), "one connection carries both")
 }
 
-// TestBrokenConnectionTellsWhatMayHaveRun tests that only what the socket took completely may have run.
+// A connection breaks in the middle of a request. Taken for one that may have run, it could not be repeated; taken for
+// one that did not, it could run twice. Only what the socket took completely may have run.
 func TestBrokenConnectionTellsWhatMayHaveRun(t *testing.T) {
 	s := newTestPool(t)
 	whole, part := s.send("a", 0), s.send("b", 200_000)
@@ -59,8 +60,8 @@
 	assert.Equal(t, routing.ConnectFailed, ends[part])
 }
 
-// TestAttemptThatCrossesACloseIsNotSent tests an attempt of which nothing was written: the endpoint may just have
-// closed an idle connection.
+// An endpoint closes an idle connection as an attempt is about to be written. The endpoint would be blamed for a
+// failure. An attempt of which nothing was written ends as not sent.
 func TestAttemptThatCrossesACloseIsNotSent(t *testing.T) {
 	s := newTestPool(t)
 	s.MaxAttemptsPerConnection = 3
@@ -142,9 +143,9 @@
 	assert.NotSame(t, b.Connection(), again.Connection(), "the id is not used again where a response may still come")
 }
 
-// TestCancelledAttemptEndsOnceTheEndpointIsTold tests that an attempt which its endpoint knows of is over when the
-// endpoint was notified, not before: a retry would be out at the same time. Where the endpoint does not read, the
-// connection's end tells it.
+// An attempt that its endpoint knows of is cancelled. A retry that starts before the endpoint was notified would be out
+// at the same time. The attempt is over when the endpoint was notified, not before. Where the endpoint does not read,
+// the end of the connection notifies it.
 func TestCancelledAttemptEndsOnceTheEndpointIsTold(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		s := newTestPool(t)
@@ -179,7 +180,8 @@
 	assert.NotSame(t, a.Connection(), c.Connection())
 }
 
-// TestProtocolErrorEndsItsOwnAttemptOnly tests that no attempt shares its connection while descriptors allow.
+// One malformed response ends its connection, and every attempt on it is lost. No attempt shares its connection while
+// descriptors allow.
 func TestProtocolErrorEndsItsOwnAttemptOnly(t *testing.T) {
 	s := newTestPool(t)
 	s.Admission = admission.New(64, 256)
@@ -220,8 +222,8 @@
 	assert.Nil(t, s.send("c", 0))
 }
 
-// TestNothingIsWrittenForADisconnectedClient tests that an attempt which waits for its connection, or for its turn on
-// one, is not written once its client is gone, also before the event loop has heard of that. Others go on.
+// An attempt waits for its connection, or for its turn on one, and its client is gone. It would run for nobody. It is
+// not written, also before the event loop has heard of that, and others go on.
 func TestNothingIsWrittenForADisconnectedClient(t *testing.T) {
 	s := newTestPool(t)
 	hold := s.holdDials()
--- a/internal/upstream/close_test.go
+++ b/internal/upstream/close_test.go
@@ -60,8 +60,8 @@
 	assert.Contains(t, s.logAfterEnd(a.Connection()), "reason=panic")
 }
 
-// TestStalledResponseEndsItsConnection tests that a connection ends while a response stalls, and that it takes no
-// attempt while the response to a cancelled one is coming.
+// A response stops in the middle of its body. Whatever comes after it on the connection waits behind it. The connection
+// ends while a response stalls, and takes no attempt while the response to a cancelled one is coming.
 func TestStalledResponseEndsItsConnection(t *testing.T) {
 	for _, cancelled := range []bool{true, false} {
 		s := newTestPool(t)
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestSilentConnectionIsNotUsed tests an endpoint that took an attempt and sent nothing until it was cancelled: it
-// may have vanished. That counts after a wait as long as the connect timeout.
+// An endpoint took an attempt and sent nothing until it was cancelled: it may have vanished. The next attempt would
+// wait as long. That counts after a wait as long as the connect timeout, and then the connection is not used.
 func TestSilentConnectionIsNotUsed(t *testing.T) {
 	for connectTimeout, silent := range map[time.Duration]bool{time.Hour: false, 0: true} {
 		s := newTestPool(t)
@@ -122,8 +122,9 @@
 	assert.Contains(t, s.log.String(), "reason=endpoint_removed")
 }
 
-// TestCloseWithInputOnItsWayIsNoReset tests the close of a connection to a removed endpoint, of an idle one, and of
-// one at the pool's end, while the endpoint sends the first part of a response that is too long to be read before.
+// A connection is closed while the endpoint sends the first part of a response that is too long to be read before. A
+// reset would destroy what the endpoint has still to read. For a removed endpoint, an idle connection and the end of
+// the pool the endpoint sees an end and no reset.
 func TestCloseWithInputOnItsWayIsNoReset(t *testing.T) {
 	for _, code := range []string{"endpoint_removed", "idle_timeout", "shutdown"} {
 		s := newTestPool(t)
@@ -159,7 +160,8 @@
 	}
 }
 
-// TestFloodDoesNotDelayAClose tests an endpoint that floods a connection which is not used any more.
+// An endpoint floods a connection that is not used any more. A close that waits for its input to end would never come.
+// It comes, and its code is in the log.
 func TestFloodDoesNotDelayAClose(t *testing.T) {
 	s := newTestPool(t)
 	s.dialLoopback(func(net.Conn) {})
@@ -182,8 +184,9 @@
 	assert.Contains(t, s.logAfterEnd(a.Connection()), "reason=endpoint_removed")
 }
 
-// TestForgottenConnectionIsNotUsedForEver: an endpoint has forgotten a connection without a word. Attempts with less
-// time than a connect takes show that too, one after another.
+// An endpoint has forgotten a connection without a word, and each attempt has less time than a connect takes. None of
+// them alone waits long enough to show it. They show it together, one after another, and the connection is not used any
+// more.
 func TestForgottenConnectionIsNotUsedForEver(t *testing.T) {
 	s := newTestPool(t)
 	s.ConnectTimeout = 40 * time.Millisecond
--- a/internal/upstream/errors_test.go
+++ b/internal/upstream/errors_test.go
@@ -17,7 +17,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestDialErrorsBlameTheEndpointOnlyForItsOwn walks the errors that socket, bind and connect document.
+// A dial fails for want of descriptors or ports on this machine. The endpoint would be ejected for it. Of the errors
+// that socket, bind and connect document, only those of the other side count against the endpoint.
 func TestDialErrorsBlameTheEndpointOnlyForItsOwn(t *testing.T) {
 	for errno, want := range map[syscall.Errno]routing.AttemptResult{
 		syscall.EMFILE:        routing.NotSent,
@@ -66,8 +67,9 @@
 	return c.Conn.Write(p)
 }
 
-// TestErrorsOfAConnectionEndItsAttempts fails one write, or one read, with each error that tells of a broken
-// connection: its attempt ends, as one that did not run or as one that may have.
+// A write or a read of a connection fails. An attempt without an end would be waited for until its deadline. With each
+// error that tells of a broken connection the attempt ends, as one that did not run or as one that may have, and the
+// endpoint sees the end.
 func TestErrorsOfAConnectionEndItsAttempts(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.EIO,
@@ -98,7 +100,8 @@
 	}
 }
 
-// TestShortageOnAConnectionBlamesNobody: a socket that fails for want of memory until its attempts are given up.
+// A socket fails for want of memory on this machine until its attempts are given up. The endpoint would be ejected for
+// it. The attempt ends as not sent.
 func TestShortageOnAConnectionBlamesNobody(t *testing.T) {
 	s := newTestPool(t)
 	s.Dial = func(context.Context, string) (net.Conn, error) {
@@ -114,7 +117,8 @@
 
 func (shortOfMemory) Write([]byte) (int, error) { return 0, syscall.ENOBUFS }
 
-// TestNotModifiedHasToNameTheClientsCopy: a client's copy may be called current only if the endpoint has named it.
+// An endpoint answers that the copy of the client is current, and means another copy or names none. The client would go
+// on with a stale one. Such an answer completes a request only if it names the copy that the client has.
 func TestNotModifiedHasToNameTheClientsCopy(t *testing.T) {
 	for _, c := range []struct {
 		clientETag, fields string
--- a/internal/upstream/writer_test.go
+++ b/internal/upstream/writer_test.go
@@ -23,8 +23,9 @@
 	return s.Send(attemptOf(r), bounds, nil, testOwner(id))
 }
 
-// TestNothingIsBegunOnceItsBoundsHavePassed holds back the connection, or the socket, until an attempt may not be begun
-// any more: it did not run and blames nobody.
+// The connection, or the socket, is held back until an attempt may not be begun any more. Written then, it would run
+// for a client that has given up, or outside of what its bounds allow. It ends as one that did not run, and blames
+// nobody.
 func TestNothingIsBegunOnceItsBoundsHavePassed(t *testing.T) {
 	const wait = 50 * time.Millisecond
 	past := clock.Now().Add(wait)
@@ -65,7 +66,8 @@
 	assert.Zero(t, n)
 }
 
-// TestAttemptTakenInPartEndsItsConnection: its deadline would be stale once it is complete, and it does not run before.
+// An endpoint takes the first part of an attempt and no more. Its deadline would be stale once it is complete. The
+// connection ends soon, and the attempt has not run.
 func TestAttemptTakenInPartEndsItsConnection(t *testing.T) {
 	s := newTestPool(t)
 	a := s.sendWithin("a", 40_000, Bounds{Deadline: clock.Now().Add(time.Minute)})
@@ -76,8 +78,8 @@
 	assert.Less(t, time.Since(startedAt), writeStallTimeout/2)
 }
 
-// TestSocketThatTakesNothingEndsWithBlame shows that an endpoint whose socket takes nothing is given up after the stall
-// timeout, not asked for ever.
+// The socket of an endpoint takes nothing. Its attempts would wait until their deadlines, one after another. The
+// endpoint is given up after the stall timeout, and is blamed.
 func TestSocketThatTakesNothingEndsWithBlame(t *testing.T) {
 	s := newTestPool(t)
 	a := s.sendWithin("a", 0, Bounds{Deadline: clock.Now().Add(time.Minute)})
@@ -86,7 +88,8 @@
 	assert.InDelta(t, writeStallTimeout, time.Since(startedAt), float64(writeStallTimeout/2))
 }
 
-// TestCancelWhileTheSocketTakesNothing shows that an attempt which is cancelled while its line waits is not written.
+// An attempt is cancelled while its line waits for a socket that takes nothing. What was read and what follows could be
+// out of step. The line of the attempt is followed by its cancel, and it ends as cancelled.
 func TestCancelWhileTheSocketTakesNothing(t *testing.T) {
 	s := newTestPool(t)
 	a := s.sendWithin("a", 0, Bounds{Deadline: clock.Now().Add(time.Minute)})
