--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -23,28 +23,60 @@
 	return append(append(b, byte(kind)), payload...)
 }
 
-// Events are lost between the service and the router: a drain or a purge never takes effect, and nothing in the log
-// says so. A gap ends the connection, so that the service is asked again. It is accepted if the same revision comes
-// again, and an event that was handed on before is passed over.
-func TestRevisionGapIsAskedForOnce(t *testing.T) {
-	var got []uint64
+// delivery is an event that a client gets, and whether it goes on.
+type delivery struct {
+	kind     EventKind
+	revision uint64
+	accepted bool
+}
+
+// deliverAll delivers events to a client whose last revision is 5, and returns the revisions that it hands on. Each
+// event that is not accepted has to be reported as a gap.
+func deliverAll(t *testing.T, deliveries []delivery) (handedOn []uint64) {
+	t.Helper()
 	c := &Client{
 		LastRevision: 5,
 		Telemetry:    telemetry.New(io.Discard, ""),
-		OnEvent:      func(ev Event) { got = append(got, ev.Revision) },
+		OnEvent:      func(ev Event) { handedOn = append(handedOn, ev.Revision) },
 	}
-	for _, step := range []struct {
-		revision uint64
-		accepted bool
-	}{{6, true}, {6, true}, {3, true}, {8, false}, {8, true}, {10, false}, {9, true}, {11, false}, {10, true}} {
-		err := c.deliver(Event{Revision: step.revision, Kind: Update})
-		assert.Equal(t, step.accepted, err == nil, step.revision)
+	for _, step := range deliveries {
+		err := c.deliver(Event{Revision: step.revision, Kind: step.kind})
+		assert.Equal(t, step.accepted, err == nil, step)
 		if err != nil {
 			require.ErrorIs(t, err, ErrRevisionGap)
 		}
 	}
-	require.NoError(t, c.deliver(Event{Kind: Heartbeat}))
-	assert.Equal(t, []uint64{6, 8, 9, 10}, got)
+	return handedOn
+}
+
+// Events are lost between the service and the router: a drain or a purge never takes effect, and nothing in the log
+// says so. A gap ends the connection, so that the service is asked again. It is accepted if the same revision comes
+// again, and an event that was handed on before is passed over.
+func TestRevisionGapIsAskedForOnce(t *testing.T) {
+	assert.Equal(t, []uint64{6, 8, 9, 10}, deliverAll(t, []delivery{
+		{Update, 6, true},
+		{Update, 6, true},
+		{Update, 3, true},
+		{Update, 8, false},
+		{Update, 8, true},
+		{Update, 10, false},
+		{Update, 9, true},
+		{Update, 11, false},
+		{Update, 10, true},
+		{Heartbeat, 0, true},
+	}))
+}
+
+// runClient runs a client in a goroutine, which belongs to the returned function: it ends the client and waits for it.
+func runClient(t *testing.T, c *Client) (stop func()) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan error, 1)
+	go func() { done <- c.Run(ctx) }()
+	return func() {
+		cancel()
+		require.NoError(t, <-done)
+	}
 }
 
 // A connection to the service ends with half a record, brings an unknown kind, or is silent. Events in between would be
@@ -53,7 +85,6 @@
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	events := make(chan Event, 9)
-	ctx, cancel := context.WithCancel(t.Context())
 	log := &bytes.Buffer{}
 	c := &Client{
 		Address:      listener.Addr().String(),
@@ -62,8 +93,7 @@
 		OnEvent:      func(ev Event) { events <- ev },
 		readTimeout:  50 * time.Millisecond,
 	}
-	done := make(chan error)
-	go func() { done <- c.Run(ctx) }()
+	stop := runClient(t, c)
 	const unknownKind = 9
 	for _, connection := range []struct {
 		wantQuery uint64
@@ -87,8 +117,7 @@
 	}
 	assert.Equal(t, uint64(6), (<-events).Revision)
 	assert.Equal(t, uint64(7), (<-events).Revision)
-	cancel()
-	require.NoError(t, <-done)
+	stop()
 	assert.Contains(t, log.String(), "reason=missed_heartbeats")
 	assert.Contains(t, log.String(), "reason=protocol_error")
 }
@@ -115,7 +144,6 @@
 		return revision
 	}
 	events := make(chan Event, 9)
-	ctx, cancel := context.WithCancel(t.Context())
 	log := &bytes.Buffer{}
 	c := &Client{
 		Address:        listeners[0].Addr().String(),
@@ -124,8 +152,7 @@
 		AddressChanges: make(chan string, 1),
 		OnEvent:        func(ev Event) { events <- ev },
 	}
-	done := make(chan error)
-	go func() { done <- c.Run(ctx) }()
+	stop := runClient(t, c)
 	for i, want := range []uint64{5, 6, 7} {
 		assert.Equal(t, want, answerQuery(listeners[i]))
 		assert.Equal(t, want+1, (<-events).Revision)
@@ -133,25 +160,14 @@
 			c.AddressChanges <- listeners[i+1].Addr().String()
 		}
 	}
-	cancel()
-	require.NoError(t, <-done)
+	stop()
 	assert.Equal(t, 2, strings.Count(log.String(), "reason=address_changed"))
 }
 
 // A connection brings heartbeats and its events are held back. Nothing fails, and a drain is never heard of. A
 // heartbeat that names an event which did not come ends the connection, once for each such revision after each event.
 func TestHeartbeatAheadOfTheLastRevisionIsAGap(t *testing.T) {
-	var got []uint64
-	c := &Client{
-		LastRevision: 5,
-		Telemetry:    telemetry.New(io.Discard, ""),
-		OnEvent:      func(ev Event) { got = append(got, ev.Revision) },
-	}
-	for _, step := range []struct {
-		kind     EventKind
-		revision uint64
-		accepted bool
-	}{
+	assert.Equal(t, []uint64{6, 7, 8}, deliverAll(t, []delivery{
 		{Heartbeat, 5, true},
 		{Heartbeat, 4, true},
 		{Heartbeat, 7, false},
@@ -163,12 +179,5 @@
 		{Update, 7, true},
 		{Update, 8, true},
 		{Heartbeat, 8, true},
-	} {
-		err := c.deliver(Event{Revision: step.revision, Kind: step.kind})
-		assert.Equal(t, step.accepted, err == nil, step)
-		if err != nil {
-			require.ErrorIs(t, err, ErrRevisionGap)
-		}
-	}
-	assert.Equal(t, []uint64{6, 7, 8}, got)
+	}))
 }
--- a/internal/discovery/dial_test.go
+++ b/internal/discovery/dial_test.go
@@ -35,15 +35,12 @@
 			}
 		},
 	}
-	ctx, cancel := context.WithCancel(t.Context())
-	done := make(chan error, 1)
-	go func() { done <- c.Run(ctx) }()
+	stop := runClient(t, c)
 	query := make([]byte, 8)
 	require.NoError(t, far.SetReadDeadline(time.Now().Add(5*time.Second)))
 	_, err := io.ReadFull(far, query)
 	require.NoError(t, err)
 	assert.Zero(t, binary.BigEndian.Uint64(query))
 	assert.EqualValues(t, 2, dials.Load())
-	cancel()
-	assert.NoError(t, <-done)
+	stop()
 }
--- a/internal/discovery/slow_test.go
+++ b/internal/discovery/slow_test.go
@@ -1,7 +1,6 @@
 package discovery
 
 import (
-	"context"
 	"io"
 	"net"
 	"strings"
@@ -27,9 +26,7 @@
 		OnEvent:     func(ev Event) { events <- ev },
 		readTimeout: 100 * time.Millisecond,
 	}
-	ctx, cancel := context.WithCancel(t.Context())
-	done := make(chan error, 1)
-	go func() { done <- c.Run(ctx) }()
+	stop := runClient(t, c)
 	conn, err := listener.Accept()
 	require.NoError(t, err)
 	_, err = io.ReadFull(conn, make([]byte, 8))
@@ -48,7 +45,6 @@
 	case <-time.After(5 * time.Second):
 		t.Error("the list does not arrive")
 	}
-	cancel()
-	require.NoError(t, <-done)
+	stop()
 	_ = conn.Close()
 }
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -1,7 +1,6 @@
 package frontend
 
 import (
-	"context"
 	"io"
 	"net"
 	"sync/atomic"
@@ -13,7 +12,6 @@
 	"cairnfront/internal/clock"
 	"cairnfront/internal/netconn"
 	"cairnfront/internal/request"
-	"cairnfront/internal/telemetry"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
@@ -122,10 +120,7 @@
 func TestLastOutputReachesClientThatStillSends(t *testing.T) {
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	ctx, cancel := context.WithCancel(t.Context())
-	s := &Server{Admission: admission.New(64, 256), Metrics: telemetry.New(io.Discard, "")}
-	done := make(chan error)
-	go func() { done <- s.Serve(ctx, ln) }()
+	stop := serveOn(t, ln)
 	far, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", ln.Addr().String())
 	require.NoError(t, err)
 	_, _ = far.Write(clientproto.AppendHeader(nil, 77, 1, 0))
@@ -137,8 +132,7 @@
 	require.NoError(t, err)
 	assert.Contains(t, string(output), "unknown type 77")
 	_ = far.Close()
-	cancel()
-	assert.NoError(t, <-done)
+	stop()
 }
 
 // A request crosses the close of an idle connection. After a reset its client could not know whether it has run. One
@@ -198,7 +192,7 @@
 	c := newTestConnOverTCP(t, ignoreSocket, func(far net.Conn) {
 		_, _ = far.Write(append(query, make([]byte, 500_000)...))
 	})
-	assert.Eventually(t, func() bool { return c.evict(clock.Now().Add(time.Hour)) }, time.Minute, time.Millisecond)
+	c.evictSoon(t)
 	c.readUntilEnd(t)
 	assert.Contains(t, c.log.String(), "reason=evicted")
 }
--- a/internal/frontend/connstate_test.go
+++ b/internal/frontend/connstate_test.go
@@ -62,8 +62,8 @@
 	assert.Equal(t, now.Add(maxWriteDuration), outgoingFrame{}.writeDeadline(now))
 }
 
-// Accepts fail without end, and a loop that tries again at once takes a core. A shortage of descriptors is waited for
-// at once, other failures after some in series.
+// Accepts fail without end, and a loop that tries again at once takes a core. After a shortage of descriptors the next
+// accept is delayed, after another failure only where several came in series.
 func TestAcceptsThatFailInSeriesAreDelayed(t *testing.T) {
 	assert.False(t, acceptAgainAtOnce(true, 1))
 	assert.True(t, acceptAgainAtOnce(false, acceptRetriesAtOnce))
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -97,7 +97,7 @@
 func endedByEviction(t *testing.T) string {
 	t.Helper()
 	c := newTestConn(t, true)
-	assert.Eventually(t, func() bool { return c.evict(clock.Now().Add(time.Hour)) }, time.Minute, time.Millisecond)
+	c.evictSoon(t)
 	return endedLine(t, c)
 }
 
--- a/internal/frontend/helpers_test.go
+++ b/internal/frontend/helpers_test.go
@@ -235,6 +235,12 @@
 	}, time.Minute, time.Millisecond)
 }
 
+// evictSoon evicts the connection once it is served.
+func (c *testClient) evictSoon(t *testing.T) {
+	t.Helper()
+	assert.Eventually(t, func() bool { return c.evict(clock.Now().Add(time.Hour)) }, time.Minute, time.Millisecond)
+}
+
 // startServer serves a listener on loopback until the test ends. prepare, where set, is called before the first accept.
 func startServer(t *testing.T, prepare func(net.Listener)) (s *Server, sink *testSink, dial func() *testClient) {
 	t.Helper()
--- a/internal/frontend/timeouts_test.go
+++ b/internal/frontend/timeouts_test.go
@@ -105,7 +105,7 @@
 // free soon.
 func TestEvictedConnFreesItsPlaceSoon(t *testing.T) {
 	c := newTestConnOverTCP(t, ignoreSocket, ignoreSocket)
-	assert.Eventually(t, func() bool { return c.evict(clock.Now().Add(time.Hour)) }, time.Minute, time.Millisecond)
+	c.evictSoon(t)
 	<-c.done
 	assert.Positive(t, c.socket.lingerNanos.Load())
 	assert.LessOrEqual(t, c.socket.lingerNanos.Load(), int64(evictionCloseTimeout), "the place is needed")
--- a/internal/upstream/addresses_test.go
+++ b/internal/upstream/addresses_test.go
@@ -175,8 +175,8 @@
 	assert.Contains(t, one, "do a ")
 }
 
-// The list changes while an address is dialed, as the address has passed to another endpoint. The attempt would reach a
-// stranger. Nothing is written there, and the attempt goes to a listed address.
+// The list changes while an address is dialed: the address may have passed to another endpoint, and the attempt would
+// reach a stranger. Nothing is written there, and the attempt goes to a listed address.
 func TestUnlistedAddressIsNotUsed(t *testing.T) {
 	s := newMultiAddressPool(t, 20)
 	s.send("a", 0)
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -50,11 +50,7 @@
 	far := <-s.dialed
 	assert.Equal(t, "do a", readCommand(t, bufio.NewReaderSize(far, 16))) // and some of b
 	_ = far.Close()
-	ends := map[*Attempt]routing.AttemptResult{}
-	for range 2 {
-		e := s.nextEnd()
-		ends[e.Attempt] = e.End.Result
-	}
+	ends := s.nextTwoResults()
 	assert.Len(t, ends, 2)
 	assert.Equal(t, routing.ConnectionBroken, ends[whole])
 	assert.Equal(t, routing.ConnectFailed, ends[part])
@@ -70,11 +66,7 @@
 	far := <-s.dialed
 	_, _ = far.Read(make([]byte, 16))
 	_ = far.Close()
-	ends := map[*Attempt]routing.AttemptResult{}
-	for range 2 {
-		e := s.nextEnd()
-		ends[e.Attempt] = e.End.Result
-	}
+	ends := s.nextTwoResults()
 	assert.Equal(t, routing.NotSent, ends[b])
 }
 
--- a/internal/upstream/testpool_test.go
+++ b/internal/upstream/testpool_test.go
@@ -107,6 +107,16 @@
 	}
 }
 
+// nextTwoResults waits for the next two ends of attempts, in whatever order.
+func (s *testPool) nextTwoResults() map[*Attempt]routing.AttemptResult {
+	results := map[*Attempt]routing.AttemptResult{}
+	for range 2 {
+		ended := s.nextEnd()
+		results[ended.Attempt] = ended.End.Result
+	}
+	return results
+}
+
 // readCommand reads one command as an endpoint does and returns its first two words.
 func readCommand(t *testing.T, r *bufio.Reader) string {
 	t.Helper()
--- a/internal/upstream/writer_test.go
+++ b/internal/upstream/writer_test.go
@@ -88,8 +88,8 @@
 	assert.InDelta(t, writeStallTimeout, time.Since(startedAt), float64(writeStallTimeout/2))
 }
 
-// An attempt is cancelled while its line waits for a socket that takes nothing. What was read and what follows could be
-// out of step. The line of the attempt is followed by its cancel, and it ends as cancelled.
+// An attempt is cancelled while its line waits for a socket that takes nothing. Written later, it would run for nobody.
+// Only its cancel is written, and it ends as cancelled.
 func TestCancelWhileTheSocketTakesNothing(t *testing.T) {
 	s := newTestPool(t)
 	a := s.sendWithin("a", 0, Bounds{Deadline: clock.Now().Add(time.Minute)})
