--- a/cmd/cairnfront/harness_test.go
+++ b/cmd/cairnfront/harness_test.go
@@ -58,16 +58,16 @@
 	buffer bytes.Buffer
 }
 
-func (x *logBuffer) Write(p []byte) (int, error) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.buffer.Write(p)
+func (l *logBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.buffer.Write(p)
 }
 
-func (x *logBuffer) String() string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.buffer.String()
+func (l *logBuffer) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.buffer.String()
 }
 
 // routerProcess is a running router.
@@ -286,7 +286,7 @@
 // together may reach a process as one.
 func (s *routerProcess) reload(t *testing.T) {
 	t.Helper()
-	reloads := func() int { return s.logCount("configuration reloaded") }
+	reloads := func() int { return s.logCount("bootstrap file reloaded") }
 	before := reloads()
 	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool { return reloads() == before+1 }, patience, time.Millisecond)
--- a/internal/dispatch/states_test.go
+++ b/internal/dispatch/states_test.go
@@ -10,8 +10,8 @@
 // An attempt that ends twice, or a request that is answered twice, makes the counts of what is open wrong for good. An
 // attempt ends once, and a request has one final response.
 func TestStatesOnlyGoForward(t *testing.T) {
-	for from := range attemptStateCount {
-		for to := range attemptStateCount {
+	for from := range sendStateCount {
+		for to := range sendStateCount {
 			a := &attempt{state: from}
 			assert.Equal(t, to > from, a.move(to), "attempt: %d to %d", from, to)
 			assert.Equal(t, max(from, to), a.state, "attempt: %d to %d", from, to)
