--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -7,6 +7,7 @@
 	"cairnfront/internal/request"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
 // TestLimitsFollowMemoryAndDescriptors holds the limits of some sizes of a process.
@@ -39,6 +40,8 @@
 	}
 }
 
+// Limits whose sum exceeds the memory or the descriptors end the process, or leave no descriptor for its files. The
+// limits of one size together stay below both.
 func TestLimitsLeaveRoom(t *testing.T) {
 	c := New(192, 1024)
 	heapBytes := float64(HeapLimitBytes(192))
@@ -47,6 +50,9 @@
 	assert.Less(t, c.limits.clients+c.limits.endpointConns+c.limits.refusedClients, int64(1024-32))
 }
 
+// More requests come than memory allows. Without a limit the process grows until the system ends it. A request over the
+// number, or while memory is nearly full, is not admitted, and the reason says which; a wait for memory ends with its
+// context.
 func TestRequestsOverTheLimitsAreNotAdmitted(t *testing.T) {
 	c := New(192, 1024)
 	c.limits.requests = 2
@@ -56,16 +62,17 @@
 	c.RequestDone()
 	assert.Empty(t, c.AdmitRequest(0))
 	body, err := c.Bodies.Allocate(t.Context(), int(c.limits.nearlyFullBytes)+1)
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	assert.Equal(t, request.ReasonMemoryShort, c.AdmitRequest(0))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err = c.Bodies.Allocate(ctx, int(c.limits.nearlyFullBytes))
-	assert.ErrorIs(t, err, context.Canceled)
+	require.ErrorIs(t, err, context.Canceled)
 	body.Free()
 }
 
-// TestOwnBodyDoesNotCount: a request is admitted whatever the size of its own body.
+// A large body makes memory nearly full, and its own request would be rejected for that. Large requests would never be
+// served. A request is admitted whatever the size of its own body.
 func TestOwnBodyDoesNotCount(t *testing.T) {
 	c := New(192, 1024)
 	own := c.Bodies.TryAllocate(int(c.limits.nearlyFullBytes) + 1)
--- a/internal/admission/readiness_test.go
+++ b/internal/admission/readiness_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// A router that calls itself ready before it can serve, or while it drains, gets requests that it has to reject. It is
+// ready only between the two.
 func TestReadyUntilDraining(t *testing.T) {
 	c := New(192, 1024)
 	assert.False(t, c.Ready())
@@ -17,6 +19,8 @@
 	assert.True(t, c.Draining())
 }
 
+// A process that ends while a request is open loses its answer, and one that waits without bound never ends. The wait
+// lasts until the last request is done, or until its time is over.
 func TestWaitDrainedWaitsForOpenRequests(t *testing.T) {
 	c := New(192, 1024)
 	c.WaitDrained(t.Context(), 0, time.Hour)
@@ -38,7 +42,8 @@
 	assert.EqualValues(t, 1, c.OpenRequests())
 }
 
-// TestPhaseOnlyGoesForward: the end of a drain is not undone by what comes late.
+// The start ends late, while the router drains already. It would call itself ready again, and clients would come to a
+// process that ends. A phase is never undone by what comes late.
 func TestPhaseOnlyGoesForward(t *testing.T) {
 	c := New(192, 1024)
 	for _, step := range []struct {
--- a/internal/discovery/dial_test.go
+++ b/internal/discovery/dial_test.go
@@ -15,7 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestConnectionThatComesUpLateIsUsed: a service whose connections take longer than a second to come up is followed.
+// Connections to the service take longer than a second to come up. A router that gives each up after a second never
+// follows the service. The late one is used, and a second dial beside it does not end it.
 func TestConnectionThatComesUpLateIsUsed(t *testing.T) {
 	near, far := net.Pipe()
 	var dials atomic.Int32
@@ -34,15 +35,12 @@
 			}
 		},
 	}
-	ctx, cancel := context.WithCancel(t.Context())
-	done := make(chan error, 1)
-	go func() { done <- c.Run(ctx) }()
+	stop := runClient(t, c)
 	query := make([]byte, 8)
 	require.NoError(t, far.SetReadDeadline(time.Now().Add(5*time.Second)))
 	_, err := io.ReadFull(far, query)
 	require.NoError(t, err)
 	assert.Zero(t, binary.BigEndian.Uint64(query))
 	assert.EqualValues(t, 2, dials.Load())
-	cancel()
-	assert.NoError(t, <-done)
+	stop()
 }
--- a/internal/discovery/slow_test.go
+++ b/internal/discovery/slow_test.go
@@ -1,7 +1,6 @@
 package discovery
 
 import (
-	"context"
 	"io"
 	"net"
 	"strings"
@@ -14,10 +13,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestListThatComesSlowlyIsRead sends a list in pieces, each soon enough after the one before, that take longer than
-// the silence after which a connection is given up.
+// A long list comes over a slow link and takes longer than the silence after which a connection is given up. The router
+// would begin the list again and again and never have it. A list in pieces, each soon enough after the one before, is
+// read to its end.
 func TestListThatComesSlowlyIsRead(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	events := make(chan Event, 9)
 	c := &Client{
@@ -26,9 +26,7 @@
 		OnEvent:     func(ev Event) { events <- ev },
 		readTimeout: 100 * time.Millisecond,
 	}
-	ctx, cancel := context.WithCancel(t.Context())
-	done := make(chan error, 1)
-	go func() { done <- c.Run(ctx) }()
+	stop := runClient(t, c)
 	conn, err := listener.Accept()
 	require.NoError(t, err)
 	_, err = io.ReadFull(conn, make([]byte, 8))
@@ -47,7 +45,6 @@
 	case <-time.After(5 * time.Second):
 		t.Error("the list does not arrive")
 	}
-	cancel()
-	assert.NoError(t, <-done)
+	stop()
 	_ = conn.Close()
 }
--- a/internal/dispatch/events_test.go
+++ b/internal/dispatch/events_test.go
@@ -9,11 +9,14 @@
 	"cairnfront/routing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
 // purgeAt98 is a purge of the object ff.
 var purgeAt98 = discovery.Event{Kind: discovery.PurgeObject, Purge: discovery.Purge{Object: "ff", PurgedAt: 98}}
 
+// The clock is set back between two events. Decisions that see time run backwards miscount what they measure. Events
+// come in their order, and their times never decrease.
 func TestEventsKeepOrderAndClock(t *testing.T) {
 	f := newFixture(t, nil)
 	f.arrive(f.request)
@@ -36,8 +39,9 @@
 	assert.Empty(t, f.requests)
 }
 
-// TestCancellationsOvertakeAFullQueue shows that neither who reports a cancellation waits, nor do the decisions learn
-// of it after what was queued before.
+// Clients disconnect while the queue of events is full. Attempts would be started for nobody, and the reader of a
+// connection would wait for room. Who reports a cancellation does not wait, and the decisions learn of it before what
+// was queued.
 func TestCancellationsOvertakeAFullQueue(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
@@ -52,20 +56,24 @@
 		}
 		return nil
 	}
-	assert.NoError(t, f.Run(ctx))
+	require.NoError(t, f.Run(ctx))
 	assert.Equal(t, routing.ClientDisconnected{Request: "ab"}, f.decider.events[before], "before the queue")
 }
 
+// The event loop has stopped while a connection still reports events. Once the queue is full the reporter would wait
+// for ever, and the process would not end. Events are dropped from then on.
 func TestEventsAreDroppedOnceTheLoopStopped(t *testing.T) {
 	f := newFixture(t, nil)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.NoError(t, f.Run(ctx))
+	require.NoError(t, f.Run(ctx))
 	for range queueCapacity + 1 { // the last one would wait for ever
 		f.DiscoveryEvent(purgeAt98)
 	}
 }
 
+// Code of the event loop panics. The process would end with every request that is open. The panic is logged and
+// counted, and the loop goes on.
 func TestPanicOfTheLoopItselfIsSurvived(t *testing.T) {
 	f := newFixture(t, nil)
 	f.request.ResponseWriter = nil
@@ -74,7 +82,7 @@
 		f.respond(f.requests["ab"], request.Response{})
 	})
 	assert.Contains(t, f.log.String(), "component=dispatch")
-	assert.EqualValues(t, 1, f.Metrics.Value("panics_total"))
+	assert.EqualValues(t, 1, f.Metrics.Value("panics_total")) //nolint:testifylint // exact by intent
 	f.arrive(&request.Request{ID: "cd", ResponseWriter: f.recorder})
 	assert.Len(t, f.requests, 2)
 }
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -10,6 +10,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// A decision panics over one request. The others must not notice, and the client must not wait until its deadline. That
+// request is aborted, the stack is in the log, and the decisions are asked to forget it.
 func TestPanicOfADecisionAbortsOneRequest(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		if _, ok := ev.(routing.RequestArrived); ok {
@@ -27,6 +29,8 @@
 	assert.Equal(t, routing.ClientDisconnected{Request: "ab"}, f.decider.events[len(f.decider.events)-1])
 }
 
+// The decisions start no further attempt and give no answer either. The request would stay open, with its memory, for
+// ever. It is aborted a little after its deadline, and not before.
 func TestRequestThatTheDecisionsForgetIsAborted(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
@@ -40,6 +44,8 @@
 	assert.Empty(t, f.requests)
 }
 
+// A client uses the id of a request that is open. The answers of the two could be confused, and a cancel of one would
+// end the other. The second is rejected and the first goes on.
 func TestRequestWithAnIDInUseIsRejected(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
@@ -53,8 +59,9 @@
 	assert.Equal(t, request.Aborted, f.recorder.responses[1].Result)
 }
 
-// TestNoAttemptOnceTheClientDisconnected shows that, though the cancellation is not handled yet, neither a first nor a
-// further attempt is sent, and the decisions learn of the disconnect before they learn how the attempt ended.
+// A client disconnects, and the end of an attempt is handled before the cancellation. A retry would run for nobody.
+// Neither a first nor a further attempt is sent, and the decisions learn of the disconnect before they learn how the
+// attempt ended.
 func TestNoAttemptOnceTheClientDisconnected(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		switch ev := ev.(type) {
@@ -87,8 +94,8 @@
 	assert.Len(t, f.decider.events, 5, "nothing is decided about one that was cancelled in the queue")
 }
 
-// TestNothingBeginsOnceAllRequestsAreAborted: the attempts of aborted requests are cancelled before their line is
-// begun, and a request that was on its way to the loop is rejected.
+// The process ends while requests wait for their turn. One that is answered as aborted could still be sent and run. Its
+// attempts are cancelled before their line is begun, and a request that was on its way to the loop is rejected.
 func TestNothingBeginsOnceAllRequestsAreAborted(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
--- a/internal/dispatch/timers_test.go
+++ b/internal/dispatch/timers_test.go
@@ -8,6 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// Several timers are due at once after the loop was late. Decisions that learn of them in another order differ from run
+// to run. They fire by due time, then in the order in which they were set, and the delay is recorded.
 func TestTimersRunByDueTimeThenInTheOrderInWhichTheyWereSet(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		if ev == (routing.TimerFired{Token: 1}) {
@@ -29,5 +31,6 @@
 		routing.TimerFired{Token: 3},
 		routing.TimerFired{Token: 5},
 	}, f.decider.events[1:])
+	//nolint:testifylint // exact by intent
 	assert.EqualValues(t, 1.5, f.Metrics.Value("dispatch_timer_delay_max_seconds"))
 }
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -1,7 +1,6 @@
 package frontend
 
 import (
-	"context"
 	"io"
 	"net"
 	"sync/atomic"
@@ -13,11 +12,13 @@
 	"cairnfront/internal/clock"
 	"cairnfront/internal/netconn"
 	"cairnfront/internal/request"
-	"cairnfront/internal/telemetry"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
+// A client sends queries and reads no answer. The answers would pile up in memory. Its connection is closed as that of
+// a slow reader.
 func TestClientThatDoesNotReadIsClosed(t *testing.T) {
 	c := newTestConn(t, true)
 	for range 1030 {
@@ -29,7 +30,8 @@
 	assert.Contains(t, c.log.String(), "reason=slow_reader")
 }
 
-// TestViolationClosesAfterOpenRequestsAreAnswered: the client gets an error frame first.
+// A client breaks the protocol while a request is open. Closing at once would lose an answer that is paid for, and the
+// client would not learn what was wrong. It gets an error frame, then the answer, then the end.
 func TestViolationClosesAfterOpenRequestsAreAnswered(t *testing.T) {
 	for want, bad := range map[string][]byte{
 		"length": {0xff, 0, 0, 0, 100, 0, 0, 0, 9}, "type 77": clientproto.AppendHeader(nil, 77, 9, 0),
@@ -46,13 +48,14 @@
 		_, stream, _ = c.readFrame(t)
 		assert.EqualValues(t, 1, stream)
 		_, err := c.Read(make([]byte, 1))
-		assert.ErrorIs(t, err, io.EOF)
+		require.ErrorIs(t, err, io.EOF)
 		<-c.done
 		assert.Contains(t, c.log.String(), "reason=protocol_error")
 	}
 }
 
-// TestDisconnectAfterViolationIsNoticed: frames are not followed any more, but a disconnect cancels open requests.
+// After a violation no frame is followed any more, and the client disconnects while a request is open. The request
+// would go on for nobody. The disconnect cancels it.
 func TestDisconnectAfterViolationIsNoticed(t *testing.T) {
 	c := newTestConn(t, true)
 	_, _ = c.Write(requestFrame(1, "aa"))
@@ -80,8 +83,8 @@
 	return over
 }
 
-// TestFloodIsSlowedWhileRequestIsOpen: after a violation input is read on while a request is open, but slowly, so that
-// a flood does not cost the processor.
+// After a violation a client floods the connection while a request is open. To read and drop all of it would cost the
+// processor that others need. Input is read on, so that a disconnect is noticed, but slowly.
 func TestFloodIsSlowedWhileRequestIsOpen(t *testing.T) {
 	c := newTestConnOverTCP(t, ignoreSocket, ignoreSocket)
 	_, _ = c.Write(requestFrame(1, "aa"))
@@ -101,7 +104,8 @@
 	<-flooded
 }
 
-// TestFloodAfterViolationDoesNotDelayClose: the close comes though input never ends.
+// After a violation a client goes on to send without end. A connection that reads until its input ends would never
+// close. The close comes all the same.
 func TestFloodAfterViolationDoesNotDelayClose(t *testing.T) {
 	c := newTestConnOverTCP(t, ignoreSocket, ignoreSocket)
 	_, _ = c.Write(clientproto.AppendHeader(nil, 77, 9, 0))
@@ -111,31 +115,29 @@
 	assert.Contains(t, c.log.String(), "reason=protocol_error")
 }
 
-// TestLastOutputReachesClientThatStillSends: a close with unread input would reset the connection.
+// A connection is closed with unread input. The system would reset it, and the client would lose the error frame that
+// says why. The last output arrives, and then the end.
 func TestLastOutputReachesClientThatStillSends(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NoError(t, err)
-	ctx, cancel := context.WithCancel(t.Context())
-	s := &Server{Admission: admission.New(64, 256), Metrics: telemetry.New(io.Discard, "")}
-	done := make(chan error)
-	go func() { done <- s.Serve(ctx, ln) }()
-	far, err := net.Dial("tcp", ln.Addr().String())
-	assert.NoError(t, err)
+	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	stop := serveOn(t, ln)
+	far, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", ln.Addr().String())
+	require.NoError(t, err)
 	_, _ = far.Write(clientproto.AppendHeader(nil, 77, 1, 0))
 	for range 20 {
 		_, err = far.Write(make([]byte, 64<<10))
-		assert.NoError(t, err)
+		require.NoError(t, err)
 	}
 	output, err := io.ReadAll(far)
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	assert.Contains(t, string(output), "unknown type 77")
 	_ = far.Close()
-	cancel()
-	assert.NoError(t, <-done)
+	stop()
 }
 
-// TestRequestThatCrossesIdleClose: a request that arrives before the close is decided is served. One that crosses the
-// close meets a half-closed connection and no reset, so its client knows that it was not served.
+// A request crosses the close of an idle connection. After a reset its client could not know whether it has run. One
+// that arrives before the close is decided is served. One that crosses the close meets a half-closed connection and no
+// reset, so its client knows that it was not served.
 func TestRequestThatCrossesIdleClose(t *testing.T) {
 	query := readinessQuery(5)
 	var came atomic.Bool
@@ -163,7 +165,8 @@
 	assert.Contains(t, c.log.String(), "reason=idle_timeout")
 }
 
-// TestGracefulClosesResetNothing: whatever a client writes at the time of the close, under every timeout.
+// A timeout closes a connection at the moment at which its client writes. A reset would destroy output that is on its
+// way. Under every timeout the client sees an end and no reset.
 func TestGracefulClosesResetNothing(t *testing.T) {
 	query := readinessQuery(5)
 	for code, input := range map[netconn.EndCode][]byte{
@@ -189,7 +192,7 @@
 	c := newTestConnOverTCP(t, ignoreSocket, func(far net.Conn) {
 		_, _ = far.Write(append(query, make([]byte, 500_000)...))
 	})
-	assert.Eventually(t, func() bool { return c.evict(clock.Now().Add(time.Hour)) }, time.Minute, time.Millisecond)
+	c.evictSoon(t)
 	c.readUntilEnd(t)
 	assert.Contains(t, c.log.String(), "reason=evicted")
 }
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -13,24 +13,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestConnAcceptedDuringDrainGetsGoAway: at once, before it sends a request.
+// A client connects while the process drains. It would send requests to a process that is about to end. It gets GOAWAY
+// at once, before it sends a request.
 func TestConnAcceptedDuringDrainGetsGoAway(t *testing.T) {
 	s, _, dial := startServer(t, nil)
 	s.BeginDrain()
 	kind, _, _ := dial().readFrame(t)
-	assert.EqualValues(t, clientproto.TypeGoAway, kind)
+	assert.Equal(t, clientproto.TypeGoAway, kind)
 }
 
-// TestBacklogIsServedDuringDrain: a client that connected and wrote before the listener closed gets a response. The
-// accept deadline has passed before the first accept: without a second wait the listener would reset its backlog.
+// A client connected and wrote before the listener closed, and nobody had accepted it yet. Its request would be reset
+// with the backlog. It gets a response, also where the accept deadline has passed before the first accept, as a second
+// wait follows.
 func TestBacklogIsServedDuringDrain(t *testing.T) {
 	var c *testClient
 	s, sink, _ := startServer(t, func(ln net.Listener) {
-		far, err := net.Dial("tcp", ln.Addr().String())
+		far, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", ln.Addr().String())
 		require.NoError(t, err)
 		c = &testClient{Conn: far}
 		_, _ = c.Write(requestFrame(1, "aa"))
-		_ = ln.(*net.TCPListener).SetDeadline(time.Unix(1, 0))
+		tcp, ok := ln.(*net.TCPListener)
+		require.True(t, ok)
+		require.NoError(t, tcp.SetDeadline(time.Unix(1, 0)))
 	})
 	s.BeginDrain()
 	finished := make(chan bool)
@@ -47,13 +51,14 @@
 		}
 	}
 	_, err := io.Copy(io.Discard, c)
-	assert.NoError(t, err, "ended, not reset")
+	require.NoError(t, err, "ended, not reset")
 	_ = c.Close()
 	<-finished
 }
 
-// TestFinishDrainClosesInOrder: an idle connection is closed at once, one with an open request after the response, one
-// in the middle of a request after that has come and is answered.
+// The end of a drain closes connections that still have requests, and their answers are lost. An idle connection is
+// closed at once, one with an open request after the response, one in the middle of a request after that has come and
+// is answered.
 func TestFinishDrainClosesInOrder(t *testing.T) {
 	s, sink, dial := startServer(t, nil)
 	idleClient, openClient, partialClient := dial(), dial(), dial()
@@ -71,7 +76,7 @@
 		close(finished)
 	}()
 	_, err := io.Copy(io.Discard, idleClient)
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	_ = idleClient.Close()
 	_, _ = partialClient.Write(frame[20:])
 	fromPartial := <-sink.arrived
@@ -80,7 +85,7 @@
 	}
 	for _, c := range []*testClient{openClient, partialClient} {
 		n, err := io.Copy(io.Discard, c)
-		assert.NoError(t, err)
+		require.NoError(t, err)
 		assert.Greater(t, n, int64(200_000), "the response is complete")
 		_ = c.Close()
 	}
--- a/internal/frontend/framereader_test.go
+++ b/internal/frontend/framereader_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"fmt"
 	"io"
+	"slices"
 	"testing"
 
 	"cairnfront/internal/clientproto"
@@ -12,8 +13,12 @@
 	"cairnfront/routing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
+// A client cancels a request, or closes its connection, before the answer. An attempt would go on for nobody. The open
+// request is reported as cancelled once, and a response that comes later is dropped. One that is answered already is
+// not.
 func TestRequestIsDecodedAnsweredAndCancelled(t *testing.T) {
 	c := newTestConn(t, true)
 	before := clock.NowSeconds()
@@ -38,9 +43,12 @@
 	r = <-c.sink.arrived
 	_ = c.Close()
 	assert.Equal(t, r, <-c.sink.cancelled)
+	//nolint:testifylint // exact by intent
 	assert.EqualValues(t, 1, c.Metrics.Value(`requests_cancelled_total{class="page",reason="connection_closed"}`))
 }
 
+// A client that is not informed of a drain goes on to send requests to a process that ends. Readiness and GOAWAY follow
+// the state of admission, and a request that comes all the same is served.
 func TestReadinessFollowsAdmission(t *testing.T) {
 	c := newTestConn(t, true)
 	query := readinessQuery(5)
@@ -65,7 +73,8 @@
 	assert.EqualValues(t, 1, stream)
 }
 
-// TestMalformedRequestsAreAnsweredOnTheirStream: the connection goes on.
+// One request of a client can not be decoded. Ending the connection would fail its other requests too. The request is
+// answered with an error on its stream, and the connection goes on.
 func TestMalformedRequestsAreAnsweredOnTheirStream(t *testing.T) {
 	c := newTestConn(t, true)
 	big := clientproto.AppendHeader(nil, clientproto.TypeRequest, 1, clientproto.MaxRequestBytes+1)
@@ -89,6 +98,8 @@
 	assert.EqualValues(t, 7, stream)
 }
 
+// A client opens more requests than a connection may have, or sends a body for which there is no memory. Both would let
+// one client take the memory of all. The request is rejected at once and the reason is counted.
 func TestRequestsOverLimitsAreRejected(t *testing.T) {
 	c := newTestConn(t, true)
 	for stream := uint32(1); stream <= maxOpenRequests; stream++ {
@@ -106,18 +117,21 @@
 	_, stream, payload = c.readFrame(t)
 	assert.Equal(t, []any{uint32(maxOpenRequests + 2), "\x00\x00"}, []any{stream, payload}, "no memory for a body")
 	body.Free()
+	//nolint:testifylint // exact by intent
 	assert.EqualValues(t, 1, answered(c, "page", "rejected", "too_many_streams"))
+	//nolint:testifylint // exact by intent
 	assert.EqualValues(t, 1, answered(c, "unknown", "rejected", "body_memory_exhausted"))
 }
 
-// TestFullQueueRejectsAtOnce: and the reader goes on, so it sees what comes next, a disconnect too.
+// The queue of the event loop is full. A reader that waits for room sees neither a cancel nor a disconnect. The request
+// is rejected at once, and the reader goes on.
 func TestFullQueueRejectsAtOnce(t *testing.T) {
 	c := newTestConn(t, true)
 	c.sink.accept = func() bool { return false }
 	_, _ = c.Write(requestFrame(1, "aa", clientproto.Field{Name: "heap", Value: "1"}))
 	_, stream, payload := c.readFrame(t)
 	assert.Equal(t, []any{uint32(1), "\x00\x00"}, []any{stream, payload})
-	assert.EqualValues(t, 1, answered(c, "page", "rejected", "queue_full"))
+	assert.EqualValues(t, 1, answered(c, "page", "rejected", "queue_full")) //nolint:testifylint // exact by intent
 	assert.Zero(t, c.Admission.Bodies.UsedBytes())
 	c.sink.accept = nil
 	_, _ = c.Write(requestFrame(2, "bb"))
@@ -126,7 +140,8 @@
 	assert.Equal(t, r, <-c.sink.cancelled)
 }
 
-// TestShortMemoryRejectsAllSizesAlike: small requests do not fill what is left of the budget while large ones starve.
+// Memory for bodies is nearly full. Small requests would fill what is left, and large ones would never be served.
+// Requests of all sizes are rejected alike.
 func TestShortMemoryRejectsAllSizesAlike(t *testing.T) {
 	c := newTestConn(t, true)
 	stream := uint32(0)
@@ -139,7 +154,7 @@
 		for _, size := range []int{0, clientproto.MaxBodyBytes} {
 			stream++
 			fields := requestFrame(stream, fmt.Sprintf("%02x", stream))[clientproto.HeaderSize:]
-			payload := append(fields, make([]byte, size)...)
+			payload := slices.Concat(fields, make([]byte, size))
 			go func() {
 				header := clientproto.AppendHeader(nil, clientproto.TypeRequest, stream, len(payload))
 				_, _ = c.Write(append(header, payload...))
@@ -158,7 +173,8 @@
 	}
 }
 
-// TestPanicAbortsOneRequest: a panic of the sink aborts the request; one of the reader closes its connection.
+// The handling of one request panics, or the reader itself does. The process would end with all connections. The first
+// aborts its request alone, and the second closes its connection.
 func TestPanicAbortsOneRequest(t *testing.T) {
 	c := newTestConn(t, true)
 	c.sink.accept = func() bool { panic("a fault") }
@@ -166,13 +182,13 @@
 	_, stream, payload := c.readFrame(t)
 	assert.Equal(t, []any{uint32(1), "\x09\x00"}, []any{stream, payload})
 	assert.Contains(t, c.log.String(), "a fault")
-	assert.EqualValues(t, 1, answered(c, "page", "aborted", "panic"))
+	assert.EqualValues(t, 1, answered(c, "page", "aborted", "panic")) //nolint:testifylint // exact by intent
 	_, _ = c.Write(readinessQuery(0))
 	c.readFrame(t) // the reader is done with the request, and with Admission until the next frame
 	c.Admission = nil
 	_, _ = c.Write(readinessQuery(0))
 	_, err := c.Read(make([]byte, 1))
-	assert.ErrorIs(t, err, io.EOF)
+	require.ErrorIs(t, err, io.EOF)
 	c.Admission = c.admission
 	<-c.done
 	assert.Contains(t, c.log.String(), "reason=panic")
--- a/internal/frontend/responsewriter_test.go
+++ b/internal/frontend/responsewriter_test.go
@@ -14,10 +14,12 @@
 	"cairnfront/internal/telemetry"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
 // newTestWriter makes a response writer with an open request on stream 1.
 func newTestWriter(t *testing.T) (*responseWriter, *request.Request) {
+	t.Helper()
 	admitted := admission.New(64, 256)
 	w := newResponseWriter(telemetry.New(&bytes.Buffer{}, ""), admitted)
 	r := &request.Request{StreamID: 1, ClassName: "page"}
@@ -26,6 +28,8 @@
 	return w, r
 }
 
+// A client cancels a stream whose response is queued. The client could have forgotten the stream, and the body would
+// stay in memory until it is written. The response is dropped and its body is given back.
 func TestResponseToCancelledStreamIsDropped(t *testing.T) {
 	w, r := newTestWriter(t)
 	body := w.admission.Bodies.TryAllocate(100)
@@ -36,6 +40,9 @@
 	assert.Zero(t, w.admission.OpenRequests())
 }
 
+// A connection ends with one response queued and one request open. Both would stay in memory, and the open request
+// would be answered to nobody. The open request is returned as cancelled, a later response is refused, and both bodies
+// are given back.
 func TestClosedWriterAcceptsNothing(t *testing.T) {
 	w, r := newTestWriter(t)
 	y := &request.Request{StreamID: 2, ClassName: "page"}
@@ -54,13 +61,15 @@
 	})
 }
 
+// A client stops reading in the middle of a response. The writer would wait without end and hold the response in
+// memory. The write fails after its limit.
 func TestWriteToSlowReaderFails(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	w, r := newTestWriter(t)
 	c := netconn.New(near, 64, time.Millisecond)
 	assert.True(t, w.Respond(r, request.Response{Body: w.admission.Bodies.TryAllocate(1000)}))
-	assert.Error(t, w.run(t.Context(), c))
+	require.Error(t, w.run(t.Context(), c))
 	var log bytes.Buffer
 	c.LogEnd(telemetry.New(&log, ""), telemetry.Remote{Side: telemetry.SideClient, Address: "x"})
 	assert.Contains(t, log.String(), "reason=slow_reader")
@@ -72,8 +81,9 @@
 	assert.True(t, w.queueFull())
 }
 
-// TestQuiesceChecksAndClosesInOneStep: no request may be open, and no output queued or on its way into the socket.
-// After quiesce returned true no control frame is queued.
+// A connection is closed as idle, and between the check and the close a request is opened or a frame is queued. Its
+// answer would be lost. No request may be open, and no output queued or on its way into the socket, and after quiesce
+// returned true no control frame is queued.
 func TestQuiesceChecksAndClosesInOneStep(t *testing.T) {
 	near, far := net.Pipe()
 	w, r := newTestWriter(t)
@@ -89,11 +99,12 @@
 	w.sendControl([]byte("more"))
 	assert.False(t, w.busy(), "no control frame is queued any more")
 	w.finish()
-	assert.NoError(t, <-done)
+	require.NoError(t, <-done)
 	assert.True(t, w.quiesce())
 }
 
-// TestCancellationTakesEffectAtOnce: everyone with the request sees it before the event loop handles it.
+// A client cancels, and the event loop handles that only after what is queued. Attempts would be sent for nobody
+// meanwhile. Everyone with the request sees the cancellation at once.
 func TestCancellationTakesEffectAtOnce(t *testing.T) {
 	w, r := newTestWriter(t)
 	assert.False(t, r.Cancelled())
@@ -104,7 +115,8 @@
 	assert.True(t, r.Cancelled())
 }
 
-// TestLateResponsesAreCountedAndLogged: those written after the deadline count; those well after it are logged.
+// Responses are written after the deadline, when the client has given up, and the counters of completed requests look
+// well. Each late response counts, and those well after their deadline are logged.
 func TestLateResponsesAreCountedAndLogged(t *testing.T) {
 	const wantLine = `msg="response written after deadline" request_id=ab class=page delay_seconds=36`
 	for _, test := range []struct {
@@ -123,8 +135,9 @@
 		w.open(r)
 		assert.True(t, w.Respond(r, request.Response{}))
 		w.finish()
-		assert.NoError(t, w.run(t.Context(), netconn.New(near, 64, time.Minute)))
+		require.NoError(t, w.run(t.Context(), netconn.New(near, 64, time.Minute)))
 		_ = far.Close()
+		//nolint:testifylint // exact by intent
 		assert.Equal(t, test.counted, w.metrics.Value("responses_after_deadline_total"))
 		assert.Equal(t, test.logged, strings.Contains(log.String(), wantLine))
 		assert.Zero(t, admitted.OpenRequests())
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -20,26 +20,30 @@
 	"github.com/stretchr/testify/require"
 )
 
+// The process is asked to end while a connection is open. A server that waits for its clients would not end. It ends
+// with its context, and its connections end too.
 func TestServeEndsWithItsContext(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NoError(t, err)
+	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	s := &Server{Admission: admission.New(64, 256), Metrics: telemetry.New(io.Discard, "")}
 	done := make(chan error)
 	go func() { done <- s.Serve(ctx, ln) }()
-	far, err := net.Dial("tcp", ln.Addr().String())
-	assert.NoError(t, err)
+	far, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", ln.Addr().String())
+	require.NoError(t, err)
 	_, _ = far.Write(readinessQuery(0))
 	_, err = io.ReadFull(far, make([]byte, 11))
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	cancel()
-	assert.NoError(t, <-done)
+	require.NoError(t, <-done)
 	_, err = far.Read(make([]byte, 1))
-	assert.Error(t, err)
+	require.Error(t, err)
+	//nolint:testifylint // exact by intent
 	assert.EqualValues(t, 1, s.Metrics.Value(`connections_closed_total{side="client",reason="shutdown"}`))
 }
 
-// TestClientOverLimitIsTold: a connection over the limit gets an error frame and is closed.
+// A client over the limit of connections is closed without a word, and tries again at once. It gets an error frame that
+// says why before the end.
 func TestClientOverLimitIsTold(t *testing.T) {
 	c := newTestConn(t, false)
 	_, stream, payload := c.readFrame(t)
@@ -66,14 +70,15 @@
 	return s.Listener.Accept()
 }
 
-// TestAcceptWithoutDescriptorEvicts: an idle connection is closed, and the listener goes on.
+// Idle connections take every descriptor, and no client can connect. The accept fails until one of them leaves. An idle
+// connection is closed for the new one, and the listener goes on.
 func TestAcceptWithoutDescriptorEvicts(t *testing.T) {
 	c := newTestConnOverTCP(t, ignoreSocket, ignoreSocket)
 	assert.Eventually(t, func() bool {
 		conn := c.conn()
 		return conn != nil && clock.Now().Sub(conn.LastRead()) > evictionMinIdle
 	}, time.Minute, time.Millisecond)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
@@ -84,7 +89,8 @@
 	assert.NoError(t, <-done, "the listener goes on until the context ends")
 }
 
-// TestRequestsOnConnOverLimitAreRejected: what was read on a connection over the limit is answered before its end.
+// A client over the limit of connections has sent requests already. Closed without an answer, it could not know whether
+// they ran. What was read is rejected before the end.
 func TestRequestsOnConnOverLimitAreRejected(t *testing.T) {
 	c := newTestConn(t, false)
 	for stream := uint32(1); stream <= 3; stream++ {
--- a/internal/netconn/conn_test.go
+++ b/internal/netconn/conn_test.go
@@ -19,6 +19,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Input crosses the end of the ring buffer, or ends in the middle of a frame. Bytes would be lost or read twice, and a
+// cut taken for a clean end. All bytes come in order, and an end within a read is an error of its own.
 func TestReadsWrapAroundTheBuffer(t *testing.T) {
 	near, far := net.Pipe()
 	c := New(near, 8, 0)
@@ -27,18 +29,20 @@
 		_ = far.Close()
 	}()
 	a, err := c.ReadLine()
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	b, err := c.ReadLine()
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	assert.Equal(t, []string{"one", "two"}, []string{string(a), string(b)})
-	assert.NoError(t, c.Discard(4))
+	require.NoError(t, c.Discard(4))
 	p := make([]byte, 12)
-	assert.NoError(t, c.ReadFull(p))
+	require.NoError(t, c.ReadFull(p))
 	assert.Equal(t, "456789abcdef", string(p))
-	assert.ErrorIs(t, c.ReadFull(p), io.ErrUnexpectedEOF, "cut short is no clean end")
+	require.ErrorIs(t, c.ReadFull(p), io.ErrUnexpectedEOF, "cut short is no clean end")
 	assert.ErrorIs(t, c.ReadFull(p), io.EOF)
 }
 
+// A peer sends a line without an end. The buffer would grow without bound. A line longer than the buffer is an error of
+// the protocol.
 func TestLineLongerThanTheBufferIsAProtocolError(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -47,8 +51,8 @@
 	assert.Equal(t, ProtocolError, ClassifyError(err))
 }
 
-// TestBytesAreCounted tests the counts of what was handed to Write and of what the socket took: they tell whether a
-// request may have run.
+// A connection breaks while a request is written. Whether the request may have run decides whether it may be repeated.
+// The counts of what was handed to Write and of what the socket took are exact.
 func TestBytesAreCounted(t *testing.T) {
 	near, far := net.Pipe()
 	c := New(near, 8, 0)
@@ -59,12 +63,14 @@
 		_ = far.Close()
 		got <- string(p)
 	}()
-	assert.NoError(t, c.Write([]byte("0123456789")))
+	require.NoError(t, c.Write([]byte("0123456789")))
 	assert.Equal(t, "01234567", <-got)
-	assert.Error(t, c.Flush())
+	require.Error(t, c.Flush())
 	assert.Equal(t, []int64{10, 8}, []int64{c.BytesBuffered(), c.BytesWritten()})
 }
 
+// A peer reads nothing, or too little. The writer would wait for it without end. A write that stalls, and one that
+// outlasts its deadline however steadily it is read, both fail as for a slow reader.
 func TestSlowReadersEndWrites(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -84,6 +90,8 @@
 	_ = far.Close()
 }
 
+// An operator sees a connection end and has to know which side caused it. Each error of a socket, also one that is
+// wrapped, has the end code of its cause.
 func TestErrorsAreClassified(t *testing.T) {
 	for err, want := range map[error]EndCode{
 		io.EOF:                 PeerClosed,
@@ -105,6 +113,8 @@
 	}
 }
 
+// A connection that fails is closed by several goroutines, each with a code of its own. The log would name a
+// consequence in place of the cause. The first code stays, with one line and one count a connection.
 func TestFirstEndCodeStays(t *testing.T) {
 	near, _ := net.Pipe()
 	c := New(near, 8, 0)
@@ -118,17 +128,19 @@
 	assert.Contains(t, log.String(), "side=client reason=protocol_error remote_address=x:1")
 	assert.Contains(t, log.String(), "error=why")
 	assert.Equal(t, 1, strings.Count(log.String(), "\n"))
-	assert.EqualValues(t, 1, b.Value(`connections_opened_total{side="client"}`))
-	assert.EqualValues(t, 0, b.Value(`connections_open{side="client"}`))
+	assert.EqualValues(t, 1, b.Value(`connections_opened_total{side="client"}`)) //nolint:testifylint // exact by intent
+	assert.EqualValues(t, 0, b.Value(`connections_open{side="client"}`))         //nolint:testifylint // exact by intent
+	//nolint:testifylint // exact by intent
 	assert.EqualValues(t, 1, b.Value(`connections_closed_total{side="client",reason="protocol_error"}`))
 }
 
 // tcpPair returns both sides of a connection over loopback: the near one as the program has it, and the far one.
 func tcpPair(t *testing.T) (near, far *net.TCPConn) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	c, err := net.Dial("tcp", ln.Addr().String())
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", ln.Addr().String())
 	require.NoError(t, err)
 	raw, err := ln.Accept()
 	require.NoError(t, err)
@@ -136,11 +148,14 @@
 		_ = raw.Close()
 		_ = c.Close()
 	})
-	return raw.(*net.TCPConn), c.(*net.TCPConn)
+	near, nearOK := raw.(*net.TCPConn)
+	far, farOK := c.(*net.TCPConn)
+	require.True(t, nearOK && farOK)
+	return near, far
 }
 
-// TestGracefulCloseDeliversTheOutput tests that the output arrives although input is unread. A close at once would
-// reset the connection.
+// A connection is closed while input is unread. The system would reset it, and the output would not arrive. The output
+// arrives, and the connection reads on until the other side has ended too.
 func TestGracefulCloseDeliversTheOutput(t *testing.T) {
 	near, far := tcpPair(t)
 	c := New(near, 1024, time.Second)
@@ -154,7 +169,7 @@
 		close(done)
 	}()
 	got, err := io.ReadAll(far)
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	assert.Equal(t, output, string(got))
 	assert.False(t, c.IsClosed(), "it reads on until the other side has ended too")
 	_ = far.Close()
@@ -162,8 +177,8 @@
 	assert.True(t, c.IsClosed())
 }
 
-// TestGracefulCloseIsBounded tests the bounds: in time for a peer that sends nothing and does not close, in bytes for
-// one that floods.
+// A peer neither sends nor closes, or floods the connection. A close that waits for its end would never be over. It is
+// bounded in time and in bytes.
 func TestGracefulCloseIsBounded(t *testing.T) {
 	near, _ := tcpPair(t)
 	c := New(near, 1024, 0)
@@ -198,8 +213,8 @@
 	return nil
 }
 
-// TestCloseRequestReadsPendingInputFirst tests that input which came as the end was requested is taken in. The user
-// is asked whether the connection may end only once nothing is unread, and after a no the connection goes on.
+// Input arrives as the end of a connection is requested. A request would be dropped unread. That input is taken in, the
+// user is asked whether the connection may end only once nothing is unread, and after a no the connection goes on.
 func TestCloseRequestReadsPendingInputFirst(t *testing.T) {
 	timeout := func([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 	bring := func(text string) func([]byte) (int, error) {
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -17,6 +17,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// An endpoint answers a later attempt first, and answers one that nobody knows. Responses could be handed to the wrong
+// attempt, or break the connection. Each goes to the attempt with its id, and the unknown one is counted and dropped.
 func TestResponsesComeInAnyOrder(t *testing.T) {
 	s := newTestPool(t)
 	a, b := s.send("a", 0), s.send("b", 0)
@@ -36,29 +38,26 @@
 	e.End.Body.Free()
 	assert.Zero(t, s.Admission.Bodies.UsedBytes())
 	assert.Equal(t, endedWith(a, routing.CacheMiss), s.nextEnd())
-	assert.EqualValues(t, 1, s.Metrics.Value("upstream_late_responses_total"))
+	assert.EqualValues(t, 1, s.Metrics.Value("upstream_late_responses_total")) //nolint:testifylint // exact by intent
 	assert.Equal(t, 1, s.ConnectionCount(), "one connection carries both")
 }
 
-// TestBrokenConnectionTellsWhatMayHaveRun tests that only what the socket took completely may have run.
+// A connection breaks in the middle of a request. Taken for one that may have run, it could not be repeated; taken for
+// one that did not, it could run twice. Only what the socket took completely may have run.
 func TestBrokenConnectionTellsWhatMayHaveRun(t *testing.T) {
 	s := newTestPool(t)
 	whole, part := s.send("a", 0), s.send("b", 200_000)
 	far := <-s.dialed
 	assert.Equal(t, "do a", readCommand(t, bufio.NewReaderSize(far, 16))) // and some of b
 	_ = far.Close()
-	ends := map[*Attempt]routing.AttemptResult{}
-	for range 2 {
-		e := s.nextEnd()
-		ends[e.Attempt] = e.End.Result
-	}
+	ends := s.nextTwoResults()
 	assert.Len(t, ends, 2)
 	assert.Equal(t, routing.ConnectionBroken, ends[whole])
 	assert.Equal(t, routing.ConnectFailed, ends[part])
 }
 
-// TestAttemptThatCrossesACloseIsNotSent tests an attempt of which nothing was written: the endpoint may just have
-// closed an idle connection.
+// An endpoint closes an idle connection as an attempt is about to be written. The endpoint would be blamed for a
+// failure. An attempt of which nothing was written ends as not sent.
 func TestAttemptThatCrossesACloseIsNotSent(t *testing.T) {
 	s := newTestPool(t)
 	s.MaxAttemptsPerConnection = 3
@@ -67,14 +66,12 @@
 	far := <-s.dialed
 	_, _ = far.Read(make([]byte, 16))
 	_ = far.Close()
-	ends := map[*Attempt]routing.AttemptResult{}
-	for range 2 {
-		e := s.nextEnd()
-		ends[e.Attempt] = e.End.Result
-	}
+	ends := s.nextTwoResults()
 	assert.Equal(t, routing.NotSent, ends[b])
 }
 
+// An endpoint closes in the middle of a body. The client would get half an object as if it were complete. The attempt
+// ends as broken, and the memory of the body is given back.
 func TestBodyCutShortIsBroken(t *testing.T) {
 	s := newTestPool(t)
 	s.send("a", 0)
@@ -86,6 +83,9 @@
 	assert.Zero(t, s.Admission.Bodies.UsedBytes())
 }
 
+// A connection is refused, does not come up in time, or lacks a descriptor on this machine. In none of these the
+// request ran. The attempt fails as one that can be repeated; a want of descriptors does not count against the
+// endpoint.
 func TestNoConnectionProvesThatNothingRan(t *testing.T) {
 	for cause, result := range map[error]routing.AttemptResult{
 		syscall.ECONNREFUSED: routing.ConnectFailed,
@@ -109,6 +109,9 @@
 	}
 }
 
+// An attempt is cancelled before its line is written, or after. A line that is written all the same would run for
+// nobody, and a late response could be taken for that of a new attempt. Before, nothing is written; after, the endpoint
+// is notified, and the id is not used again on that connection.
 func TestCancel(t *testing.T) {
 	s := newTestPool(t)
 	hold := s.holdDials()
@@ -132,9 +135,9 @@
 	assert.NotSame(t, b.Connection(), again.Connection(), "the id is not used again where a response may still come")
 }
 
-// TestCancelledAttemptEndsOnceTheEndpointIsTold tests that an attempt which its endpoint knows of is over when the
-// endpoint was notified, not before: a retry would be out at the same time. Where the endpoint does not read, the
-// connection's end tells it.
+// An attempt that its endpoint knows of is cancelled. A retry that starts before the endpoint was notified would be out
+// at the same time. The attempt is over when the endpoint was notified, not before. Where the endpoint does not read,
+// the end of the connection notifies it.
 func TestCancelledAttemptEndsOnceTheEndpointIsTold(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		s := newTestPool(t)
@@ -161,6 +164,7 @@
 	}
 }
 
+// Too many attempts on one connection would all fail with it. Past the maximum a new connection is made.
 func TestConnectionCarriesItsMaximumOfAttempts(t *testing.T) {
 	s := newTestPool(t)
 	a, b, c := s.send("a", 0), s.send("b", 0), s.send("c", 0)
@@ -168,7 +172,8 @@
 	assert.NotSame(t, a.Connection(), c.Connection())
 }
 
-// TestProtocolErrorEndsItsOwnAttemptOnly tests that no attempt shares its connection while descriptors allow.
+// One malformed response ends its connection, and every attempt on it is lost. No attempt shares its connection while
+// descriptors allow.
 func TestProtocolErrorEndsItsOwnAttemptOnly(t *testing.T) {
 	s := newTestPool(t)
 	s.Admission = admission.New(64, 256)
@@ -185,6 +190,7 @@
 	assert.Same(t, b.Connection(), s.send("c", 0).Connection(), "an idle connection is used again")
 }
 
+// A health check asks for the load report and returns it. One of an unknown endpoint is not sent.
 func TestHealthCheckBringsTheLoadReport(t *testing.T) {
 	s := newTestPool(t)
 	s.RequestLoadReports = true
@@ -197,6 +203,8 @@
 	assert.Nil(t, s.SendHealthCheck("nobody", nil))
 }
 
+// Attempts would use every descriptor of the process, and no client could connect. Past the limit no connection is
+// made, and the attempt is not sent.
 func TestDescriptorsAreBounded(t *testing.T) {
 	s := newTestPool(t)
 	s.Admission = admission.New(64, 5) // two for endpoints
@@ -206,8 +214,8 @@
 	assert.Nil(t, s.send("c", 0))
 }
 
-// TestNothingIsWrittenForADisconnectedClient tests that an attempt which waits for its connection, or for its turn on
-// one, is not written once its client is gone, also before the event loop has heard of that. Others go on.
+// An attempt waits for its connection, or for its turn on one, and its client is gone. It would run for nobody. It is
+// not written, also before the event loop has heard of that, and others go on.
 func TestNothingIsWrittenForADisconnectedClient(t *testing.T) {
 	s := newTestPool(t)
 	hold := s.holdDials()
--- a/internal/upstream/writer_test.go
+++ b/internal/upstream/writer_test.go
@@ -11,6 +11,7 @@
 	"cairnfront/routing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
 // sendWithin sends an attempt with bounds.
@@ -22,8 +23,9 @@
 	return s.Send(attemptOf(r), bounds, nil, testOwner(id))
 }
 
-// TestNothingIsBegunOnceItsBoundsHavePassed holds back the connection, or the socket, until an attempt may not be begun
-// any more: it did not run and blames nobody.
+// The connection, or the socket, is held back until an attempt may not be begun any more. Written then, it would run
+// for a client that has given up, or outside of what its bounds allow. It ends as one that did not run, and blames
+// nobody.
 func TestNothingIsBegunOnceItsBoundsHavePassed(t *testing.T) {
 	const wait = 50 * time.Millisecond
 	past := clock.Now().Add(wait)
@@ -59,12 +61,13 @@
 // assertNothingComes checks that an endpoint is sent nothing.
 func assertNothingComes(t *testing.T, far net.Conn) {
 	t.Helper()
-	assert.NoError(t, far.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
+	require.NoError(t, far.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
 	n, _ := far.Read(make([]byte, 1))
 	assert.Zero(t, n)
 }
 
-// TestAttemptTakenInPartEndsItsConnection: its deadline would be stale once it is complete, and it does not run before.
+// An endpoint takes the first part of an attempt and no more. Its deadline would be stale once it is complete. The
+// connection ends soon, and the attempt has not run.
 func TestAttemptTakenInPartEndsItsConnection(t *testing.T) {
 	s := newTestPool(t)
 	a := s.sendWithin("a", 40_000, Bounds{Deadline: clock.Now().Add(time.Minute)})
@@ -75,8 +78,8 @@
 	assert.Less(t, time.Since(startedAt), writeStallTimeout/2)
 }
 
-// TestSocketThatTakesNothingEndsWithBlame shows that an endpoint whose socket takes nothing is given up after the stall
-// timeout, not asked for ever.
+// The socket of an endpoint takes nothing. Its attempts would wait until their deadlines, one after another. The
+// endpoint is given up after the stall timeout, and is blamed.
 func TestSocketThatTakesNothingEndsWithBlame(t *testing.T) {
 	s := newTestPool(t)
 	a := s.sendWithin("a", 0, Bounds{Deadline: clock.Now().Add(time.Minute)})
@@ -85,7 +88,8 @@
 	assert.InDelta(t, writeStallTimeout, time.Since(startedAt), float64(writeStallTimeout/2))
 }
 
-// TestCancelWhileTheSocketTakesNothing shows that an attempt which is cancelled while its line waits is not written.
+// An attempt is cancelled while its line waits for a socket that takes nothing. Written later, it would run for nobody.
+// Only its cancel is written, and it ends as cancelled.
 func TestCancelWhileTheSocketTakesNothing(t *testing.T) {
 	s := newTestPool(t)
 	a := s.sendWithin("a", 0, Bounds{Deadline: clock.Now().Add(time.Minute)})
