--- a/internal/codestyle/rulefiles_test.go
+++ b/internal/codestyle/rulefiles_test.go
@@ -170,7 +170,11 @@
 			continue
 		}
 		for _, spec := range group.Specs {
-			for _, name := range spec.(*ast.ValueSpec).Names {
+			values, isValueSpec := spec.(*ast.ValueSpec)
+			if !isValueSpec {
+				panic("a group of constants has only value specs") // as go/ast says
+			}
+			for _, name := range values.Names {
 				names = append(names, name.Name)
 			}
 		}
--- a/internal/faultproxy/connections.go
+++ b/internal/faultproxy/connections.go
@@ -17,15 +17,16 @@
 
 // ForwardConnections opens the link for connections from one process to another, which listens at an address, and
 // returns the address to connect to. While the link is cut nothing passes and nothing is closed, as on a network; what
-// waited passes afterwards in its order.
+// waited passes afterwards in its order. The proxy and its goroutines end at Close, which waits for them.
 func (n *Network) ForwardConnections(from, to int, address string) (string, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	var config net.ListenConfig // its context matters for the resolving of names alone
+	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("open connection proxy from %d to %d: %w", from, to, err)
 	}
 	n.all.Go(func() {
-		<-n.ctx.Done()
-		_ = listener.Close()
+		<-n.closed
+		_ = listener.Close() // ends the Accept below; its only error is that it was closed
 	})
 	n.all.Go(func() {
 		for {
@@ -39,19 +40,22 @@
 	return listener.Addr().String(), nil
 }
 
+// relayConnection runs until both directions have ended or the network is closed. It waits for its goroutines.
 func (n *Network) relayConnection(from, to int, client net.Conn, address string) {
 	defer client.Close()
 	if !n.waitUntilOpen(from, to) {
 		return
 	}
+	ctx, cancel := n.contextUntilClose()
+	defer cancel()
 	var dialer net.Dialer
-	server, err := dialer.DialContext(n.ctx, "tcp", address)
+	server, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return
+		return // the client sees a closed connection, as where nobody listens
 	}
 	defer server.Close()
-	stop := context.AfterFunc(n.ctx, func() {
-		_ = client.Close()
+	stop := context.AfterFunc(ctx, func() {
+		_ = client.Close() // both end the reads below; what they returned does not matter any more
 		_ = server.Close()
 	})
 	defer stop()
@@ -77,7 +81,7 @@
 // sleep returns false if the network is closed meanwhile.
 func (n *Network) sleep(d time.Duration) bool {
 	select {
-	case <-n.ctx.Done():
+	case <-n.closed:
 		return false
 	case <-time.After(d):
 		return true
@@ -97,7 +101,7 @@
 			return
 		}
 		if err != nil {
-			_ = writer.Close()
+			_ = writer.Close() // the error that counts is the reader's
 			return
 		}
 	}
@@ -117,8 +121,9 @@
 	return err == nil
 }
 
+// closeWrite half-closes a connection.
 func closeWrite(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.CloseWrite()
+		_ = tcp.CloseWrite() // the other side may have closed it already
 	}
 }
--- a/internal/faultproxy/datagrams.go
+++ b/internal/faultproxy/datagrams.go
@@ -16,19 +16,19 @@
 )
 
 // ForwardDatagrams opens the link for datagrams from one process to another, which listens at an address. What is sent
-// to the returned address passes the link.
+// to the returned address passes the link. The proxy and its goroutines end at Close, which waits for them.
 func (n *Network) ForwardDatagrams(from, to int, address netip.AddrPort) (netip.AddrPort, error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return netip.AddrPort{}, fmt.Errorf("open datagram proxy from %d to %d: %w", from, to, err)
 	}
-	_ = conn.SetReadBuffer(socketBufferBytes)
+	_ = conn.SetReadBuffer(socketBufferBytes) // the system may allow less, which costs datagrams only under bursts
 	n.all.Go(func() {
-		<-n.ctx.Done()
-		_ = conn.Close()
+		<-n.closed
+		_ = conn.Close() // ends the read of relayDatagrams; its only error is that it was closed
 	})
 	n.all.Go(func() { n.relayDatagrams(from, to, conn, address) })
-	return conn.LocalAddr().(*net.UDPAddr).AddrPort(), nil
+	return netip.ParseAddrPort(conn.LocalAddr().String())
 }
 
 func (n *Network) relayDatagrams(from, to int, conn *net.UDPConn, address netip.AddrPort) {
@@ -48,6 +48,7 @@
 			if corrupt && size > 0 {
 				datagram[size/2] ^= corruptionBits
 			}
+			// An error is ignored: a datagram to a process that does not run is lost, as on a network.
 			send := func() { _, _ = conn.WriteToUDPAddrPort(datagram, address) }
 			if delay <= 0 {
 				send()
--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -30,9 +30,9 @@
 	startedAt time.Time // of the script
 	rnd       *rand.Rand
 
-	ctx    context.Context // ends at Close; a field, since proxies are opened one by one until then
-	cancel context.CancelFunc
-	all    sync.WaitGroup
+	closed  chan struct{} // closed by Close
+	closing sync.Once
+	all     sync.WaitGroup // the goroutines of the proxies; Close waits for them
 }
 
 // traffic is what one process sent, by second since the network's start.
@@ -48,8 +48,8 @@
 		createdAt: now,
 		startedAt: now,
 		rnd:       rand.New(rand.NewPCG(seed, faultStream)),
+		closed:    make(chan struct{}),
 	}
-	n.ctx, n.cancel = context.WithCancel(context.Background())
 	for range processes {
 		n.sent = append(n.sent, &traffic{})
 	}
@@ -97,10 +97,24 @@
 	return datagrams, bytes
 }
 
-// Close ends all proxies and waits for them.
+// Close ends all proxies and waits for their goroutines. Further calls only wait.
 func (n *Network) Close() {
-	n.cancel()
+	n.closing.Do(func() { close(n.closed) })
 	n.all.Wait()
 }
 
+// contextUntilClose returns a context that ends at Close, or when its function is called. Call it from a goroutine of
+// the network.
+func (n *Network) contextUntilClose() (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithCancel(context.Background())
+	n.all.Go(func() {
+		select {
+		case <-n.closed:
+			cancel()
+		case <-ctx.Done():
+		}
+	})
+	return ctx, cancel
+}
+
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/faultproxy/network_test.go
+++ b/internal/faultproxy/network_test.go
@@ -17,13 +17,19 @@
 const timeout = 10 * time.Second
 
 func listenUDP(t *testing.T) *net.UDPConn {
+	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
 	return conn
 }
 
-func addressOf(conn *net.UDPConn) netip.AddrPort { return conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+func addressOf(t *testing.T, conn *net.UDPConn) netip.AddrPort {
+	t.Helper()
+	address, err := netip.ParseAddrPort(conn.LocalAddr().String())
+	require.NoError(t, err)
+	return address
+}
 
 func scriptOf(list ...faults.Fault) faults.Script {
 	return faults.Script{Processes: 2, Duration: 60, Faults: list}
@@ -36,7 +42,7 @@
 	network := New(1, 2)
 	defer network.Close()
 	receiver, sender := listenUDP(t), listenUDP(t)
-	proxy, err := network.ForwardDatagrams(0, 1, addressOf(receiver))
+	proxy, err := network.ForwardDatagrams(0, 1, addressOf(t, receiver))
 	require.NoError(t, err)
 	send := func(text string) {
 		_, err := sender.WriteToUDPAddrPort([]byte(text), proxy)
@@ -73,7 +79,8 @@
 	assert.Equal(t, "after", receive(), "what was cut does not come later")
 }
 
-// serveEcho answers each connection with what it sends.
+// serveEcho answers each connection with what it sends. It ends with the listener, each connection's goroutine with the
+// connection.
 func serveEcho(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -91,7 +98,8 @@
 // bytes. A proxy that closed it would hide what routers do meanwhile. While one direction is cut nothing arrives, and
 // afterwards all of it.
 func TestConnectionsWaitWhileCutAndContinue(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	var config net.ListenConfig
+	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
 	go serveEcho(listener)
@@ -99,7 +107,8 @@
 	defer network.Close()
 	proxy, err := network.ForwardConnections(0, 1, listener.Addr().String())
 	require.NoError(t, err)
-	conn, err := net.Dial("tcp", proxy)
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(t.Context(), "tcp", proxy)
 	require.NoError(t, err)
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
--- a/internal/sim/clock/scheduler.go
+++ b/internal/sim/clock/scheduler.go
@@ -47,7 +47,7 @@
 // RunUntil runs all events up to a time, which the clock shows afterwards, and returns their number.
 func (s *Scheduler) RunUntil(end float64) (events int) {
 	for len(s.queue) > 0 && s.queue[0].time <= end {
-		next := heap.Pop(&s.queue).(event)
+		next := heap.Pop(&s.queue).(event) //nolint:forcetypeassert // the queue holds events alone
 		s.now = next.time
 		next.run()
 		events++
@@ -76,7 +76,9 @@
 
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (q *eventQueue) Push(item any) { *q = append(*q, item.(event)) }
+func (q *eventQueue) Push(item any) {
+	*q = append(*q, item.(event)) //nolint:forcetypeassert // At pushes events alone
+}
 
 func (q *eventQueue) Pop() any {
 	last := len(*q) - 1
--- a/internal/sim/clock/scheduler_test.go
+++ b/internal/sim/clock/scheduler_test.go
@@ -19,12 +19,12 @@
 	s.At(3, note("past counts as now"))
 	s.At(math.NaN(), note("no number counts as now"))
 	s.At(11.5, func() {
-		assert.Equal(t, 11.5, s.Now())
+		assert.Equal(t, 11.5, s.Now()) //nolint:testifylint // exact by intent
 		s.After(0.25, note("at 11.75, scheduled by an event"))
 	})
 	s.At(20, note("after the end"))
 	assert.Equal(t, 7, s.RunUntil(15))
-	assert.Equal(t, 15.0, s.Now())
+	assert.Equal(t, 15.0, s.Now()) //nolint:testifylint // exact by intent
 	assert.Equal(t, []string{
 		"past counts as now",
 		"no number counts as now",
--- a/internal/sim/faults/expectation.go
+++ b/internal/sim/faults/expectation.go
@@ -75,7 +75,7 @@
 		forward := s.LinkAt(observer, peer, lossTime).undelivered()
 		backward := s.LinkAt(peer, observer, lossTime).undelivered()
 		return max(forward, backward) > lossLikeCut
-	default:
-		return false
+	case Delay, Reorder, Duplicate, Stall, ClockSkew: // they leave a process reachable
 	}
+	return false
 }
--- a/internal/sim/faults/generate.go
+++ b/internal/sim/faults/generate.go
@@ -62,6 +62,7 @@
 		fault.Seconds = minDelay + delayRange*g.rnd.Float64()
 	case Kill, Wipe, Pause, Stall:
 		fault.From = g.someProcesses(g.processes / 3)
+	case ClockSkew: // is not drawn
 	}
 	return fault
 }
--- a/internal/sim/faults/golden_test.go
+++ b/internal/sim/faults/golden_test.go
@@ -14,6 +14,7 @@
 
 // goldenScripts prints generated scripts, how datagrams are delivered under them, and the scripts that they shrink to.
 func goldenScripts(t *testing.T) string {
+	t.Helper()
 	var out strings.Builder
 	for seed := range uint64(5) {
 		script := Generate(seed, 12, 9, 70)
--- a/internal/sim/faults/link.go
+++ b/internal/sim/faults/link.go
@@ -44,6 +44,7 @@
 		l.Duplicate = max(l.Duplicate, fault.Share)
 	case Corrupt:
 		l.Corrupt = max(l.Corrupt, fault.Share)
+	case Kill, Wipe, Pause, Stall, ClockSkew: // faults of processes; the caller leaves them out
 	}
 }
 
--- a/internal/sim/faults/script_test.go
+++ b/internal/sim/faults/script_test.go
@@ -28,7 +28,7 @@
 	assert.False(t, script.LinkAt(0, 1, 2).Cut)
 	assert.True(t, script.LinkAt(3, 0, 5.5).Cut)
 	assert.InDelta(t, 0.75, script.LinkAt(1, 2, 10.5).Loss, 1e-9, "losses one after the other")
-	assert.Equal(t, 0.4, script.LinkAt(1, 2, 15).DelaySeconds, "to the end")
+	assert.Equal(t, 0.4, script.LinkAt(1, 2, 15).DelaySeconds, "to the end") //nolint:testifylint // exact by intent
 }
 
 // TestDatagramsAreDeliveredAsTheLinkIs: the simulator and the proxy deliver what this function draws. A cut link
@@ -91,9 +91,9 @@
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(c.text), 0o600))
 		_, err := ReadFile(path)
-		assert.ErrorIs(t, err, c.want)
-		assert.ErrorContains(t, err, c.wantText)
-		assert.ErrorContains(t, err, path)
+		require.ErrorIs(t, err, c.want)
+		require.ErrorContains(t, err, c.wantText)
+		require.ErrorContains(t, err, path)
 	}
 	require.NoError(t, os.WriteFile(path, []byte("{"), 0o600))
 	_, err := ReadFile(path)
--- a/internal/sim/membership/config.go
+++ b/internal/sim/membership/config.go
@@ -15,12 +15,11 @@
 
 // Times in seconds unless a constant says otherwise.
 const (
-	latency     = 0.0005 // one way, on loopback or in a data center
-	jitter      = 0.001
-	startSpread = 0.05 // within which the instances start
-	minTimer    = 0.001
-	// a received message that asks for a tick sooner than this sets the timer anew
-	earlyDeadline      = 0.3
+	latency            = 0.0005 // one way, on loopback or in a data center
+	jitter             = 0.001
+	startSpread        = 0.05 // within which the instances start
+	minTimer           = 0.001
+	earlyDeadline      = 0.3               // a message that asks for a tick sooner than this sets the timer anew
 	pausedQueue        = 512               // datagrams that wait for a paused process
 	settleTime         = 12.0              // after the start, before failures are checked
 	blameTime          = 4.0               // after a cut or a pause, in which a failure that it caused may still come
--- a/internal/sim/membership/instance.go
+++ b/internal/sim/membership/instance.go
@@ -91,6 +91,7 @@
 			}
 		case faults.ClockSkew:
 			i.clockOffset = transition.Fault.Seconds
+		case faults.Cut, faults.Loss, faults.Delay, faults.Reorder, faults.Duplicate, faults.Corrupt: // the network's
 		}
 	}
 }
--- a/internal/sim/membership/simulation_test.go
+++ b/internal/sim/membership/simulation_test.go
@@ -30,7 +30,8 @@
 // state changes, and another seed others.
 func TestSameConfigGivesSameTrace(t *testing.T) {
 	config := Config{Script: faults.Generate(9, 20, 10, 60), SWIM: swim.Config{MaxByzantine: 1}, Hostile: []int{19}}
-	assert.Equal(t, run(t, config).TraceHash, run(t, config).TraceHash)
+	first, again := run(t, config), run(t, config)
+	assert.Equal(t, first.TraceHash, again.TraceHash)
 	other := config
 	other.Script.Seed++
 	assert.NotEqual(t, run(t, config).TraceHash, run(t, other).TraceHash)
--- a/internal/sim/replication/client.go
+++ b/internal/sim/replication/client.go
@@ -80,7 +80,7 @@
 	s.scheduler.After(retryIntervalSeconds, func() { s.submit(number) })
 }
 
-// submitTo proposes a request to a replica. One that is refused is sent again later.
+// submitTo proposes a request to a replica. Its error is ignored: a request that is refused is sent again later.
 func (r *request) submitTo(replica *shard.Replica, number uint64) {
 	switch {
 	case replica == nil:
--- a/internal/sim/replication/simulation_test.go
+++ b/internal/sim/replication/simulation_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"crypto/sha256"
+	"encoding/hex"
 	"encoding/json"
 	"fmt"
 	"testing"
@@ -22,9 +23,9 @@
 		require.NoError(t, script.Validate())
 		text, err := json.Marshal(script)
 		require.NoError(t, err)
-		_, _ = hash.Write(text)
+		_, _ = hash.Write(text) // a hash never returns an error
 	}
-	assert.Equal(t, goldenScripts, fmt.Sprintf("%x", hash.Sum(nil)))
+	assert.Equal(t, goldenScripts, hex.EncodeToString(hash.Sum(nil)))
 }
 
 // describeResult prints a result with its latencies by hash.
--- a/internal/sim/replication/transitions.go
+++ b/internal/sim/replication/transitions.go
@@ -19,6 +19,8 @@
 			s.applyDiskLoss(r, transition.IsEnd)
 		case faults.Pause:
 			s.applyPause(r, transition.IsEnd)
+		case faults.Stall, faults.ClockSkew: // ignored: scripts of this simulation do not draw them
+		case faults.Cut, faults.Loss, faults.Delay, faults.Reorder, faults.Duplicate, faults.Corrupt: // left out above
 		}
 	}
 }
