--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReportIsWrittenInThreeForms writes one report as JSON, HTML and text.
+// TestReportIsWrittenInThreeForms: programs read JSON, people text and HTML. A figure or a broken rule that one of the
+// forms leaves out is missed by its readers.
 func TestReportIsWrittenInThreeForms(t *testing.T) {
 	r := &Report{
 		Scenario: "x",
@@ -37,7 +38,8 @@
 	assert.Contains(t, b.String(), "BROKEN")
 }
 
-// TestBrokenRulesDecideTheVerdict holds that each broken rule is named and the report does not hold.
+// TestBrokenRulesDecideTheVerdict: the exit code and CI follow the verdict. Each broken rule must be named, and with
+// one the report must not hold.
 func TestBrokenRulesDecideTheVerdict(t *testing.T) {
 	clean := New("x", 1, "small")
 	clean.Close()
--- a/internal/lab/scenario/addresses_pairs_test.go
+++ b/internal/lab/scenario/addresses_pairs_test.go
@@ -11,8 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPercentileCountsRequestsOfItsPhase holds that the percentile is over the requests sent in a phase, and that one
-// without an answer counts with its deadline.
+// TestPercentileCountsRequestsOfItsPhase: a percentile that leaves out requests without an answer makes the worst
+// outcome look like the best. It is over the requests sent in a phase, and one without an answer counts with its
+// deadline.
 func TestPercentileCountsRequestsOfItsPhase(t *testing.T) {
 	var responses []verify.Response
 	for i := range 200 {
--- a/internal/lab/scenario/documentation_test.go
+++ b/internal/lab/scenario/documentation_test.go
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// TestLaboratoryPageShowsThisScenario holds that the example of docs/laboratory.md compiles: it is the one above.
+// TestLaboratoryPageShowsThisScenario: an example that no longer compiles misleads whoever writes a scenario from it.
+// That of docs/laboratory.md must be the one above.
 func TestLaboratoryPageShowsThisScenario(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "laboratory.md"))
 	require.NoError(t, err)
--- a/internal/lab/scenario/membership_script_test.go
+++ b/internal/lab/scenario/membership_script_test.go
@@ -14,7 +14,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// TestMembershipScriptMatchesGolden holds the scripts of the scenario membership byte for byte, at both sizes.
+// TestMembershipScriptMatchesGolden: figures of different versions compare only under the same faults. The scripts of
+// the scenario membership stay byte for byte, at both sizes.
 func TestMembershipScriptMatchesGolden(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		for _, seed := range []uint64{1, 5} {
--- a/internal/lab/scenario/video_day_test.go
+++ b/internal/lab/scenario/video_day_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestDayIsDrawnFromItsSeed holds that the same seed draws the same day, and that the policy's figures are the same.
+// TestDayIsDrawnFromItsSeed: eviction policies are compared over one day of requests. The same seed must draw the same
+// day, and the policy's figures on it must be the same.
 func TestDayIsDrawnFromItsSeed(t *testing.T) {
 	a, b, c := generateDay(1, 5000), generateDay(1, 5000), generateDay(2, 5000)
 	assert.Equal(t, a, b)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestMembershipFailuresAreNamed shows that each invariant of a run can fail.
+// TestMembershipFailuresAreNamed: a run whose invariants cannot fail finds nothing over any number of seeds. Each one
+// must fail where it is broken, and name what broke.
 func TestMembershipFailuresAreNamed(t *testing.T) {
 	script := &faults.Script{Processes: 3}
 	assert.Empty(t, membershipFailure(&simmembership.Result{FinalPresent: []int{2, 2}}, script))
@@ -22,7 +23,7 @@
 	assert.Contains(t, membershipFailure(disagreeing, script), "a peer sees 1 peers, 2 run")
 }
 
-// TestReplicationFailuresAreNamed shows that each invariant of a run can fail.
+// TestReplicationFailuresAreNamed: the same for the invariants of the simulation of reservations.
 func TestReplicationFailuresAreNamed(t *testing.T) {
 	assert.Empty(t, replicationFailure(&simreplication.Result{Linearizable: true}))
 	assert.Equal(t, "stuck", replicationFailure(&simreplication.Result{Failure: "stuck"}))
@@ -33,7 +34,8 @@
 	assert.Contains(t, replicationFailure(conflicting), "1 keys granted")
 }
 
-// TestBoundsOfSimulationsCanBreak shows that the bounds over all runs can fail, and that a run within them holds.
+// TestBoundsOfSimulationsCanBreak: some faults are allowed in a few of many runs, so their bound is over all of them.
+// It must break where it is passed, and hold just within it.
 func TestBoundsOfSimulationsCanBreak(t *testing.T) {
 	curves := report.New("x", 1, "")
 	curves.Counts[report.FalseFailures], curves.Counts[report.FalseFailuresPublished] = 1, 20
--- a/internal/lab/standin/idempotency_test.go
+++ b/internal/lab/standin/idempotency_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestKeysRunOnceAWindow holds that a key runs once within its window, and again after it.
+// TestKeysRunOnceAWindow: a stand-in that ran a key twice by itself would blame the router for a second effect. A key
+// runs once within its window, and again after it.
 func TestKeysRunOnceAWindow(t *testing.T) {
 	o := IdempotencyRecords{}
 	assert.Equal(
--- a/internal/lab/verify/attempts_test.go
+++ b/internal/lab/verify/attempts_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestOverlapsBeyondTheMarginAreCounted holds that two attempts of a request that were open together are counted, and
-// that an overlap shorter than the margin is not.
+// TestOverlapsBeyondTheMarginAreCounted: two attempts that run at once at different stand-ins may both have an effect,
+// and only their times show it. An overlap longer than the clocks' margin is counted; a shorter one may be a delay of
+// the machine's scheduler and is not.
 func TestOverlapsBeyondTheMarginAreCounted(t *testing.T) {
 	for gap, want := range map[float64]int64{0.1: 1, 0.005: 0} {
 		attempts := []*standin.Attempt{
--- a/internal/lab/verify/drain_test.go
+++ b/internal/lab/verify/drain_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestRequestsAfterADrainAreSeen shows that the drain check counts requests that come after the grace period to the
-// drained endpoint, and no others.
+// TestRequestsAfterADrainAreSeen: a router that missed the news of a drain goes on sending to the endpoint. The check
+// counts requests that come to it after the grace period, and no others: those before were on their way.
 func TestRequestsAfterADrainAreSeen(t *testing.T) {
 	const deliveredAt, limit = 100.0, 100 + DrainGraceSeconds + deadlineMarginSeconds
 	requests := []Request{
