--- a/internal/lab/scenario/documentation_test.go
+++ b/internal/lab/scenario/documentation_test.go
@@ -29,7 +29,7 @@
 		return err
 	}
 	defer testCluster.Close(r) // a router that does not end on SIGTERM breaks the report
-	if err := testCluster.StartOneZone(); err != nil {
+	if err := testCluster.StartOneZone(ctx); err != nil {
 		return err
 	}
 	if err := testCluster.AddRouter(1); err != nil {
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// TestLaboratoryPageShowsThisScenario holds that the example of docs/laboratory.md compiles: it is the one above.
+// TestLaboratoryPageShowsThisScenario: an example that no longer compiles misleads whoever writes a scenario from it.
+// That of docs/laboratory.md must be the one above.
 func TestLaboratoryPageShowsThisScenario(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "laboratory.md"))
 	require.NoError(t, err)
