--- a/internal/faultproxy/connections.go
+++ b/internal/faultproxy/connections.go
@@ -46,8 +46,15 @@
 	if !n.waitUntilOpen(from, to) {
 		return
 	}
-	ctx, cancel := n.contextUntilClose()
+	ctx, cancel := context.WithCancel(context.Background()) // it ends at the network's Close, or with this connection
 	defer cancel()
+	n.all.Go(func() {
+		select {
+		case <-n.closed:
+			cancel()
+		case <-ctx.Done():
+		}
+	})
 	var dialer net.Dialer
 	server, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -6,7 +6,6 @@
 package faultproxy
 
 import (
-	"context"
 	"math/rand/v2"
 	"sync"
 	"sync/atomic"
@@ -103,18 +102,4 @@
 	n.all.Wait()
 }
 
-// contextUntilClose returns a context that ends at Close, or when its function is called. Call it from a goroutine of
-// the network.
-func (n *Network) contextUntilClose() (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithCancel(context.Background())
-	n.all.Go(func() {
-		select {
-		case <-n.closed:
-			cancel()
-		case <-ctx.Done():
-		}
-	})
-	return ctx, cancel
-}
-
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
