--- a/internal/lab/report/html.go
+++ b/internal/lab/report/html.go
@@ -13,7 +13,7 @@
 var page = template.Must(template.New("report").Funcs(pageFunctions).Parse(pageText))
 
 // pageFunctions are the functions that the page's template calls.
-var pageFunctions = template.FuncMap{"keys": templateKeys, "label": Label}
+var pageFunctions = template.FuncMap{"keys": templateKeys, "countLabel": CountLabel, "figureLabel": FigureLabel}
 
 // templateKeys returns the ordered keys of a report's counts or figures.
 func templateKeys(values any) []string {
--- a/internal/lab/report/keys.go
+++ b/internal/lab/report/keys.go
@@ -171,8 +171,11 @@
 
 // labels are the printed names of keys.
 var labels = map[string]string{
-	Requests:               "requests",
-	Attempts:               "attempts",
+	Requests:               "requests of clients",
+	Completed:              "requests of clients, completed",
+	Rejected:               "requests of clients, rejected",
+	Aborted:                "requests of clients, aborted",
+	Attempts:               "attempts that stand-ins recorded in the variants",
 	AttemptsSeen:           "attempts received by endpoints",
 	AttemptsUnresponsive:   "attempts at an unresponsive address",
 	AttemptsReset:          "attempts reset",
@@ -180,7 +183,7 @@
 	ConnectionsUnanswered:  "connections to an unresponsive address",
 	NonIdempotentRepeats:   "non-idempotent requests sent twice",
 	OrdersExecuted:         "requests with idempotency key executed",
-	Pairs:                  "pairs of phases",
+	Pairs:                  "alternations of a healthy and an unresponsive phase",
 	ChunksChecked:          "chunks checked",
 	ChunksCorrupt:          "chunks with wrong bytes",
 	StaleAfterPurge:        "stale responses after a purge",
@@ -231,9 +234,9 @@
 	SlowestAtFirst:       "slowest request before the fault is known, ms",
 	OnTimeShare:          "share within the latency objective",
 	OrderingMargin:       "margin for ordering events, ms",
-	PairsHealthy:         "p99 with all addresses healthy, ms",
-	PairsUnresponsive:    "p99 with one address unresponsive, ms",
-	PairsRatio:           "p99, one unresponsive over all healthy",
+	PairsHealthy:         "alternating phases: p99 with all addresses healthy, ms",
+	PairsUnresponsive:    "alternating phases: p99 with one unresponsive, ms",
+	PairsRatio:           "alternating phases: p99, unresponsive over healthy",
 	CompletedShare:       "share completed",
 	LocalByteShare:       "share of bytes from the zones' edge caches",
 	AttemptsPerRequest:   "attempts per request",
@@ -269,6 +272,11 @@
 	AnsweredShare:        "share answered",
 }
 
+// figureLabels are the printed names of figures whose keys are those of counts too.
+var figureLabels = map[string]string{
+	Rejected: "share of requests rejected",
+}
+
 // suffixLabels are the printed names of suffixes.
 var suffixLabels = map[string]string{
 	VariantNoBudget:           "no retry budget",
@@ -303,14 +311,29 @@
 	return strings.Join(append([]string{key}, suffixes...), ".")
 }
 
-// Label is the printed name of a key: the label of the key itself and, after commas, those of its suffixes.
-func Label(key string) string {
-	base, rest, hasSuffixes := strings.Cut(key, ".")
+// CountLabel is the printed name of a count's key: the label of the key itself and, after commas, those of its
+// suffixes.
+func CountLabel(key string) string {
+	base, suffixes, _ := strings.Cut(key, ".")
 	label, known := labels[base]
 	if !known {
 		label = strings.ReplaceAll(base, "_", " ")
 	}
-	if !hasSuffixes {
+	return withSuffixLabels(label, suffixes)
+}
+
+// FigureLabel is the same of a figure's key. It differs where the key is that of a count too.
+func FigureLabel(key string) string {
+	base, suffixes, _ := strings.Cut(key, ".")
+	if label, isOther := figureLabels[base]; isOther {
+		return withSuffixLabels(label, suffixes)
+	}
+	return CountLabel(key)
+}
+
+// withSuffixLabels appends the labels of a key's suffixes, which have dots between them, to the label of the key.
+func withSuffixLabels(label, rest string) string {
+	if rest == "" {
 		return label
 	}
 	suffixes := strings.Split(rest, ".")
--- a/internal/lab/report/keys_test.go
+++ b/internal/lab/report/keys_test.go
@@ -12,18 +12,26 @@
 // with the variant, the number of routers or peers, the loss and the cost of a fill that its suffixes say.
 func TestLabelsNameKeysAndTheirSuffixes(t *testing.T) {
 	for key, want := range map[string]string{
-		Requests:                              "requests",
-		Key(Requests, VariantClosed):          "requests, one address closed",
+		Requests:                              "requests of clients",
+		Key(Requests, VariantClosed):          "requests of clients, one address closed",
 		"hops_a_txn.hub.trouble.030":          "attempts per request, parent zone lost, during the fault, 30 routers",
 		"efficiency.tier.disk5%.alpha0.5":     "efficiency, Cafe, disk 5%, alpha 0.5",
 		"efficiency.xlru.disk10%.alpha4":      "efficiency, xLRU, disk 10%, alpha 4",
 		"wrong.swim.0020.loss05":              "false failures, published SWIM, 20 peers, 5% loss",
-		"pairs_hung_ms.most":                  "p99 with one address unresponsive, ms, maximum",
+		"pairs_hung_ms.most":                  "alternating phases: p99 with one unresponsive, ms, maximum",
 		"completed_share.budget":              "share completed, with retry budget",
+		Completed:                             "requests of clients, completed",
+		Attempts:                              "attempts that stand-ins recorded in the variants",
+		Pairs:                                 "alternations of a healthy and an unresponsive phase",
+		"pairs_good_ms.least":                 "alternating phases: p99 with all addresses healthy, ms, minimum",
+		"p99_ms.all_good":                     "latency p99, ms, all addresses healthy",
 		"a_key_without_label.and_some_suffix": "a key without label, and some suffix",
 	} {
-		assert.Equal(t, want, Label(key), key)
+		assert.Equal(t, want, CountLabel(key), key)
+		assert.Equal(t, want, FigureLabel(key), key)
 	}
+	assert.Equal(t, "requests of clients, rejected", CountLabel(Rejected))
+	assert.Equal(t, "share of requests rejected, traffic burst, 3 routers", FigureLabel("rejected.burst.003"))
 }
 
 // TestTextAndHTMLShowLabelsAndJSONKeepsKeys: on-call engineers read text and pages, programs read JSON. The first two
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -138,10 +138,10 @@
 		_, _ = fmt.Fprintf(w, "  %s\n", line)
 	}
 	for _, key := range SortedKeys(r.Counts) {
-		_, _ = fmt.Fprintf(w, "  %-*s %d\n", labelColumnWidth, Label(key), r.Counts[key])
+		_, _ = fmt.Fprintf(w, "  %-*s %d\n", labelColumnWidth, CountLabel(key), r.Counts[key])
 	}
 	for _, key := range SortedKeys(r.Figures) {
-		_, _ = fmt.Fprintf(w, "  %-*s %.4g\n", labelColumnWidth, Label(key), r.Figures[key])
+		_, _ = fmt.Fprintf(w, "  %-*s %.4g\n", labelColumnWidth, FigureLabel(key), r.Figures[key])
 	}
 	for _, line := range r.Broken {
 		_, _ = fmt.Fprintf(w, "  broken: %s\n", line)
--- a/internal/lab/scenario/addresses.go
+++ b/internal/lab/scenario/addresses.go
@@ -105,7 +105,8 @@
 			perVariant,
 			len(addressVariants),
 		),
-		"the fault is at the first address of one edge cache; latencies count from two seconds after it began",
+		"the fault is at the first address of one edge cache; latencies of a variant count from two seconds after "+
+			"it began",
 	)
 	return runPairs(ctx, options, r, clients)
 }
@@ -262,7 +263,7 @@
 	return line
 }
 
-// countAttempts counts the attempts that came to the stand-ins, and those that met a fault.
+// countAttempts counts the attempts that came to a variant's stand-ins, and those that met a fault.
 func (c *multiAddressCluster) countAttempts(r *report.Report) {
 	for _, standIn := range c.standIns {
 		attempts := standIn.Attempts()
--- a/internal/lab/scenario/addresses_pairs.go
+++ b/internal/lab/scenario/addresses_pairs.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"sort"
 	"time"
 
@@ -55,6 +56,15 @@
 	}
 	load.stop()
 	r.Counts[report.Pairs] = int64(count)
+	r.Steps = append(
+		r.Steps,
+		fmt.Sprintf(
+			"then phases of %v that alternate on one more router under one load, with all addresses healthy and with "+
+				"one unresponsive; each phase has its own p99",
+			phase,
+		),
+		"requests of clients are those of variants and phases, attempts those of the variants alone",
+	)
 	pairs.addFigures(r)
 	pairs.unresponsiveAddressCheap(r, options.Full)
 	testCluster.noOverlappingAttempts(r, "pairs", load)
--- a/internal/sim/faults/golden_test.go
+++ b/internal/sim/faults/golden_test.go
@@ -4,11 +4,11 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"strings"
 	"testing"
 
-	"github.com/stretchr/testify/assert"
+	"cairnfront/internal/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -53,7 +53,5 @@
 
 // TestScriptsStayTheSame: scripts that were printed in reports have to be replayed the same.
 func TestScriptsStayTheSame(t *testing.T) {
-	want, err := os.ReadFile("testdata/scripts.golden")
-	require.NoError(t, err)
-	assert.Equal(t, strings.Split(string(want), "\n"), strings.Split(goldenScripts(t), "\n"))
+	golden.Compare(t, "scripts.golden", goldenScripts(t))
 }
--- a/internal/sim/routing/golden_test.go
+++ b/internal/sim/routing/golden_test.go
@@ -2,19 +2,16 @@
 
 import (
 	"crypto/sha256"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
+	"cairnfront/internal/golden"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden file anew")
-
 // TestResultsAreUnchanged compares the results of short runs with those of an earlier version: the same seed has to
 // give the same figures.
 func TestResultsAreUnchanged(t *testing.T) {
@@ -39,14 +36,7 @@
 		require.NoError(t, err)
 		fmt.Fprintf(&got, "%s: %s\n", run.name, describe(result))
 	}
-	path := filepath.Join("testdata", "results.golden")
-	if *update {
-		require.NoError(t, os.MkdirAll("testdata", 0o755))
-		require.NoError(t, os.WriteFile(path, []byte(got.String()), 0o644))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	assert.Equal(t, string(want), got.String())
+	golden.Compare(t, "results.golden", got.String())
 }
 
 // describe names no Go fields, so that a renaming does not change it. Maps are printed in the order of their keys.
