--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -5,7 +5,7 @@
 // attempt is one try of a request at an endpoint.
 type attempt struct {
 	target        *endpoint
-	source        *endpoint  // who fills a miss; the target for nobody
+	source        *endpoint  // who fills a miss; the target for nobody, as on the wire: see hasSource
 	fillLimiters  []*limiter // of the paths behind the target
 	originLimiter *limiter   // of an attempt that the origin probably gets
 	expectedFills float64    // load at the fill limiters: how likely a fill is
@@ -15,7 +15,7 @@
 	maxAgeSeconds float64
 	sentAt        float64
 	sendBefore    float64 // from when it may not be begun any more
-	suspectAt     float64 // when it is suspected; +Inf once it was taken for lost
+	suspectAt     float64 // when it is suspected; +Inf once it was taken for lost, which makes its slowness 0
 	endedAt       float64
 	result        AttemptResult
 	blame         blame
@@ -84,8 +84,12 @@
 // inFlight says whether an attempt was sent and its end was not heard.
 func (s attemptState) inFlight() bool { return s != attemptPlanned && s != attemptEnded }
 
-// awaited says whether a request waits for an attempt that was not taken for lost.
-func (s attemptState) awaited() bool { return s == attemptAwaited || s == attemptStalled }
+// inFlightNotLost says whether an attempt is in flight and was neither taken for lost nor cancelled. That includes a
+// stalled one, which the next review takes for lost.
+func (s attemptState) inFlightNotLost() bool { return s == attemptAwaited || s == attemptStalled }
+
+// hasSource says whether an endpoint other than the target fills a miss.
+func (a *attempt) hasSource() bool { return a.source != a.target }
 
 // fillPlan is what an attempt does about a copy that its target lacks.
 type fillPlan uint8
