--- a/internal/telemetry/metric.go
+++ b/internal/telemetry/metric.go
@@ -40,6 +40,17 @@
 	labels string // pairs of name and quoted value; empty for a metric without labels
 }
 
+// usualLabelBytes is room for the name and the value of a label, so that most series take one allocation.
+const usualLabelBytes = 32
+
+// escapeLabel returns the value of a label as the dump writes it. Few have anything to escape.
+func escapeLabel(value string) string {
+	if !strings.ContainsAny(value, "\\\n\"") {
+		return value
+	}
+	return labelEscaper.Replace(value)
+}
+
 // labelEscaper escapes the value of a label as the text format of Prometheus does.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, "\n", `\n`, `"`, `\"`)
 
@@ -47,6 +58,7 @@
 // series have one argument for each label, so the numbers of names and values are the same.
 func (d *descriptor) with(values ...fmt.Stringer) series {
 	var labels strings.Builder
+	labels.Grow(usualLabelBytes * len(values))
 	for i, value := range values {
 		if i > 0 {
 			labels.WriteByte(',')
@@ -54,7 +66,7 @@
 		labels.WriteString(d.labels[i])
 		labels.WriteString(`="`)
 		if value != nil {
-			_, _ = labelEscaper.WriteString(&labels, value.String()) // a strings.Builder returns no error
+			labels.WriteString(escapeLabel(value.String()))
 		}
 		labels.WriteByte('"')
 	}
