--- a/internal/upstream/retrybudget/budget.go
+++ b/internal/upstream/retrybudget/budget.go
@@ -1,7 +1,7 @@
-// Package retrybudget keeps retry budgets: a share of the first attempts of the last seconds, for each request class
-// and for each endpoint. Without a budget the load doubles just when many requests want a retry. The package does no
-// I/O, has no clock, and decides on no attempt: it says whether a budget has something left, as a fact for the
-// decisions.
+// Package retrybudget implements retry budgets. Retries are limited to a fraction of the recent first attempts, per
+// request class and per endpoint. Without a budget, retries would double the load when many requests fail at once. The
+// package does no I/O, has no clock and makes no decisions about attempts: it only reports whether a budget has retries
+// left.
 package retrybudget
 
 import (
@@ -13,62 +13,62 @@
 )
 
 const (
-	// windowSeconds is the time over which attempts count. It is as long as an outlier ejection of the decisions, so
-	// that the retries of a lost endpoint fall within one window.
+	// windowSeconds is the time for which attempts are counted. It equals the duration of an outlier ejection in
+	// routing, so that the retries of a failed endpoint fall within one window.
 	windowSeconds = 4.0
 
-	// slotCount is the number of slots of the window. Old attempts leave it by one slot at a time.
+	// slotCount is the number of slots of the window. Old attempts leave the window one slot at a time.
 	slotCount = 8
 
-	// slotSeconds is the time that one slot counts.
+	// slotSeconds is the duration of one slot.
 	slotSeconds = windowSeconds / slotCount
 
-	// reopenShare is the share of the budget under which an exhausted one is available again, so that it does not
-	// change at each single retry.
-	reopenShare = 0.8
+	// reopenFraction is the fraction of the budget below which an exhausted budget becomes available again. The
+	// hysteresis prevents a change with every single retry.
+	reopenFraction = 0.8
 )
 
-// anyClass is the class of the scope of an endpoint.
+// anyClass is the class in the scope of an endpoint's budget.
 const anyClass routing.ClassIndex = -1
 
 // Limits are the limits of each budget.
 type Limits struct {
-	RetryRatio float64 // retries for each first attempt; 0 or less for no budgets
-	MinRetries float64 // retries in the window that are always allowed, so that low traffic goes on retrying
+	RetryRatio float64 // retries per first attempt; 0 or less disables budgets
+	MinRetries float64 // retries per window that are always allowed, so that low traffic can be retried
 }
 
-// Scope is what a budget is for: a request class, or an endpoint where it is named.
+// Scope identifies the request class of a budget, or the endpoint if one is set.
 type Scope struct {
 	Class    routing.ClassIndex
 	Endpoint routing.EndpointID
 }
 
-// Change says that a budget is exhausted, or available again.
+// Change reports that a budget is exhausted, or available again.
 type Change struct {
 	Scope
 	Available bool
 }
 
-// window is the attempts of one scope in the last seconds.
+// window counts the recent attempts of one scope.
 type window struct {
 	firstAttempts [slotCount]float64
 	retries       [slotCount]float64
-	slot          int64 // the slot that is being filled, counted from time 0
-	exhausted     bool  // as it was reported last
+	slot          int64 // index of the current slot, counted from time 0
+	exhausted     bool  // last reported state
 }
 
-// Budget is the budgets of all scopes. It is not safe for more than one goroutine.
+// Budget holds the budgets of all scopes. It is not safe for concurrent use.
 type Budget struct {
 	limits  Limits
-	now     float64 // monotonic seconds, the latest time that a call gave
+	now     float64 // monotonic seconds; the latest time passed by any call
 	windows map[Scope]*window
 	changes []Change
 }
 
-// New returns budgets of which nothing is used.
+// New returns budgets with no recorded attempts.
 func New(limits Limits) *Budget { return &Budget{limits: limits, windows: map[Scope]*window{}} }
 
-// RecordAttempt counts an attempt of a request: its first one, or a retry.
+// RecordAttempt counts the first attempt of a request, or a retry.
 func (b *Budget) RecordAttempt(now float64, class routing.ClassIndex, endpoint routing.EndpointID, isRetry bool) {
 	if b.limits.RetryRatio <= 0 {
 		return
@@ -85,8 +85,8 @@
 	}
 }
 
-// Advance sets the time. Exhausted budgets become available again, and scopes without attempts in the window are
-// forgotten.
+// Advance sets the current time. Exhausted budgets become available again when enough retries have left the window, and
+// scopes without attempts in the window are deleted.
 func (b *Budget) Advance(now float64) {
 	b.now = max(b.now, now)
 	for _, scope := range b.sortedScopes() {
@@ -106,10 +106,10 @@
 	return changes
 }
 
-// currentSlot returns the slot of the present time.
+// currentSlot returns the index of the slot of the current time.
 func (b *Budget) currentSlot() int64 { return int64(b.now / slotSeconds) }
 
-// window returns a scope's window up to the present time.
+// window returns the window of a scope, advanced to the current time.
 func (b *Budget) window(scope Scope) *window {
 	w := b.windows[scope]
 	if w == nil {
@@ -120,7 +120,7 @@
 	return w
 }
 
-// update notes whether a budget was exhausted or became available.
+// update records a change if a budget was exhausted or became available.
 func (b *Budget) update(scope Scope, w *window) {
 	allowed := b.limits.allowedRetries(sum(w.firstAttempts))
 	exhausted := isExhausted(sum(w.retries), allowed, w.exhausted)
@@ -130,24 +130,25 @@
 	}
 }
 
-// allowedRetries returns how many retries the budget allows for so many first attempts in the window.
+// allowedRetries returns the number of retries that the budget allows for a number of first attempts in the window.
 func (l Limits) allowedRetries(firstAttempts float64) float64 {
 	return l.MinRetries + l.RetryRatio*firstAttempts
 }
 
-// isExhausted says whether a budget is exhausted with so many retries in the window, by whether it was before.
+// isExhausted reports whether a budget is exhausted, given the number of retries in the window and whether it was
+// exhausted before.
 //
-// It guards against retries that hold an overloaded endpoint down: the more requests fail, the more attempts they make.
-// That shows as many more attempts than requests. A budget that is exhausted stays so until retries are clearly fewer
-// than allowed, so that it does not change with every single one.
-func isExhausted(retries, allowed float64, before bool) bool {
-	if before {
-		return retries >= reopenShare*allowed
+// It guards against retries that keep an endpoint overloaded: the more requests fail, the more attempts they make, and
+// the number of attempts far exceeds that of requests. An exhausted budget stays exhausted until retries are clearly
+// below the allowed number, so that its state does not change with every single retry.
+func isExhausted(retries, allowed float64, wasExhausted bool) bool {
+	if wasExhausted {
+		return retries >= reopenFraction*allowed
 	}
 	return retries >= allowed
 }
 
-// sortedScopes returns the scopes in order, so that changes come in the same order for the same events.
+// sortedScopes returns the scopes in sorted order, so that the same events yield changes in the same order.
 func (b *Budget) sortedScopes() []Scope {
 	return slices.SortedFunc(maps.Keys(b.windows), func(x, y Scope) int {
 		return cmp.Or(cmp.Compare(x.Class, y.Class), cmp.Compare(x.Endpoint, y.Endpoint))
@@ -164,7 +165,7 @@
 	w.slot = max(w.slot, slot)
 }
 
-// isEmpty says whether no attempt is in the window.
+// isEmpty reports whether the window contains no attempts.
 func (w *window) isEmpty() bool { return sum(w.firstAttempts)+sum(w.retries) == 0 }
 
 func sum(slots [slotCount]float64) (total float64) {
--- a/internal/upstream/retrybudget/budget_test.go
+++ b/internal/upstream/retrybudget/budget_test.go
@@ -7,10 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Endpoints fail and every request is sent again, which adds load where it is least wanted. Retries are bounded by a
-// share of the first attempts, with a minimum, by class and by endpoint. A budget is open again once its window has
-// passed.
-func TestBudgetIsAShareOfFirstAttempts(t *testing.T) {
+// When endpoints fail, retries of every request would add load to them. Retries are limited to a fraction of the first
+// attempts plus a minimum, per class and per endpoint. A budget is available again when its window has passed.
+func TestBudgetIsFractionOfFirstAttempts(t *testing.T) {
 	b := New(Limits{RetryRatio: 0.2, MinRetries: 2})
 	for i := range 50 {
 		b.RecordAttempt(100+float64(i)/100, 0, "a", false)
@@ -18,18 +17,18 @@
 	for range 11 {
 		b.RecordAttempt(100.6, 0, "b", true)
 	}
-	assert.Equal(t, []Change{{Scope{-1, "b"}, false}}, b.TakeChanges(), "b had no first attempt: it has the minimum")
+	assert.Equal(t, []Change{{Scope{-1, "b"}, false}}, b.TakeChanges(), "b has only the minimum: no first attempts")
 	b.RecordAttempt(100.6, 0, "c", true)
 	assert.Equal(t, []Change{{Scope{0, ""}, false}}, b.TakeChanges())
 	b.Advance(102)
 	assert.Empty(t, b.TakeChanges(), "within the window")
 	b.Advance(105)
 	assert.Equal(t, []Change{{Scope{-1, "b"}, true}, {Scope{0, ""}, true}}, b.TakeChanges())
-	assert.Empty(t, b.windows, "scopes without attempts are forgotten")
+	assert.Empty(t, b.windows, "scopes without attempts are deleted")
 }
 
-// An installation sets no ratio. Retries are not bounded then, and nothing is remembered.
-func TestWithoutARatioThereIsNoBudget(t *testing.T) {
+// Without a retry ratio, retries are not limited and no attempts are counted.
+func TestZeroRatioDisablesBudget(t *testing.T) {
 	b := New(Limits{})
 	for range 99 {
 		b.RecordAttempt(1, 0, "a", true)
@@ -38,13 +37,14 @@
 	assert.Empty(t, b.windows)
 }
 
-// sentAttempt is an attempt as it was recorded.
+// sentAttempt is a recorded attempt.
 type sentAttempt struct {
 	at      float64
 	isRetry bool
 }
 
-// countInWindow counts the retries that lie within the window before a time for sure, and the first attempts that may.
+// countInWindow counts the retries that are certainly in the window before a time, and the first attempts that may be
+// in it.
 func countInWindow(sent []sentAttempt, now float64) (firstAttempts, retries float64) {
 	for _, a := range sent {
 		if a.isRetry && a.at > now-windowSeconds+slotSeconds {
@@ -56,8 +56,8 @@
 	return firstAttempts, retries
 }
 
-// A budget whose windows are counted wrongly lets retries through while endpoints fail, and adds to their load. While
-// no retry is sent on an exhausted budget, the retries in any window stay within it.
+// A budget that counts its windows wrongly allows too many retries while endpoints fail, which adds to their load. If
+// no retry is sent on an exhausted budget, the retries in any window must stay within the budget.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Limits{RetryRatio: 0.25, MinRetries: 3})
@@ -82,12 +82,12 @@
 	})
 }
 
-// TestExhaustedBudgetReopensBelowItsShare: and not at the number of retries at which it was exhausted.
-func TestExhaustedBudgetReopensBelowItsShare(t *testing.T) {
+// An exhausted budget becomes available again only below its share, not at the number of retries that exhausted it.
+func TestExhaustedBudgetReopensBelowFraction(t *testing.T) {
 	allowed := Limits{RetryRatio: 0.5, MinRetries: 5}.allowedRetries(10)
 	assert.Equal(t, 10.0, allowed) //nolint:testifylint // exact by intent
 	assert.False(t, isExhausted(allowed-1, allowed, false))
 	assert.True(t, isExhausted(allowed, allowed, false))
-	assert.True(t, isExhausted(reopenShare*allowed, allowed, true))
-	assert.False(t, isExhausted(reopenShare*allowed-1, allowed, true))
+	assert.True(t, isExhausted(reopenFraction*allowed, allowed, true))
+	assert.False(t, isExhausted(reopenFraction*allowed-1, allowed, true))
 }
--- a/internal/upstream/retrybudget/golden_test.go
+++ b/internal/upstream/retrybudget/golden_test.go
@@ -15,7 +15,7 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// TestBudgetTrace holds that the same attempts give the same changes as the recorded ones.
+// TestBudgetTrace checks that the same attempts cause the same changes as in the golden file.
 func TestBudgetTrace(t *testing.T) {
 	state := uint64(5)
 	below := func(n int) int {
