--- a/internal/upstream/address/addr.go
+++ b/internal/upstream/address/addr.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// unixPrefix begins the address of a Unix socket.
+// unixPrefix is the prefix of Unix socket addresses.
 const unixPrefix = "unix:"
 
 // Addr is one address of an endpoint: host:port with a literal IP, or unix:PATH.
 type Addr string
 
-// Network returns the name of the address's network for a dialer.
+// Network returns the network name to pass to a dialer.
 func (a Addr) Network() string {
 	if strings.HasPrefix(string(a), unixPrefix) {
 		return "unix"
@@ -20,20 +20,20 @@
 	return "tcp"
 }
 
-// Target returns the address as its network has it.
+// Target returns the address to pass to a dialer, without the unix: prefix.
 func (a Addr) Target() string { return strings.TrimPrefix(string(a), unixPrefix) }
 
-// addrFamily groups addresses by their distance.
+// addrFamily groups addresses by network distance.
 type addrFamily int
 
-// The families, nearest first. Within a family IPv6 and IPv4 are interleaved (RFC 8305, section 4).
+// Address families, nearest first. Within a family, IPv6 and IPv4 addresses alternate (RFC 8305, section 4).
 const (
 	familyUnix addrFamily = iota
 	familyLoopback
 	familyOther
 )
 
-// family returns the address's family, and whether it is IPv6.
+// family returns the address's family and whether it is an IPv6 address.
 func (a Addr) family() (family addrFamily, isIPv6 bool) {
 	if a.Network() == "unix" {
 		return familyUnix, false
@@ -50,8 +50,8 @@
 	return familyOther, isIPv6
 }
 
-// sortAddrs returns the addresses by family, with IPv6 and IPv4 in turns within each, and without duplicates. The
-// order within a family and IP version stays.
+// sortAddrs returns the addresses sorted by family and without duplicates. IPv6 and IPv4 alternate within each family.
+// The order within a family and IP version is preserved.
 func sortAddrs(addrs []Addr) []Addr {
 	var sorted []Addr
 	for _, family := range []addrFamily{familyUnix, familyLoopback, familyOther} {
@@ -71,7 +71,7 @@
 	return sorted
 }
 
-// interleave takes addresses from two lists in turns, the first list's first.
+// interleave merges two lists by alternating between them, starting with the first list.
 func interleave(a, b []Addr) []Addr {
 	var mixed []Addr
 	for i := range max(len(a), len(b)) {
--- a/internal/upstream/address/cooldown.go
+++ b/internal/upstream/address/cooldown.go
@@ -8,48 +8,49 @@
 )
 
 const (
-	// firstCooldownSeconds and maxCooldownSeconds bound the cooldown of an address that a probe can reinstate.
-	firstCooldownSeconds = 0.2
-	maxCooldownSeconds   = 5.0
+	// minCooldownSeconds and maxCooldownSeconds are the minimum and maximum cooldown of an address that a probe can
+	// reinstate.
+	minCooldownSeconds = 0.2
+	maxCooldownSeconds = 5.0
 
-	// maxSilentCooldownSeconds bounds the cooldown of a silent address: only an attempt or a health check can
-	// tell that it responds.
+	// maxSilentCooldownSeconds is the maximum cooldown of a silent address: only an attempt or a health check can show
+	// that it responds.
 	maxSilentCooldownSeconds = 20.0
 
-	// cooldownGrowth bounds a cooldown by the one before it (decorrelated jitter).
+	// cooldownGrowth limits a cooldown to a multiple of the previous one (decorrelated jitter).
 	cooldownGrowth = 3.0
 
-	// healthyResetSeconds is how long an address has to respond until its next cooldown is a first one again.
-	// An address that flaps does not reset it.
+	// healthyResetSeconds is how long an address must respond without failures before its cooldown is reset to the
+	// minimum. A flapping address does not reach it.
 	healthyResetSeconds = 2.0
 )
 
-// Condition says what is held against an address. These are all transitions; address.setCondition makes them and no
-// other. A fault is Refused, TimedOut, Broken or Silent:
+// Condition is the health state of an address. The table lists all transitions; only address.setCondition performs
+// them. A fault is Refused, TimedOut, Broken or Silent:
 //
 //	from                       to        when
 //	Healthy                    a fault   a dial, a connection or an attempt failed that way (startCooldown)
-//	a fault                    a fault   likewise, another way or after its cooldown (startCooldown)
+//	a fault                    a fault   another kind of failure, or one after its cooldown (startCooldown)
 //	Refused, TimedOut, Broken  Healthy   a dial succeeded (DialEnded)
-//	a fault                    Healthy   a response came (ResponseReceived)
-//	any                        Disabled  an operator wants it (Disable)
-//	any                        Healthy   an operator wants it (Reinstate)
+//	a fault                    Healthy   a response arrived (ResponseReceived)
+//	any                        Disabled  an operator disabled it (Disable)
+//	any                        Healthy   an operator reinstated it (Reinstate)
 //
-// So nothing but an operator changes a Disabled address.
+// Only an operator can change the condition of a Disabled address.
 type Condition int
 
-// The conditions. A connection alone does not reinstate an address that is Silent or Disabled.
+// Conditions of an address. An established connection alone does not reinstate an address that is Silent or Disabled.
 const (
 	Healthy  Condition = iota
 	Refused            // a dial was refused
-	TimedOut           // a dial was not established in its time
-	Broken             // a connection ended while attempts were open on it
-	Silent             // it accepted, took an attempt and sent nothing
-	Disabled           // by an operator
+	TimedOut           // a dial timed out
+	Broken             // a connection broke while attempts were open on it
+	Silent             // it accepted a connection and an attempt, but sent no response
+	Disabled           // disabled by an operator
 	conditionCount
 )
 
-// conditionNames has the names of the conditions in printed text.
+// conditionNames lists the names of the conditions for log lines and other printed text.
 var conditionNames = [...]string{
 	Healthy:  "healthy",
 	Refused:  "connect_refused",
@@ -59,7 +60,7 @@
 	Disabled: "disabled",
 }
 
-// conditionWireNames has the names of the conditions in the JSON of a Status.
+// conditionWireNames lists the names of the conditions in the JSON of a Status.
 var conditionWireNames = [...]string{
 	Healthy:  "well",
 	Refused:  "refused",
@@ -69,13 +70,14 @@
 	Disabled: "by-hand",
 }
 
-// String returns the condition's name in printed text.
+// String returns the condition's name for printed text.
 func (c Condition) String() string { return conditionNames[c] }
 
 // WireName returns the condition's name in the JSON of a Status.
 func (c Condition) WireName() string { return conditionWireNames[c] }
 
-// ParseConditionWireName returns the condition with a name in the JSON of a Status, and false for an unknown name.
+// ParseConditionWireName returns the condition that has the given name in the JSON of a Status. It returns false for an
+// unknown name.
 func ParseConditionWireName(name string) (Condition, bool) {
 	for condition := Healthy; condition <= Disabled; condition++ {
 		if condition.WireName() == name {
@@ -85,11 +87,11 @@
 	return Healthy, false
 }
 
-// endsWithConnection says whether a connection that is established shows that the fault is over.
-func (c Condition) endsWithConnection() bool { return c == Refused || c == TimedOut || c == Broken }
+// clearedByConnection reports whether an established connection shows that the fault is over.
+func (c Condition) clearedByConnection() bool { return c == Refused || c == TimedOut || c == Broken }
 
-// setCondition changes what is held against an address. A trial of a silent address is over with that. It says whether
-// the change is allowed: a fault does not take a disabled address back into use.
+// setCondition changes the condition of an address and ends the trial of a silent address. It reports whether the
+// change is allowed: a fault must not bring a disabled address back into use.
 func (a *address) setCondition(now float64, to Condition) bool {
 	if a.condition == Disabled && to != Healthy && to != Disabled {
 		return false
@@ -100,8 +102,8 @@
 	return true
 }
 
-// startCooldown puts an address into cooldown. Cooldowns grow by decorrelated jitter until the address has responded
-// for a while.
+// startCooldown puts an address into cooldown. Cooldowns grow with decorrelated jitter until the address has responded
+// for healthyResetSeconds.
 func (s *Selector) startCooldown(e *endpoint, a *address, fault Condition) {
 	a.inTrial = false
 	repeated := a.condition == fault && a.inCooldown(s.now)
@@ -116,24 +118,25 @@
 	a.cooldownUntil = s.now + a.lastCooldownSeconds
 	switch fault {
 	case Silent:
-		e.inDoubt = true
+		e.needsHealthCheck = true
 	case Refused, TimedOut:
 		a.connectSeconds = nil
-	case Healthy, Broken, Disabled, conditionCount: // nothing more to note
+	case Healthy, Broken, Disabled, conditionCount: // no further state changes
 	}
 }
 
-// cooldownSeconds returns how long a cooldown lasts, by the one before it, 0 for none, and by chance from 0 to 1.
+// cooldownSeconds returns the duration of a cooldown, given the previous one (0 if there was none) and a random number
+// from 0 to 1.
 //
-// It guards against addresses that fail again and again: each time, attempts wait for a dial or a response in vain. The
-// length varies by chance, so that routers that saw one failure do not all probe at once.
-func cooldownSeconds(previous float64, fault Condition, chance float64) float64 {
+// It guards against addresses that fail repeatedly: each failure makes attempts wait in vain for a dial or a response.
+// The duration is random, so that routers that observed the same failure do not all probe at the same time.
+func cooldownSeconds(previous float64, fault Condition, randomFraction float64) float64 {
 	longest := maxCooldownSeconds
 	if fault == Silent {
 		longest = maxSilentCooldownSeconds
 	}
-	spread := max(previous, firstCooldownSeconds)*cooldownGrowth - firstCooldownSeconds
-	return min(longest, firstCooldownSeconds+chance*spread)
+	spread := max(previous, minCooldownSeconds)*cooldownGrowth - minCooldownSeconds
+	return min(longest, minCooldownSeconds+randomFraction*spread)
 }
 
 // reinstate ends an address's cooldown.
@@ -142,8 +145,8 @@
 	a.cooldownUntil = 0
 }
 
-// Disable takes an address out of use until Reinstate, for an operator. It returns false for an unknown address, and
-// for the endpoint's last one that is not disabled.
+// Disable takes an address out of use until Reinstate is called, on behalf of an operator. It returns false for an
+// unknown address, and for the last address of the endpoint that is not disabled.
 func (s *Selector) Disable(now float64, id routing.EndpointID, addr Addr) bool {
 	e, a := s.lookup(now, id, addr)
 	if a == nil || !e.hasOtherEnabled(a) {
@@ -154,14 +157,14 @@
 	return true
 }
 
-// hasOtherEnabled says whether another address of the endpoint is not disabled.
+// hasOtherEnabled reports whether the endpoint has another address that is not disabled.
 func (e *endpoint) hasOtherEnabled(a *address) bool {
 	return slices.ContainsFunc(e.addresses, func(other *address) bool {
 		return other != a && other.condition != Disabled
 	})
 }
 
-// Reinstate ends any cooldown of an address, for an operator. It returns false for an unknown address.
+// Reinstate ends the cooldown of an address on behalf of an operator. It returns false for an unknown address.
 func (s *Selector) Reinstate(now float64, id routing.EndpointID, addr Addr) bool {
 	_, a := s.lookup(now, id, addr)
 	if a == nil {
@@ -172,5 +175,5 @@
 	return true
 }
 
-// inCooldown says whether the address is not used for attempts now.
+// inCooldown reports whether the address is currently excluded from attempts.
 func (a *address) inCooldown(now float64) bool { return now < a.cooldownUntil }
--- a/internal/upstream/address/cooldown_test.go
+++ b/internal/upstream/address/cooldown_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An operator has disabled an address, and a fault or an answer changes its condition. It would be used again against
-// the order. No fault takes it back into use, and a trial ends with any change.
+// An operator has disabled an address, and a fault or a response would change its condition. Only an operator may bring
+// it back into use, and every change of the condition ends a trial.
 func TestOnlyAnOperatorChangesADisabledAddress(t *testing.T) {
 	for from := range conditionCount {
 		for to := range conditionCount {
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestCooldownsGrowWithinTheirBounds: from the shortest one up to that of the fault, whatever the chance.
-func TestCooldownsGrowWithinTheirBounds(t *testing.T) {
+// Cooldowns grow from the minimum to the maximum for the fault, whatever the random number.
+func TestCooldownsGrowWithinBounds(t *testing.T) {
 	for _, fault := range []Condition{Refused, TimedOut, Broken, Silent} {
 		longest := maxCooldownSeconds
 		if fault == Silent {
@@ -35,18 +35,19 @@
 		previous := 0.0
 		for range 20 {
 			//nolint:testifylint // exact by intent
-			assert.Equal(t, firstCooldownSeconds, cooldownSeconds(previous, fault, 0))
+			assert.Equal(t, minCooldownSeconds, cooldownSeconds(previous, fault, 0))
 			next := cooldownSeconds(previous, fault, 1)
 			assert.GreaterOrEqual(t, next, previous)
-			assert.LessOrEqual(t, next, max(previous, firstCooldownSeconds)*cooldownGrowth)
+			assert.LessOrEqual(t, next, max(previous, minCooldownSeconds)*cooldownGrowth)
 			previous = next
 		}
 		assert.Equal(t, longest, previous, "%v", fault) //nolint:testifylint // exact by intent
 	}
 }
 
-// TestSilenceIsLongerThanUsualWaits: by the least wait where nothing is known, by the usual one else.
-func TestSilenceIsLongerThanUsualWaits(t *testing.T) {
+// The limit for silence is the minimum wait if the usual time to the first byte is unknown, otherwise a multiple of
+// that time.
+func TestSilenceLimit(t *testing.T) {
 	assert.False(t, isSilent(minSilenceSeconds/2, 0))
 	assert.True(t, isSilent(minSilenceSeconds, 0))
 	assert.False(t, isSilent(silenceFactor/2, 1))
--- a/internal/upstream/address/observation.go
+++ b/internal/upstream/address/observation.go
@@ -7,26 +7,28 @@
 )
 
 const (
-	// minSilenceSeconds is the least wait without input after which an address is held to be silent. It is under the
-	// silence for which routing ejects an endpoint, so that the address is at fault before its endpoint is.
+	// minSilenceSeconds is the minimum wait without input after which an address is considered silent. It is shorter
+	// than the silence after which routing ejects an endpoint, so that the address is marked as faulty before its
+	// endpoint is.
 	minSilenceSeconds = 0.12
 
-	// silenceFactor is how many usual waits for a first byte tell of silence.
+	// silenceFactor is the multiple of the mean time to the first byte after which an address is considered silent.
 	silenceFactor = 4.0
 )
 
-// DialResult says how a dial of an address ended.
+// DialResult is the result of dialing an address.
 type DialResult int
 
-// The results of a dial.
+// Results of a dial.
 const (
 	DialSucceeded    DialResult = iota
-	DialRefused                 // refused, or failed at once in another way
-	DialTimedOut                // not established in its time
-	DialInconclusive            // called off, or failed for want of local resources: it says nothing of the address
+	DialRefused                 // refused, or failed immediately for another reason
+	DialTimedOut                // timed out
+	DialInconclusive            // cancelled, or failed for lack of local resources; reveals nothing about the address
 )
 
-// lookup returns an endpoint and one of its addresses, nil where it has not that address.
+// lookup returns an endpoint and one of its addresses. The address is nil if the endpoint does not have it; both are
+// nil for an unknown endpoint.
 func (s *Selector) lookup(now float64, id routing.EndpointID, addr Addr) (*endpoint, *address) {
 	s.advance(now)
 	e := s.endpoints[id]
@@ -36,15 +38,16 @@
 	return e, e.find(addr)
 }
 
-// AttemptSent says that an attempt is on its way over an address. The one that tries a silent address is the only one
-// there.
+// AttemptSent reports that an attempt was started over an address. If the address is silent, the attempt is its trial,
+// and no other attempt is sent there.
 func (s *Selector) AttemptSent(now float64, id routing.EndpointID, addr Addr) {
 	if _, a := s.lookup(now, id, addr); a != nil && a.condition == Silent {
 		a.inTrial = true
 	}
 }
 
-// DialEnded says how a dial of an address ended, and for one that succeeded how long it took.
+// DialEnded reports the result of dialing an address. The duration of the dial, in seconds, is used only if it
+// succeeded.
 func (s *Selector) DialEnded(now float64, id routing.EndpointID, addr Addr, result DialResult, seconds float64) {
 	e, a := s.lookup(now, id, addr)
 	if a == nil {
@@ -54,19 +57,19 @@
 	switch result {
 	case DialSucceeded:
 		a.connectSeconds.add(seconds)
-		if a.condition.endsWithConnection() {
+		if a.condition.clearedByConnection() {
 			a.reinstate(s.now)
 		}
 	case DialRefused:
 		s.startCooldown(e, a, Refused)
 	case DialTimedOut:
 		s.startCooldown(e, a, TimedOut)
-	case DialInconclusive: // says nothing of the address
+	case DialInconclusive: // reveals nothing about the address
 	}
 }
 
-// ResponseReceived says that an endpoint sent something over an address, so many seconds after what it responds to
-// was written.
+// ResponseReceived reports that an endpoint sent a response over an address. WaitSeconds is the time since the attempt
+// or health check was written.
 func (s *Selector) ResponseReceived(now float64, id routing.EndpointID, addr Addr, waitSeconds float64) {
 	_, a := s.lookup(now, id, addr)
 	if a == nil || a.condition == Disabled {
@@ -83,10 +86,10 @@
 	}
 }
 
-// AwaitingResponse says that an attempt was written over an address so many seconds ago and no input came over that
-// connection since. It returns whether the address is now held to be silent, so that no other attempt goes there.
-// Whether the endpoint is silent follows from its other addresses; see ReachableElsewhere.
-func (s *Selector) AwaitingResponse(now float64, id routing.EndpointID, addr Addr, waitSeconds float64) bool {
+// MarkIfSilent reports that an attempt was written over an address waitSeconds ago and that no input has arrived on
+// that connection since. It returns whether the address is now considered silent, so that no other attempt is sent
+// there. Whether the endpoint itself is silent follows from its other addresses; see ReachableOverOtherAddress.
+func (s *Selector) MarkIfSilent(now float64, id routing.EndpointID, addr Addr, waitSeconds float64) bool {
 	e, a := s.lookup(now, id, addr)
 	if a == nil || !e.hasAlternatives() || a.condition == Disabled {
 		return false
@@ -101,20 +104,20 @@
 	return true
 }
 
-// isSilent says whether a wait without input tells of silence over an address with a usual wait for a first byte; that
-// is 0 where it is not known.
+// isSilent reports whether a wait without input is long enough for an address to count as silent, given its mean time
+// to the first byte (0 if unknown).
 //
-// It guards against addresses that accept connections and take attempts but never respond, as behind a broken
-// forwarder: attempts there run into their deadline although the endpoint responds over another address. An address
-// with slow responses is not held to be silent, since the wait has to be a multiple of what is usual there.
+// It guards against addresses that accept connections and attempts but never respond, as behind a broken forwarder:
+// attempts there time out although the endpoint responds over another address. An address with slow responses does not
+// count as silent, since the wait must be a multiple of its mean.
 func isSilent(waitSeconds, usualSeconds float64) bool {
 	return waitSeconds >= max(minSilenceSeconds, silenceFactor*usualSeconds)
 }
 
-// ReachableElsewhere says whether an endpoint has sent something over another address since a time, or may be asked
-// over another one now: then a silent address is at fault before its endpoint is. Where every other address is
-// silent too, all are in cooldown, and the next attempt fails at once.
-func (s *Selector) ReachableElsewhere(now float64, id routing.EndpointID, addr Addr, since float64) bool {
+// ReachableOverOtherAddress reports whether an endpoint has sent a response over another address since the given time,
+// or has another address that is usable now. In that case the silent address is at fault rather than its endpoint. If
+// every other address is silent too, all are in cooldown and the next attempt fails immediately.
+func (s *Selector) ReachableOverOtherAddress(now float64, id routing.EndpointID, addr Addr, since float64) bool {
 	s.advance(now)
 	e := s.endpoints[id]
 	return e != nil && slices.ContainsFunc(e.addresses, func(a *address) bool {
@@ -122,7 +125,7 @@
 	})
 }
 
-// ConnectionBroken says that a connection over an address ended while attempts were open on it.
+// ConnectionBroken reports that a connection over an address ended while attempts were open on it.
 func (s *Selector) ConnectionBroken(now float64, id routing.EndpointID, addr Addr) {
 	if e, a := s.lookup(now, id, addr); a != nil {
 		s.startCooldown(e, a, Broken)
--- a/internal/upstream/address/observation_test.go
+++ b/internal/upstream/address/observation_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestConditionsHaveNamesForTextAndForReports compares the names in printed text, and those in the JSON of a Status,
-// which stay.
-func TestConditionsHaveNamesForTextAndForReports(t *testing.T) {
+// The names of the conditions in printed text must match the list. So must those in the JSON of a Status, which are
+// part of the external format and must not change.
+func TestConditionNames(t *testing.T) {
 	var texts, wireNames []string
 	for condition := Healthy; condition <= Disabled; condition++ {
 		texts = append(texts, condition.String())
@@ -22,5 +22,5 @@
 	}, texts)
 	assert.Equal(t, []string{"well", "refused", "hung", "broken", "quiet", "by-hand"}, wireNames)
 	_, ok := ParseConditionWireName("healthy")
-	assert.False(t, ok, "a name of printed text")
+	assert.False(t, ok, "printed names are not accepted")
 }
--- a/internal/upstream/address/probe.go
+++ b/internal/upstream/address/probe.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// recentUseSeconds is how long after its last planned connection an endpoint has a second one.
+	// recentUseSeconds is how long an endpoint has a spare connection after a connection to it was last planned.
 	recentUseSeconds = 30.0
 
-	// spareIntervalSeconds is the least time between two probes for a spare connection.
+	// spareIntervalSeconds is the minimum time between two probes that open a spare connection.
 	spareIntervalSeconds = 5.0
 
-	// minProbeIntervalSeconds is the least time between two probes of an address: that of its shortest cooldown.
-	minProbeIntervalSeconds = firstCooldownSeconds
+	// minProbeIntervalSeconds is the minimum time between two probes of an address. It equals the shortest cooldown.
+	minProbeIntervalSeconds = minCooldownSeconds
 
-	// probeTimeoutSeconds is the time after which a probe whose end was not heard of does not keep back another one.
+	// probeTimeoutSeconds is the time after which a probe whose result was never reported no longer prevents another
+	// probe.
 	probeTimeoutSeconds = maxCooldownSeconds
 )
 
-// Probe asks for a connection that carries no attempt: to see whether an address can be reached again, or to have a
-// spare connection. HealthCheck asks for a health check on it, as a connection alone tells nothing of an address that
-// accepts and stays silent.
+// Probe requests a connection without an attempt, either to check whether an address is reachable again or to open a
+// spare connection. HealthCheck requests a health check on it, because a connection alone reveals nothing about an
+// address that accepts connections and stays silent.
 type Probe struct {
 	Endpoint    routing.EndpointID
 	Addr        Addr
 	HealthCheck bool
 }
 
-// DueProbes returns the probes that are due now, in the order of the endpoints' ids. Each is to be begun once;
-// DialEnded or ResponseReceived ends it. HasConnection says whether there is an established connection over an
-// address.
+// DueProbes returns the probes that are due now, ordered by endpoint id. The caller must start each of them once;
+// DialEnded or ResponseReceived ends it. HasConnection reports whether a connection over an address is established.
 func (s *Selector) DueProbes(now float64, hasConnection func(id routing.EndpointID, addr Addr) bool) []Probe {
 	s.advance(now)
 	var probes []Probe
 	for _, id := range s.ids() {
 		e := s.endpoints[id]
 		unused := s.now-e.lastPlanned >= recentUseSeconds
-		if !e.hasAlternatives() || (unused && e.isHealthy()) { // most endpoints, most of the time
+		if !e.hasAlternatives() || (unused && e.allHealthy()) { // true for most endpoints most of the time
 			continue
 		}
 		probes = append(probes, s.endpointProbes(id, e, hasConnection)...)
@@ -51,17 +51,17 @@
 	hasConnection func(id routing.EndpointID, addr Addr) bool,
 ) []Probe {
 	var probes []Probe
-	askAnother := e.inDoubt && s.HealthChecksAllowed
-	e.inDoubt = false
-	healthy := 0 // addresses of higher rank that are in use or get a spare connection
+	checkOther := e.needsHealthCheck && s.HealthChecksAllowed
+	e.needsHealthCheck = false
+	healthy := 0 // number of higher-ranked addresses that are in use or get a spare connection
 	for _, a := range e.byPreference() {
-		if askAnother && a.condition == Healthy && !a.probing { // its response tells whether the endpoint is silent
-			askAnother = false
+		if checkOther && a.condition == Healthy && !a.probing { // a response shows that the endpoint is not silent
+			checkOther = false
 			a.startProbe(s.now)
 			probes = append(probes, Probe{Endpoint: id, Addr: a.Addr, HealthCheck: true})
 			continue
 		}
-		if a.probedLately(s.now) {
+		if a.probedRecently(s.now) {
 			continue
 		}
 		switch {
@@ -70,7 +70,7 @@
 			a.startProbe(s.now)
 			probes = append(probes, Probe{Endpoint: id, Addr: a.Addr, HealthCheck: a.condition == Silent})
 		default:
-			if healthy == 1 && s.needsSpare(e, a) && !hasConnection(id, a.Addr) {
+			if healthy == 1 && s.needsSpareConnection(e, a) && !hasConnection(id, a.Addr) {
 				a.startProbe(s.now)
 				probes = append(probes, Probe{Endpoint: id, Addr: a.Addr})
 			}
@@ -80,29 +80,30 @@
 	return probes
 }
 
-// needsSpare says whether it is time to see to a spare connection over the endpoint's second healthy address.
-func (s *Selector) needsSpare(e *endpoint, second *address) bool {
+// needsSpareConnection reports whether it is time to check for a spare connection over the endpoint's second healthy
+// address.
+func (s *Selector) needsSpareConnection(e *endpoint, second *address) bool {
 	return s.now-e.lastPlanned < recentUseSeconds && s.now-second.probedAt >= spareIntervalSeconds
 }
 
-// startProbe notes that a probe of the address begins.
+// startProbe records the start of a probe of the address.
 func (a *address) startProbe(now float64) {
 	a.probing = true
 	a.probedAt = now
 }
 
-// probedLately says whether the address was probed too lately, or is being probed.
-func (a *address) probedLately(now float64) bool {
+// probedRecently reports whether the address is being probed, or was probed less than the minimum interval ago.
+func (a *address) probedRecently(now float64) bool {
 	sinceProbe := now - a.probedAt
 	return sinceProbe < minProbeIntervalSeconds || (a.probing && sinceProbe < probeTimeoutSeconds)
 }
 
-// isHealthy says that nothing is held against any address.
-func (e *endpoint) isHealthy() bool {
+// allHealthy reports whether all addresses of the endpoint are healthy.
+func (e *endpoint) allHealthy() bool {
 	return !slices.ContainsFunc(e.addresses, func(a *address) bool { return a.condition != Healthy })
 }
 
-// ids returns the endpoints' ids in order, sorted again only where an endpoint was added or removed.
+// ids returns the sorted endpoint ids. They are sorted again only after an endpoint was added or removed.
 func (s *Selector) ids() []routing.EndpointID {
 	if len(s.sortedIDs) != len(s.endpoints) || s.idsChanged {
 		s.sortedIDs = s.sortedIDs[:0]
--- a/internal/upstream/address/race.go
+++ b/internal/upstream/address/race.go
@@ -2,28 +2,28 @@
 
 import "math"
 
-// Race is the establishing of one connection over several addresses (RFC 8305, section 5). Dials begin one after
-// another, each some time after the one before it or as soon as that has failed. The first that succeeds is used, and
-// every other one is closed. It holds the dials' states only: its user dials and tells how each dial ended.
+// Race is the state of connecting to one endpoint over several addresses (RFC 8305, section 5). Dials start one after
+// another, each after a delay or as soon as the previous one has failed. The first connection to succeed is used, and
+// all others are closed. Race does no I/O: the caller dials and reports the result of each dial.
 type Race struct {
 	plan     []PlannedDial
 	states   []dialState
-	deadline float64 // monotonic seconds; no dial succeeds after it
-	lastDial float64 // monotonic seconds at which the latest dial began
+	deadline float64 // monotonic seconds; later dial results are not used
+	lastDial float64 // monotonic seconds; start of the latest dial
 	outcome  raceOutcome
 }
 
-// raceOutcome says whether a race was decided. Neither Won nor Stopped ever changes: a dial that succeeds after that
-// has its connection closed, so that an attempt is never written on two of them.
+// raceOutcome is the outcome of a race. Won and stopped are final: the connection of a dial that succeeds later is
+// closed, so that an attempt is never written on two connections.
 type raceOutcome int
 
 const (
-	raceOpen    raceOutcome = iota // no dial has succeeded yet; past the deadline none is to any more
+	raceOpen    raceOutcome = iota // no dial has succeeded yet; after the deadline none can
 	raceWon                        // the connection of one dial is used
-	raceStopped                    // its user needs no connection any more
+	raceStopped                    // the caller no longer needs a connection
 )
 
-// decide sets the outcome of a race that is open, and says whether it was.
+// decide sets the outcome of an open race, and reports whether the race was open.
 func (r *Race) decide(outcome raceOutcome) bool {
 	if r.outcome != raceOpen {
 		return false
@@ -32,29 +32,29 @@
 	return true
 }
 
-// dialState is the state of one dial of a race. These are all transitions; Race.moveDial makes them and no other:
+// dialState is the state of one dial of a race. The table lists all transitions; only Race.moveDial performs them:
 //
-//	from       to           when
-//	waiting    under way    its delay has passed, or the dials before it have failed (NextDial)
-//	under way  established  it has succeeded, also where another one was faster (Connected)
-//	under way  failed       it was refused or took too long (Failed)
+//	from         to           when
+//	waiting      in progress  its delay has passed, or the previous dials have failed (NextDial)
+//	in progress  established  it succeeded, even if another dial was faster (Connected)
+//	in progress  failed       it was refused or timed out (Failed)
 type dialState int
 
 const (
 	dialWaiting dialState = iota
-	dialUnderWay
+	dialInProgress
 	dialFailed
 	dialEstablished
 	dialStateCount
 )
 
-// dialTransitions has, by its state, the states that a dial may take next.
+// dialTransitions lists the allowed next states for each state.
 var dialTransitions = [dialStateCount][dialStateCount]bool{
-	dialWaiting:  {dialUnderWay: true},
-	dialUnderWay: {dialFailed: true, dialEstablished: true},
+	dialWaiting:    {dialInProgress: true},
+	dialInProgress: {dialFailed: true, dialEstablished: true},
 }
 
-// moveDial takes a dial to another state where the table has the transition, and says whether it did.
+// moveDial changes the state of a dial if the table allows the transition, and reports whether it did.
 func (r *Race) moveDial(index int, to dialState) bool {
 	if !dialTransitions[r.states[index]][to] {
 		return false
@@ -63,7 +63,7 @@
 	return true
 }
 
-// NewRace returns a race over a plan, to be won by a deadline in monotonic seconds.
+// NewRace returns a race over a dial plan, with a deadline in monotonic seconds.
 func NewRace(plan []PlannedDial, deadline float64) *Race {
 	return &Race{
 		plan:     plan,
@@ -73,27 +73,27 @@
 	}
 }
 
-// isOver says whether no more dials begin.
+// isOver reports whether no more dials may start.
 func (r *Race) isOver(now float64) bool { return r.outcome != raceOpen || now >= r.deadline }
 
-// NextDial returns the index of the dial that begins now, -1 for none. Admit is asked for each dial beside another
-// one: where it returns false, the dial waits until the others have failed.
+// NextDial returns the index of the dial to start now, or -1 if there is none. Admit is called for each additional
+// concurrent dial; if it returns false, the dial waits until the others have failed.
 func (r *Race) NextDial(now float64, admit func() bool) int {
 	next := r.firstWaiting()
 	if next < 0 || r.isOver(now) {
 		return -1
 	}
-	if r.count(dialUnderWay) > 0 {
+	if r.count(dialInProgress) > 0 {
 		if now < r.lastDial+r.delayBefore(next) || !admit() {
 			return -1
 		}
 	}
-	r.moveDial(next, dialUnderWay)
+	r.moveDial(next, dialInProgress)
 	r.lastDial = now
 	return next
 }
 
-// firstWaiting returns the index of the first dial that has not begun, -1 for none.
+// firstWaiting returns the index of the first dial that has not started, or -1 if there is none.
 func (r *Race) firstWaiting() int {
 	for i, state := range r.states {
 		if state == dialWaiting {
@@ -103,7 +103,7 @@
 	return -1
 }
 
-// delayBefore returns the seconds between a dial and the one before it.
+// delayBefore returns the seconds between the start of the previous dial and the start of this one.
 func (r *Race) delayBefore(index int) float64 {
 	if index == 0 {
 		return 0
@@ -111,7 +111,7 @@
 	return r.plan[index].DelaySeconds - r.plan[index-1].DelaySeconds
 }
 
-// count returns how many dials are in a state.
+// count returns the number of dials in a state.
 func (r *Race) count(wanted dialState) (n int) {
 	for _, state := range r.states {
 		if state == wanted {
@@ -121,33 +121,33 @@
 	return n
 }
 
-// NextDeadline returns when the next dial is due, or the race is over, if nothing happens before.
+// NextDeadline returns the time at which the next dial is due or the race expires, if no dial ends before.
 func (r *Race) NextDeadline(now float64) float64 {
 	next := r.firstWaiting()
-	if next < 0 || r.count(dialUnderWay) == 0 {
+	if next < 0 || r.count(dialInProgress) == 0 {
 		return r.deadline
 	}
 	due := r.lastDial + r.delayBefore(next)
-	if due <= now { // it waits for a descriptor
+	if due <= now { // the dial waits for a descriptor
 		return r.deadline
 	}
 	return min(r.deadline, due)
 }
 
-// Connected says that a dial has succeeded, and returns whether its connection is the one to use. Any other one has
-// to be closed.
+// Connected reports that a dial has succeeded, and returns whether its connection is the one to use. The caller must
+// close any other connection.
 func (r *Race) Connected(index int, now float64) (use bool) {
 	return r.moveDial(index, dialEstablished) && !r.isOver(now) && r.decide(raceWon)
 }
 
-// Failed says that a dial has failed. It changes nothing for one that has ended already.
+// Failed reports that a dial has failed. It has no effect on a dial that has already ended.
 func (r *Race) Failed(index int) { r.moveDial(index, dialFailed) }
 
-// Won says whether the connection of a dial is used.
+// Won reports whether the connection of a dial is used.
 func (r *Race) Won() bool { return r.outcome == raceWon }
 
-// Lost says whether the race cannot be won any more.
+// Lost reports whether the race can no longer be won.
 func (r *Race) Lost(now float64) bool {
-	noneLeft := r.count(dialWaiting)+r.count(dialUnderWay) == 0
+	noneLeft := r.count(dialWaiting)+r.count(dialInProgress) == 0
 	return !r.Won() && (r.isOver(now) || noneLeft)
 }
--- a/internal/upstream/address/random.go
+++ b/internal/upstream/address/random.go
@@ -11,7 +11,7 @@
 	pcgOutputRange   = 1 << 32
 )
 
-// random returns the next number of the generator, at least 0 and below 1.
+// random returns the next random number, in the range [0, 1).
 func (s *Selector) random() float64 {
 	old := s.randomState
 	s.randomState = old*pcgMultiplier + pcgIncrement
--- a/internal/upstream/address/samples.go
+++ b/internal/upstream/address/samples.go
@@ -1,12 +1,12 @@
 package address
 
-// maxSamples is how many samples are stored: few, so that a change shows soon.
+// maxSamples is the number of stored samples. It is small, so that the mean follows a change quickly.
 const maxSamples = 8
 
-// samples are the latest measured seconds, oldest first.
+// samples are the latest measured durations in seconds, oldest first.
 type samples []float64
 
-// add takes one more sample in place of the oldest one.
+// add appends a sample and drops the oldest one if there are maxSamples.
 func (s *samples) add(seconds float64) {
 	if len(*s) >= maxSamples {
 		*s = append((*s)[:0], (*s)[1:]...)
@@ -14,7 +14,7 @@
 	*s = append(*s, seconds)
 }
 
-// mean returns the mean, 0 where there are no samples.
+// mean returns the mean of the samples, or 0 if there are none.
 func (s samples) mean() float64 {
 	if len(s) == 0 {
 		return 0
--- a/internal/upstream/address/selector.go
+++ b/internal/upstream/address/selector.go
@@ -1,10 +1,10 @@
-// Package address decides over which address an endpoint is reached: in which order its addresses are dialed, when a
-// second dial begins beside the first, when an address is in cooldown, when it is probed, and when it is used again.
-// It keeps what an address did apart from what its endpoint did. It does no I/O and has no clock: every call says
-// when it is, in monotonic seconds.
+// Package address selects the address used to connect to an endpoint. It determines the dial order of an endpoint's
+// addresses, when a second dial starts concurrently with the first, when an address is in cooldown, when it is probed,
+// and when it is used again. It tracks failures of an address separately from those of its endpoint. It does no I/O and
+// has no clock: every call passes the current time in monotonic seconds.
 //
-// It does not decide on attempts. An attempt is written on one connection, once; what is decided here is on which
-// connection an attempt goes that is not written yet.
+// It makes no decisions about attempts. An attempt is written once, on one connection; this package only selects the
+// connection for an attempt that is not written yet.
 package address
 
 import (
@@ -14,81 +14,81 @@
 )
 
 const (
-	// defaultDialDelaySeconds lies between two dials where no connect time was measured. It is the recommended
-	// delay of RFC 8305, section 5.
+	// defaultDialDelaySeconds is the delay between two dials if no connect time was measured. It is the delay
+	// recommended by RFC 8305, section 5.
 	defaultDialDelaySeconds = 0.25
 
-	// minDialDelaySeconds is the least delay between two dials (RFC 8305, section 5).
+	// minDialDelaySeconds is the minimum delay between two dials (RFC 8305, section 5).
 	minDialDelaySeconds = 0.01
 
-	// dialDelayFactor is how many usual connect times pass before the next dial begins: few dials take longer, so
-	// second dials are rare.
+	// dialDelayFactor is the multiple of the mean connect time after which the next dial starts. Few dials take longer,
+	// so second dials are rare.
 	dialDelayFactor = 4.0
 
-	// slowerFactor and slowerMarginSeconds say by how much an address has to connect slower than the
-	// next one to be placed behind it. Smaller differences are noise.
+	// slowerFactor and slowerMarginSeconds define by how much an address must connect more slowly than the next one to
+	// be ranked behind it. Smaller differences are noise.
 	slowerFactor        = 2.0
 	slowerMarginSeconds = 0.005
 )
 
-// Selector is the state of all endpoints' addresses. It is not safe for more than one goroutine.
+// Selector holds the state of all endpoints' addresses. It is not safe for concurrent use.
 type Selector struct {
-	HealthChecksAllowed bool // the deployment allows health checks
+	HealthChecksAllowed bool // whether the deployment allows health checks
 
 	randomState uint64
-	now         float64 // monotonic seconds, the latest time that a call gave
+	now         float64 // monotonic seconds; the latest time passed by any call
 	endpoints   map[routing.EndpointID]*endpoint
 	sortedIDs   []routing.EndpointID
-	idsChanged  bool // sortedIDs are not those of the endpoints
+	idsChanged  bool // sortedIDs is out of date
 }
 
-// endpoint is an endpoint with its addresses in order of preference. One that was started again is another endpoint:
-// nothing known carries over but the addresses' order.
+// endpoint is an endpoint with its addresses in order of preference. A restarted endpoint is treated as a new one: only
+// the order of the addresses carries over.
 type endpoint struct {
-	startedAt   float64 // Unix seconds, as the endpoint list has it
-	addresses   []*address
-	lastPlanned float64 // monotonic seconds at which a connection to it was last planned
-	inDoubt     bool    // an address fell silent, and it is not known whether the endpoint did
+	startedAt        float64 // Unix seconds, from the endpoint list
+	addresses        []*address
+	lastPlanned      float64 // monotonic seconds at which a connection was last planned
+	needsHealthCheck bool    // an address became silent, and it is unknown whether the endpoint is silent too
 }
 
-// address is what is known of one address.
+// address is the state of one address.
 type address struct {
 	Addr
 	condition           Condition
-	changedAt           float64 // since when the condition holds, monotonic seconds
-	cooldownUntil       float64 // monotonic seconds; it is not used for attempts before
-	lastCooldownSeconds float64 // length of the latest one, 0 after it has been healthy for a while
-	healthySince        float64 // monotonic seconds since when it has responded without a failure, 0 for not
-	probedAt            float64 // monotonic seconds at which a probe last began
+	changedAt           float64 // monotonic seconds at which the condition was set
+	cooldownUntil       float64 // monotonic seconds; not used for attempts before this time
+	lastCooldownSeconds float64 // duration of the latest cooldown; 0 after a reset
+	healthySince        float64 // monotonic seconds; start of responses without a failure, 0 if none
+	probedAt            float64 // monotonic seconds at which the latest probe started
 	probing             bool
-	respondedAt         float64 // monotonic seconds at which a response last came
-	inTrial             bool    // it is Silent, and an attempt was let through to see whether it responds
+	respondedAt         float64 // monotonic seconds at which the latest response arrived
+	inTrial             bool    // Silent, and one attempt is testing whether it responds
 
 	connectSeconds   samples
 	firstByteSeconds samples
 }
 
-// PlannedDial is one dial of a plan. It begins DelaySeconds after the plan does, or as soon as the one before it has
+// PlannedDial is one dial of a plan. It starts DelaySeconds after the plan does, or as soon as the previous dial has
 // failed.
 type PlannedDial struct {
 	Addr         Addr
 	DelaySeconds float64
 }
 
-// New returns a selector without endpoints. The seed is that of the cooldowns' jitter.
+// New returns a selector without endpoints. The seed initializes the random numbers for the cooldowns' jitter.
 func New(seed uint64) *Selector {
 	return &Selector{randomState: seed, endpoints: map[routing.EndpointID]*endpoint{}}
 }
 
-// advance moves the clock on. A clock that jumps back is not followed.
+// advance moves the clock forward. A time before the current one is ignored.
 func (s *Selector) advance(now float64) { s.now = max(s.now, now) }
 
-// SetAddresses sets an endpoint's addresses, in any order. What is known of those that stay is retained, unless the
-// endpoint was started again.
+// SetAddresses sets an endpoint's addresses, in any order. The state of addresses that remain is retained, unless the
+// endpoint was restarted.
 func (s *Selector) SetAddresses(now float64, id routing.EndpointID, startedAt float64, addrs []Addr) {
 	s.advance(now)
 	e := s.endpoints[id]
-	if e == nil || e.startedAt != startedAt { // lastPlanned stays 0: an unused endpoint needs no second connection
+	if e == nil || e.startedAt != startedAt { // lastPlanned stays 0: an unused endpoint needs no spare connection
 		e = &endpoint{startedAt: startedAt}
 		s.endpoints[id] = e
 		s.idsChanged = true
@@ -104,25 +104,25 @@
 	e.addresses = next
 }
 
-// RemoveEndpoint forgets an endpoint.
+// RemoveEndpoint deletes an endpoint.
 func (s *Selector) RemoveEndpoint(id routing.EndpointID) {
 	delete(s.endpoints, id)
 	s.idsChanged = true
 }
 
-// HasAlternatives says whether an endpoint has more than one address. An only address has no cooldowns: its failures
-// are the endpoint's.
+// HasAlternatives reports whether an endpoint has more than one address. An endpoint's only address has no cooldowns:
+// its failures are failures of the endpoint.
 func (s *Selector) HasAlternatives(id routing.EndpointID) bool {
 	e := s.endpoints[id]
 	return e != nil && e.hasAlternatives()
 }
 
-// hasAlternatives says whether the endpoint has more than one address.
+// hasAlternatives reports whether the endpoint has more than one address.
 func (e *endpoint) hasAlternatives() bool { return len(e.addresses) > 1 }
 
-// Plan returns the addresses to dial for a new connection, in order. It is empty where all are in cooldown: then the
-// endpoint counts as unreachable at once. An idempotent attempt may also try an address that was silent; others go
-// only where responses came.
+// Plan returns the addresses to dial for a new connection, in order. It is empty if all addresses are in cooldown; the
+// endpoint then counts as unreachable immediately. An idempotent attempt may also test an address that was silent.
+// Other attempts only use addresses that have responded.
 func (s *Selector) Plan(now float64, id routing.EndpointID, idempotent bool) []PlannedDial {
 	s.advance(now)
 	e := s.endpoints[id]
@@ -145,7 +145,7 @@
 	return plan
 }
 
-// dialDelay returns the seconds between a dial to an address with a usual connect time and the dial after it.
+// dialDelay returns the seconds between a dial to an address with the given mean connect time and the next dial.
 func dialDelay(usualConnect float64) float64 {
 	if usualConnect == 0 {
 		return defaultDialDelaySeconds
@@ -153,8 +153,8 @@
 	return min(max(dialDelayFactor*usualConnect, minDialDelaySeconds), defaultDialDelaySeconds)
 }
 
-// Usable says whether a new attempt may be written on a connection over an address, and the address's rank: 0 for the
-// first choice, more for later ones.
+// Usable reports whether a new attempt may be written on a connection over an address, and returns the rank of the
+// address: 0 for the most preferred one, higher for others.
 func (s *Selector) Usable(now float64, id routing.EndpointID, addr Addr, idempotent bool) (rank int, ok bool) {
 	s.advance(now)
 	e := s.endpoints[id]
@@ -166,10 +166,10 @@
 			return i, !e.hasAlternatives() || a.isUsable(s.now, idempotent)
 		}
 	}
-	return 0, false // the address has left the list
+	return 0, false // the address is no longer listed
 }
 
-// find returns the address, nil where the endpoint does not have it.
+// find returns the address, or nil if the endpoint does not have it.
 func (e *endpoint) find(addr Addr) *address {
 	for _, a := range e.addresses {
 		if a.Addr == addr {
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// byPreference returns the addresses in the order in which they are dialed: that of the families, but one that
-// connects clearly slower goes behind the next.
+// byPreference returns the addresses in dial order: by family, except that an address which connects clearly more
+// slowly is placed behind the next one.
 func (e *endpoint) byPreference() []*address {
 	ordered := slices.Clone(e.addresses)
 	for i := 0; i+1 < len(ordered); i++ {
@@ -191,16 +191,16 @@
 	return ordered
 }
 
-// connectsSlower says whether an address with a usual connect time is clearly slower than the next one; a time of 0 is
-// not known.
+// connectsSlower reports whether an address with the given mean connect time is clearly slower than the next one. A
+// time of 0 means unknown.
 func connectsSlower(seconds, nextSeconds float64) bool {
 	known := seconds > 0 && nextSeconds > 0
 	return known && seconds > slowerFactor*nextSeconds && seconds > nextSeconds+slowerMarginSeconds
 }
 
-// isUsable says whether a new attempt may go over the address. One idempotent attempt at a time tries a silent
-// address whose cooldown is over: whether an attempt there has run is never known, so a request that must not run twice
-// would be lost. After a dial that failed, a probe has to establish a connection first: no attempt waits for that.
+// isUsable reports whether a new attempt may use the address. A silent address whose cooldown has ended is tested with
+// one idempotent attempt at a time: it stays unknown whether an attempt there has run, so a request that must not run
+// twice would be lost. After a failed dial, a probe must establish a connection first, so that no attempt waits for it.
 func (a *address) isUsable(now float64, idempotent bool) bool {
 	switch {
 	case a.inCooldown(now):
--- a/internal/upstream/address/status.go
+++ b/internal/upstream/address/status.go
@@ -6,22 +6,22 @@
 	"cairnfront/routing"
 )
 
-// disabledCooldown is the cooldown that operators see of a disabled address: it ends when they end it.
+// disabledCooldown is the cooldown reported to operators for a disabled address, which lasts until an operator ends it.
 const disabledCooldown = -1
 
-// Status is what operators see of an address.
+// Status is the state of an address as reported to operators.
 type Status struct {
 	Endpoint         routing.EndpointID `json:"member"`
 	Addr             Addr               `json:"address"`
-	Condition        string             `json:"state"`   // WireName of a Condition
-	SinceSeconds     float64            `json:"since_s"` // how long the condition holds
-	CooldownSeconds  float64            `json:"rest_s"`  // how much is left of its cooldown, -1 for a disabled address
+	Condition        string             `json:"state"`   // Condition.WireName
+	SinceSeconds     float64            `json:"since_s"` // time since the condition was set
+	CooldownSeconds  float64            `json:"rest_s"`  // remaining cooldown; -1 for a disabled address
 	ConnectSeconds   float64            `json:"connect_s"`
 	FirstByteSeconds float64            `json:"first_byte_s"`
 	Rank             int                `json:"rank"`
 }
 
-// Status returns the status of every address, in the order in which they would be dialed.
+// Status returns the status of every address, in dial order.
 func (s *Selector) Status(now float64) []Status {
 	s.advance(now)
 	var list []Status
@@ -42,7 +42,7 @@
 	return list
 }
 
-// cooldownLeft returns the seconds left of the address's cooldown, as operators see them.
+// cooldownLeft returns the remaining seconds of the address's cooldown, as reported to operators.
 func (a *address) cooldownLeft(now float64) float64 {
 	left := max(a.cooldownUntil-now, 0)
 	if math.IsInf(left, 1) {
--- a/internal/upstream/addresses.go
+++ b/internal/upstream/addresses.go
@@ -8,7 +8,7 @@
 	"cairnfront/routing"
 )
 
-// RefreshAddresses asks EndpointAddresses anew for every endpoint.
+// RefreshAddresses calls EndpointAddresses again for every endpoint.
 func (p *Pool) RefreshAddresses() {
 	for _, e := range p.endpoints {
 		if !e.removed {
@@ -17,7 +17,7 @@
 	}
 }
 
-// updateAddresses takes an endpoint's addresses from the endpoint list and from EndpointAddresses.
+// updateAddresses sets an endpoint's addresses from the endpoint list and from EndpointAddresses.
 func (p *Pool) updateAddresses(e *endpoint) {
 	id := e.listed.ID
 	e.startedAt = e.listed.StartedAt
@@ -29,11 +29,11 @@
 		return
 	}
 	addrs := []address.Addr{address.Addr(e.listed.Address)}
-	if several := p.EndpointAddresses(e.listed); len(several) > 0 {
-		addrs = several
+	if multiple := p.EndpointAddresses(e.listed); len(multiple) > 0 {
+		addrs = multiple
 	}
 	p.AddressSelector.SetAddresses(clock.NowSeconds(), id, e.startedAt, addrs)
-	e.hasSeveralAddrs = p.AddressSelector.HasAlternatives(id)
+	e.hasMultipleAddrs = p.AddressSelector.HasAlternatives(id)
 	listed := map[address.Addr]bool{}
 	for _, addr := range addrs {
 		listed[addr] = true
@@ -47,11 +47,11 @@
 	}
 }
 
-// isCurrent says whether new attempts may still be started on a connection: it was made to the endpoint's present
-// start, over an address that is listed.
+// isCurrent reports whether new attempts may still be started on a connection: it was established to the endpoint's
+// current process, over a listed address.
 func (p *Pool) isCurrent(e *endpoint, c *Connection) bool {
 	addr := c.dialedAddr()
-	if !e.hasSeveralAddrs {
+	if !e.hasMultipleAddrs {
 		return addr == e.listed.Address
 	}
 	if c.endpointStartedAt != e.startedAt {
@@ -61,8 +61,8 @@
 	return usable || addr == "" || p.isListed(c.endpointID, address.Addr(addr))
 }
 
-// isListed says whether an address is listed, also while it is in cooldown: the connections over it may end by
-// themselves.
+// isListed reports whether an address is listed, even if it is in cooldown: connections over an address in cooldown may
+// still finish their attempts.
 func (p *Pool) isListed(endpointID routing.EndpointID, addr address.Addr) bool {
 	for _, status := range p.AddressSelector.Status(clock.NowSeconds()) {
 		if status.Endpoint == endpointID && status.Addr == addr {
@@ -72,7 +72,8 @@
 	return false
 }
 
-// HandleEvent tells the address selector what came of dials and attempts. The pool's owner calls it with each event.
+// HandleEvent passes the results of dials and attempts to the address selector. The pool's owner calls it with each
+// event.
 func (p *Pool) HandleEvent(event Event) {
 	if p.AddressSelector == nil {
 		return
@@ -89,7 +90,7 @@
 	}
 }
 
-// observeAttempt tells the address selector what the end of an attempt says of the address.
+// observeAttempt reports to the address selector what the end of an attempt reveals about its address.
 func (p *Pool) observeAttempt(now float64, ended AttemptEnded) {
 	c := ended.Attempt.connection
 	addr := address.Addr(c.dialedAddr())
@@ -102,19 +103,19 @@
 		p.AddressSelector.ResponseReceived(now, c.endpointID, addr, wait)
 	case routing.ConnectionBroken, routing.ConnectFailed:
 		p.AddressSelector.ConnectionBroken(now, c.endpointID, addr)
-	case routing.TimedOut, routing.Cancelled, routing.NotSent: // say nothing of the address
+	case routing.TimedOut, routing.Cancelled, routing.NotSent: // these results reveal nothing about the address
 	}
 }
 
-// CheckAddresses finds connections on which an attempt waits in silence, and probes addresses whose cooldown is
-// over. It returns the attempts whose address is silent while their endpoint responds over another one. It is to be
-// called every few dozen milliseconds where endpoints have several addresses.
+// CheckAddresses finds connections on which an attempt waits without any input, and probes addresses whose cooldown has
+// ended. It returns the attempts whose address is silent while their endpoint responds over another address. Call it
+// every few dozen milliseconds if endpoints have more than one address.
 func (p *Pool) CheckAddresses(now clock.Instant) (stalled []*Attempt) {
 	if p.AddressSelector == nil {
 		return nil
 	}
 	for _, e := range p.connected {
-		if e.hasSeveralAddrs {
+		if e.hasMultipleAddrs {
 			stalled = append(stalled, p.stalledAttempts(now, e)...)
 		}
 	}
@@ -122,17 +123,18 @@
 	return stalled
 }
 
-// stalledAttempts returns an endpoint's attempts that wait at a silent address while it responds over another one.
+// stalledAttempts returns the endpoint's attempts that wait at a silent address while the endpoint responds over
+// another address.
 func (p *Pool) stalledAttempts(now clock.Instant, e *endpoint) (stalled []*Attempt) {
 	for _, c := range e.connections {
-		wait, addr, waiting := c.silentWait(now)
-		if wait == 0 || !p.AddressSelector.AwaitingResponse(now.Seconds(), c.endpointID, addr, wait.Seconds()) {
+		wait, addr, waiting := c.silentAttempts(now)
+		if wait == 0 || !p.AddressSelector.MarkIfSilent(now.Seconds(), c.endpointID, addr, wait.Seconds()) {
 			continue
 		}
 		p.Metrics.Inc(telemetry.ConnectionsSilent)
 		for _, a := range waiting {
 			sentAt := a.writtenAt.Seconds()
-			if p.AddressSelector.ReachableElsewhere(now.Seconds(), c.endpointID, addr, sentAt) {
+			if p.AddressSelector.ReachableOverOtherAddress(now.Seconds(), c.endpointID, addr, sentAt) {
 				stalled = append(stalled, a)
 			}
 		}
@@ -140,7 +142,7 @@
 	return stalled
 }
 
-// sendProbes opens the connections that the address selector wants for probes.
+// sendProbes opens the connections that the address selector requests as probes.
 func (p *Pool) sendProbes(now clock.Instant) {
 	for _, probe := range p.AddressSelector.DueProbes(now.Seconds(), p.hasConnection) {
 		e := p.endpoints[probe.Endpoint]
@@ -157,10 +159,10 @@
 	}
 }
 
-// hasConnection says whether an endpoint has a connection over an address.
+// hasConnection reports whether an endpoint has a connection over an address.
 func (p *Pool) hasConnection(endpointID routing.EndpointID, addr address.Addr) bool {
 	e := p.endpoints[endpointID]
-	if e == nil { // left out of a list while the selector still knows it
+	if e == nil { // removed from the endpoint list while the selector still has it
 		return false
 	}
 	for _, c := range e.connections {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -10,41 +10,41 @@
 	"cairnfront/routing"
 )
 
-// Owner is what the caller of Send or SendHealthCheck knows an attempt by. It comes back with the attempt's end.
+// Owner identifies an attempt for the caller of Send or SendHealthCheck. It is returned with the attempt's end.
 type Owner interface{ OwnsUpstreamAttempt() }
 
-// Attempt is one try of a request at an endpoint, or one health check, on a connection. Its unexported fields belong
-// to the connection and are guarded by its lock.
+// Attempt is one attempt of a request at an endpoint, or one health check, on a connection. The connection's lock
+// guards its unexported fields.
 type Attempt struct {
 	Owner Owner
 
 	connection    *Connection
 	id            string
-	command       cacheproto.Attempt // of a request
+	command       cacheproto.Attempt // unset for a health check
 	bounds        Bounds
-	head          []byte           // the command line; that of a request is formatted as it is written
-	body          *request.Body    // nil for none
+	head          []byte           // command line; formatted when it is written if the attempt is for a request
+	body          *request.Body    // nil if there is no body
 	request       *request.Request // nil for a health check
 	isHealthCheck bool
-	isIdempotent  bool // its request's class may be repeated
+	isIdempotent  bool // whether requests of its class may be repeated
 
-	written   bool          // some of it may be in the socket
-	writtenAt clock.Instant // when writing began
-	endOffset int64         // the connection's count of buffered bytes after the attempt's last one
+	written   bool          // some bytes may have reached the socket
+	writtenAt clock.Instant // time at which writing started
+	endOffset int64         // total bytes buffered on the connection, up to the attempt's last byte
 
-	inputOffset int64 // the connection's count of bytes read as writing began
-	waits       bool  // it is not begun at once: the writing goroutine is at others, or the socket took nothing of it
+	inputOffset int64 // total bytes read from the connection when writing started
+	delayed     bool  // not written immediately: the writer was busy, or the socket accepted no bytes
 
-	requeued   bool          // the socket took nothing of it in time, and its line is formatted anew
-	lineMargin time.Duration // by how much the deadline in its line is shortened
+	requeued   bool          // the socket accepted no bytes in time, so the command line is formatted again
+	lineMargin time.Duration // time subtracted from the deadline in the command line
 
-	cancelResult routing.AttemptResult // with which it ends once its cancel was sent to the endpoint
+	cancelResult routing.AttemptResult // result of the attempt once its cancel has been sent to the endpoint
 }
 
 // Connection returns the connection that carries the attempt.
 func (a *Attempt) Connection() *Connection { return a.connection }
 
-// wireBytes returns how many bytes the attempt has on the wire.
+// wireBytes returns the size of the attempt on the wire, in bytes.
 func (a *Attempt) wireBytes() int {
 	if a.isHealthCheck {
 		return len(a.head)
@@ -52,7 +52,7 @@
 	return len(a.head) + a.body.Len() + len(cacheproto.LineEnd)
 }
 
-// writeTo buffers the attempt for the socket.
+// writeTo writes the attempt to the connection's write buffer.
 func (a *Attempt) writeTo(conn *netconn.Conn) error {
 	if err := conn.Write(a.head); err != nil || a.isHealthCheck {
 		return err
@@ -65,8 +65,8 @@
 	return conn.Write([]byte(cacheproto.LineEnd))
 }
 
-// wantsBody says whether the body of a response is of use. It is dropped unread for a cancelled attempt, which is nil
-// here, and where the response has none for the client.
+// wantsBody reports whether the body of a response is needed. The body is discarded if the attempt was cancelled, in
+// which case a is nil, or if the response has no body for the client.
 func (a *Attempt) wantsBody(response cacheproto.Response) bool {
 	return a != nil && !a.isHealthCheck && response.Result == routing.Completed && !response.NotModified
 }
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -17,16 +17,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An endpoint answers a later attempt first, and answers one that nobody knows. Responses could be handed to the wrong
-// attempt, or break the connection. Each goes to the attempt with its id, and the unknown one is counted and dropped.
-func TestResponsesComeInAnyOrder(t *testing.T) {
+// An endpoint may respond to a later attempt first, or with an unknown id. Each response must end the attempt with its
+// id; a response with an unknown id is counted and discarded, and the connection stays open.
+func TestOutOfOrderResponsesMatchByID(t *testing.T) {
 	s := newTestPool(t)
 	a, b := s.send("a", 0), s.send("b", 0)
-	far := <-s.dialed
-	r := bufio.NewReader(far)
+	endpointConn := <-s.dialed
+	r := bufio.NewReader(endpointConn)
 	assert.Equal(t, "do a", readCommand(t, r))
 	assert.Equal(t, "do b", readCommand(t, r))
-	_, _ = io.WriteString(far, "b served digest=d,dated=1,remark=h 3\r\nxyz\r\n"+
+	_, _ = io.WriteString(endpointConn, "b served digest=d,dated=1,remark=h 3\r\nxyz\r\n"+
 		"zz served - 2\r\nno\r\n"+
 		"a not_here - 0\r\n\r\n")
 	e := s.nextEnd()
@@ -42,51 +42,52 @@
 	assert.Equal(t, 1, s.ConnectionCount(), "one connection carries both")
 }
 
-// A connection breaks in the middle of a request. Taken for one that may have run, it could not be repeated; taken for
-// one that did not, it could run twice. Only what the socket took completely may have run.
-func TestBrokenConnectionTellsWhatMayHaveRun(t *testing.T) {
+// A connection breaks after one attempt was sent completely and another only in part. Only the complete one may have
+// run: if the other were reported like that, it could not be retried, and in the opposite case the first could run
+// twice.
+func TestBrokenConnectionEndsCompleteAndPartialAttempts(t *testing.T) {
 	s := newTestPool(t)
-	whole, part := s.send("a", 0), s.send("b", 200_000)
-	far := <-s.dialed
-	assert.Equal(t, "do a", readCommand(t, bufio.NewReaderSize(far, 16))) // and some of b
-	_ = far.Close()
+	complete, partial := s.send("a", 0), s.send("b", 200_000)
+	endpointConn := <-s.dialed
+	assert.Equal(t, "do a", readCommand(t, bufio.NewReaderSize(endpointConn, 16))) // and some of b
+	_ = endpointConn.Close()
 	ends := s.nextTwoResults()
 	assert.Len(t, ends, 2)
-	assert.Equal(t, routing.ConnectionBroken, ends[whole])
-	assert.Equal(t, routing.ConnectFailed, ends[part])
+	assert.Equal(t, routing.ConnectionBroken, ends[complete])
+	assert.Equal(t, routing.ConnectFailed, ends[partial])
 }
 
-// An endpoint closes an idle connection as an attempt is about to be written. The endpoint would be blamed for a
-// failure. An attempt of which nothing was written ends as not sent.
-func TestAttemptThatCrossesACloseIsNotSent(t *testing.T) {
+// An endpoint closes a connection just before an attempt is written. An attempt of which nothing was written must end
+// as not sent, and not as a failure of the endpoint.
+func TestUnwrittenAttemptOnClosedConnectionIsNotSent(t *testing.T) {
 	s := newTestPool(t)
 	s.MaxAttemptsPerConnection = 3
-	s.send("a", 200_000) // holds the writer up
+	s.send("a", 200_000) // blocks the writer goroutine
 	b := s.send("b", 0)
-	far := <-s.dialed
-	_, _ = far.Read(make([]byte, 16))
-	_ = far.Close()
+	endpointConn := <-s.dialed
+	_, _ = endpointConn.Read(make([]byte, 16))
+	_ = endpointConn.Close()
 	ends := s.nextTwoResults()
 	assert.Equal(t, routing.NotSent, ends[b])
 }
 
-// An endpoint closes in the middle of a body. The client would get half an object as if it were complete. The attempt
-// ends as broken, and the memory of the body is given back.
-func TestBodyCutShortIsBroken(t *testing.T) {
+// An endpoint closes the connection in the middle of a body. The client must not receive the truncated object as
+// complete: the attempt ends as broken, and the memory of the body is released.
+func TestTruncatedBodyBreaksAttempt(t *testing.T) {
 	s := newTestPool(t)
 	s.send("a", 0)
-	far := <-s.dialed
-	readCommand(t, bufio.NewReader(far))
-	_, _ = io.WriteString(far, "a served digest=d,dated=1 10\r\nhalf")
-	_ = far.Close()
+	endpointConn := <-s.dialed
+	readCommand(t, bufio.NewReader(endpointConn))
+	_, _ = io.WriteString(endpointConn, "a served digest=d,dated=1 10\r\nhalf")
+	_ = endpointConn.Close()
 	assert.Equal(t, request.AttemptEnd{Result: routing.ConnectionBroken}, s.nextEnd().End)
 	assert.Zero(t, s.Admission.Bodies.UsedBytes())
 }
 
-// A connection is refused, does not come up in time, or lacks a descriptor on this machine. In none of these the
-// request ran. The attempt fails as one that can be repeated; a want of descriptors does not count against the
+// A dial is refused, times out, or fails for lack of descriptors on this machine. The request has not run in any of
+// these cases, so the attempt ends with a result that allows a retry. A lack of descriptors does not count against the
 // endpoint.
-func TestNoConnectionProvesThatNothingRan(t *testing.T) {
+func TestFailedDialAllowsRetry(t *testing.T) {
 	for cause, result := range map[error]routing.AttemptResult{
 		syscall.ECONNREFUSED: routing.ConnectFailed,
 		nil:                  routing.ConnectFailed,
@@ -109,103 +110,102 @@
 	}
 }
 
-// An attempt is cancelled before its line is written, or after. A line that is written all the same would run for
-// nobody, and a late response could be taken for that of a new attempt. Before, nothing is written; after, the endpoint
-// is notified, and the id is not used again on that connection.
-func TestCancel(t *testing.T) {
+// An attempt is cancelled before or after its line is written. Before, nothing must be written, as nobody waits for the
+// attempt. After, a cancel line is sent, and the id is not reused on that connection, because a late response could be
+// mistaken for the response to a new attempt.
+func TestCancelBeforeAndAfterWrite(t *testing.T) {
 	s := newTestPool(t)
-	hold := s.holdDials()
+	releaseDials := s.holdDials()
 	a := s.send("a", 0)
 	b := s.send("b", 0)
-	result, atOnce := s.Cancel(a, routing.Cancelled)
-	assert.True(t, atOnce && result == routing.NotSent, "nothing of it was written")
-	close(hold)
-	far := <-s.dialed
-	r := bufio.NewReader(far)
-	assert.Equal(t, "do b", readCommand(t, r), "and nothing of it will be")
+	result, immediate := s.Cancel(a, routing.Cancelled)
+	assert.True(t, immediate && result == routing.NotSent, "nothing of the attempt was written")
+	close(releaseDials)
+	endpointConn := <-s.dialed
+	r := bufio.NewReader(endpointConn)
+	assert.Equal(t, "do b", readCommand(t, r), "nothing of the cancelled attempt is written later")
 	c := s.send("c", 0)
 	assert.Equal(t, "do c", readCommand(t, r))
-	_, atOnce = s.Cancel(b, routing.Cancelled)
-	assert.False(t, atOnce)
+	_, immediate = s.Cancel(b, routing.Cancelled)
+	assert.False(t, immediate)
 	assert.Equal(t, "undo b", readCommand(t, r))
 	assert.Equal(t, endedWith(b, routing.Cancelled), s.nextEnd())
-	_, _ = io.WriteString(far, "b served - 4\r\nlate\r\nc overload - 0\r\n\r\n")
-	assert.Equal(t, endedWith(c, routing.Overloaded), s.nextEnd(), "a late response to a cancelled attempt is dropped")
+	_, _ = io.WriteString(endpointConn, "b served - 4\r\nlate\r\nc overload - 0\r\n\r\n")
+	assert.Equal(t, endedWith(c, routing.Overloaded), s.nextEnd(), "late responses to cancelled attempts are discarded")
 	again := s.send("b", 0, b.Connection())
 	assert.NotSame(t, b.Connection(), again.Connection(), "the id is not used again where a response may still come")
 }
 
-// An attempt that its endpoint knows of is cancelled. A retry that starts before the endpoint was notified would be out
-// at the same time. The attempt is over when the endpoint was notified, not before. Where the endpoint does not read,
-// the end of the connection notifies it.
-func TestCancelledAttemptEndsOnceTheEndpointIsTold(t *testing.T) {
+// A cancelled attempt that was already written must end only after its cancel line is written. A retry that starts
+// earlier would run concurrently with it. If the endpoint does not read, the attempt ends with the connection.
+func TestCancelledAttemptEndsAfterCancelIsWritten(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		s := newTestPool(t)
 		s.MaxAttemptsPerConnection = 3
 		a := s.send("a", 0)
-		far := <-s.dialed
-		r := bufio.NewReader(iotest.OneByteReader(far))
+		endpointConn := <-s.dialed
+		r := bufio.NewReader(iotest.OneByteReader(endpointConn))
 		assert.Equal(t, "do a", readCommand(t, r))
 		s.send("b", 200_000)
-		_, _ = r.ReadByte() // the writer is busy with b
-		_, atOnce := s.Cancel(a, routing.TimedOut)
-		assert.False(t, atOnce)
+		_, _ = r.ReadByte() // the writer goroutine is busy with b
+		_, immediate := s.Cancel(a, routing.TimedOut)
+		assert.False(t, immediate)
 		assert.Empty(t, s.events)
-		if reads { // quickly: an attempt that is not taken in time ends its connection
-			r = bufio.NewReader(far)
+		if reads { // read quickly: an attempt that is not accepted in time ends its connection
+			r = bufio.NewReader(endpointConn)
 			_, _ = io.CopyN(io.Discard, r, 200_000)
 			for line := ""; line != "undo a\r\n"; line, _ = r.ReadString('\n') {
 				assert.Empty(t, s.events)
 			}
 		} else {
-			_ = far.Close()
+			_ = endpointConn.Close()
 		}
 		assert.Equal(t, endedWith(a, routing.TimedOut), s.nextEnd())
 	}
 }
 
-// Too many attempts on one connection would all fail with it. Past the maximum a new connection is made.
-func TestConnectionCarriesItsMaximumOfAttempts(t *testing.T) {
+// All attempts on a connection fail with it, so their number is limited. Above the limit a new connection is opened.
+func TestAttemptsPerConnectionAreLimited(t *testing.T) {
 	s := newTestPool(t)
 	a, b, c := s.send("a", 0), s.send("b", 0), s.send("c", 0)
 	assert.Same(t, a.Connection(), b.Connection())
 	assert.NotSame(t, a.Connection(), c.Connection())
 }
 
-// One malformed response ends its connection, and every attempt on it is lost. No attempt shares its connection while
-// descriptors allow.
-func TestProtocolErrorEndsItsOwnAttemptOnly(t *testing.T) {
+// A malformed response ends its connection and all attempts on it. No attempt shares a connection while descriptors are
+// available, so only one attempt is lost.
+func TestProtocolErrorEndsOneAttemptOnly(t *testing.T) {
 	s := newTestPool(t)
 	s.Admission = admission.New(64, 256)
 	a := s.send("a", 0)
-	far := <-s.dialed
+	endpointConn := <-s.dialed
 	b := s.send("b", 0)
 	other := <-s.dialed
-	readCommand(t, bufio.NewReader(far))
+	readCommand(t, bufio.NewReader(endpointConn))
 	readCommand(t, bufio.NewReader(other))
-	_, _ = io.WriteString(far, "a served digest=\x00\r\n")
+	_, _ = io.WriteString(endpointConn, "a served digest=\x00\r\n")
 	assert.Equal(t, endedWith(a, routing.ConnectionBroken), s.nextEnd())
 	_, _ = io.WriteString(other, "b not_here - 0\r\n\r\n")
 	assert.Equal(t, endedWith(b, routing.CacheMiss), s.nextEnd())
 	assert.Same(t, b.Connection(), s.send("c", 0).Connection(), "an idle connection is used again")
 }
 
-// A health check asks for the load report and returns it. One of an unknown endpoint is not sent.
-func TestHealthCheckBringsTheLoadReport(t *testing.T) {
+// A health check asks for the load report and returns it. A health check of an unknown endpoint is not sent.
+func TestHealthCheckReturnsLoadReport(t *testing.T) {
 	s := newTestPool(t)
 	s.RequestLoadReports = true
 	c := s.SendHealthCheck("m", testOwner("owner"))
-	far := <-s.dialed
-	assert.Equal(t, "top check1", readCommand(t, bufio.NewReader(far)))
-	_, _ = io.WriteString(far, "check1 green report=util:0.5 0\r\n\r\n")
+	endpointConn := <-s.dialed
+	assert.Equal(t, "top check1", readCommand(t, bufio.NewReader(endpointConn)))
+	_, _ = io.WriteString(endpointConn, "check1 green report=util:0.5 0\r\n\r\n")
 	end := request.AttemptEnd{LoadReport: []routing.LoadMetric{{Name: "util", Value: 0.5}}}
 	assert.Equal(t, AttemptEnded{Attempt: c, End: end}, s.nextEnd())
 	assert.Nil(t, s.SendHealthCheck("nobody", nil))
 }
 
-// Attempts would use every descriptor of the process, and no client could connect. Past the limit no connection is
-// made, and the attempt is not sent.
-func TestDescriptorsAreBounded(t *testing.T) {
+// Attempts must not use all descriptors of the process, or no client could connect. Above the limit no connection is
+// opened, and the attempt is not sent.
+func TestEndpointDescriptorsAreLimited(t *testing.T) {
 	s := newTestPool(t)
 	s.Admission = admission.New(64, 5) // two for endpoints
 	s.MaxAttemptsPerConnection = 0
@@ -214,27 +214,27 @@
 	assert.Nil(t, s.send("c", 0))
 }
 
-// An attempt waits for its connection, or for its turn on one, and its client is gone. It would run for nobody. It is
-// not written, also before the event loop has heard of that, and others go on.
-func TestNothingIsWrittenForADisconnectedClient(t *testing.T) {
+// A client disconnects while its attempt waits for a connection or in the write queue. The attempt must not be written,
+// even before the event loop has handled the disconnect. Other attempts on the connection continue.
+func TestAttemptOfDisconnectedClientIsNotWritten(t *testing.T) {
 	s := newTestPool(t)
-	hold := s.holdDials()
+	releaseDials := s.holdDials()
 	a := s.send("a", 0)
 	b := s.send("b", 0)
 	a.request.Cancel()
-	close(hold)
+	close(releaseDials)
 	r := bufio.NewReader(<-s.dialed)
 	assert.Equal(t, "do b", readCommand(t, r))
 	assert.Equal(t, endedWith(a, routing.NotSent), s.nextEnd())
-	_, atOnce := s.Cancel(a, routing.Cancelled)
-	assert.True(t, atOnce, "and no line cancels it")
+	_, immediate := s.Cancel(a, routing.Cancelled)
+	assert.True(t, immediate, "no cancel line is written")
 	assert.NotNil(t, b.Connection())
 }
 
-// An endpoint answers an attempt that still waits for its turn, so it cannot have seen it. Ended by that, the attempt
-// would be written after its end and run beside the next one. The response is dropped, and the attempt is written and
-// gets its own.
-func TestResponseToAQueuedAttemptDoesNotEndIt(t *testing.T) {
+// An endpoint sends a response with the id of an attempt that is still queued. If it ended the attempt, the attempt
+// would be written after its end and run concurrently with the next one. The response is discarded, and the attempt is
+// written and receives its own response.
+func TestResponseToQueuedAttemptIsDiscarded(t *testing.T) {
 	for name, stray := range map[string]string{
 		"refusal": "b overload - 0\r\n\r\n",
 		"body":    "b served digest=d,dated=1 5\r\nstray\r\n",
@@ -242,19 +242,19 @@
 		t.Run(name, func(t *testing.T) {
 			s := newTestPool(t)
 			s.MaxAttemptsPerConnection = 3
-			s.Admission.AdmitEndpointConn(true) // so that both share a connection
+			s.Admission.AdmitEndpointConn(true) // so that both attempts share a connection
 			s.send("a", 20_000)
-			far := <-s.dialed
-			reader := bufio.NewReaderSize(far, 16)
-			_, _ = reader.ReadByte() // the writer is busy with a
+			endpointConn := <-s.dialed
+			reader := bufio.NewReaderSize(endpointConn, 16)
+			_, _ = reader.ReadByte() // the writer goroutine is busy with a
 			b := s.send("b", 0)
-			_, _ = io.WriteString(far, stray)
+			_, _ = io.WriteString(endpointConn, stray)
 			_, _ = reader.ReadString('\n')
 			_, _ = io.CopyN(io.Discard, reader, 20_002)
 			assert.Equal(t, "do b", readCommand(t, reader))
 			//nolint:testifylint // exact by intent
 			assert.EqualValues(t, 1, s.Metrics.Value("upstream_late_responses_total"))
-			_, _ = io.WriteString(far, "b served digest=d,dated=1 2\r\nok\r\n")
+			_, _ = io.WriteString(endpointConn, "b served digest=d,dated=1 2\r\nok\r\n")
 			end := s.nextEnd()
 			assert.Equal(t, b, end.Attempt)
 			assert.Equal(t, "ok", string(end.End.Body.Bytes))
@@ -262,42 +262,42 @@
 	}
 }
 
-// A response begins before its attempt does and is complete only after it. Judged by when it is complete, it would end
-// the attempt, which runs on. Where it began counts.
-func TestResponseBegunBeforeItsAttemptDoesNotEndIt(t *testing.T) {
+// A response starts before the attempt with its id is written and is complete only afterwards. It must not end the
+// attempt, which would continue to run: the start of the response decides.
+func TestResponseStartedBeforeAttemptIsDiscarded(t *testing.T) {
 	s := newTestPool(t)
 	s.MaxAttemptsPerConnection = 3
-	s.Admission.AdmitEndpointConn(true) // so that both share a connection
+	s.Admission.AdmitEndpointConn(true) // so that both attempts share a connection
 	s.send("a", 20_000)
-	far := <-s.dialed
-	reader := bufio.NewReaderSize(far, 16)
-	_, _ = reader.ReadByte() // the writer is busy with a
+	endpointConn := <-s.dialed
+	reader := bufio.NewReaderSize(endpointConn, 16)
+	_, _ = reader.ReadByte() // the writer goroutine is busy with a
 	b := s.send("b", 0)
-	_, _ = io.WriteString(far, "b served digest=d,da")
+	_, _ = io.WriteString(endpointConn, "b served digest=d,da")
 	_, _ = reader.ReadString('\n')
 	_, _ = io.CopyN(io.Discard, reader, 20_002)
 	assert.Equal(t, "do b", readCommand(t, reader))
-	_, _ = io.WriteString(far, "ted=1 5\r\nstray\r\nb served digest=d,dated=1 2\r\nok\r\n")
+	_, _ = io.WriteString(endpointConn, "ted=1 5\r\nstray\r\nb served digest=d,dated=1 2\r\nok\r\n")
 	end := s.nextEnd()
 	assert.Equal(t, b, end.Attempt)
 	assert.Equal(t, "ok", string(end.End.Body.Bytes))
 	assert.InDelta(t, 1, s.Metrics.Value("upstream_late_responses_total"), 0)
 }
 
-// The reader of a connection waits for room for a body. An attempt that waited for its turn there would wait with it,
-// for as long as others keep their bodies. It is written within maxReaderWait.
-func TestAttemptIsNotHeldBackByAReaderThatWaitsForRoom(t *testing.T) {
+// The reader goroutine blocks until memory for a response body is available. A delayed attempt on that connection must
+// not wait for as long: it is written within maxReaderWait.
+func TestBlockedReaderDoesNotBlockDelayedAttempt(t *testing.T) {
 	s := newTestPool(t)
 	s.MaxAttemptsPerConnection = 3
-	s.Admission.AdmitEndpointConn(true) // so that all share a connection
+	s.Admission.AdmitEndpointConn(true) // so that all attempts share a connection
 	s.send("a", 0)
-	far := <-s.dialed
-	reader := bufio.NewReaderSize(far, 16)
+	endpointConn := <-s.dialed
+	reader := bufio.NewReaderSize(endpointConn, 16)
 	assert.Equal(t, "do a", readCommand(t, reader))
 	s.Admission.Bodies = request.NewBodyBudget(1)
-	_, _ = io.WriteString(far, "a served digest=d,dated=1 5\r\n")
+	_, _ = io.WriteString(endpointConn, "a served digest=d,dated=1 5\r\n")
 	s.send("b", 20_000)
-	_, _ = reader.ReadByte() // the writer is busy with b
+	_, _ = reader.ReadByte() // the writer goroutine is busy with b
 	s.send("c", 0)
 	_, _ = reader.ReadString('\n')
 	startedAt := time.Now()
@@ -305,5 +305,5 @@
 	assert.Equal(t, "do c", readCommand(t, reader))
 	waited := time.Since(startedAt)
 	assert.Less(t, waited, 2*maxReaderWait)
-	assert.Greater(t, waited, maxReaderWait/2, "the reader did not wait for room")
+	assert.Greater(t, waited, maxReaderWait/2, "the reader did not wait for body memory")
 }
--- a/internal/upstream/close_test.go
+++ b/internal/upstream/close_test.go
@@ -17,8 +17,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An endpoint sends what the protocol does not allow. Everything after it could be misread as the answer to another
-// attempt. The attempt is broken and the connection ends, with one line in the log.
+// An endpoint violates the protocol. Everything after that could be misread as the response to another attempt. The
+// attempt ends as broken and the connection is closed, with one log line.
 func TestProtocolErrorsCloseTheConnection(t *testing.T) {
 	for _, bad := range []string{
 		"a what - 0\r\n",
@@ -29,9 +29,9 @@
 	} {
 		s := newTestPool(t)
 		s.send("a", 0)
-		far := <-s.dialed
-		readCommand(t, bufio.NewReader(far))
-		_, _ = io.WriteString(far, bad)
+		endpointConn := <-s.dialed
+		readCommand(t, bufio.NewReader(endpointConn))
+		_, _ = io.WriteString(endpointConn, bad)
 		assert.Equal(t, routing.ConnectionBroken, s.nextEnd().End.Result, bad[:min(len(bad), 20)])
 		s.stop()
 		assert.Contains(t, s.log.String(), "reason=protocol_error")
@@ -39,13 +39,13 @@
 	}
 }
 
-// The handling of a response panics. The process would end with all its connections. The panic ends one connection and
+// A panic while a response is handled must not end the process with all its connections. It closes one connection and
 // breaks the attempts that are open on it.
-func TestPanicEndsItsConnectionOnly(t *testing.T) {
+func TestPanicEndsOneConnectionOnly(t *testing.T) {
 	s := newTestPool(t)
 	a, b := s.send("a", 0), s.send("b", 0)
-	far := <-s.dialed
-	r := bufio.NewReader(far)
+	endpointConn := <-s.dialed
+	r := bufio.NewReader(endpointConn)
 	readCommand(t, r)
 	readCommand(t, r)
 	onEvent := s.OnEvent
@@ -55,20 +55,21 @@
 		}
 		onEvent(ev)
 	}
-	_, _ = io.WriteString(far, "a not_here - 0\r\n\r\n")
+	_, _ = io.WriteString(endpointConn, "a not_here - 0\r\n\r\n")
 	assert.Equal(t, endedWith(b, routing.ConnectionBroken), s.nextEnd())
 	assert.Contains(t, s.logAfterEnd(a.Connection()), "reason=panic")
 }
 
-// A response stops in the middle of its body. Whatever comes after it on the connection waits behind it. The connection
-// ends while a response stalls, and takes no attempt while the response to a cancelled one is coming.
-func TestStalledResponseEndsItsConnection(t *testing.T) {
+// A response stops in the middle of its body. Everything after it on the connection would wait for it. A stalled
+// response ends its connection, and no attempt is sent on a connection while the response to a cancelled attempt is
+// arriving.
+func TestStalledResponseEndsConnection(t *testing.T) {
 	for _, cancelled := range []bool{true, false} {
 		s := newTestPool(t)
 		a := s.send("a", 0)
-		far := <-s.dialed
-		readCommand(t, bufio.NewReader(far))
-		_, _ = io.WriteString(far, "a served digest=d,dated=1,remark=h 10\r\nhalf")
+		endpointConn := <-s.dialed
+		readCommand(t, bufio.NewReader(endpointConn))
+		_, _ = io.WriteString(endpointConn, "a served digest=d,dated=1,remark=h 10\r\nhalf")
 		if !cancelled {
 			assert.Equal(t, endedWith(a, routing.ConnectionBroken), s.nextEnd())
 			assert.Contains(t, s.logAfterEnd(a.Connection()), "reason=stalled_response")
@@ -76,21 +77,21 @@
 		}
 		bodyBegan := func() bool { return !a.connection.conn.FrameStart().IsZero() }
 		assert.Eventually(t, bodyBegan, time.Minute, time.Millisecond)
-		go func() { _, _ = io.Copy(io.Discard, far) }()
+		go func() { _, _ = io.Copy(io.Discard, endpointConn) }()
 		s.Cancel(a, routing.TimedOut)
 		assert.Equal(t, routing.TimedOut, s.nextEnd().End.Result)
 		assert.NotSame(t, a.Connection(), s.send("b", 0).Connection())
 	}
 }
 
-// An endpoint took an attempt and sent nothing until it was cancelled: it may have vanished. The next attempt would
-// wait as long. That counts after a wait as long as the connect timeout, and then the connection is not used.
+// An endpoint accepted an attempt and sent nothing until it was cancelled, so it may have vanished, and the next
+// attempt would wait as long. The connection is no longer used if the wait was longer than the connect timeout.
 func TestSilentConnectionIsNotUsed(t *testing.T) {
 	for connectTimeout, silent := range map[time.Duration]bool{time.Hour: false, 0: true} {
 		s := newTestPool(t)
 		a := s.send("a", 0)
-		far := <-s.dialed
-		r := bufio.NewReader(far)
+		endpointConn := <-s.dialed
+		r := bufio.NewReader(endpointConn)
 		assert.Equal(t, "do a", readCommand(t, r))
 		s.ConnectTimeout = connectTimeout
 		s.Cancel(a, routing.TimedOut)
@@ -104,43 +105,43 @@
 	}
 }
 
-// An endpoint moves to another address, and the former one passes to another machine. An attempt on the old connection
-// would be answered by a stranger. New attempts use a new connection, and the old one ends once it is idle.
-func TestConnectionToAFormerAddressIsClosed(t *testing.T) {
+// An endpoint moves to another address, and its previous address passes to another machine, which would respond to
+// attempts on the old connection. New attempts use a new connection, and the old one is closed once it is idle.
+func TestConnectionToPreviousAddressIsClosed(t *testing.T) {
 	s := newTestPool(t)
 	c := s.send("a", 0)
-	far := <-s.dialed
-	readCommand(t, bufio.NewReader(far))
+	endpointConn := <-s.dialed
+	readCommand(t, bufio.NewReader(endpointConn))
 	s.UpdateEndpoints(false, []discovery.Endpoint{{Address: "b:1", Endpoint: routing.Endpoint{ID: "m"}}})
 	s.CloseIdle(clock.Now())
-	assert.NotSame(t, c.Connection(), s.send("b", 0).Connection(), "the address passed to another machine")
-	_, _ = io.WriteString(far, "a nobody - 0\r\n\r\n")
+	assert.NotSame(t, c.Connection(), s.send("b", 0).Connection(), "the old address may belong to another machine")
+	_, _ = io.WriteString(endpointConn, "a nobody - 0\r\n\r\n")
 	assert.Equal(t, endedWith(c, routing.NotSent), s.nextEnd())
 	s.CloseIdle(clock.Now().Add(time.Second))
-	assert.Equal(t, ConnectionClosed{Connection: c.Connection()}, <-s.events, "it ends once idle")
+	assert.Equal(t, ConnectionClosed{Connection: c.Connection()}, <-s.events, "the old connection closes when idle")
 	s.stop()
 	assert.Contains(t, s.log.String(), "reason=endpoint_removed")
 }
 
-// A connection is closed while the endpoint sends the first part of a response that is too long to be read before. A
-// reset would destroy what the endpoint has still to read. For a removed endpoint, an idle connection and the end of
-// the pool the endpoint sees an end and no reset.
-func TestCloseWithInputOnItsWayIsNoReset(t *testing.T) {
+// A connection is closed while the endpoint sends the first part of a response that is too long to be read completely
+// before the close. A reset would destroy data that the endpoint has not read yet. The endpoint must see an end of file
+// and no reset when it is removed, when the connection is idle, and when the pool shuts down.
+func TestCloseDuringInputDoesNotReset(t *testing.T) {
 	for _, code := range []string{"endpoint_removed", "idle_timeout", "shutdown"} {
 		s := newTestPool(t)
-		s.dialLoopback(func(far net.Conn) {
-			_, _ = io.WriteString(far, "a served digest=d,dated=1 240000\r\n"+strings.Repeat("x", 200_000))
+		s.dialLoopback(func(endpointConn net.Conn) {
+			_, _ = io.WriteString(endpointConn, "a served digest=d,dated=1 240000\r\n"+strings.Repeat("x", 200_000))
 		})
 		a := s.send("a", 0)
-		far := <-s.dialed
-		r := bufio.NewReader(far)
+		endpointConn := <-s.dialed
+		r := bufio.NewReader(endpointConn)
 		assert.Equal(t, "do a", readCommand(t, r))
-		_, _ = io.WriteString(far, "a nobody - 0\r\n\r\n")
+		_, _ = io.WriteString(endpointConn, "a nobody - 0\r\n\r\n")
 		s.nextEnd()
 		readEnd := make(chan error)
 		go func() {
 			_, err := io.Copy(io.Discard, r)
-			_ = far.Close()
+			_ = endpointConn.Close()
 			readEnd <- err
 		}()
 		switch code {
@@ -156,23 +157,23 @@
 		} else {
 			assert.Contains(t, s.logAfterEnd(a.Connection()), "reason="+code)
 		}
-		assert.NoError(t, <-readEnd, "ended, not reset")
+		assert.NoError(t, <-readEnd, "the connection is closed without a reset")
 	}
 }
 
-// An endpoint floods a connection that is not used any more. A close that waits for its input to end would never come.
-// It comes, and its code is in the log.
-func TestFloodDoesNotDelayAClose(t *testing.T) {
+// An endpoint floods a connection that is no longer used. A close that waits for the end of its input would never
+// complete. The connection must close, and the log line must have its end code.
+func TestContinuousInputDoesNotDelayClose(t *testing.T) {
 	s := newTestPool(t)
 	s.dialLoopback(func(net.Conn) {})
 	a := s.send("a", 0)
-	far := <-s.dialed
-	readCommand(t, bufio.NewReader(far))
-	_, _ = io.WriteString(far, "a nobody - 0\r\n\r\n")
+	endpointConn := <-s.dialed
+	readCommand(t, bufio.NewReader(endpointConn))
+	_, _ = io.WriteString(endpointConn, "a nobody - 0\r\n\r\n")
 	s.nextEnd()
 	go func() {
 		for flood := strings.Repeat("zz nobody - 0\r\n\r\n", 10_000); ; {
-			if _, err := io.WriteString(far, flood); err != nil {
+			if _, err := io.WriteString(endpointConn, flood); err != nil {
 				return
 			}
 		}
@@ -184,15 +185,15 @@
 	assert.Contains(t, s.logAfterEnd(a.Connection()), "reason=endpoint_removed")
 }
 
-// An endpoint has forgotten a connection without a word, and each attempt has less time than a connect takes. None of
-// them alone waits long enough to show it. They show it together, one after another, and the connection is not used any
-// more.
-func TestForgottenConnectionIsNotUsedForEver(t *testing.T) {
+// An endpoint lost its state of a connection without closing it, and the time limit of each attempt is shorter than the
+// connect timeout. No single attempt waits long enough to show that. Consecutive attempts are counted together, so that
+// the connection is no longer used.
+func TestDeadConnectionIsDetectedAcrossAttempts(t *testing.T) {
 	s := newTestPool(t)
 	s.ConnectTimeout = 40 * time.Millisecond
 	first := s.send("a", 0)
-	far := <-s.dialed
-	go func() { _, _ = io.Copy(io.Discard, far) }() // taken, and never answered
+	endpointConn := <-s.dialed
+	go func() { _, _ = io.Copy(io.Discard, endpointConn) }() // read everything and never respond
 	for i := range 6 {
 		a := first
 		if i > 0 {
@@ -206,5 +207,5 @@
 		s.nextEnd()
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Error("all attempts were sent on the connection that is silent")
+	t.Error("all attempts were sent on the silent connection")
 }
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -11,73 +11,75 @@
 	"cairnfront/routing"
 )
 
-// Connection is one connection to an endpoint, with the attempts that are open on it. A reading and a writing
-// goroutine serve it; its other methods may be called by any goroutine.
+// Connection is one connection to an endpoint with the attempts that are open on it. It is served by a reader and a
+// writer goroutine. Its other methods are safe for concurrent use.
 type Connection struct {
 	pool              *Pool
 	endpointID        routing.EndpointID
-	endpointStartedAt float64               // the endpoint's start for which it was made
-	dialPlan          []address.PlannedDial // of an endpoint with several addresses, nil for one with one
-
-	mu           sync.Mutex            // guards all below
-	addr         string                // empty while several are dialed
-	listedAddrs  map[address.Addr]bool // those that the endpoint still has; nil for any
-	conn         *netconn.Conn         // nil while connecting, and where it was never established
-	attempts     map[string]*Attempt   // open, by id
-	cancelled    map[string]*Attempt   // cancelled, and the cancel was not sent yet
-	writeQueue   []command             // not begun
-	writeSignal  chan struct{}         // holds a value while the queue may have commands
-	writerBusy   bool                  // the writing goroutine has not found the queue empty since its last command
-	lastUsed     clock.Instant         // when an attempt was last added or ended
-	silentSince  clock.Instant         // when the first attempt was written of those since which nothing came
-	suspectSince clock.Instant         // when an attempt was cancelled during which nothing came; zero for never
-	state        connState
-
-	unwritableSince clock.Instant // when the first attempt was cancelled whose cancel can't be written; zero for none
+	endpointStartedAt float64               // start time of the endpoint process that it connects to
+	dialPlan          []address.PlannedDial // addresses to dial; nil if the endpoint has only one address
+
+	mu              sync.Mutex            // guards the fields below
+	addr            string                // empty while several addresses are dialed
+	listedAddrs     map[address.Addr]bool // addresses that the endpoint currently has; nil allows any
+	conn            *netconn.Conn         // nil if not established
+	attempts        map[string]*Attempt   // open attempts by id
+	cancelled       map[string]*Attempt   // cancelled attempts by id whose cancel is not sent yet
+	writeQueue      []command             // commands that are not written yet
+	writeSignal     chan struct{}         // contains a value while the queue may contain commands
+	writerBusy      bool                  // the writer goroutine has not seen an empty queue since its last command
+	lastUsed        clock.Instant         // time at which an attempt was last added or ended
+	unansweredSince clock.Instant         // time at which the first attempt after the last input was written
+	suspectedSince  clock.Instant         // time at which an attempt without any input was cancelled; zero if none was
+	state           connState
+
+	unwritableSince clock.Instant // time of the first cancel that cannot be written; zero if none
 }
 
-// command is what the writing goroutine writes next: an attempt, or the line that cancels one.
+// command is an entry of the write queue: an attempt, or the line that cancels one.
 type command struct {
 	attempt    *Attempt
-	cancelLine []byte // nil for the attempt itself
+	cancelLine []byte // nil if the command is the attempt itself
 }
 
-// dialedAddr returns the address of the connection, empty while several are dialed.
+// dialedAddr returns the address of the connection, which is empty while several addresses are dialed.
 func (c *Connection) dialedAddr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.addr
 }
 
-// setListedAddrs says which addresses the endpoint still has.
+// setListedAddrs sets the addresses that the endpoint currently has.
 func (c *Connection) setListedAddrs(listed map[address.Addr]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.listedAddrs = listed
 }
 
-// isListed says whether the endpoint still has an address.
+// isListed reports whether the endpoint currently has an address.
 func (c *Connection) isListed(addr address.Addr) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.listedAddrs == nil || c.listedAddrs[addr]
 }
 
-// load returns how many attempts are open, and whether the connection takes more. It takes none while it is silent
-// after a cancel: the endpoint may have vanished or be a new process. Nor does it while the response to a cancelled
-// attempt is still coming, which the next response would wait behind.
+// load returns the number of open attempts and whether the connection accepts another one. It accepts none while it is
+// silent after a cancel: the endpoint may have vanished or been replaced by a new process. It also accepts none while
+// the response to a cancelled attempt is arriving, because the next response would have to wait for it.
 func (c *Connection) load() (open int, available bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.attempts), c.state.takesAttempts() && !c.isSilentLocked() && !c.receivesLateResponseLocked()
 }
 
-// receivesLateResponseLocked says whether a response is coming though no attempt is open: that of a cancelled one.
+// receivesLateResponseLocked reports whether a response is arriving although no attempt is open. It belongs to a
+// cancelled attempt.
 func (c *Connection) receivesLateResponseLocked() bool {
 	return len(c.attempts) == 0 && c.conn != nil && !c.conn.FrameStart().IsZero()
 }
 
-// add queues an attempt, unless the connection takes no more or carries the same id already.
+// add queues an attempt. It returns false if the connection accepts no more attempts or already has one with the same
+// id.
 func (c *Connection) add(a *Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,7 +87,7 @@
 		return false
 	}
 	a.connection = c
-	a.waits = c.writerBusy
+	a.delayed = c.writerBusy
 	c.lastUsed = clock.Now()
 	c.attempts[a.id] = a
 	c.enqueueLocked(command{attempt: a})
@@ -100,16 +102,16 @@
 	}
 }
 
-// cancel gives an attempt up and returns how it ends by that, and whether at once. One that the endpoint may know of
-// is over only when the socket has taken the cancel line, or the connection has ended. Its end then comes like any
-// other. The line is not written where nothing is written any more.
+// cancel cancels an attempt and returns its result and whether it has already ended. An attempt that the endpoint may
+// have received ends only when the socket has accepted the cancel line or the connection has ended; the end is then
+// reported as an event. The line is not written on a connection that only receives.
 //
-// It guards against two attempts of a request at once: a retry that is sent before the cancel line would run beside the
-// attempt, which the settings may forbid.
-func (c *Connection) cancel(a *Attempt, result routing.AttemptResult) (end routing.AttemptResult, atOnce bool) {
+// It guards against two concurrent attempts of a request: a retry that is sent before the cancel line would run
+// concurrently with the attempt, which the settings may forbid.
+func (c *Connection) cancel(a *Attempt, result routing.AttemptResult) (end routing.AttemptResult, immediate bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.attempts[a.id] != a { // its end is on the way, or was lost with a panic
+	if c.attempts[a.id] != a { // its end is already being reported, or was lost in a panic
 		if !a.written {
 			return routing.NotSent, true
 		}
@@ -129,15 +131,15 @@
 	a.cancelResult = result
 	c.cancelled[a.id] = a
 	if c.state == connReceiving {
-		c.noteUnwritableCancelLocked(now)
+		c.recordUnwritableCancelLocked(now)
 		return result, false
 	}
 	c.enqueueLocked(command{attempt: a, cancelLine: cacheproto.AppendCancel(nil, a.id)})
-	c.suspectSilenceLocked(now)
+	c.markSuspectIfSilentLocked(now)
 	return result, false
 }
 
-// dequeueLocked takes an attempt that was not begun out of the write queue.
+// dequeueLocked removes an attempt that was not written from the write queue.
 func (c *Connection) dequeueLocked(a *Attempt) {
 	for i, queued := range c.writeQueue {
 		if queued.attempt == a {
@@ -157,7 +159,7 @@
 	}
 }
 
-// reportEnd reports an attempt's end to the pool's owner.
+// reportEnd reports the end of an attempt to the pool's owner.
 func (c *Connection) reportEnd(a *Attempt, end request.AttemptEnd) {
 	c.pool.OnEvent(AttemptEnded{Attempt: a, End: end})
 }
--- a/internal/upstream/connstate.go
+++ b/internal/upstream/connstate.go
@@ -1,31 +1,32 @@
 package upstream
 
-// connState is the state of a connection to an endpoint, guarded by the connection's lock. These are all transitions;
-// moveLocked makes them and no other:
+// connState is the state of a connection to an endpoint, guarded by the connection's lock. The table lists all
+// transitions; only setStateLocked performs them:
 //
 //	from        to       when
-//	connecting  ready      a dial has established the connection (serve)
-//	connecting  closed     no dial did, or the pool ends (failedToConnect)
-//	ready       receiving  nothing more can be written to it while attempts are in flight (stopWriting)
-//	ready       closing    it is idle, silent or not wanted any more, and no attempt is open on it (closeIfIdle)
-//	ready       closed     its socket failed, its input broke the protocol, or the pool ends (endAttempts)
-//	receiving   closed     its last attempt has ended, its socket failed, or the pool ends (endAttempts)
-//	closing     closed     its reading goroutine has ended it (endAttempts)
+//	connecting  ready      the dial succeeded (serve)
+//	connecting  closed     every dial failed, or the pool is shutting down (failedToConnect)
+//	ready       receiving  writing has failed while attempts are in flight (stopWriting)
+//	ready       closing    it is idle, silent or no longer needed, and no attempt is open on it (closeIfIdle)
+//	ready       closed     the socket failed, the input violated the protocol, or the pool shuts down (endAttempts)
+//	receiving   closed     its last attempt ended, the socket failed, or the pool shuts down (endAttempts)
+//	closing     closed     its reader goroutine has closed it (endAttempts)
 //
-// There is no way back from receiving or closing: an attempt that is added then could cross the end of the connection
-// and would have to be repeated, which a request that must not run twice does not allow.
+// A connection never leaves receiving or closing for a state that accepts attempts: an attempt added then could race
+// with the close of the connection and would have to be repeated, which is not allowed for a request that must not run
+// twice.
 type connState uint8
 
 const (
 	connConnecting connState = iota // attempts wait for the dial
-	connReady                       // attempts are written and answered
-	connReceiving                   // nothing is written any more; attempts in flight are answered
-	connClosing                     // no attempt is open and none is added; the reading goroutine ends the connection
-	connClosed                      // each attempt has its end; nothing happens any more
+	connReady                       // attempts are written and receive responses
+	connReceiving                   // nothing more is written; attempts in flight still receive responses
+	connClosing                     // no attempt is open and none is accepted; the reader goroutine closes it
+	connClosed                      // all attempts have ended; final state
 	connStateCount
 )
 
-// connTransitions has, by its state, the states that a connection may take next.
+// connTransitions lists the allowed next states for each state.
 var connTransitions = [connStateCount][connStateCount]bool{
 	connConnecting: {connReady: true, connClosed: true},
 	connReady:      {connReceiving: true, connClosing: true, connClosed: true},
@@ -33,15 +34,15 @@
 	connClosing:    {connClosed: true},
 }
 
-// takesAttempts says whether a connection takes new attempts in a state.
+// takesAttempts reports whether a connection in this state accepts new attempts.
 func (s connState) takesAttempts() bool { return s == connConnecting || s == connReady }
 
-// hasAttempts says whether attempts may be open on a connection in a state, so that one that is given up ends by its
-// cancel line or by the connection's end.
+// hasAttempts reports whether a connection in this state can have open attempts. A cancelled attempt then ends when its
+// cancel line is written or when the connection ends.
 func (s connState) hasAttempts() bool { return s.takesAttempts() || s == connReceiving }
 
-// moveLocked takes the connection to another state where the table has the transition, and says whether it did.
-func (c *Connection) moveLocked(to connState) bool {
+// setStateLocked changes the connection's state if the table allows the transition, and reports whether it did.
+func (c *Connection) setStateLocked(to connState) bool {
 	if !connTransitions[c.state][to] {
 		return false
 	}
--- a/internal/upstream/connstate_test.go
+++ b/internal/upstream/connstate_test.go
@@ -6,19 +6,19 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestConnectionStatesOnlyGoForward: whatever moves are tried, a connection that takes no more attempts never does
-// again, and one that has closed stays closed.
-func TestConnectionStatesOnlyGoForward(t *testing.T) {
+// Whatever transitions are tried, a connection that accepts no more attempts must never accept any again, and a closed
+// connection stays closed.
+func TestConnectionStateNeverGoesBack(t *testing.T) {
 	for from := range connStateCount {
 		for to := range connStateCount {
 			c := &Connection{state: from}
-			moved := c.moveLocked(to)
+			moved := c.setStateLocked(to)
 			assert.Equal(t, moved, c.state == to && from != to, "%d to %d", from, to)
 			assert.GreaterOrEqual(t, c.state, from, "%d to %d", from, to)
 			if !from.takesAttempts() {
 				assert.False(t, c.state.takesAttempts(), "%d to %d", from, to)
 			}
 		}
-		assert.Equal(t, from != connClosed, (&Connection{state: from}).moveLocked(connClosed), "%d can close", from)
+		assert.Equal(t, from != connClosed, (&Connection{state: from}).setStateLocked(connClosed), "%d can close", from)
 	}
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -11,11 +11,11 @@
 	"cairnfront/internal/upstream/address"
 )
 
-// errNoUsableAddress says that every address of an endpoint is in cooldown.
+// errNoUsableAddress reports that every address of an endpoint is in cooldown.
 var errNoUsableAddress = errors.New("every address is in cooldown")
 
-// minDialWait is the shortest wait between two checks of a dial race, which a due time that has just passed would turn
-// into a busy loop.
+// minDialWait is the minimum wait between two iterations of a dial race. Without it, a due time that has just passed
+// would cause a busy loop.
 const minDialWait = 500 * time.Microsecond
 
 // dialNetwork establishes a connection to host:port or unix:PATH.
@@ -24,7 +24,7 @@
 	return (&net.Dialer{}).DialContext(ctx, a.Network(), a.Target())
 }
 
-// dial establishes the connection: over its one address, or over that of several which comes up first.
+// dial establishes the connection, either over its only address or over the first of several addresses to connect.
 func (c *Connection) dial(ctx context.Context) (net.Conn, error) {
 	if addr := c.dialedAddr(); addr != "" {
 		ctx, cancel := context.WithTimeout(ctx, c.pool.ConnectTimeout)
@@ -43,33 +43,33 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	defer r.releaseRest()
+	defer r.discardRemaining()
 	return r.run(ctx)
 }
 
-// dialRace dials the addresses of a connection's plan. Each dial beside another one holds a descriptor of its own
-// while it lasts; the connection's own descriptor serves the first.
+// dialRace dials the addresses of a connection's dial plan. Each concurrent dial holds its own descriptor while it
+// runs; the first dial uses the descriptor of the connection.
 type dialRace struct {
-	connection *Connection
-	race       *address.Race
-	results    chan dialResult
-	underWay   int
-	lastErr    error
+	connection      *Connection
+	race            *address.Race
+	results         chan dialResult
+	dialsInProgress int
+	lastErr         error
 }
 
-// dialResult is how the dial of an address of the plan ended.
+// dialResult is the result of dialing one address of the plan.
 type dialResult struct {
-	index int // in the plan
-	conn  net.Conn
-	err   error
-	took  time.Duration
+	index    int // index in the plan
+	conn     net.Conn
+	err      error
+	duration time.Duration
 }
 
-// run dials until one address is established, or none can be any more.
+// run dials until one address is connected or none can be any more.
 func (r *dialRace) run(ctx context.Context) (net.Conn, error) {
 	for {
 		now := clock.NowSeconds()
-		for i := r.race.NextDial(now, r.admitAnother); i >= 0; i = r.race.NextDial(now, r.admitAnother) {
+		for i := r.race.NextDial(now, r.admitConcurrentDial); i >= 0; i = r.race.NextDial(now, r.admitConcurrentDial) {
 			r.start(ctx, i)
 		}
 		if r.race.Lost(now) {
@@ -82,7 +82,7 @@
 		timer := time.NewTimer(max(wait, minDialWait))
 		select {
 		case result := <-r.results:
-			if r.settle(result) {
+			if r.handleResult(result) {
 				timer.Stop()
 				return result.conn, nil
 			}
@@ -92,24 +92,26 @@
 	}
 }
 
-// admitAnother asks for the descriptor of a dial beside another one.
-func (r *dialRace) admitAnother() bool { return r.connection.pool.Admission.AdmitEndpointConn(false) }
+// admitConcurrentDial requests a descriptor for an additional concurrent dial.
+func (r *dialRace) admitConcurrentDial() bool {
+	return r.connection.pool.Admission.AdmitEndpointConn(false)
+}
 
-// start dials one address of the plan. The goroutine of the dial belongs to the race, which takes its result while it
-// runs or in releaseRest. The channel has room for all results, so no dial waits to hand its own over.
+// start dials one address of the plan. The race owns the dial's goroutine and receives its result in run or in
+// discardRemaining. The results channel has capacity for all dials, so no goroutine blocks on sending its result.
 func (r *dialRace) start(ctx context.Context, index int) {
-	r.underWay++
+	r.dialsInProgress++
 	addr := r.connection.dialPlan[index].Addr
 	go func() {
 		began := time.Now()
 		conn, err := r.connection.pool.Dial(ctx, string(addr))
-		r.results <- dialResult{index: index, conn: conn, err: err, took: time.Since(began)}
+		r.results <- dialResult{index: index, conn: conn, err: err, duration: time.Since(began)}
 	}()
 }
 
-// settle takes a dial's result and says whether its connection is the one that is used.
-func (r *dialRace) settle(result dialResult) bool {
-	r.underWay--
+// handleResult handles the result of a dial and reports whether its connection is the one to use.
+func (r *dialRace) handleResult(result dialResult) bool {
+	r.dialsInProgress--
 	r.report(result)
 	addr := r.connection.dialPlan[result.index].Addr
 	established := result.err == nil
@@ -123,27 +125,28 @@
 		r.lastErr = result.err
 	}
 	r.race.Failed(result.index)
-	if r.underWay > 0 { // the connection's own descriptor serves one of the others
+	if r.dialsInProgress > 0 { // the connection's own descriptor is now used by one of the other dials
 		r.connection.pool.Admission.EndpointConnDone()
 	}
 	return false
 }
 
-// report tells the pool's owner how a dial ended.
+// report sends the result of a dial to the pool's owner.
 func (r *dialRace) report(result dialResult) {
 	r.connection.pool.OnEvent(DialEnded{
 		Endpoint: r.connection.endpointID,
 		Addr:     r.connection.dialPlan[result.index].Addr,
 		Result:   classifyDial(result.err),
-		Seconds:  result.took.Seconds(),
+		Seconds:  result.duration.Seconds(),
 	})
 }
 
-// releaseRest waits in the background for the dials that are under way when the race is over. It closes what comes up
-// and gives their descriptors back, except the connection's own one, which serves one of them where none has won.
-func (r *dialRace) releaseRest() {
+// discardRemaining waits in the background for the dials that are still running when the race is over. It closes the
+// connections that they establish and releases their descriptors. The connection's own descriptor, which one of them
+// uses if no dial has won, is not released here.
+func (r *dialRace) discardRemaining() {
 	p := r.connection.pool
-	for i := range r.underWay {
+	for i := range r.dialsInProgress {
 		holdsOwnDescriptor := i == 0 && !r.race.Won()
 		p.group.Go(func() error {
 			r.discard(<-r.results)
@@ -155,8 +158,8 @@
 	}
 }
 
-// discard closes a connection that came up after the race was over. A dial that was called off says nothing against
-// its address; one that took all the time does, where none has won.
+// discard closes a connection that was established after the race was over. A cancelled dial does not count against its
+// address. A dial that timed out does, unless another dial has won.
 func (r *dialRace) discard(result dialResult) {
 	if result.err == nil {
 		r.report(result)
@@ -175,7 +178,8 @@
 	c.addr = addr
 }
 
-// classifyDial returns what a dial's error says of its address. A shortage on this side says nothing.
+// classifyDial returns what a dial error reveals about its address. A resource shortage on this machine reveals
+// nothing.
 func classifyDial(err error) address.DialResult {
 	switch {
 	case err == nil:
--- a/internal/upstream/errors_test.go
+++ b/internal/upstream/errors_test.go
@@ -17,9 +17,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A dial fails for want of descriptors or ports on this machine. The endpoint would be ejected for it. Of the errors
-// that socket, bind and connect document, only those of the other side count against the endpoint.
-func TestDialErrorsBlameTheEndpointOnlyForItsOwn(t *testing.T) {
+// A dial fails for lack of descriptors or ports on this machine. This must not get the endpoint ejected. Of the errors
+// documented for socket, bind and connect, only those caused by the other side count against the endpoint.
+func TestLocalDialErrorsDoNotCountAgainstEndpoint(t *testing.T) {
 	for errno, want := range map[syscall.Errno]routing.AttemptResult{
 		syscall.EMFILE:        routing.NotSent,
 		syscall.ENFILE:        routing.NotSent,
@@ -45,7 +45,7 @@
 	}
 }
 
-// failingOnceConn is a socket whose reads or writes fail once.
+// failingOnceConn is a socket on which one read or one write fails.
 type failingOnceConn struct {
 	net.Conn
 	readErr, writeErr error
@@ -67,10 +67,10 @@
 	return c.Conn.Write(p)
 }
 
-// A write or a read of a connection fails. An attempt without an end would be waited for until its deadline. With each
-// error that tells of a broken connection the attempt ends, as one that did not run or as one that may have, and the
-// endpoint sees the end.
-func TestErrorsOfAConnectionEndItsAttempts(t *testing.T) {
+// A write or a read on a connection fails. Each error that shows a broken connection must end the attempt, which would
+// otherwise be waited for until its deadline. The result states whether the attempt may have run, and the endpoint sees
+// the close.
+func TestConnectionErrorsEndAttempts(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.EIO,
 	} {
@@ -85,41 +85,42 @@
 				return &failingOnceConn{Conn: raw, readErr: errno}, err
 			}
 			a := s.send("a", 0)
-			far := <-s.dialed
+			endpointConn := <-s.dialed
 			want := routing.ConnectFailed
 			if !write {
 				want = routing.ConnectionBroken
-				assert.Equal(t, "do a", readCommand(t, bufio.NewReader(far)))
-				go func() { _, _ = io.WriteString(far, "a") }()
+				assert.Equal(t, "do a", readCommand(t, bufio.NewReader(endpointConn)))
+				go func() { _, _ = io.WriteString(endpointConn, "a") }()
 			}
 			assert.Equal(t, endedWith(a, want), s.nextEnd(), "%v, write %t", errno, write)
-			_ = far.SetReadDeadline(time.Now().Add(time.Second)) // an error where the other side is closed already
-			_, err := io.Copy(io.Discard, far)
-			assert.NoError(t, err, "the endpoint sees the end")
+			_ = endpointConn.SetReadDeadline(time.Now().Add(time.Second)) // fails if the other side is already closed
+			_, err := io.Copy(io.Discard, endpointConn)
+			assert.NoError(t, err, "the endpoint sees the close")
 		}
 	}
 }
 
-// A socket fails for want of memory on this machine until its attempts are given up. The endpoint would be ejected for
-// it. The attempt ends as not sent.
-func TestShortageOnAConnectionBlamesNobody(t *testing.T) {
+// Writes fail for lack of memory on this machine until the attempt is given up. This must not get the endpoint ejected:
+// the attempt ends as not sent.
+func TestLocalWriteShortageIsNotSent(t *testing.T) {
 	s := newTestPool(t)
 	s.Dial = func(context.Context, string) (net.Conn, error) {
-		near, _ := net.Pipe()
-		return shortOfMemory{near}, nil
+		poolConn, _ := net.Pipe()
+		return noBufferSpaceConn{poolConn}, nil
 	}
 	a := s.send("a", 0)
 	assert.Equal(t, endedWith(a, routing.NotSent), s.nextEnd())
 }
 
-// shortOfMemory is a socket whose writes fail for want of memory.
-type shortOfMemory struct{ net.Conn }
+// noBufferSpaceConn is a socket whose writes fail with ENOBUFS.
+type noBufferSpaceConn struct{ net.Conn }
 
-func (shortOfMemory) Write([]byte) (int, error) { return 0, syscall.ENOBUFS }
+func (noBufferSpaceConn) Write([]byte) (int, error) { return 0, syscall.ENOBUFS }
 
-// An endpoint answers that the copy of the client is current, and means another copy or names none. The client would go
-// on with a stale one. Such an answer completes a request only if it names the copy that the client has.
-func TestNotModifiedHasToNameTheClientsCopy(t *testing.T) {
+// An endpoint responds that the client's copy is current, but the response has the ETag of another copy or none. The
+// client would continue to use a stale copy. Such a response completes a request only if its ETag is that of the
+// client's copy.
+func TestNotModifiedRequiresMatchingETag(t *testing.T) {
 	for _, c := range []struct {
 		clientETag, fields string
 		want               routing.AttemptResult
@@ -134,9 +135,9 @@
 		s := newTestPool(t)
 		r := &request.Request{ID: "a", ClassName: "page", Object: "ff", Part: "0", ETag: c.clientETag}
 		s.Send(attemptOf(r), Bounds{}, nil, testOwner("a"))
-		far := <-s.dialed
-		assert.Equal(t, "do a", readCommand(t, bufio.NewReader(far)))
-		_, _ = io.WriteString(far, "a still_good "+c.fields+" 0\r\n\r\n")
+		endpointConn := <-s.dialed
+		assert.Equal(t, "do a", readCommand(t, bufio.NewReader(endpointConn)))
+		_, _ = io.WriteString(endpointConn, "a still_good "+c.fields+" 0\r\n\r\n")
 		assert.Equal(t, c.want, s.nextEnd().End.Result, "%+v", c)
 	}
 }
--- a/internal/upstream/event.go
+++ b/internal/upstream/event.go
@@ -6,26 +6,26 @@
 	"cairnfront/routing"
 )
 
-// Event is what a pool tells its owner: AttemptEnded, DialEnded or ConnectionClosed. The owner hands each to
+// Event is sent from a pool to its owner: AttemptEnded, DialEnded or ConnectionClosed. The owner passes each event to
 // HandleEvent.
 type Event interface{ isUpstreamEvent() }
 
-// AttemptEnded says that an attempt or a health check is over. Each has one such event, unless Cancel ended it at
-// once.
+// AttemptEnded reports that an attempt or a health check has ended. It occurs exactly once for each, unless Cancel
+// ended the attempt immediately.
 type AttemptEnded struct {
 	Attempt *Attempt
 	End     request.AttemptEnd
 }
 
-// DialEnded says how one dial ended, of an endpoint with several addresses.
+// DialEnded reports the result of one dial to an endpoint with more than one address.
 type DialEnded struct {
 	Endpoint routing.EndpointID
 	Addr     address.Addr
 	Result   address.DialResult
-	Seconds  float64 // how long the dial took
+	Seconds  float64 // duration of the dial
 }
 
-// ConnectionClosed says that a connection has ended and carries nothing any more.
+// ConnectionClosed reports that a connection has closed and carries no more attempts.
 type ConnectionClosed struct{ Connection *Connection }
 
 func (AttemptEnded) isUpstreamEvent()     {}
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -27,7 +27,7 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// failingConn is a socket whose reads fail, once it was written to, with an error of no known kind.
+// failingConn is a socket whose reads fail with an unclassified error once it has been written to.
 type failingConn struct {
 	net.Conn
 	written chan bool
@@ -49,70 +49,70 @@
 func (failingConn) SetReadDeadline(time.Time) error  { return nil }
 func (failingConn) SetWriteDeadline(time.Time) error { return nil }
 
-// dialFails makes the pool's dials fail.
-func dialFails(s *testPool, err error) {
+// failDials makes the pool's dials fail.
+func failDials(s *testPool, err error) {
 	s.Dial = func(context.Context, string) (net.Conn, error) { return nil, err }
 }
 
-// sendAndRead sends an attempt and reads it at the far side, which is returned.
+// sendAndRead sends an attempt, reads it as the endpoint, and returns it with the endpoint's side of the connection.
 func sendAndRead(t *testing.T, s *testPool) (*Attempt, net.Conn) {
 	t.Helper()
 	a := s.send("a", 0)
-	far := <-s.dialed
-	readCommand(t, bufio.NewReader(far))
-	return a, far
+	endpointConn := <-s.dialed
+	readCommand(t, bufio.NewReader(endpointConn))
+	return a, endpointConn
 }
 
-// answered sends an attempt that is answered, so that its connection is idle.
-func answered(t *testing.T, s *testPool) (*Attempt, net.Conn) {
+// sendAndRespond sends an attempt and responds to it, so that its connection is idle.
+func sendAndRespond(t *testing.T, s *testPool) (*Attempt, net.Conn) {
 	t.Helper()
-	a, far := sendAndRead(t, s)
-	_, _ = io.WriteString(far, "a nobody - 0\r\n\r\n")
+	a, endpointConn := sendAndRead(t, s)
+	_, _ = io.WriteString(endpointConn, "a nobody - 0\r\n\r\n")
 	s.nextEnd()
-	return a, far
+	return a, endpointConn
 }
 
-// connectionEnds has a cause for each way in which an upstream connection ends. Each returns the attempt whose
-// connection ends.
+// connectionEnds lists the reasons for which an upstream connection ends. Each cause function provokes one of them and
+// returns the attempt whose connection ends.
 var connectionEnds = []struct {
 	name  string
 	cause func(t *testing.T, s *testPool) *Attempt
 }{
 	{"closed by the endpoint", func(t *testing.T, s *testPool) *Attempt {
 		t.Helper()
-		a, far := answered(t, s)
-		_ = far.Close()
+		a, endpointConn := sendAndRespond(t, s)
+		_ = endpointConn.Close()
 		return a
 	}},
 	{"closed inside a body", func(t *testing.T, s *testPool) *Attempt {
 		t.Helper()
-		a, far := sendAndRead(t, s)
-		_, _ = io.WriteString(far, "a served digest=d,dated=1 10\r\nhalf")
-		_ = far.Close()
+		a, endpointConn := sendAndRead(t, s)
+		_, _ = io.WriteString(endpointConn, "a served digest=d,dated=1 10\r\nhalf")
+		_ = endpointConn.Close()
 		return a
 	}},
 	{"unknown code", func(t *testing.T, s *testPool) *Attempt {
 		t.Helper()
-		a, far := sendAndRead(t, s)
-		_, _ = io.WriteString(far, "a what - 0\r\n")
+		a, endpointConn := sendAndRead(t, s)
+		_, _ = io.WriteString(endpointConn, "a what - 0\r\n")
 		return a
 	}},
 	{"line too long", func(t *testing.T, s *testPool) *Attempt {
 		t.Helper()
-		a, far := sendAndRead(t, s)
-		_, _ = io.WriteString(far, strings.Repeat("x", admission.EndpointRingBytes))
+		a, endpointConn := sendAndRead(t, s)
+		_, _ = io.WriteString(endpointConn, strings.Repeat("x", admission.EndpointRingBytes))
 		return a
 	}},
 	{"no line end after a body", func(t *testing.T, s *testPool) *Attempt {
 		t.Helper()
-		a, far := sendAndRead(t, s)
-		_, _ = io.WriteString(far, "a served - 1\r\nxyz")
+		a, endpointConn := sendAndRead(t, s)
+		_, _ = io.WriteString(endpointConn, "a served - 1\r\nxyz")
 		return a
 	}},
 	{"response stalls", func(t *testing.T, s *testPool) *Attempt {
 		t.Helper()
-		a, far := sendAndRead(t, s)
-		_, _ = io.WriteString(far, "a served digest=d,dated=1,remark=h 10\r\nhalf")
+		a, endpointConn := sendAndRead(t, s)
+		_, _ = io.WriteString(endpointConn, "a served digest=d,dated=1,remark=h 10\r\nhalf")
 		return a
 	}},
 	{"endpoint does not read", func(_ *testing.T, s *testPool) *Attempt {
@@ -120,23 +120,23 @@
 	}},
 	{"idle", func(t *testing.T, s *testPool) *Attempt {
 		t.Helper()
-		a, _ := answered(t, s)
+		a, _ := sendAndRespond(t, s)
 		s.CloseIdle(clock.Now().Add(time.Hour))
 		return a
 	}},
 	{"endpoint removed", func(t *testing.T, s *testPool) *Attempt {
 		t.Helper()
-		a, _ := answered(t, s)
+		a, _ := sendAndRespond(t, s)
 		s.UpdateEndpoints(true, nil)
 		s.CloseIdle(clock.Now().Add(time.Second))
 		return a
 	}},
 	{"silent after a cancel", func(t *testing.T, s *testPool) *Attempt {
 		t.Helper()
-		a, far := sendAndRead(t, s)
+		a, endpointConn := sendAndRead(t, s)
 		s.ConnectTimeout = 0
 		s.Cancel(a, routing.TimedOut)
-		assert.Equal(t, "undo a", readCommand(t, bufio.NewReader(far)))
+		assert.Equal(t, "undo a", readCommand(t, bufio.NewReader(endpointConn)))
 		s.nextEnd()
 		s.CloseIdle(clock.Now())
 		return a
@@ -150,8 +150,8 @@
 			}
 			onEvent(ev)
 		}
-		a, far := sendAndRead(t, s)
-		_, _ = io.WriteString(far, "a not_here - 0\r\n\r\n")
+		a, endpointConn := sendAndRead(t, s)
+		_, _ = io.WriteString(endpointConn, "a not_here - 0\r\n\r\n")
 		return a
 	}},
 	{"read error", func(_ *testing.T, s *testPool) *Attempt {
@@ -159,32 +159,32 @@
 		return s.send("a", 0)
 	}},
 	{"refused", func(_ *testing.T, s *testPool) *Attempt {
-		dialFails(s, syscall.ECONNREFUSED)
+		failDials(s, syscall.ECONNREFUSED)
 		return s.send("a", 0)
 	}},
 	{"no descriptors", func(_ *testing.T, s *testPool) *Attempt {
-		dialFails(s, syscall.EMFILE)
+		failDials(s, syscall.EMFILE)
 		return s.send("a", 0)
 	}},
 	{"all addresses in cooldown", func(_ *testing.T, s *testPool) *Attempt {
 		s.AddressSelector = address.New(1)
-		s.EndpointAddresses = func(discovery.Endpoint) []address.Addr { return []address.Addr{first, second} }
+		s.EndpointAddresses = func(discovery.Endpoint) []address.Addr { return []address.Addr{firstAddr, secondAddr} }
 		s.RefreshAddresses()
 		now := clock.NowSeconds()
-		s.AddressSelector.DialEnded(now, "m", first, address.DialRefused, 0)
-		s.AddressSelector.DialEnded(now, "m", second, address.DialRefused, 0)
+		s.AddressSelector.DialEnded(now, "m", firstAddr, address.DialRefused, 0)
+		s.AddressSelector.DialEnded(now, "m", secondAddr, address.DialRefused, 0)
 		return s.send("a", 0)
 	}},
 	{"shutdown", func(t *testing.T, s *testPool) *Attempt {
 		t.Helper()
-		a, _ := answered(t, s)
+		a, _ := sendAndRespond(t, s)
 		go s.stop()
 		return a
 	}},
 }
 
-// TestEndedConnectionLogLines causes each kind of end and compares the log lines with the golden file. Times,
-// durations and the error text of the codec, which is another package's, are masked.
+// TestEndedConnectionLogLines ends a connection for each reason and compares the log lines with the golden file. Times,
+// durations and the error text of the codec, which belongs to another package, are masked.
 func TestEndedConnectionLogLines(t *testing.T) {
 	volatile := regexp.MustCompile(`(time|duration_seconds|stack)=("(\\.|[^"])*"|\S+)`)
 	codecError := regexp.MustCompile(`error=.*what.*`)
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -7,18 +7,18 @@
 	"cairnfront/internal/netconn"
 )
 
-// idleCloseFraction is the part of the endpoints' idle timeout after which an idle connection is closed from this
-// side, so that no attempt crosses a close of theirs. Such an attempt shows as not sent or connect failed, and costs
+// idleCloseFraction is the fraction of the endpoints' idle timeout after which this side closes an idle connection, so
+// that no attempt races with a close by the endpoint. Such an attempt ends as not sent or connect failed, which costs
 // its request time and a retry.
 const idleCloseFraction = 0.8
 
-// idleCloseTimeout returns after which time an idle connection is closed, 0 for never.
+// idleCloseTimeout returns the time after which an idle connection is closed, or 0 if it never is.
 func idleCloseTimeout(endpointIdleTimeout time.Duration) time.Duration {
 	return time.Duration(idleCloseFraction * float64(endpointIdleTimeout))
 }
 
-// CloseIdle closes connections on which no attempt is open and none will be: those that were idle for too long, and
-// those to an endpoint or an address that left the endpoint list.
+// CloseIdle closes connections that have no open attempt and will not get one: those that exceeded the idle timeout,
+// and those to an endpoint or address that was removed from the endpoint list.
 func (p *Pool) CloseIdle(now clock.Instant) {
 	idleTimeout := idleCloseTimeout(p.EndpointIdleTimeout)
 	for _, e := range p.connected {
@@ -33,7 +33,7 @@
 	}
 }
 
-// closeIfIdle closes the connection if no attempt is open on it and none was since a time.
+// closeIfIdle closes the connection if no attempt is open on it and none has been since the given time.
 func (c *Connection) closeIfIdle(code netconn.EndCode, since clock.Instant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,6 +45,6 @@
 	} else if c.lastUsed > since {
 		return
 	}
-	c.moveLocked(connClosing)
+	c.setStateLocked(connClosing)
 	c.conn.RequestClose(code)
 }
--- a/internal/upstream/lifecycle.go
+++ b/internal/upstream/lifecycle.go
@@ -18,36 +18,37 @@
 )
 
 const (
-	// writeStallTimeout is how long an endpoint may take nothing of what is written to it: small lines, and bodies
-	// that fit the sockets' own buffers.
+	// writeStallTimeout is how long an endpoint may accept none of the bytes written to it. These are short lines, and
+	// bodies that fit into the socket buffers.
 	writeStallTimeout = time.Second
 
-	// minResponseStall is how long at least an endpoint may send no more of a response that it began. It is over the
-	// scheduling pauses of a shared core, on either side.
+	// minResponseStall is the minimum time for which an endpoint may pause in the middle of a response. It exceeds the
+	// scheduling pauses of a shared CPU core on either side.
 	minResponseStall = time.Second
 
-	// lingerTimeout and lingerBytes bound how long a connection without attempts is read on while it ends. An
-	// endpoint in the middle of a late response is not reset, and no descriptor is held for a silent one.
+	// lingerTimeout and lingerBytes limit how long a connection without attempts continues to be read while it closes.
+	// This avoids a reset of an endpoint that is in the middle of a late response, and releases the descriptor if the
+	// endpoint is silent.
 	lingerTimeout = 100 * time.Millisecond
 	lingerBytes   = 1 << 20
 )
 
 var (
-	// errCloseRequested ends the reading of a connection that carries nothing and will not.
+	// errCloseRequested ends the read loop of a connection that has no attempts and accepts none.
 	errCloseRequested = errors.New("close requested")
 
-	// errConnectionEnded ends the other goroutine of a connection.
+	// errConnectionEnded stops the other goroutine of a connection.
 	errConnectionEnded = errors.New("connection ended")
 )
 
-// readyToClose says whether the connection may end now: it takes no more attempts and has none, or the pool ends. It
-// returns errCloseRequested where it may.
+// readyToClose checks whether the connection may be closed now: it accepts no more attempts and has none, or the pool
+// is shutting down. It returns errCloseRequested if so, otherwise nil.
 func (c *Connection) readyToClose(ctx context.Context, code netconn.EndCode) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	poolEnds := ctx.Err() != nil
+	poolStopping := ctx.Err() != nil
 	unused := !c.state.takesAttempts() && len(c.attempts) == 0
-	if !poolEnds && !unused {
+	if !poolStopping && !unused {
 		c.conn.SetReadDeadline(c.silenceDeadlineLocked(c.conn.LastRead()))
 		return nil
 	}
@@ -55,7 +56,7 @@
 	return errCloseRequested
 }
 
-// run establishes the connection and serves it until it ends. Then every open attempt gets its end.
+// run establishes the connection and serves it until it ends. Every attempt that is still open then ends.
 func (c *Connection) run(ctx context.Context) {
 	began := time.Now()
 	socket, err := c.dial(ctx)
@@ -70,7 +71,7 @@
 	conn.LogEnd(c.pool.Metrics, c.remote())
 }
 
-// remote is the connection's other end in log lines and counters.
+// remote describes the endpoint of the connection in log lines and counters.
 func (c *Connection) remote() telemetry.Remote {
 	return telemetry.Remote{
 		Side:     telemetry.SideEndpoint,
@@ -79,7 +80,7 @@
 	}
 }
 
-// failedToConnect ends a connection that was not established.
+// failedToConnect ends a connection that could not be established.
 func (c *Connection) failedToConnect(ctx context.Context, began time.Time, cause error) {
 	code, result := netconn.ConnectFailed, routing.ConnectFailed
 	switch {
@@ -95,32 +96,31 @@
 	conn.LogEnd(c.pool.Metrics, c.remote())
 }
 
-// noSocket stands for the socket of a connection that was never established.
+// noSocket is a placeholder for the socket of a connection that was never established.
 type noSocket struct{ net.Conn }
 
 // Close does nothing.
 func (noSocket) Close() error { return nil }
 
-// serve reads and writes until the connection has ended. It owns the reading and the writing goroutine and waits for
-// both.
+// serve reads and writes until the connection has ended. It starts the reader and writer goroutines and waits for both.
 func (c *Connection) serve(ctx context.Context, conn *netconn.Conn) {
 	g, ctx := errgroup.WithContext(ctx)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	conn.OnCloseRequest = func(code netconn.EndCode) error { return c.readyToClose(ctx, code) }
-	conn.DiscardInput = true // an end is only decided while no attempt is open: no unread input is waited for
+	conn.DiscardInput = true // closes only happen while no attempt is open, so unread input can be dropped
 	c.mu.Lock()
 	c.conn = conn
-	c.moveLocked(connReady)
+	c.setStateLocked(connReady)
 	c.mu.Unlock()
 	stopShutdown := context.AfterFunc(ctx, func() { conn.RequestClose(netconn.Shutdown) })
 	defer stopShutdown()
 	g.Go(func() error {
 		defer c.recoverPanic(conn, stop)
 		code, err := c.readLoop(ctx, conn)
-		c.countUnwritable(code, err)
+		c.countUnwritableEnd(code, err)
 		switch {
-		case c.holdsUnwritableCancel():
+		case c.hasUnwritableCancel():
 			conn.Reset(code, err)
 		case errors.Is(err, errCloseRequested):
 			conn.CloseGracefully(netconn.Shutdown, nil, lingerTimeout, lingerBytes)
@@ -133,17 +133,17 @@
 		defer c.recoverPanic(conn, stop)
 		err := c.writeLoop(ctx, conn)
 		if c.stopWriting(conn, err) {
-			return nil // the reading goroutine goes on
+			return nil // the reader goroutine continues
 		}
-		if ctx.Err() == nil { // else the reading goroutine ends the connection
+		if ctx.Err() == nil { // otherwise the reader goroutine closes the connection
 			conn.Close(netconn.ClassifyError(err), err)
 		}
 		return errConnectionEnded
 	})
-	_ = g.Wait() // the end is in conn
+	_ = g.Wait() // conn holds the reason for the close
 }
 
-// recoverPanic ends the connection after a panic of one of its goroutines, and logs the stack. It has to be deferred.
+// recoverPanic closes the connection after a panic in one of its goroutines and logs the stack. It must be deferred.
 func (c *Connection) recoverPanic(conn *netconn.Conn, stop context.CancelFunc) {
 	if p := recover(); p != nil {
 		c.pool.Metrics.RecordPanic(telemetry.ComponentUpstream, p)
@@ -152,28 +152,29 @@
 	}
 }
 
-// endAttempts ends all that is open, and the connection, which is nil where it was not established. Attempts of which
-// nothing is known to have been sent end with the result given.
+// endAttempts ends all open attempts and marks the connection as closed. Conn is nil if the connection was never
+// established. Attempts that are not known to have been sent end with the given result.
 func (c *Connection) endAttempts(conn *netconn.Conn, unsent routing.AttemptResult) {
 	c.mu.Lock()
-	c.moveLocked(connClosed)
+	c.setStateLocked(connClosed)
 	attempts, cancelled := c.attempts, slices.Collect(maps.Values(c.cancelled))
 	c.attempts = map[string]*Attempt{}
 	c.writeQueue = nil
 	c.mu.Unlock()
 	c.reportCancelled(cancelled)
 	for _, a := range attempts {
-		c.reportEnd(a, request.AttemptEnd{Result: resultAtEnd(conn, a, unsent)})
+		c.reportEnd(a, request.AttemptEnd{Result: resultAtConnectionEnd(conn, a, unsent)})
 	}
 	c.pool.OnEvent(ConnectionClosed{Connection: c})
 }
 
-// resultAtEnd returns how an attempt ends whose connection ended. One of which nothing was written crossed the end of
-// an idle connection, which is no fault of the endpoint.
+// resultAtConnectionEnd returns the result of an attempt whose connection has ended. If nothing of the attempt was
+// written, it raced with the close of an idle connection, which is not a failure of the endpoint.
 //
-// It guards against a request that runs twice, and against one that is not retried though it cannot have run. One whose
-// last byte the socket took may have run; any other did not, as an endpoint runs no attempt that is incomplete.
-func resultAtEnd(conn *netconn.Conn, a *Attempt, unsent routing.AttemptResult) routing.AttemptResult {
+// It guards against a request that runs twice, and against a missing retry of an attempt that cannot have run. An
+// attempt whose last byte was accepted by the socket may have run. All others did not, as an endpoint never runs an
+// incomplete attempt.
+func resultAtConnectionEnd(conn *netconn.Conn, a *Attempt, unsent routing.AttemptResult) routing.AttemptResult {
 	switch {
 	case conn == nil:
 		return unsent
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,6 +1,7 @@
-// Package upstream keeps the connections to endpoints and carries attempts, cancels and health checks on them. It
-// owns the pool, the connections with their goroutines, and the truth of how each attempt ended, as far as the
-// connection can prove it. It decides nothing: not which endpoint gets a request, and not whether one is retried.
+// Package upstream manages the connections to endpoints and carries attempts, cancels and health checks on them. It
+// owns the connection pool and the goroutines of each connection, and it determines how each attempt ended, as far as
+// the connection can prove it. It makes no routing decisions: it neither chooses the endpoint of a request nor decides
+// whether to retry it.
 package upstream
 
 import (
@@ -20,52 +21,53 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Pool holds the connections to all endpoints. Its methods belong to one goroutine, its owner, and none of them
-// but Wait waits for a connection.
+// Pool holds the connections to all endpoints. Its methods must be called from a single goroutine, the pool's owner.
+// Only Wait blocks until connections end.
 type Pool struct {
 	Admission *admission.Controller
 	Metrics   *telemetry.Metrics
 
-	// OnEvent takes what the pool learns. The connections' goroutines call it, several at once and never with a lock
-	// held. It may wait for room in the owner's queue, but not for the owner to have handled the event.
+	// OnEvent receives the pool's events. The connections' goroutines call it concurrently and never while they hold a
+	// lock. It may block until the owner's queue has space, but must not wait until the owner has handled the event.
 	OnEvent func(Event)
 
-	ConnectTimeout           time.Duration // longest wait for a connection to be established
-	EndpointIdleTimeout      time.Duration // after which endpoints close idle connections, 0 for never
-	MaxAttemptsPerConnection int           // attempts open at once on one connection
-	RequestLoadReports       bool          // health checks ask for the load report
+	ConnectTimeout           time.Duration // longest time to establish a connection
+	EndpointIdleTimeout      time.Duration // time after which endpoints close idle connections; 0 if they never do
+	MaxAttemptsPerConnection int           // maximum number of open attempts on one connection
+	RequestLoadReports       bool          // whether health checks ask for the load report
 
-	// Dial establishes a connection; the network's own dialer where nil. An address is host:port or unix:PATH. The
-	// connections' goroutines call it, several at once. It has to return soon after its context has ended.
+	// Dial establishes a connection; if nil, a net.Dialer is used. An address is host:port or unix:PATH. The
+	// connections' goroutines call Dial concurrently. It must return soon after its context is done.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-	// AddressSelector decides over which address an endpoint is reached, and EndpointAddresses returns the addresses
-	// of one that has several. Both are nil where each endpoint has the one of the endpoint list only. IsIdempotent
-	// says of a request class whether its requests may be repeated.
+	// AddressSelector chooses the address used to connect to an endpoint. EndpointAddresses returns the addresses of an
+	// endpoint that has more than one. Both are nil if every endpoint has only its address in the endpoint list.
+	// IsIdempotent reports whether the requests of a request class may be repeated.
 	AddressSelector   *address.Selector
 	EndpointAddresses func(discovery.Endpoint) []address.Addr
 	IsIdempotent      func(class int) bool
 
-	// Connections are started by later calls than Start. They end with the context of Start, not with that of a call.
+	// Connections are started by calls after Start. Their goroutines end with the context of Start, not with the
+	// context of the later call.
 	ctx context.Context //nolint:containedctx // the lifetime of the connections' goroutines
 
-	group        *errgroup.Group // of the connections' goroutines
+	group        *errgroup.Group // the connections' goroutines
 	endpoints    map[routing.EndpointID]*endpoint
-	connected    map[routing.EndpointID]*endpoint // those with connections
-	healthChecks int                              // sent so far, for their ids
+	connected    map[routing.EndpointID]*endpoint // endpoints that have connections
+	healthChecks int                              // number of health checks created, used for their ids
 }
 
-// endpoint is one of the endpoint list, with its connections.
+// endpoint is an entry of the endpoint list with its connections.
 type endpoint struct {
-	listed          discovery.Endpoint
-	hasSeveralAddrs bool // AddressSelector knows them
-	startedAt       float64
-	removed         bool // from the endpoint list
-	connections     []*Connection
+	listed           discovery.Endpoint
+	hasMultipleAddrs bool // whether it has more than one address, managed by AddressSelector
+	startedAt        float64
+	removed          bool // whether it was removed from the endpoint list
+	connections      []*Connection
 }
 
-// Start makes the pool ready. The pool owns the goroutines of its connections. They end with the context, and Wait
-// returns once they have.
+// Start initializes the pool. The pool owns the goroutines of its connections. They end when the context is done, and
+// Wait then returns.
 func (p *Pool) Start(ctx context.Context) {
 	p.group, p.ctx = errgroup.WithContext(ctx)
 	p.endpoints = map[routing.EndpointID]*endpoint{}
@@ -75,17 +77,17 @@
 	}
 }
 
-// Wait waits for the connections to end, after the context has.
+// Wait blocks until all connections have ended, which they do after the context of Start is done.
 func (p *Pool) Wait() error { return p.group.Wait() }
 
-// UpdateEndpoints takes an update of the endpoint list. A snapshot names every endpoint. A connection belongs to the
-// endpoint's id and the address that it was made for.
+// UpdateEndpoints applies an update of the endpoint list. A snapshot contains every endpoint. A connection belongs to
+// the endpoint id and the address for which it was established.
 func (p *Pool) UpdateEndpoints(snapshot bool, listed []discovery.Endpoint) {
 	if snapshot {
 		for _, e := range p.endpoints {
 			e.removed = true
 		}
-		defer p.forgetRemoved()
+		defer p.pruneRemovedEndpoints()
 	}
 	for _, l := range listed {
 		e := p.endpoints[l.ID]
@@ -96,22 +98,22 @@
 		e.listed = l
 		e.removed = l.Status == routing.Removed
 		p.updateAddresses(e)
-		p.forgetIfUnused(e)
+		p.deleteIfUnused(e)
 	}
 }
 
-// forgetRemoved forgets the endpoints that a snapshot left out.
-func (p *Pool) forgetRemoved() {
+// pruneRemovedEndpoints deletes the endpoints that a snapshot no longer lists.
+func (p *Pool) pruneRemovedEndpoints() {
 	for _, e := range p.endpoints {
 		if e.removed {
 			p.updateAddresses(e)
-			p.forgetIfUnused(e)
+			p.deleteIfUnused(e)
 		}
 	}
 }
 
-// forgetIfUnused forgets an endpoint that was removed once it has no connection.
-func (p *Pool) forgetIfUnused(e *endpoint) {
+// deleteIfUnused deletes a removed endpoint that has no connections left.
+func (p *Pool) deleteIfUnused(e *endpoint) {
 	if len(e.connections) > 0 {
 		return
 	}
@@ -121,19 +123,20 @@
 	}
 }
 
-// Bounds are the times that bound an attempt; a zero value is no bound.
+// Bounds are the time limits of an attempt. A zero value means no limit.
 type Bounds struct {
-	// Deadline is when nobody waits for the attempt any more. What is left until then is sent to the endpoint, computed
-	// as the line is written. Without a deadline the command's TimeoutSeconds is sent as it is.
+	// Deadline is the time after which nobody waits for the attempt any longer. The time that remains until then is
+	// computed when the command line is written, and is sent to the endpoint. Without a deadline, the command's
+	// TimeoutSeconds is sent unchanged.
 	Deadline clock.Instant
 
-	// SendBefore is the time from which the line may not be begun any more.
+	// SendBefore is the time from which writing the command line must no longer start.
 	SendBefore clock.Instant
 }
 
-// Send starts an attempt. Connections to avoid are those on which the same request was out before: a late or doubled
-// response there would be taken for this attempt's. Send returns nil where no connection may be made; then nothing
-// ran. An attempt whose bounds pass before its line is begun ends as NotSent.
+// Send starts an attempt. The connections in avoid carried earlier attempts of the same request: a late or duplicate
+// response there would be mistaken for the response to this attempt. Send returns nil if no connection can be opened;
+// the attempt has then not run. An attempt whose bounds expire before writing starts ends with NotSent.
 func (p *Pool) Send(command cacheproto.Attempt, bounds Bounds, avoid []*Connection, owner Owner) *Attempt {
 	r := command.Request
 	return p.start(command.StartAttempt.Endpoint, &Attempt{
@@ -147,14 +150,14 @@
 	}, avoid)
 }
 
-// SendHealthCheck asks an endpoint for its state. It returns nil where no connection may be made.
+// SendHealthCheck sends a health check to an endpoint. It returns nil if no connection can be opened.
 func (p *Pool) SendHealthCheck(endpointID routing.EndpointID, owner Owner) *Attempt {
 	check := p.newHealthCheck(cacheproto.HealthCheckIDPrefix, p.RequestLoadReports)
 	check.Owner = owner
 	return p.start(endpointID, check, nil)
 }
 
-// newHealthCheck makes a health check whose id begins with a prefix.
+// newHealthCheck returns a health check whose id starts with idPrefix.
 func (p *Pool) newHealthCheck(idPrefix string, loadReport bool) *Attempt {
 	p.healthChecks++
 	id := idPrefix + strconv.Itoa(p.healthChecks)
@@ -165,12 +168,13 @@
 	}
 }
 
-// Cancel gives an attempt up. It returns how that ends it, and whether at once; else an AttemptEnded follows.
-func (p *Pool) Cancel(a *Attempt, result routing.AttemptResult) (end routing.AttemptResult, atOnce bool) {
+// Cancel cancels an attempt. It returns the attempt's result and whether the attempt has already ended; if it has not,
+// an AttemptEnded event follows.
+func (p *Pool) Cancel(a *Attempt, result routing.AttemptResult) (end routing.AttemptResult, immediate bool) {
 	return a.connection.cancel(a, result)
 }
 
-// RemoveConnection forgets a connection that has ended.
+// RemoveConnection removes a closed connection from the pool.
 func (p *Pool) RemoveConnection(c *Connection) {
 	e := p.endpoints[c.endpointID]
 	if e == nil {
@@ -182,10 +186,10 @@
 			break
 		}
 	}
-	p.forgetIfUnused(e)
+	p.deleteIfUnused(e)
 }
 
-// ConnectionCount returns how many connections there are.
+// ConnectionCount returns the number of connections.
 func (p *Pool) ConnectionCount() int {
 	n := 0
 	for _, e := range p.connected {
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -12,10 +12,10 @@
 	"cairnfront/routing"
 )
 
-// errNoLineEnd tells of a response whose body is not followed by a line end.
+// errNoLineEnd reports that the body of a response is not followed by a line end.
 var errNoLineEnd = errors.New("no line end after a body")
 
-// readLoop reads responses until an error, and returns the end code for it.
+// readLoop reads responses until an error occurs and returns the error with its end code.
 func (c *Connection) readLoop(ctx context.Context, conn *netconn.Conn) (netconn.EndCode, error) {
 	for {
 		if code, err := c.readResponse(ctx, conn); err != nil {
@@ -24,10 +24,10 @@
 	}
 }
 
-// readResponse reads one response. All of its body is read before the attempt ends; that of a cancelled attempt is
-// dropped.
+// readResponse reads one response. The attempt ends after the complete body has been read. The body of a cancelled
+// attempt is discarded.
 func (c *Connection) readResponse(ctx context.Context, conn *netconn.Conn) (netconn.EndCode, error) {
-	c.boundSilence(conn)
+	c.setSilenceDeadline(conn)
 	offset := conn.BytesConsumed()
 	line, err := conn.ReadLine()
 	if err != nil {
@@ -68,7 +68,8 @@
 	return netconn.NoEndCode, nil
 }
 
-// passedDeadlineCode says what a read deadline was for that has passed: the rest of a response, or any input.
+// passedDeadlineCode returns the end code for an expired read deadline. The deadline applied either to the rest of a
+// response or to any input.
 func passedDeadlineCode(conn *netconn.Conn) netconn.EndCode {
 	if conn.FrameStart().IsZero() {
 		return netconn.Unresponsive
@@ -76,7 +77,7 @@
 	return netconn.StalledResponse
 }
 
-// readLineEnd reads the line end that follows a body.
+// readLineEnd reads the line end after a body.
 func readLineEnd(conn *netconn.Conn) error {
 	var end [len(cacheproto.LineEnd)]byte
 	if err := conn.ReadFull(end[:]); err != nil {
@@ -88,58 +89,59 @@
 	return nil
 }
 
-// openAttempt returns the open attempt with an id that a response that begins at an offset of the input may be for, nil
-// where there is none.
+// openAttempt returns the open attempt with the given id that a response starting at responseOffset in the input can
+// belong to, or nil if there is none.
 func (c *Connection) openAttempt(id string, responseOffset int64) *Attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a := c.attempts[id]; a.mayBeAnswered(responseOffset) {
+	if a := c.attempts[id]; a.canReceiveResponse(responseOffset) {
 		return a
 	}
 	return nil
 }
 
-// mayBeAnswered says whether an open attempt can have a response that begins at an offset of the input. It is guarded
-// by the connection's lock.
+// canReceiveResponse reports whether a response starting at responseOffset in the input can belong to the attempt. The
+// caller must hold the connection's lock.
 //
-// It guards against an attempt that a stray response ends while it waits for its turn: it would be written after its
-// end, and run beside the next attempt or after the request's final response (rule 2). What had come before the attempt
-// was begun is not for it, also where it is parsed later.
-func (a *Attempt) mayBeAnswered(responseOffset int64) bool {
+// It guards against a stray response that ends an attempt which is still queued: the attempt would be written after its
+// end and run concurrently with the next attempt or after the request's final response (rule 2). Input that arrived
+// before writing started does not belong to the attempt, even if it is parsed later.
+func (a *Attempt) canReceiveResponse(responseOffset int64) bool {
 	return a != nil && a.written && responseOffset >= a.inputOffset
 }
 
-// endByResponse ends an attempt, unless it was cancelled while its response was read.
+// endByResponse ends an attempt, unless it was cancelled while its response was being read.
 func (c *Connection) endByResponse(a *Attempt, response cacheproto.Response, responseOffset int64) {
 	if a == nil {
 		return
 	}
-	if !c.takeOpen(a, responseOffset) {
+	if !c.removeOpenAttempt(a, responseOffset) {
 		response.Body.Free()
 		return
 	}
 	end := response.AttemptEnd
-	if response.IsProbeReply != a.isHealthCheck || !a.isNamedBy(response) { // what it means is not known
+	if response.IsProbeReply != a.isHealthCheck || !a.etagMatches(response) { // the response does not fit the attempt
 		response.Body.Free()
 		end = request.AttemptEnd{Result: routing.ServerError}
 	}
 	c.reportEnd(a, end)
 }
 
-// isNamedBy says whether a response that calls the requester's copy current names that copy. Others don't have to.
-func (a *Attempt) isNamedBy(response cacheproto.Response) bool {
+// etagMatches reports whether a "not modified" response carries the ETag of the requester's copy. It is true for all
+// other responses.
+func (a *Attempt) etagMatches(response cacheproto.Response) bool {
 	if !response.NotModified {
 		return true
 	}
 	return a.request != nil && a.request.ETag != "" && response.ETag == a.request.ETag
 }
 
-// takeOpen takes an attempt off the connection that its response ends. It returns false where it is not open any more,
-// or waits to be written anew.
-func (c *Connection) takeOpen(a *Attempt, responseOffset int64) bool {
+// removeOpenAttempt removes an attempt from the connection when its response has been read. It returns false if the
+// attempt is no longer open or is queued to be written again.
+func (c *Connection) removeOpenAttempt(a *Attempt, responseOffset int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.attempts[a.id] != a || !a.mayBeAnswered(responseOffset) {
+	if c.attempts[a.id] != a || !a.canReceiveResponse(responseOffset) {
 		return false
 	}
 	delete(c.attempts, a.id)
--- a/internal/upstream/selection.go
+++ b/internal/upstream/selection.go
@@ -10,23 +10,23 @@
 	"cairnfront/routing"
 )
 
-// start starts an attempt on a connection to an endpoint. A connection that breaks, or whose input breaks the
-// protocol, ends all attempts on it: while descriptors allow, each attempt has a connection to itself. Start returns
-// nil where no connection may be made.
+// start starts an attempt on a connection to an endpoint. If a connection breaks or its input violates the protocol,
+// all attempts on it end. Therefore each attempt gets its own connection while descriptors are available. It returns
+// nil if no connection can be opened.
 func (p *Pool) start(endpointID routing.EndpointID, a *Attempt, avoid []*Connection) *Attempt {
 	e := p.endpoints[endpointID]
 	if e == nil {
 		return nil
 	}
-	if e.hasSeveralAddrs {
-		return p.startOverBestAddress(e, a, avoid)
+	if e.hasMultipleAddrs {
+		return p.startOnMultipleAddresses(e, a, avoid)
 	}
-	return p.startOverOnlyAddress(e, a, avoid)
+	return p.startOnSingleAddress(e, a, avoid)
 }
 
-// startOverOnlyAddress starts an attempt at an endpoint with one address: on an idle connection, else on a new one,
-// else on the least loaded one.
-func (p *Pool) startOverOnlyAddress(e *endpoint, a *Attempt, avoid []*Connection) *Attempt {
+// startOnSingleAddress starts an attempt at an endpoint with one address: on an idle connection if there is one,
+// otherwise on a new connection, otherwise on the least loaded one.
+func (p *Pool) startOnSingleAddress(e *endpoint, a *Attempt, avoid []*Connection) *Attempt {
 	best, load := p.leastLoaded(e, avoid)
 	if best != nil && load == 0 && best.add(a) {
 		return a
@@ -44,8 +44,8 @@
 	return a
 }
 
-// leastLoaded returns the connection with the fewest open attempts that takes more, and how many are open on it; nil
-// where there is none.
+// leastLoaded returns the connection with the fewest open attempts that accepts another one, and its number of open
+// attempts. It returns nil if there is none.
 func (p *Pool) leastLoaded(e *endpoint, avoid []*Connection) (best *Connection, load int) {
 	for _, c := range e.connections {
 		open, shareable := p.shareableLoad(c, avoid)
@@ -56,14 +56,14 @@
 	return best, load
 }
 
-// candidate is a connection on which an attempt may be started.
+// candidate is a connection on which an attempt could be started.
 type candidate struct {
 	connection *Connection
-	load       int // open attempts
-	rank       int // of its address, 0 for the first choice
+	load       int // number of open attempts
+	rank       int // rank of its address; 0 is the most preferred
 }
 
-// compare orders candidates: idle ones first, then by their address, then by their load.
+// compare orders candidates: idle connections first, then by address rank, then by load.
 func (c candidate) compare(other candidate) int {
 	return cmp.Or(
 		cmp.Compare(min(c.load, 1), min(other.load, 1)),
@@ -72,9 +72,9 @@
 	)
 }
 
-// startOverBestAddress starts an attempt at an endpoint with several addresses: on an idle connection over the best
-// address that may be used, else on a new connection, else on one that is shared.
-func (p *Pool) startOverBestAddress(e *endpoint, a *Attempt, avoid []*Connection) *Attempt {
+// startOnMultipleAddresses starts an attempt at an endpoint with more than one address: on an idle connection over the
+// best usable address if there is one, otherwise on a new connection, otherwise on a shared one.
+func (p *Pool) startOnMultipleAddresses(e *endpoint, a *Attempt, avoid []*Connection) *Attempt {
 	now := clock.NowSeconds()
 	best := p.bestCandidate(now, e, a, avoid)
 	if best.connection != nil && best.load == 0 && p.useConnection(now, best.connection, a) {
@@ -96,17 +96,18 @@
 	return a
 }
 
-// mayOpen says whether a connection to an endpoint with several addresses may be opened, and holds its descriptor if
-// so. Shareable is a connection that would take the attempt, nil for none.
+// mayOpen reports whether a connection to an endpoint with more than one address may be opened, and reserves its
+// descriptor if so. Shareable is an existing connection that would accept the attempt, or nil.
 //
-// It guards against an endpoint that does not answer and so gets one connection after another until none is left for
-// the other endpoints. That shows as attempts to these that are not sent.
+// It guards against an endpoint that does not respond and gets one connection after another until no descriptors are
+// left for other endpoints. Attempts to these endpoints would then not be sent.
 func (p *Pool) mayOpen(e *endpoint, shareable *Connection) bool {
-	hasItsShare := shareable != nil && len(e.connections) >= p.Admission.MaxConnsPerEndpoint()
-	return !hasItsShare && p.Admission.AdmitEndpointConn(shareable == nil)
+	atConnectionLimit := shareable != nil && len(e.connections) >= p.Admission.MaxConnsPerEndpoint()
+	return !atConnectionLimit && p.Admission.AdmitEndpointConn(shareable == nil)
 }
 
-// bestCandidate returns the best connection for an attempt; its connection is nil where there is none.
+// bestCandidate returns the best existing connection for an attempt. The candidate's connection is nil if there is
+// none.
 func (p *Pool) bestCandidate(now float64, e *endpoint, a *Attempt, avoid []*Connection) (best candidate) {
 	for _, c := range e.connections {
 		load, shareable := p.shareableLoad(c, avoid)
@@ -122,8 +123,9 @@
 	return best
 }
 
-// addressRank returns the rank of a connection's address, and whether an attempt may go over it. A connection that is
-// not established yet comes behind all that are: its address is not known, and the attempt would wait for the dial.
+// addressRank returns the rank of a connection's address and whether an attempt may use it. A connection that is still
+// being established ranks after all established ones: its address is not known yet, and the attempt would have to wait
+// for the dial.
 func (p *Pool) addressRank(now float64, e *endpoint, c *Connection, idempotent bool) (rank int, usable bool) {
 	addr := c.dialedAddr()
 	if addr == "" {
@@ -132,16 +134,17 @@
 	return p.AddressSelector.Usable(now, e.listed.ID, address.Addr(addr), idempotent)
 }
 
-// shareableLoad returns how many attempts are open on a connection, and whether another one may be started there: the
-// connection takes more, its number of attempts is below the limit, and the request has had no attempt on it. A late
-// response to such an earlier attempt would be taken for that to the new one, as both have the request's id.
+// shareableLoad returns the number of open attempts on a connection and whether another attempt may be started on it:
+// the connection accepts attempts, is below the attempt limit, and has not carried an attempt of the same request.
+// Attempts of one request share the request's id, so a late response to the earlier attempt would be mistaken for the
+// response to the new one.
 func (p *Pool) shareableLoad(c *Connection, avoid []*Connection) (load int, shareable bool) {
 	load, available := c.load()
 	return load, available && load < p.MaxAttemptsPerConnection && !slices.Contains(avoid, c)
 }
 
-// useConnection starts an attempt on a connection that exists and tells the address selector of it. It returns false
-// where the connection takes none.
+// useConnection starts an attempt on an existing connection and notifies the address selector. It returns false if the
+// connection does not accept the attempt.
 func (p *Pool) useConnection(now float64, c *Connection, a *Attempt) bool {
 	if !c.add(a) {
 		return false
@@ -152,7 +155,7 @@
 	return true
 }
 
-// newConnection makes a connection to an endpoint that is not established yet.
+// newConnection returns a connection to an endpoint, which is not established yet.
 func (p *Pool) newConnection(e *endpoint) *Connection {
 	return &Connection{
 		pool:              p,
@@ -164,8 +167,8 @@
 	}
 }
 
-// run establishes and serves a connection in a goroutine, which belongs to the pool and which Wait waits for. A
-// descriptor was granted for the connection.
+// run establishes and serves a connection in a goroutine of the pool, which Wait waits for. The caller has already
+// reserved a descriptor for the connection.
 func (p *Pool) run(e *endpoint, c *Connection) {
 	e.connections = append(e.connections, c)
 	p.connected[e.listed.ID] = e
--- a/internal/upstream/silence.go
+++ b/internal/upstream/silence.go
@@ -8,40 +8,41 @@
 	"cairnfront/internal/upstream/address"
 )
 
-// A connection may be dead without a sign of it: the machine behind it has vanished, or a new process has its address.
-// It shows as attempts that end at their deadline, one after another, on a connection that stays open. So a connection
-// on which an attempt was cancelled after nothing had come for the connect timeout takes no more attempts, until
-// something comes, and is closed once no attempt is open (netconn.Unresponsive).
-
-// noteWrittenLocked notes that an attempt is written. Those that follow one another without any input count together:
-// attempts with little time are cancelled before they could show by themselves that the connection is dead.
-func (c *Connection) noteWrittenLocked(now clock.Instant, conn *netconn.Conn) {
-	if c.silentSince.IsZero() || conn.LastRead() >= c.silentSince {
-		c.silentSince = now
+// A connection can be dead without any indication: the machine behind it has vanished, or a new process has taken over
+// its address. The symptom is that attempts time out one after another on a connection that stays open. Therefore, once
+// an attempt is cancelled on a connection that has received nothing for the connect timeout, the connection accepts no
+// more attempts until input arrives, and it is closed when no attempt is open (netconn.Unresponsive).
+
+// recordWriteLocked records that an attempt was written. Consecutive attempts without any input are counted together:
+// attempts with short timeouts are cancelled before any one of them could show that the connection is dead.
+func (c *Connection) recordWriteLocked(now clock.Instant, conn *netconn.Conn) {
+	if c.unansweredSince.IsZero() || conn.LastRead() >= c.unansweredSince {
+		c.unansweredSince = now
 	}
 }
 
-// suspectSilenceLocked is called as an attempt is cancelled. It suspects the connection if nothing has come for the
-// connect timeout while attempts were written.
-func (c *Connection) suspectSilenceLocked(now clock.Instant) {
-	if c.conn != nil && isSilentFor(c.conn.LastRead(), c.silentSince, now, c.pool.ConnectTimeout) {
-		c.suspectSince = now
+// markSuspectIfSilentLocked is called when an attempt is cancelled. It marks the connection as suspect if no input has
+// arrived for the connect timeout while attempts were waiting.
+func (c *Connection) markSuspectIfSilentLocked(now clock.Instant) {
+	if c.conn != nil && isSilentFor(c.conn.LastRead(), c.unansweredSince, now, c.pool.ConnectTimeout) {
+		c.suspectedSince = now
 	}
 }
 
-// isSilentFor says whether input last came before an attempt was written that has waited longer than a time.
+// isSilentFor reports whether the last input arrived before an attempt was written, and the attempt has waited for more
+// than the longest allowed time.
 func isSilentFor(lastRead, writtenAt, now clock.Instant, longest time.Duration) bool {
 	return lastRead < writtenAt && now.Sub(writtenAt) > longest
 }
 
-// isSilentLocked says whether nothing came since an attempt was cancelled during which nothing had come.
+// isSilentLocked reports whether no input has arrived since an attempt was cancelled that had received no input either.
 func (c *Connection) isSilentLocked() bool {
-	return !c.suspectSince.IsZero() && c.conn != nil && c.conn.LastRead() < c.suspectSince
+	return !c.suspectedSince.IsZero() && c.conn != nil && c.conn.LastRead() < c.suspectedSince
 }
 
-// silentWait returns how long a written attempt has waited without any input since, the connection's address, and all
-// attempts that wait so.
-func (c *Connection) silentWait(now clock.Instant) (longest time.Duration, addr address.Addr, waiting []*Attempt) {
+// silentAttempts returns the attempts that were written and have received no input since, the longest time that one of
+// them has waited, and the connection's address.
+func (c *Connection) silentAttempts(now clock.Instant) (longest time.Duration, addr address.Addr, waiting []*Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn == nil || !c.state.hasAttempts() {
--- a/internal/upstream/stopwriting.go
+++ b/internal/upstream/stopwriting.go
@@ -12,44 +12,44 @@
 	"cairnfront/routing"
 )
 
-// stopsWriting says whether an error of a write leaves the other direction as it is: the endpoint reads too slowly, or
-// this machine lacks what the write needs.
-func stopsWriting(err error) bool {
+// affectsOnlyWriting reports whether a write error leaves the reading side of the connection usable: the endpoint reads
+// too slowly, or this machine lacks resources for the write.
+func affectsOnlyWriting(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded) || netconn.IsLocalShortage(err)
 }
 
-// stopWriting ends the writing side of a connection for an error, and says whether the connection goes on for the
-// attempts that the socket has taken completely. All others end: they cannot run any more.
+// stopWriting ends the writing side of a connection after an error. It reports whether the connection stays open for
+// the attempts that the socket has accepted completely. All other attempts end, as they can no longer run.
 //
-// It guards against attempts that end because of another one on their connection. That shows as requests that fail
-// though their endpoint answers them, and must not be repeated.
+// It guards against a write error of one attempt that ends the other attempts on its connection. Requests would fail
+// although their endpoint responds to them, and some must not be repeated.
 func (c *Connection) stopWriting(conn *netconn.Conn, cause error) bool {
-	if !stopsWriting(cause) || conn.IsClosed() {
+	if !affectsOnlyWriting(cause) || conn.IsClosed() {
 		return false
 	}
 	conn.SetEndCode(netconn.ClassifyError(cause), cause)
 	unsent := unsentResult(cause)
-	ended, goesOn := c.removeUntaken(conn, unsent)
+	ended, staysOpen := c.removeUnsentAttempts(conn, unsent)
 	for _, a := range ended {
-		c.reportEnd(a, request.AttemptEnd{Result: resultAtEnd(conn, a, unsent)})
+		c.reportEnd(a, request.AttemptEnd{Result: resultAtConnectionEnd(conn, a, unsent)})
 	}
-	return goesOn
+	return staysOpen
 }
 
-// removeUntaken takes the attempts off the connection that the socket has not taken completely, and everything that
-// waits to be written. It does so where others are left, which it reports; else the connection's end ends them all.
-func (c *Connection) removeUntaken(
+// removeUnsentAttempts removes the attempts that the socket has not accepted completely, and clears the write queue. It
+// does so only if other attempts remain, which it reports; otherwise the end of the connection ends all attempts.
+func (c *Connection) removeUnsentAttempts(
 	conn *netconn.Conn,
 	unsent routing.AttemptResult,
 ) (removed []*Attempt, othersLeft bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range c.attempts {
-		if resultAtEnd(conn, a, unsent) != routing.ConnectionBroken {
+		if resultAtConnectionEnd(conn, a, unsent) != routing.ConnectionBroken {
 			removed = append(removed, a)
 		}
 	}
-	if len(removed) == len(c.attempts) || !c.moveLocked(connReceiving) {
+	if len(removed) == len(c.attempts) || !c.setStateLocked(connReceiving) {
 		return nil, false
 	}
 	for _, a := range removed {
@@ -57,26 +57,26 @@
 	}
 	c.writeQueue = nil
 	if len(c.cancelled) > 0 {
-		c.noteUnwritableCancelLocked(clock.Now())
+		c.recordUnwritableCancelLocked(clock.Now())
 	}
 	return removed, true
 }
 
-// noteUnwritableCancelLocked notes that an attempt was cancelled whose cancel can't be written. The reading goroutine
-// then waits for input for the connect timeout at the most.
+// recordUnwritableCancelLocked records that an attempt was cancelled whose cancel line cannot be written. From then on
+// the reader goroutine waits for input for at most the connect timeout.
 //
-// It guards against an endpoint that hangs and holds a retry back until the deadlines of the other attempts on its
-// connection. That shows as requests that could go on elsewhere and time out. The others end with the connection: one
-// that must not run twice is not retried.
-func (c *Connection) noteUnwritableCancelLocked(now clock.Instant) {
+// It guards against an endpoint that hangs and delays a retry until the deadlines of the other attempts on its
+// connection: requests that could be retried at another endpoint would time out. The other attempts end with the
+// connection, and those that must not run twice are not retried.
+func (c *Connection) recordUnwritableCancelLocked(now clock.Instant) {
 	if c.unwritableSince.IsZero() {
 		c.unwritableSince = now
 	}
-	c.conn.RequestClose(c.conn.EndCode()) // interrupts the read, so that its deadline is set
+	c.conn.RequestClose(c.conn.EndCode()) // interrupts the read, so that the new deadline is set
 }
 
-// silenceDeadlineLocked returns by when input has to come on a connection on which a cancel can't be written and input
-// last came at a time; zero where there is no such cancel.
+// silenceDeadlineLocked returns the time by which input must arrive on a connection with a cancel that cannot be
+// written, given the time of the last input. It is zero if there is no such cancel.
 func (c *Connection) silenceDeadlineLocked(lastRead clock.Instant) time.Time {
 	if c.unwritableSince.IsZero() {
 		return time.Time{}
@@ -84,27 +84,27 @@
 	return max(c.unwritableSince, lastRead).Add(c.pool.ConnectTimeout).Time()
 }
 
-// boundSilence sets by when the next response has to begin. It is for the reading goroutine, which has just taken the
-// one before.
-func (c *Connection) boundSilence(conn *netconn.Conn) {
+// setSilenceDeadline sets the deadline by which the next response must start. The reader goroutine must call it right
+// after it has read the previous response.
+func (c *Connection) setSilenceDeadline(conn *netconn.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn.SetReadDeadline(c.silenceDeadlineLocked(clock.Now()))
 }
 
-// holdsUnwritableCancel says whether the connection has an attempt whose cancel can't be written. Only its end then
-// shows the endpoint that the attempt is given up.
+// hasUnwritableCancel reports whether the connection has a cancelled attempt whose cancel line cannot be written. Only
+// a reset of the connection then shows the endpoint that the attempt is cancelled.
 //
-// It guards against attempts that were given up and that the system still sends once the endpoint reads again. They
-// would run beside their retries, or after the final answer.
-func (c *Connection) holdsUnwritableCancel() bool {
+// It guards against cancelled attempts that the operating system still delivers once the endpoint resumes reading. They
+// would run concurrently with their retries, or after the final response.
+func (c *Connection) hasUnwritableCancel() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.unwritableSince.IsZero()
 }
 
-// endByLateResponse ends an attempt that was cancelled and whose cancel can't be written, as the endpoint is done with
-// it.
+// endByLateResponse ends a cancelled attempt whose cancel line cannot be written, as its response shows that the
+// endpoint has finished it.
 func (c *Connection) endByLateResponse(id string) {
 	c.mu.Lock()
 	a := c.cancelled[id]
@@ -120,29 +120,31 @@
 	c.reportEnd(a, request.AttemptEnd{Result: a.cancelResult})
 }
 
-// closeIfDoneLocked ends a connection that only receives once no attempt is open on it. Attempts that were cancelled
-// meanwhile end with it: their cancel lines can't be written.
+// closeIfDoneLocked closes a connection that only receives once no attempt is open on it. Attempts that were cancelled
+// in the meantime end with the connection: their cancel lines cannot be written.
 func (c *Connection) closeIfDoneLocked() {
 	if c.state == connReceiving && len(c.attempts) == 0 {
 		c.conn.RequestClose(c.conn.EndCode())
 	}
 }
 
-// unwritableEnd is how a connection ends on which nothing can be written any more, a label of its counter.
+// unwritableEnd is the reason for the close of a connection on which nothing more could be written. It is a label of
+// the connection counter.
 type unwritableEnd string
 
-// The ends of such connections.
+// Reasons for the close of a connection on which nothing more could be written.
 const (
-	unwritableAnswered unwritableEnd = "answered" // each attempt on it had its end
-	unwritableSilent   unwritableEnd = "silent"   // it held back an attempt that was cancelled, and nothing came
-	unwritableFailed   unwritableEnd = "failed"   // the other side ended it, or its input broke the protocol
+	unwritableAnswered unwritableEnd = "answered" // all attempts on the connection ended
+	unwritableSilent   unwritableEnd = "silent"   // a cancelled attempt was still pending, and no input arrived in time
+	unwritableFailed   unwritableEnd = "failed"   // the endpoint closed it, or its input violated the protocol
 )
 
-// String returns the label.
+// String returns the metric label.
 func (e unwritableEnd) String() string { return string(e) }
 
-// countUnwritable counts the end of a connection on which nothing can be written any more, by what ended its reading.
-func (c *Connection) countUnwritable(code netconn.EndCode, err error) {
+// countUnwritableEnd counts the close of a connection on which nothing more could be written, labelled by the error
+// that ended its read loop.
+func (c *Connection) countUnwritableEnd(code netconn.EndCode, err error) {
 	c.mu.Lock()
 	receiving := c.state == connReceiving
 	c.mu.Unlock()
@@ -159,8 +161,8 @@
 	c.pool.Metrics.Inc(telemetry.ConnectionsUnwritable.With(end))
 }
 
-// unsentResult returns how attempts end of which nothing is known to have been sent, by the error that ended their
-// connection. A shortage of this machine is no fault of the endpoint.
+// unsentResult returns the result of attempts that are not known to have been sent, given the error that ended their
+// connection. A resource shortage on this machine is not a failure of the endpoint.
 func unsentResult(cause error) routing.AttemptResult {
 	if netconn.IsLocalShortage(cause) {
 		return routing.NotSent
--- a/internal/upstream/testpool_test.go
+++ b/internal/upstream/testpool_test.go
@@ -22,22 +22,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testPool is a pool with one endpoint, and the endpoint's side of what it dials.
+// testPool is a pool with one endpoint, with access to the endpoint's side of the connections that the pool dials.
 type testPool struct {
 	*Pool
 	events chan Event
-	dialed chan net.Conn // the endpoint's sides
+	dialed chan net.Conn // the endpoint's sides of the dialed connections
 	log    *bytes.Buffer
-	stop   func() // ends the pool and waits for it
+	stop   func() // stops the pool and waits for it
 }
 
-// testOwner is the owner of an attempt of a test.
+// testOwner is the owner of an attempt in a test.
 type testOwner string
 
-// OwnsUpstreamAttempt makes it an Owner.
+// OwnsUpstreamAttempt implements Owner.
 func (testOwner) OwnsUpstreamAttempt() {}
 
-// newTestPool returns a pool that is started, with the endpoint m.
+// newTestPool returns a started pool with the endpoint m.
 func newTestPool(t *testing.T) *testPool {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -50,9 +50,9 @@
 		MaxAttemptsPerConnection: 2,
 		OnEvent:                  func(ev Event) { s.events <- ev },
 		Dial: func(context.Context, string) (net.Conn, error) {
-			near, far := net.Pipe()
-			s.dialed <- far
-			return near, nil
+			poolConn, endpointConn := net.Pipe()
+			s.dialed <- endpointConn
+			return poolConn, nil
 		},
 	}
 	s.Start(ctx)
@@ -65,17 +65,17 @@
 	return s
 }
 
-// holdDials keeps connections from being established until the channel is closed.
+// holdDials blocks dials until the returned channel is closed.
 func (s *testPool) holdDials() chan bool {
-	hold, dial := make(chan bool), s.Dial
+	releaseDials, dial := make(chan bool), s.Dial
 	s.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
-		<-hold
+		<-releaseDials
 		return dial(ctx, addr)
 	}
-	return hold
+	return releaseDials
 }
 
-// send sends an attempt of an idempotent class, with a body of so many bytes.
+// send sends an attempt of an idempotent class, with a body of bodyBytes bytes.
 func (s *testPool) send(id string, bodyBytes int, avoid ...*Connection) *Attempt {
 	r := &request.Request{ID: routing.RequestID(id), ClassName: "page", Object: "ff", Part: "0"}
 	if bodyBytes > 0 {
@@ -84,7 +84,7 @@
 	return s.Send(attemptOf(r), Bounds{}, avoid, testOwner(id))
 }
 
-// attemptOf returns the command of an attempt of a request at the endpoint m.
+// attemptOf returns the command for an attempt of a request at the endpoint m.
 func attemptOf(r *request.Request) cacheproto.Attempt {
 	return cacheproto.Attempt{
 		Request:        r,
@@ -93,12 +93,12 @@
 	}
 }
 
-// endedWith returns the event of an attempt's end that says no more than its result.
+// endedWith returns the event for the end of an attempt that has a result and nothing else.
 func endedWith(a *Attempt, result routing.AttemptResult) AttemptEnded {
 	return AttemptEnded{Attempt: a, End: request.AttemptEnd{Result: result}}
 }
 
-// nextEnd waits for the next end of an attempt.
+// nextEnd waits until the next attempt ends.
 func (s *testPool) nextEnd() AttemptEnded {
 	for {
 		if e, ok := (<-s.events).(AttemptEnded); ok {
@@ -107,7 +107,7 @@
 	}
 }
 
-// nextTwoResults waits for the next two ends of attempts, in whatever order.
+// nextTwoResults waits until two attempts have ended, in any order, and returns their results.
 func (s *testPool) nextTwoResults() map[*Attempt]routing.AttemptResult {
 	results := map[*Attempt]routing.AttemptResult{}
 	for range 2 {
@@ -124,13 +124,13 @@
 	require.NoError(t, err)
 	words := strings.Fields(line)
 	if words[0] == "do" {
-		_, err = r.ReadString('\n') // no body, and the line end after it
+		_, err = r.ReadString('\n') // the line end after an empty body
 		assert.NoError(t, err)
 	}
 	return words[0] + " " + words[1]
 }
 
-// logAfterEnd waits until a connection has ended, ends the pool and returns the log.
+// logAfterEnd waits until a connection has ended, stops the pool and returns the log.
 func (s *testPool) logAfterEnd(c *Connection) string {
 	for ev := range s.events {
 		if ev == (ConnectionClosed{Connection: c}) {
@@ -147,7 +147,7 @@
 	onClose func()
 }
 
-// CloseWrite ends the sending side.
+// CloseWrite closes the sending side.
 func (c *closeObserver) CloseWrite() error {
 	c.onClose()
 	return c.TCPConn.CloseWrite()
@@ -159,27 +159,28 @@
 	return c.TCPConn.Close()
 }
 
-// dialLoopback makes the pool dial over loopback. OnClose is called once, when the pool begins to end a connection.
-func (s *testPool) dialLoopback(onClose func(far net.Conn)) {
+// dialLoopback makes the pool dial over loopback. OnClose is called once for a connection, when the pool starts to
+// close it.
+func (s *testPool) dialLoopback(onClose func(endpointConn net.Conn)) {
 	s.Dial = func(ctx context.Context, _ string) (net.Conn, error) {
 		ln, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
 		defer ln.Close()
-		far, err := (&net.Dialer{}).DialContext(ctx, "tcp", ln.Addr().String())
+		endpointConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", ln.Addr().String())
 		if err != nil {
 			return nil, err
 		}
-		near, err := ln.Accept()
+		poolConn, err := ln.Accept()
 		if err != nil {
 			return nil, err
 		}
-		tcp, ok := near.(*net.TCPConn)
+		tcp, ok := poolConn.(*net.TCPConn)
 		if !ok {
-			return nil, fmt.Errorf("accepted a %T", near)
+			return nil, fmt.Errorf("accepted a %T", poolConn)
 		}
-		s.dialed <- far
-		return &closeObserver{tcp, sync.OnceFunc(func() { onClose(far) })}, nil
+		s.dialed <- endpointConn
+		return &closeObserver{tcp, sync.OnceFunc(func() { onClose(endpointConn) })}, nil
 	}
 }
--- a/internal/upstream/writer.go
+++ b/internal/upstream/writer.go
@@ -14,35 +14,37 @@
 )
 
 const (
-	// maxFirstByteWait is how long the socket may take nothing of an attempt before its line is formatted anew.
+	// maxFirstByteWait is how long the socket may accept no bytes of an attempt before its command line is formatted
+	// again.
 	maxFirstByteWait = 40 * time.Millisecond
 
-	// maxLineAge is how long the socket may take to accept all of an attempt after its line was formatted. By the
-	// protocol's terms the deadline in the line may exceed what the client has left by 0.15 s when all of the attempt
-	// has arrived.
+	// maxLineAge is how long the socket may take to accept the complete attempt after its command line was formatted.
+	// The protocol allows the deadline in the line to exceed the client's remaining time by 0.15 s when the complete
+	// attempt has arrived.
 	maxLineAge = 100 * time.Millisecond
 
-	// stalledLineMargin is by how much the deadline in a line is shortened, and the socket's time to accept the
-	// attempt extended, where the socket took nothing before. An endpoint that begins to read again may be slow.
+	// stalledLineMargin is subtracted from the deadline in the command line, and added to the time in which the socket
+	// must accept the attempt, if the socket accepted no bytes before. An endpoint that resumes reading may be slow.
 	stalledLineMargin = 50 * time.Millisecond
 )
 
-// maxReaderWait is how long an attempt that waited for its turn is held back until the input from before it is parsed.
+// maxReaderWait is how long a delayed attempt is held back until the input that arrived before it is parsed.
 const maxReaderWait = 100 * time.Millisecond
 
-// minTimeLeft is the least time to an attempt's deadline with which its line is begun: the line has whole milliseconds.
+// minTimeLeft is the minimum time to an attempt's deadline for writing to start: the command line has a resolution of
+// one millisecond.
 const minTimeLeft = time.Millisecond
 
-// connectionWriter is the writing goroutine's side of a connection.
+// connectionWriter is the state of a connection's writer goroutine.
 type connectionWriter struct {
 	*Connection
-	conn         *netconn.Conn
-	notified     []*Attempt    // cancelled attempts whose cancel line may be unflushed
-	stalledSince clock.Instant // when the socket began to take nothing of an attempt; zero while it does
+	conn             *netconn.Conn
+	unflushedCancels []*Attempt    // cancelled attempts whose cancel line may not be flushed yet
+	stalledSince     clock.Instant // time at which the socket stopped accepting bytes; zero if it accepts them
 }
 
-// writeLoop writes attempts and cancel lines in order until an error or the context ends it. Each attempt is flushed by
-// itself, cancel lines once nothing more is queued or an attempt follows.
+// writeLoop writes attempts and cancel lines in order until an error occurs or the context is done. Each attempt is
+// flushed separately. Cancel lines are flushed when the queue is empty or an attempt follows.
 func (c *Connection) writeLoop(ctx context.Context, conn *netconn.Conn) error {
 	w := &connectionWriter{Connection: c, conn: conn}
 	for {
@@ -66,32 +68,33 @@
 	}
 }
 
-// flush writes what is buffered and ends the attempts whose cancel line the socket has taken.
+// flush writes the buffered bytes and ends the attempts whose cancel line has been accepted by the socket.
 func (w *connectionWriter) flush() error {
 	if err := w.conn.Flush(); err != nil {
 		return err
 	}
-	w.reportCancelled(w.notified)
-	w.notified = w.notified[:0]
+	w.reportCancelled(w.unflushedCancels)
+	w.unflushedCancels = w.unflushedCancels[:0]
 	return nil
 }
 
 // write buffers a cancel line, or writes an attempt.
 func (w *connectionWriter) write(next command) error {
 	if next.cancelLine != nil {
-		w.notified = append(w.notified, next.attempt)
+		w.unflushedCancels = append(w.unflushedCancels, next.attempt)
 		return w.conn.Write(next.cancelLine)
 	}
 	return w.writeAttempt(next.attempt)
 }
 
-// writeAttempt writes an attempt to the socket, behind nothing that is unwritten. If the socket takes nothing of it for
-// maxFirstByteWait, the attempt goes back to the head of the queue, so that its line is formatted anew. If it takes a
-// part and not the rest in time, nothing more can be written on the connection.
+// writeAttempt writes an attempt to the socket. The write buffer must be empty. If the socket accepts no bytes for
+// maxFirstByteWait, the attempt returns to the head of the queue, so that its command line is formatted again. If the
+// socket accepts only a part in time, nothing more can be written on the connection.
 //
-// It guards against a line that arrives with a deadline that the client does not have any more: the endpoint would work
-// on for nobody. An attempt of which the socket took a part does not run, as it is incomplete. The first part is waited
-// for only so long that there is time for the rest: an endpoint that begins to read late takes all of it.
+// It guards against a command line that arrives with a deadline later than the client's: the endpoint would continue to
+// work after the client has given up. An attempt of which the socket accepted only a part does not run, as it is
+// incomplete. The wait for the first byte leaves enough time for the rest, so that an endpoint that starts reading late
+// receives the complete attempt.
 func (w *connectionWriter) writeAttempt(a *Attempt) error {
 	before := w.conn.BytesWritten()
 	w.conn.SetWriteDeadlines(a.writtenAt.Add(maxFirstByteWait).Time(), a.writtenAt.Add(maxLineAge+a.lineMargin).Time())
@@ -113,7 +116,8 @@
 	return nil
 }
 
-// stalledTooLong notes that the socket took nothing of an attempt and says whether it has not for the stall timeout.
+// stalledTooLong records that the socket accepted no bytes of an attempt, and reports whether this has lasted for
+// longer than writeStallTimeout.
 func (w *connectionWriter) stalledTooLong(a *Attempt) bool {
 	if w.stalledSince.IsZero() {
 		w.stalledSince = a.writtenAt
@@ -121,7 +125,7 @@
 	return clock.Now().Sub(w.stalledSince) > writeStallTimeout
 }
 
-// requeue puts an attempt of which nothing was written back to the head of the queue, unless it was cancelled.
+// requeue returns an attempt of which nothing was written to the head of the queue, unless it was cancelled.
 func (c *Connection) requeue(a *Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,52 +134,53 @@
 	}
 	a.written = false
 	a.requeued = true
-	a.waits = true
+	a.delayed = true
 	c.writeQueue = append([]command{{attempt: a}}, c.writeQueue...)
 }
 
-// hasQueued reports whether a command waits.
+// hasQueued reports whether the write queue contains a command.
 func (c *Connection) hasQueued() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.writeQueue) > 0
 }
 
-// nextIsAttempt says whether an attempt is the command that waits longest.
+// nextIsAttempt reports whether the first command in the write queue is an attempt.
 func (c *Connection) nextIsAttempt() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.writeQueue) > 0 && c.writeQueue[0].cancelLine == nil
 }
 
-// nextHasWaited says whether an attempt is next that was not begun at once.
+// nextIsDelayed reports whether the first command in the write queue is an attempt that could not be written
+// immediately.
 //
-// It guards against a response that came meanwhile, to which the attempt's begin would give a meaning: it is parsed
-// first, while no response can be for the attempt.
-func (c *Connection) nextHasWaited() bool {
+// It guards against a response that arrived in the meantime and would be matched to the attempt once writing starts.
+// Such input is parsed first, while no response can belong to the attempt.
+func (c *Connection) nextIsDelayed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.writeQueue) > 0 && c.writeQueue[0].cancelLine == nil && c.writeQueue[0].attempt.waits
+	return len(c.writeQueue) > 0 && c.writeQueue[0].cancelLine == nil && c.writeQueue[0].attempt.delayed
 }
 
-// nextCommand takes the next command from the queue. Attempts end here, unwritten, whose client disconnected while they
-// waited for the connection or for their turn, or whose bounds have passed.
+// nextCommand removes and returns the next command from the queue. Attempts whose client disconnected or whose bounds
+// expired while they waited for the connection or in the queue end here with NotSent.
 func (c *Connection) nextCommand(conn *netconn.Conn) (next command, ok bool) {
 	for {
-		if c.nextHasWaited() {
+		if c.nextIsDelayed() {
 			conn.AwaitReader(maxReaderWait)
 		}
-		next, unwanted, ok := c.dequeue(conn)
-		if !unwanted {
+		next, discarded, ok := c.dequeue(conn)
+		if !discarded {
 			return next, ok
 		}
 		c.reportEnd(next.attempt, request.AttemptEnd{Result: routing.NotSent})
 	}
 }
 
-// dequeue takes the next command from the queue, formats its attempt's line and marks it as written. An attempt that
-// may not be begun any more is taken off the connection instead.
-func (c *Connection) dequeue(conn *netconn.Conn) (next command, unwanted, ok bool) {
+// dequeue removes the next command from the queue, formats the command line of its attempt and marks the attempt as
+// written. An attempt that must not be written any more is removed from the connection instead.
+func (c *Connection) dequeue(conn *netconn.Conn) (next command, discarded, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writerBusy = len(c.writeQueue) > 0
@@ -188,7 +193,7 @@
 		return next, false, true
 	}
 	a, now := next.attempt, clock.Now()
-	if !a.mayBegin(now) {
+	if !a.mayStartWriting(now) {
 		delete(c.attempts, a.id)
 		return next, true, true
 	}
@@ -196,18 +201,18 @@
 	a.written = true
 	a.writtenAt = now
 	a.inputOffset = conn.BytesRead()
-	c.noteWrittenLocked(now, conn)
+	c.recordWriteLocked(now, conn)
 	a.endOffset = conn.BytesBuffered() + int64(a.wireBytes())
 	return next, false, true
 }
 
-// mayBegin says whether the attempt's line may be begun at a time.
+// mayStartWriting reports whether writing the attempt may start at the given time.
 //
-// It guards against attempts that run though nobody waits for them, or after a drain, a purge or the window of a key,
-// because they waited for a dial or for their turn. These would show as work at an endpoint that is about to end, or as
-// a request that runs twice. The check and the mark that the attempt is written are one step under the connection's
-// lock, so no cancel of the attempt comes between them.
-func (a *Attempt) mayBegin(now clock.Instant) bool {
+// It guards against attempts that run although nobody waits for them any longer, or after a drain, a purge or the time
+// window of a key, because they waited for a dial or in the queue. An endpoint that is about to stop would receive
+// work, or a request would run twice. The caller checks this and marks the attempt as written under one hold of the
+// connection's lock, so that no cancel can come in between.
+func (a *Attempt) mayStartWriting(now clock.Instant) bool {
 	switch {
 	case a.request == nil: // a health check
 		return true
@@ -219,24 +224,24 @@
 	return a.bounds.SendBefore.IsZero() || now < a.bounds.SendBefore
 }
 
-// formatLine sets the line of a request's attempt, with the time that is left of its deadline. A health check has its
-// line from the beginning.
+// formatLine formats the command line of a request's attempt with the time that remains until its deadline. The line of
+// a health check is set when the health check is created.
 func (a *Attempt) formatLine(now clock.Instant) {
 	if a.request == nil {
 		return
 	}
 	if !a.bounds.Deadline.IsZero() {
-		left := a.bounds.Deadline.Sub(now)
-		a.lineMargin = a.marginOf(left)
-		a.command.TimeoutSeconds = (left - a.lineMargin).Seconds()
+		remaining := a.bounds.Deadline.Sub(now)
+		a.lineMargin = a.deadlineMargin(remaining)
+		a.command.TimeoutSeconds = (remaining - a.lineMargin).Seconds()
 	}
 	a.head = cacheproto.AppendAttempt(nil, a.command)
 }
 
-// marginOf returns by how much the deadline in the line is shortened, of the time that is left.
-func (a *Attempt) marginOf(left time.Duration) time.Duration {
+// deadlineMargin returns the time to subtract from the deadline in the command line, given the time that remains.
+func (a *Attempt) deadlineMargin(remaining time.Duration) time.Duration {
 	if !a.requeued {
 		return 0
 	}
-	return min(stalledLineMargin, left/2)
+	return min(stalledLineMargin, remaining/2)
 }
