--- a/cmd/cairnfront-sim/main.go
+++ b/cmd/cairnfront-sim/main.go
@@ -1,5 +1,5 @@
 // Command cairnfront-sim runs the routing module for the simulator. It reads batches of events from standard input and
-// writes the routers' actions to standard output.
+// writes the actions of the routers to standard output.
 package main
 
 import (
--- a/routing/actions.go
+++ b/routing/actions.go
@@ -8,45 +8,45 @@
 type StartAttempt struct {
 	Request       RequestID
 	Endpoint      EndpointID
-	Deadline      float64    // time at which the attempt is dropped
-	SendBefore    float64    // time from which it may not be begun any more
-	Source        EndpointID // who fills a miss; the endpoint itself for nobody
-	RetentionRank int        // 0 keeps no copy; a copy of a lower rank is evicted first
-	MaxAgeSeconds float64    // oldest copy that will do; 0 for the class's fresh time
-	JoinFill      bool       // wait for a fill that runs already
-	CacheOnly     bool       // the source gives only what it has cached
-	ParentNoStore bool       // the parent keeps no copy
-	Revalidate    bool       // an ageing copy is served and revalidated in the background
+	Deadline      float64    // the attempt is abandoned at this time
+	SendBefore    float64    // the attempt must not be sent at or after this time
+	Source        EndpointID // endpoint that fills a cache miss; equal to Endpoint if there is none
+	RetentionRank int        // 0 stores no copy; copies of lower rank are evicted first
+	MaxAgeSeconds float64    // maximum age of a served copy; 0 for the fresh time of the class
+	JoinFill      bool       // wait for a fill of the same chunk that is in progress
+	CacheOnly     bool       // the source serves only what it has cached
+	ParentNoStore bool       // the parent stores no copy
+	Revalidate    bool       // serve an expiring copy and revalidate it in the background
 }
 
-// CancelAttempt stops waiting for an attempt.
+// CancelAttempt cancels an attempt in flight.
 type CancelAttempt struct {
 	Request RequestID
 	Attempt int
 }
 
-// RejectRequest is the final answer that says that repeating the request is harmless.
+// RejectRequest is the final action that reports to the client that repeating the request is safe.
 type RejectRequest struct {
 	Request           RequestID
-	RetryAfterSeconds float64 // time that the client should stay away, 0 for no advice
+	RetryAfterSeconds float64 // delay before the client retries, 0 if unset
 }
 
-// AbortRequest is the final answer that leaves open whether the request ran.
+// AbortRequest is the final action of a request that may or may not have run.
 type AbortRequest struct{ Request RequestID }
 
-// SetTimer asks for a TimerFired with the token.
+// SetTimer requests a TimerFired event with the token.
 type SetTimer struct {
 	AfterSeconds float64
 	Token        uint64
 }
 
-// Probe asks an endpoint for its state.
+// Probe starts a health check of an endpoint.
 type Probe struct{ Endpoint EndpointID }
 
-// SubscribeEndpoints asks for endpoint updates from now on.
+// SubscribeEndpoints subscribes to endpoint updates.
 type SubscribeEndpoints struct{}
 
-// LogNote is a line for the operators.
+// LogNote is a log message for operators.
 type LogNote struct{ Message string }
 
 func (StartAttempt) action()       {}
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -2,58 +2,58 @@
 
 import "math"
 
-// attempt is one try of a request at an endpoint.
+// attempt is one attempt to serve a request at an endpoint.
 type attempt struct {
 	target        *endpoint
-	source        *endpoint  // who fills a miss; the target for nobody, as on the wire: see hasSource
-	fillLimiters  []*limiter // of the paths behind the target
-	originLimiter *limiter   // of an attempt that the origin probably gets
-	expectedFills float64    // load at the fill limiters: how likely a fill is
+	source        *endpoint  // endpoint that fills a cache miss; equal to target if there is none, see hasSource
+	fillLimiters  []*limiter // limiters of the source and of the links on the fill path
+	originLimiter *limiter   // limiter of the origin, set if the fill probably reaches it
+	expectedFills float64    // load at the fill limiters: the probability of a fill
 	fill          fillPlan
 	state         attemptState
 	retentionRank int
 	maxAgeSeconds float64
 	sentAt        float64
-	sendBefore    float64 // from when it may not be begun any more
-	suspectAt     float64 // when it is suspected; +Inf once it was taken for lost, which makes its slowness 0
+	sendBefore    float64 // the attempt must not be sent at or after this time
+	suspectAt     float64 // time of the first review as lost; +Inf once lost, which makes its slowness 0
 	endedAt       float64
 	result        AttemptResult
 	blame         blame
 }
 
-// attemptState is where an attempt is between its choice and its end. These are all transitions; attempt.move makes
-// them and no other:
+// attemptState is the state of an attempt between its selection and its end. The table lists all transitions; only
+// attempt.move makes them:
 //
 //	from       to         when
-//	planned    awaited    it is sent
-//	awaited    stalled    its connection is silent though its endpoint is not
-//	awaited    lost       its endpoint is silent, or nothing as slow was answered of late
-//	awaited    abandoned  likewise, and it must not stay in flight beside its successor
-//	stalled    lost       it is reviewed
-//	stalled    abandoned  it is reviewed, and it must not stay in flight beside its successor
-//	awaited    cancelled  its request has ended
-//	stalled    cancelled  its request has ended
-//	lost       cancelled  its request has ended
-//	abandoned  cancelled  at once, where attempts may be cancelled
-//	awaited    ended      its end was heard
-//	stalled    ended      its end was heard
-//	lost       ended      its end was heard: an answer counts though it was not waited for
-//	abandoned  ended      its end was heard, where attempts may not be cancelled
-//	cancelled  ended      its end was heard: the cancel was carried out, or the answer was faster
+//	planned    awaited    the attempt is sent
+//	awaited    stalled    the connection is silent while the endpoint responds on others
+//	awaited    lost       the endpoint is unresponsive, or recent attempts as slow as this one got no answer
+//	awaited    abandoned  as for lost, and the attempt must not stay in flight beside a retry
+//	stalled    lost       the attempt is reviewed
+//	stalled    abandoned  the attempt is reviewed, and must not stay in flight beside a retry
+//	awaited    cancelled  the request has ended
+//	stalled    cancelled  the request has ended
+//	lost       cancelled  the request has ended
+//	abandoned  cancelled  immediately, if cancellation is allowed
+//	awaited    ended      the AttemptEnded event arrives
+//	stalled    ended      the AttemptEnded event arrives
+//	lost       ended      the AttemptEnded event arrives: a late answer still completes the request
+//	abandoned  ended      the AttemptEnded event arrives, if cancellation is not allowed
+//	cancelled  ended      the AttemptEnded event arrives: cancelled, or answered before the cancel took effect
 type attemptState uint8
 
 const (
-	attemptPlanned   attemptState = iota // chosen and not sent yet
-	attemptAwaited                       // sent; the request waits for its end
-	attemptStalled                       // awaited, and to be taken for lost at the next review
-	attemptLost                          // taken for lost and in flight; its answer still counts
-	attemptAbandoned                     // taken for lost and in flight; it is to be cancelled
-	attemptCancelled                     // cancelled and in flight until its end is heard
-	attemptEnded                         // its end was heard
+	attemptPlanned   attemptState = iota // selected and not sent yet
+	attemptAwaited                       // sent; the request waits for its result
+	attemptStalled                       // connection stalled; the next review marks it lost or abandoned
+	attemptLost                          // presumed lost and in flight; an answer still counts
+	attemptAbandoned                     // presumed lost and in flight; to be cancelled
+	attemptCancelled                     // cancelled and in flight until its AttemptEnded event
+	attemptEnded                         // the AttemptEnded event has arrived
 	attemptStateCount
 )
 
-// attemptTransitions has, by its state, the states that an attempt may take next.
+// attemptTransitions[from][to] reports whether an attempt may move between the two states.
 var attemptTransitions = [attemptStateCount][attemptStateCount]bool{
 	attemptPlanned: {attemptAwaited: true},
 	attemptAwaited: {
@@ -65,8 +65,8 @@
 	attemptCancelled: {attemptEnded: true},
 }
 
-// move takes an attempt to another state where the table has the transition, and says whether it did. An event that
-// comes late, of an attempt that has ended or was given up meanwhile, asks for a transition that is not in the table.
+// move sets the state of an attempt if the table allows the transition, and reports whether it did. A late event for an
+// attempt that has ended or was given up requests a transition that is not in the table.
 func (a *attempt) move(to attemptState) bool {
 	if !a.mayMove(to) {
 		return false
@@ -78,37 +78,39 @@
 	return true
 }
 
-// mayMove says whether the table has a transition from an attempt's state.
+// mayMove reports whether the table allows a transition from the current state.
 func (a *attempt) mayMove(to attemptState) bool { return attemptTransitions[a.state][to] }
 
-// inFlight says whether an attempt was sent and its end was not heard.
+// inFlight reports whether an attempt was sent and has not ended.
 func (s attemptState) inFlight() bool { return s != attemptPlanned && s != attemptEnded }
 
-// inFlightNotLost says whether an attempt is in flight and was neither taken for lost nor cancelled. That includes a
-// stalled one, which the next review takes for lost.
+// inFlightNotLost reports whether an attempt is in flight and neither presumed lost nor cancelled. This includes a
+// stalled attempt, which the next review marks lost.
 func (s attemptState) inFlightNotLost() bool { return s == attemptAwaited || s == attemptStalled }
 
-// hasSource says whether an endpoint other than the target fills a miss.
+// hasSource reports whether an endpoint other than the target fills a cache miss.
 func (a *attempt) hasSource() bool { return a.source != a.target }
 
-// fillPlan is what an attempt does about a copy that its target lacks.
+// fillPlan is how an attempt obtains a chunk that its target may not have cached.
 type fillPlan uint8
 
 const (
-	expectHit    fillPlan = iota // the target is known to have a copy; its source fills if not
-	expectFill                   // the source, or a target that is no edge cache, fetches the chunk
-	fillFromPeer                 // a peer cache gives what it has cached
-	targetOnly                   // the target answers from its cache or not at all
-	sourceOnly                   // the source, a parent, gives what it has cached
+	expectHit    fillPlan = iota // the target is known to have a copy; the source fills on a miss
+	expectFill                   // the source fills, or a target that is not an edge cache serves the chunk
+	fillFromPeer                 // a peer cache serves the chunk from its cache
+	targetOnly                   // the target serves the chunk from its cache only, without a fill
+	sourceOnly                   // the source, a parent cache, serves the chunk from its cache only
 )
 
-// missExpected says whether the target is thought to have no copy, so that what it sends comes from its source.
+// expectsMiss reports whether the target is expected to have no copy, so that the source serves the chunk.
 func (f fillPlan) missExpected() bool { return f == expectFill || f == fillFromPeer || f == sourceOnly }
 
-// cacheOnly says whether an attempt must not use the path behind its target or its source because that is full.
+// cacheOnly reports whether an attempt must not fill past its target or its source, because the path behind is at its
+// limit.
 func (f fillPlan) cacheOnly() bool { return f == targetOnly || f == sourceOnly }
 
-// blame is whose fault an unexplained failure may be. It counts once another attempt of the request completes.
+// possibleFault is the set of endpoints that may have caused an unexplained failure. The failure counts against them
+// once another attempt of the request completes.
 type blame uint8
 
 const (
@@ -117,7 +119,7 @@
 	blameTargetAndSource
 )
 
-// usedFunc tells whether an attempt has used an endpoint in one of its places.
+// usedFunc reports whether an attempt has used an endpoint in a given role, as target or as source.
 type usedFunc func(*attempt, *endpoint) bool
 
 func wasTarget(a *attempt, e *endpoint) bool { return a.target == e && !a.fill.cacheOnly() }
@@ -130,7 +132,7 @@
 func isFromPeer(a *attempt) bool  { return a.fill == fillFromPeer }
 func isInFlight(a *attempt) bool  { return a.state.inFlight() }
 
-// startAction is the action that starts an attempt of a request.
+// startAction returns the action that starts an attempt of a request.
 func (a *attempt) startAction(req *request, join, revalidate bool) StartAttempt {
 	return StartAttempt{
 		Request:       req.Request,
--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An end that the table of transitions refuses would leave an attempt in flight for good and take room from its
-// endpoint. An ended attempt that could move again would release its room twice. Every state in flight must accept the
-// end, and the ended state must accept nothing.
+// Guards against transitions that refuse the end of an attempt in flight, which would occupy capacity of its endpoint
+// forever, and against an ended attempt that moves again, which would release its capacity twice. All states in flight
+// accept the end; the ended state accepts no transition.
 func TestAttemptInFlightMayAlwaysEndAndEndedStaysEnded(t *testing.T) {
 	for from := range attemptStateCount {
 		a := &attempt{state: from}
@@ -24,7 +24,7 @@
 	}
 }
 
-// A second cancel, a second end or a stall after an attempt was given up must change nothing.
+// Late events, such as a second cancel, a second end, or a stall after an attempt was given up, must have no effect.
 func TestAttemptMovesOnlyAsItsTableSays(t *testing.T) {
 	for from := range attemptStateCount {
 		for to := range attemptStateCount {
@@ -35,14 +35,14 @@
 				assert.Equal(t, from, a.state)
 			}
 			lost := moved && (to == attemptLost || to == attemptAbandoned)
-			assert.Equal(t, lost, math.IsInf(a.suspectAt, 1), "a lost attempt is not suspected again")
+			assert.Equal(t, lost, math.IsInf(a.suspectAt, 1), "a lost attempt must not be suspected again")
 		}
 		assert.Equal(t, from.inFlight() && from != attemptCancelled, attemptTransitions[from][attemptCancelled])
 	}
 }
 
-// A queue that disagrees with the states holds a request twice, or one that has ended, and sends it again. After every
-// move a request is in the queue exactly while its state is queued, and an ended request stays ended.
+// Guards against a queue that disagrees with the request states: it would hold a request twice, or send one that has
+// ended. After each move, a request is in the queue exactly if its state is queued, and an ended request stays ended.
 func TestRequestIsInTheQueueWhileItsStateSaysSo(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	req := addSentRequest(r, 0, true)
@@ -63,7 +63,8 @@
 	}
 }
 
-// The table in the comment is what is read at night: it must list just the transitions that the code has.
+// Operators rely on the table of transitions in the comment during incidents: it must list exactly the transitions of
+// the code.
 func TestAttemptTransitionsAreThoseOfTheComment(t *testing.T) {
 	text, err := os.ReadFile("attempt.go")
 	require.NoError(t, err)
--- a/routing/cachestate.go
+++ b/routing/cachestate.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// cachedChunk is a chunk that answers showed to be at a cache.
+// cachedChunk is the record of a chunk that, according to earlier answers, a cache has stored.
 type cachedChunk struct {
 	chunk      *chunk
 	sizeKB     float64
-	gapKey     float64 // orders chunks by their gaps, see chunk.gapKey
+	gapKey     float64 // sort key by request gap, see chunk.gapKey
 	lastUsedAt float64
 	filledAt   float64
-	sequence   uint64 // orders chunks of the same gap key
+	sequence   uint64 // order among equal gap keys
 }
 
 func compareGapKeys(a, b *cachedChunk) int {
 	return cmp.Or(cmp.Compare(a.gapKey, b.gapKey), cmp.Compare(a.sequence, b.sequence))
 }
 
-// addCached adds a chunk to what is known to be cached, at its place in the order of gaps.
+// addCached adds a chunk to the known contents of a cache, in order of its request gap.
 func (e *endpoint) addCached(c *cachedChunk, gapKey float64) {
 	c.gapKey = gapKey
 	at, _ := slices.BinarySearchFunc(e.byGap, c, compareGapKeys)
@@ -30,21 +30,21 @@
 	e.cached[c.chunk] = c
 }
 
-// addCache notes that a cache has the chunk.
+// addCache records that a cache has the chunk.
 func (c *chunk) addCache(e *endpoint) {
 	if at, found := slices.BinarySearchFunc(c.cachedBy, e.ID, compareIDs); !found {
 		c.cachedBy = slices.Insert(c.cachedBy, at, e)
 	}
 }
 
-// removeCache notes that a cache does not have the chunk.
+// removeCache records that a cache does not have the chunk.
 func (c *chunk) removeCache(e *endpoint) {
 	if at, found := slices.BinarySearchFunc(c.cachedBy, e.ID, compareIDs); found {
 		c.cachedBy = slices.Delete(c.cachedBy, at, at+1)
 	}
 }
 
-// forgetCached forgets all that is thought cached at an endpoint.
+// clearCached clears the known contents of a cache.
 func (e *endpoint) forgetCached() {
 	for c := range e.cached {
 		c.removeCache(e)
@@ -53,7 +53,8 @@
 	e.byGap = nil
 }
 
-// removeCached takes a chunk out of the order of gaps and, if it is no longer cached, forgets it.
+// removeCached removes a chunk from the order of request gaps, and from the known contents of the cache if evicted is
+// set.
 func (e *endpoint) removeCached(c *chunk, forget bool) {
 	copied := e.cached[c]
 	if copied == nil {
@@ -68,7 +69,7 @@
 	}
 }
 
-// setGap notes a request for a chunk, with its mean gap, and moves the chunk in the caches' orders.
+// setGap records a request for a chunk and its mean request gap, and updates its position in the caches' orders.
 func (r *Router) setGap(c *chunk, gap float64) {
 	for _, e := range c.cachedBy {
 		e.removeCached(c, false)
@@ -79,7 +80,7 @@
 	}
 }
 
-// addCopy adds a chunk to what is known to be at a cache.
+// addCopy adds a chunk to the known contents of a cache as of now.
 func (r *Router) addCopy(cache *endpoint, c *chunk) *cachedChunk {
 	r.sequence++
 	copied := &cachedChunk{chunk: c, sequence: r.sequence, filledAt: r.now}
@@ -87,7 +88,7 @@
 	return copied
 }
 
-// dropCached forgets what is thought cached of an object.
+// dropCached removes all chunks of an object from the known contents of the caches.
 func (o *object) dropCached() {
 	for _, c := range o.chunks {
 		c.filledByParent = false
--- a/routing/caching.go
+++ b/routing/caching.go
@@ -5,51 +5,53 @@
 	"math"
 )
 
-// Storing a fill or passing it is decided as in Cafe Cache (docs/design.md); its symbols are in parentheses.
+// Constants of the store-or-pass decision, which follows Cafe Cache (docs/design.md). The symbols of the paper are in
+// parentheses.
 const (
-	fillCostRatio         = 0.75 // (alpha) cost of a stored fill over a pass: only a fill leaves a copy
-	newestGapShare        = 0.25 // (gamma) share of the newest gap between requests in the mean gap
-	initialHorizonSeconds = 10.0 // (T) before any idle time was seen
-	minHorizonSeconds     = 1.0  // (T) at least: a purge heard late must not close the cache to new chunks
-	maxIdleSamples        = 10   // idle times that the horizon (T) is the mean of: few, so that changes show soon
-	storedRank            = 2    // retention rank, of 1 to 3, of a stored chunk: the middle one
-	cachedIdleHorizons    = 3.0  // horizons of idle time after which a chunk has surely been evicted
+	fillCostRatio         = 0.75 // (alpha) cost of a stored fill relative to a pass: only a fill leaves a copy
+	newestGapShare        = 0.25 // (gamma) weight of the newest request gap in the mean gap
+	initialHorizonSeconds = 10.0 // (T) before the first sample of idle time
+	minHorizonSeconds     = 1.0  // (T) lower bound: a late purge must not stop new chunks from being stored
+	maxIdleSamples        = 10   // samples of idle time averaged for the horizon (T): few, to follow changes quickly
+	storedRank            = 2    // retention rank of a stored chunk: the middle of 1 to 3
+	cachedIdleHorizons    = 3.0  // idle time, in horizons, after which a chunk is presumed evicted
 )
 
-// How old a copy may be.
+// Limits of the age of copies.
 const (
-	congestionSeconds     = 1.0  // time after a decrease in which stale copies will do: congestion passes slower
-	purgeAgeMarginSeconds = 1e-4 // by which a copy must be younger than a purge: times are rounded on the wire
-	minCopyAgeSeconds     = 2e-6 // an age that no rounding turns into 0, which means any age
+	congestionSeconds     = 1.0  // how long stale copies are served after a limit decrease: congestion lasts less
+	purgeAgeMarginSeconds = 1e-4 // a served copy is newer than a purge by this margin: times are rounded on the wire
+	minCopyAgeSeconds     = 2e-6 // smallest age that rounding keeps above 0; 0 would allow copies of any age
 )
 
-// For how long objects are remembered.
+// Expiry of idle objects.
 const (
-	forgetObjectSeconds  = 60.0   // idle time after which an object is forgotten
-	sweepIntervalSeconds = 5.0    // time between searches for idle objects
-	maxObjects           = 131072 // objects remembered: bounds memory
+	forgetObjectSeconds  = 60.0   // idle time after which an object is dropped
+	sweepIntervalSeconds = 5.0    // interval between sweeps for idle objects
+	maxObjects           = 131072 // bounds the memory for objects
 	objectsAfterSweep    = maxObjects / 2
 )
 
-// The costs of sending a KB, by which a stored fill is compared with a pass.
+// Costs of sending 1 KB, which compare a stored fill with a pass.
 const (
 	fillCost    = 2 * fillCostRatio / (fillCostRatio + 1) // (C_F)
 	passCost    = 2 / (fillCostRatio + 1)                 // (C_R)
-	refetchCost = min(fillCost, passCost)                 // of sending a chunk once more that was not stored
+	refetchCost = min(fillCost, passCost)                 // cost of a later fill of a chunk that was not stored
 )
 
-// gap is the mean time in seconds between requests for the chunk, the time since the last one included.
+// gap returns the mean time in seconds between requests for the chunk, including the time since the last one.
 func (c *chunk) gap(now float64) float64 {
 	return newestGapShare*(now-c.lastRequestAt) + (1-newestGapShare)*c.averageGapSeconds
 }
 
-// gapKey orders chunks by their gaps, largest first. The order is the same at any time.
+// gapKey returns the sort key of chunks by request gap, largest gap first. It does not depend on the current time.
 func (c *chunk) gapKey() float64 {
 	return newestGapShare*c.lastRequestAt - (1-newestGapShare)*c.averageGapSeconds
 }
 
-// gapOf is the mean gap of a request's chunk. A chunk not seen before takes the largest gap of its object's cached
-// chunks. Without any, another router may have seen it with a gap of T: the miss rate says how likely.
+// gapOf returns the mean request gap of a request's chunk. For a chunk without earlier requests it is the largest gap
+// of the object's cached chunks. If there are none, other routers may have requested the chunk with a gap of T; the
+// miss rate estimates how likely that is.
 func (r *Router) gapOf(req *request, cache *endpoint) float64 {
 	if !req.firstOfChunk {
 		return req.chunk.gap(r.now)
@@ -63,7 +65,8 @@
 	return cmp.Or(largest, r.horizon(cache)/(1-r.missRate()))
 }
 
-// updateGap counts a request in its chunk's gap, once. A chunk not seen before starts with the horizon.
+// updateGap records a request in the mean gap of its chunk, once per request. The gap of a new chunk starts at the
+// horizon.
 func (r *Router) updateGap(req *request, cache *endpoint) {
 	gap := r.horizon(cache)
 	if req.chunk.requested {
@@ -72,7 +75,7 @@
 	r.setGap(req.chunk, gap)
 }
 
-// horizon (T) is the mean idle time in seconds after which chunks thought cached were missed.
+// horizon (T) is the mean idle time in seconds after which chunks recorded as cached turned out to be evicted.
 func (r *Router) horizon(cache *endpoint) float64 {
 	if len(cache.idleSeconds) == 0 {
 		return initialHorizonSeconds
@@ -80,11 +83,12 @@
 	return max(mean(cache.idleSeconds), minHorizonSeconds)
 }
 
-// uncacheable says whether no copy of a response may be stored or served.
+// uncacheable reports whether no copy of the response may be stored or served.
 func (r *Router) uncacheable(req *request) bool { return req.Write || r.class(req.Class).uncacheable }
 
-// shouldStore says whether a missing chunk is stored (serve) or passed without a copy. The cost of a stored fill
-// includes later fills of what it evicts, that of a pass later requests for the chunk.
+// shouldStore reports whether a missing chunk is stored (serve) or passed through without a copy. The cost of a stored
+// fill includes later fills of the chunks that it evicts; the cost of a pass includes later requests for the chunk
+// itself.
 func (r *Router) shouldStore(req *request, cache *endpoint) bool {
 	if r.uncacheable(req) {
 		return false
@@ -107,16 +111,16 @@
 	return serve < pass
 }
 
-// forgetEvicted forgets the chunks with the largest gaps that were idle for so many horizons, in seconds, that the
-// cache has surely evicted them.
+// dropEvicted removes the chunks with the largest gaps from the known contents of a cache if they were idle for more
+// than cachedIdleHorizons times the horizon, in seconds: the cache is presumed to have evicted them.
 func (r *Router) forgetEvicted(cache *endpoint, horizon float64) {
 	for len(cache.byGap) > 0 && r.now-cache.byGap[0].lastUsedAt > cachedIdleHorizons*horizon {
 		cache.removeCached(cache.byGap[0].chunk, true)
 	}
 }
 
-// recordCached notes what an answer showed of a cache. A fill of a chunk thought cached tells of an eviction: the idle
-// time before it is a sample of the horizon. Chunks that expire tell nothing.
+// recordCached updates the known contents of a cache from an answer. A fill of a chunk recorded as cached indicates an
+// eviction: the idle time before it is a sample of the horizon. Chunks of classes whose copies expire give no sample.
 func (r *Router) recordCached(req *request, a *attempt, filled bool) {
 	cache := a.target
 	if cache.role != edgeCache || r.uncacheable(req) {
@@ -139,7 +143,7 @@
 	copied.sizeKB, copied.lastUsedAt = req.SizeKB, r.now
 }
 
-// maxCopyAge is the age of the oldest copy that will do, 0 for the class's fresh time.
+// maxCopyAge returns the maximum age of a served copy, 0 for the fresh time of the class.
 func (r *Router) maxCopyAge(req *request, a *attempt) float64 {
 	age, class := r.ageOfNewestPurge(req, a), r.class(req.Class)
 	switch {
@@ -151,10 +155,10 @@
 	return age
 }
 
-// ageOfNewestPurge is the age in seconds that a copy must not have reached to be served after the purges of its object,
-// +Inf without any. It guards against purged copies (rule 5) on the disk of a cache that was down during the purge.
-// They show as old content from one cache alone, long after the others dropped theirs. Purges are remembered however
-// old they are, and those that were forgotten count for endpoints that started since.
+// ageOfNewestPurge returns the age in seconds below which a copy postdates all purges of its object, +Inf if there are
+// none. It guards against purged copies (rule 5) on the disk of a cache that was down during the purge. The symptom is
+// old content from a single cache, long after the others dropped theirs. Purges are remembered regardless of age; those
+// dropped to bound memory still apply to endpoints started since.
 func (r *Router) ageOfNewestPurge(req *request, a *attempt) float64 {
 	purgedAt := max(r.purges[purgeKey{object: req.Object}], r.purges[purgeKey{group: req.ObjectGroup}])
 	for _, e := range [2]*endpoint{a.target, a.source} {
@@ -168,8 +172,8 @@
 	return math.Inf(1)
 }
 
-// staleCopyWillDo says whether a stale copy will do for a request of a class that had some attempts: if it is worth
-// more than a late answer, and fills are congested or have failed.
+// staleCopyAllowed reports whether a stale copy may answer a request of the class after a number of attempts: it must
+// be worth more than a late answer, and fills must be congested or have failed.
 func (r *Router) staleCopyWillDo(class *class, attempts int) bool {
 	if class.staleSeconds <= 0 || class.stalePriorityShare <= class.latePriorityShare {
 		return false
@@ -178,8 +182,8 @@
 	return attempts > 0 || r.now < congestedUntil
 }
 
-// forgetIdleObjects forgets objects that were idle for long, sooner if there are too many: memory must not grow with
-// the number of objects that clients ask for.
+// evictIdleObjects drops objects that were idle for long, and drops them sooner if there are too many, so that memory
+// does not grow with the number of objects that clients request.
 func (r *Router) forgetIdleObjects() {
 	if r.now < r.sweptAt+sweepIntervalSeconds && len(r.objects) < maxObjects {
 		return
--- a/routing/caching_test.go
+++ b/routing/caching_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A mean that follows the newest gap alone would drop a popular chunk after one pause. A quarter of the newest gap and
-// three quarters of the mean must make the new mean.
+// A mean that follows only the newest gap would drop a popular chunk after one pause. The new mean is a quarter of the
+// newest gap plus three quarters of the old mean.
 func TestUpdateGapAveragesWithTheNewestGap(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	req := &request{chunk: &chunk{requested: true, lastRequestAt: 90, averageGapSeconds: 8}}
@@ -19,8 +19,8 @@
 	assert.Equal(t, 100.0, req.chunk.lastRequestAt) //nolint:testifylint // exact by intent
 }
 
-// A chunk that is seen for the first time has no gap. A start at zero would store every such chunk, an infinite one
-// would store none: the mean must start at the cache's horizon.
+// The first request for a chunk has no gap. An initial mean of zero would store every such chunk, an infinite one none:
+// it must be the cache's horizon.
 func TestUpdateGapStartsAtTheHorizon(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	req := &request{chunk: &chunk{}}
@@ -29,8 +29,8 @@
 	assert.Equal(t, 5.0, req.chunk.averageGapSeconds) //nolint:testifylint // exact by intent
 }
 
-// The next chunk of a popular object was never asked for. Without an estimate it would be passed, chunk after chunk.
-// The largest gap of the object's chunks at that cache must stand for it, and a cache without any must give none.
+// A chunk without earlier requests has no gap, so the next chunks of a popular object would all be passed through. Its
+// estimate is the largest gap of the object's chunks at that cache, and infinite if the cache has none.
 func TestGapOfUnseenChunkIsTheLargestCachedOfItsObject(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	c, o := r.findOrAddEndpoint("c0"), r.findOrAddObject("x", 0)
@@ -46,8 +46,8 @@
 	assert.True(t, math.IsInf(r.gapOf(unseen, r.findOrAddEndpoint("c1")), 1))
 }
 
-// With a horizon of 10 s and a chunk of 100 KB, a stored fill costs 100 times the fill cost and what it evicts, a pass
-// 100 times the pass cost and 100 times 10/gap.
+// With a horizon of 10 s and a chunk of 100 KB, a stored fill costs 100 times the fill cost plus the cost of what it
+// evicts; a pass costs 100 times the pass cost plus 100 times 10/gap times the refetch cost.
 func TestShouldStoreComparesStoringWithPassing(t *testing.T) {
 	cf, cr := 2*fillCostRatio/(fillCostRatio+1), 2/(fillCostRatio+1)
 	for _, gap := range []float64{2, 8, 60} {
@@ -64,8 +64,8 @@
 	}
 }
 
-// The origin forbids storing some classes. Storing them all the same would serve copies that nobody purges. Even the
-// most popular chunk of such a class must be passed.
+// The origin forbids storing some classes: no purge would invalidate their copies. Even the most popular chunk of such
+// a class must be passed through.
 func TestShouldStoreRefusesUncacheableClass(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	r.settings[SettingUncacheable] = "true,true"
@@ -74,11 +74,11 @@
 	assert.False(t, r.shouldStore(req, r.findOrAddEndpoint("c0")))
 }
 
-// A cache that is full of popular chunks loses them to a chunk that is asked for once, and they are fetched again. The
-// attempt must name a source, and retention rank 0, which stores nothing.
+// Storing a chunk that is requested once would evict popular chunks from a full cache, which are then fetched again.
+// The attempt must name a source, and have retention rank 0, which stores nothing.
 func TestPassedFillNamesItsSourceAndStoresNothing(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
-	for _, c := range r.caches.endpoints { // full of what is wanted all the time
+	for _, c := range r.caches.endpoints { // caches are full of frequently requested chunks
 		p := &chunk{requested: true, lastRequestAt: 100, averageGapSeconds: 0.1}
 		c.addCached(&cachedChunk{chunk: p, sizeKB: 1e6, lastUsedAt: 100}, p.gapKey())
 	}
@@ -88,8 +88,8 @@
 	assert.Contains(t, []EndpointID{"p0", "p1"}, starts[0].Source)
 }
 
-// The traces do not fill the memory of objects: its size is held here. Above it the time of
-// forgetting is halved until half of the number is left.
+// The decision traces do not reach the maximum number of objects, so this test covers it. Above the maximum, the idle
+// time after which objects are dropped is halved until at most half of the maximum remains.
 func TestObjectsAreRememberedUpToTheirNumber(t *testing.T) {
 	const remembered = 131072
 	r := newTestRouter(Idempotent)
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -2,66 +2,66 @@
 
 import "math"
 
-// What a limit starts at. Limits are numbers of attempts in flight.
+// Initial limits. Limits are numbers of attempts in flight.
 const (
-	limitPerCapacity = 1.5 // attempts for each transfer of capacity: the objective's stretch allows that
-	burstAllowance   = 1.0 // roots of a cache's share added to it: one router's traffic varies by that much
-	minStartingLimit = 0.1 // attempts at least, for endpoints without weight
-	minLimitShare    = 0.2 // share of the start that a limit never falls below: without answers it learns nothing
+	limitPerCapacity = 1.5 // attempts per transfer of capacity: the objective's stretch leaves time for that
+	burstAllowance   = 1.0 // square roots of a cache's share added to it: the traffic of one router varies by that
+	minStartingLimit = 0.1 // minimum of an initial limit, for endpoints without weight
+	minLimitShare    = 0.2 // minimum of a limit as a share of its initial value: with no answers it would never grow
 )
 
-// How a limit moves.
+// Increase and decrease of a limit.
 const (
-	growthPerRound          = 0.5  // attempts added a round, over the root of the routers: more outruns decreases
-	recoveryStep            = 1.0  // attempts that an answer in time adds below the proven limit
-	usedLimitShare          = 0.5  // share of a limit in use above which it grows: an unused one proves nothing
-	decreaseFactor          = 0.8  // share of a limit that a late or refused attempt leaves
-	decreaseIntervalSeconds = 0.25 // time between decreases: attempts in flight then tell of the same congestion
-	maxLateSamples          = 10   // last answers whose lateness counts: few, so that changes show soon
-	congestionShare         = 0.15 // share of late ones among them that tells of congestion: fewer are chance
+	growthPerRound          = 0.5  // attempts per round, over the root of the routers: faster growth outpaces decreases
+	recoveryStep            = 1.0  // attempts added per timely answer below the recovery threshold
+	usedLimitShare          = 0.5  // utilization above which a limit grows: an unused limit is untested
+	decreaseFactor          = 0.8  // factor applied to a limit after a late or refused attempt
+	decreaseIntervalSeconds = 0.25 // minimum time between decreases: attempts in flight report the same congestion
+	maxLateSamples          = 10   // recent answers sampled for lateness: few, to follow changes quickly
+	congestionShare         = 0.15 // share of late answers that indicates congestion: fewer are chance
 )
 
-// When an answer tells of congestion.
+// Thresholds for answers that indicate congestion.
 const (
-	timelyShare        = 0.8 // share of the objective after which an answer is late: at 1 it is too late to react
-	lateFirstByteShare = 0.5 // share of that after which a first byte is late: the source is slow, not the link
+	timelyShare        = 0.8 // share of the objective after which an answer is late: 1 leaves no time to react
+	lateFirstByteShare = 0.5 // share of that for a late first byte: the source is slow rather than the link
 )
 
-// limiter bounds what this router has in flight at an endpoint, on a link or on the path to the origin. The limit
-// grows with answers in time and shrinks with late and refused ones. Limits and loads are numbers of attempts in
-// flight, or parts of one where many routers share an endpoint.
+// limiter bounds the attempts that this router has in flight at an endpoint, on a link or on the path to the origin.
+// The limit grows with timely answers and shrinks with late and refused ones. Limits and loads are numbers of attempts
+// in flight, fractional where many routers share an endpoint.
 //
-// A limit is in its recovery ramp while it is below the proven limit. Only an ejection or a cold start puts it there;
-// each answer in time then adds recoveryStep. A decrease sets the proven limit to the limit that it leaves: no ramp
-// follows it, and it ends one that has come to the minimum. Growth above the proven limit is slow and does not raise
-// it.
+// A limit below the recovery threshold is in its recovery ramp. Only an ejection or a slow start puts it there; each
+// timely answer then adds recoveryStep. A decrease sets the recovery threshold to the lowered limit, so that no ramp
+// follows it; it also ends a ramp that has reached the minimum. Growth above the recovery threshold is slow and does
+// not raise the threshold.
 type limiter struct {
 	limit       float64
-	provenLimit float64 // this router's share at the start, then the limit that the last decrease left
+	provenLimit float64 // initially this router's share, then the limit after the last decrease
 	minLimit    float64
-	growthStep  float64 // what a round of answers in time adds above the proven limit
+	growthStep  float64 // increase per round of timely answers above the recovery threshold
 	inFlight    float64
 	decreasedAt float64
-	pausedUntil float64   // of a limit below one attempt
-	lateSamples []float64 // the last few answers, 1 for a late one
+	pausedUntil float64   // end of the pause of a limit below one attempt
+	lateSamples []float64 // recent answers, 1 for a late one
 }
 
-// hasRoom says whether a limiter lets one more attempt through. A limit below one attempt is used with pauses: hundreds
-// of routers with one attempt each would overload an endpoint, which shows as late answers while each router has one in
-// flight. With pauses each sends, over time, no more than its share.
+// hasCapacity reports whether a limiter admits one more attempt. A limit below one attempt is enforced by pauses:
+// hundreds of routers with one attempt each would overload an endpoint, visible as late answers while each router has
+// one attempt in flight. With pauses, each router sends no more than its share over time.
 func (l *limiter) hasRoom(now float64) bool { return l.inFlight < l.limit && now >= l.pausedUntil }
 
-// admits says whether a limiter lets an attempt of a read or of a write through. A read needs room. A write passes a
-// full or paused limiter too, also right after a decrease, unless the limit is in its recovery ramp.
+// admits reports whether a limiter admits an attempt of a read or a write. A read needs capacity. A write is also
+// admitted by a full or paused limiter, even right after a decrease, unless the limit is in its recovery ramp.
 func (l *limiter) admits(write bool, now float64) bool {
 	return l.hasRoom(now) || (write && l.atProvenLimit())
 }
 
-// atProvenLimit says whether a limit is at its proven limit or above, which is to say in no recovery ramp.
+// recovered reports whether a limit is not in its recovery ramp.
 func (l *limiter) atProvenLimit() bool { return l.limit >= l.provenLimit }
 
-// release takes back an attempt's load after the seconds that it lasted, and pauses a limit below the load. Used says
-// that the attempt came as far as this limiter.
+// release removes the load of an ended attempt that lasted some seconds. A limit below the load is paused, if used is
+// set: the attempt has reached this limiter's endpoint or path.
 func (l *limiter) release(now, load, lastedSeconds float64, used bool) {
 	l.inFlight = max(l.inFlight-load, 0)
 	if used && l.limit < load {
@@ -69,27 +69,28 @@
 	}
 }
 
-// pauseSeconds is how long a limit below an attempt's load is paused after an attempt that lasted some seconds. The
-// load, averaged over the attempt and the pause, is then the limit: load*lasted = limit*(lasted+pause).
+// pauseSeconds returns how long a limit below an attempt's load is paused after an attempt that lasted some seconds.
+// The load, averaged over the attempt and the pause, then equals the limit: load*lasted = limit*(lasted+pause).
 func (l *limiter) pauseSeconds(load, lastedSeconds float64) float64 {
 	return lastedSeconds * (load/l.limit - 1)
 }
 
-// setShare starts a limiter at this router's share of what a number of routers, one at least, use together.
+// setShare initializes a limiter with this router's share of a capacity that a number of routers, at least one, use
+// together.
 func (l *limiter) setShare(limit, routers float64) {
 	l.limit = max(limit, minStartingLimit)
 	l.growthStep = growthPerRound / math.Sqrt(routers)
 	l.provenLimit, l.minLimit = l.limit, minLimitShare*l.limit
 }
 
-// raiseMinimum is for paths behind the caches. It guards against a limit that is decreased to a fifth because a lost
-// parent makes the other's answers late, where few routers see most of these: they are rejected then while the path has
-// room. The fewer routers share a path, the higher is its minimum.
+// raiseMinimum raises the minimum of a limit on a path behind the caches; the fewer routers share the path, the higher
+// the minimum. Without it, a lost parent, which makes the answers of the other one late, decreases that one's limit to
+// a fifth where few routers see most of the late answers, and requests are rejected while the path has capacity.
 func (l *limiter) raiseMinimum(routers float64) {
 	l.minLimit = max(minLimitShare, 1/math.Sqrt(routers)) * l.limit
 }
 
-// increase takes an answer in time: the limit grows fast in its recovery ramp, and above it slowly and while it is
+// increase records a timely answer: the limit grows fast in its recovery ramp, and above it slowly and only while it is
 // used.
 func (l *limiter) increase() {
 	l.lateSamples = appendSample(l.lateSamples, 0, maxLateSamples)
@@ -100,8 +101,8 @@
 	}
 }
 
-// decrease takes a sign of congestion: a refusal counts at once, a late answer if many of the last were late. The
-// lowered limit is the proven one from then on: it grows back slowly, not in a recovery ramp.
+// decrease records a sign of congestion: a refusal counts immediately, a late answer only if many recent answers were
+// late. The lowered limit becomes the recovery threshold, so the limit grows back slowly, without a recovery ramp.
 func (l *limiter) decrease(now float64, refused bool) {
 	l.lateSamples = appendSample(l.lateSamples, 1, maxLateSamples)
 	intervalOver := now > l.decreasedAt+decreaseIntervalSeconds
@@ -111,11 +112,11 @@
 	}
 }
 
-// lower lowers a limit for congestion, down to its minimum. One that a recovery ramp has below that stays where it is,
-// and the ramp leads less far.
+// lower reduces a limit for congestion, down to its minimum. A limit that a recovery ramp has below the minimum stays
+// unchanged, and its recovery threshold falls instead.
 //
-// It guards against a refusal that lets more through to an endpoint which has just started or failed (rule 4): raised
-// to the minimum, the limit of a cold endpoint would grow for its being overloaded.
+// This guards against a refusal that increases the load on an endpoint which has just started or failed (rule 4):
+// raising the limit to the minimum would send more attempts to a cold endpoint because it was overloaded.
 func (l *limiter) lower() {
 	if l.limit < l.minLimit {
 		l.provenLimit = max(l.provenLimit*decreaseFactor, l.minLimit)
@@ -125,8 +126,8 @@
 	l.provenLimit = l.limit
 }
 
-// setStartingLimit gives this router its share of an endpoint's capacity as proven limit. The limit of a cold endpoint
-// starts below it, in a recovery ramp.
+// setStartingLimit sets the recovery threshold to this router's share of an endpoint's capacity. The limit of an
+// endpoint in slow start begins below it, in a recovery ramp.
 func (r *Router) setStartingLimit(e *endpoint) {
 	share := limitPerCapacity * e.Weight / e.routersSharing
 	burstRoots := 0.0 // none at parents and origins: in a burst all routers would use theirs at once
@@ -141,8 +142,8 @@
 	e.limiter.limit = startingLimit(e.limiter.limit, r.warmShare(e))
 }
 
-// setSharedLimits starts the limits of the zone's link and of the origins, once caches are known. An origin's
-// weight says nothing: it starts at as much as the link.
+// setSharedLimits initializes the limits of the zone's link and of the origins, once caches are known. The weight of an
+// origin is not meaningful, so its limit starts at that of the link.
 func (r *Router) setSharedLimits() {
 	sum, transfers := 0.0, r.linkTransfers()
 	for _, cache := range r.caches.endpoints {
@@ -158,12 +159,13 @@
 	}
 }
 
-// isLate says whether an answer took so long, against its request's objective, that it tells of congestion.
+// isLate reports whether an answer took so long, relative to its request's objective, that it indicates congestion.
 func isLate(elapsedSeconds, objectiveSeconds float64) bool {
 	return elapsedSeconds > timelyShare*objectiveSeconds
 }
 
-// adjustLimits moves the limits that an attempt has passed: a late one lowers the first that may be to blame.
+// adjustLimits adjusts the limits on the path of an ended attempt: a late attempt lowers the first limit that may be
+// the cause.
 func (r *Router) adjustLimits(req *request, a *attempt, end AttemptEnded, filled bool) {
 	if !isLate(end.ElapsedSeconds, req.objectiveSeconds) {
 		a.target.limiter.increase()
@@ -178,7 +180,7 @@
 		a.target.limiter.decrease(r.now, false)
 	case end.Detail == FilledByOrigin && a.originLimiter != nil && lateFirstByte:
 		a.originLimiter.decrease(r.now, false)
-	case !r.reportsAllDetails(): // either may be to blame; few routers share the link, so most of its fills are seen
+	case !r.reportsAllDetails(): // source or link is the cause; few routers share the link, each sees most of its fills
 		a.source.limiter.decrease(r.now, false)
 		r.zoneLink.decrease(r.now, false)
 	case lateFirstByte:
@@ -188,9 +190,10 @@
 	}
 }
 
-// penalizeUnanswered counts attempts in flight at their request's deadline as late, unless they were taken for lost. It
-// guards against congestion so deep that no answer comes in time: there is no late answer then to decrease a limit, and
-// requests end at their deadline for as long as the load lasts. It does harm where answers are lost on their way back.
+// penalizeUnanswered counts attempts in flight at their request's deadline as late, unless they are presumed lost. It
+// guards against congestion so severe that no answer arrives in time: no late answer would then decrease a limit, and
+// requests would end at their deadline for as long as the load lasts. It is harmful where answers are lost on the
+// return path.
 func (r *Router) penalizeUnanswered(req *request) {
 	for _, a := range req.attempts {
 		elapsed := r.now - a.sentAt
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -7,25 +7,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Hundreds of routers share an endpoint, each with a limit far below one attempt. If each still had one in flight, the
-// endpoint would be overloaded. After an attempt the limiter must pause for as long as its share demands, but not after
-// one that never went through.
+// Hundreds of routers share an endpoint, each with a limit far below one attempt. One attempt in flight from each would
+// overload the endpoint. After an attempt the limiter must pause for as long as its share requires, but not after an
+// attempt that never reached the endpoint.
 func TestLimiterBelowOnePausesBetweenAttempts(t *testing.T) {
 	l := limiter{limit: 0.25, provenLimit: 0.25, growthStep: 0.1}
 	require.True(t, l.hasRoom(100))
 	l.inFlight++
 	assert.False(t, l.hasRoom(100))
-	l.release(101, 1, 1, true) // in flight for 1 s: a pause of three more
+	l.release(101, 1, 1, true) // in flight for 1 s: paused for 3 s more
 	assert.False(t, l.hasRoom(103.9))
 	assert.True(t, l.hasRoom(104))
 	l.pausedUntil = 0
-	l.release(105, 1, 1, false) // nothing went through
+	l.release(105, 1, 1, false) // the endpoint was not reached
 	assert.True(t, l.hasRoom(105))
 }
 
-// One late answer among many in time is chance, and a limit that follows it stays low for no reason. One congestion
-// delays all attempts in flight at once, and a limit lowered for each would fall to its minimum. A lone late answer
-// must change nothing, a refusal must count at once, and a congestion once.
+// One late answer among many timely ones is chance, and must not lower the limit for long. One congestion delays all
+// attempts in flight, and decreasing the limit for each would take it to its minimum. A single late answer must have no
+// effect, a refusal must count immediately, and one congestion must count once.
 func TestLimiterIgnoresOneLateAnswerButNotRefusals(t *testing.T) {
 	l := limiter{limit: 10, provenLimit: 10, lateSamples: []float64{0, 0, 0, 0, 0, 0}}
 	l.decrease(100, false)
@@ -34,11 +34,11 @@
 	assert.Equal(t, 10*decreaseFactor, l.limit) //nolint:testifylint // exact by intent
 	l.decrease(100.1, true)
 	//nolint:testifylint // exact by intent
-	assert.Equal(t, 10*decreaseFactor, l.limit, "attempts then in flight tell of the same congestion")
+	assert.Equal(t, 10*decreaseFactor, l.limit, "attempts in flight meanwhile report the same congestion")
 }
 
-// Answers in time must not raise the limit faster than late ones between them lower it, however many routers share
-// it.
+// Timely answers must not raise the limit faster than the late ones among them lower it, regardless of how many routers
+// share the endpoint.
 func TestLimiterShrinksWhileOneAnswerInFiveIsLate(t *testing.T) {
 	for _, routersSharing := range []float64{3, 30, 300} {
 		var l limiter
@@ -55,8 +55,8 @@
 	}
 }
 
-// A deployment that reports hits alone does not say why a fill was late. If neither source nor link were blamed, their
-// congestion would go on unseen. Both limits must fall.
+// A deployment that reports only hits does not reveal why a fill was late. If neither the source nor the link were held
+// responsible, their congestion would go undetected. Both limits must decrease.
 func TestUnexplainedLateFillLowersSourceAndLinkLimits(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	r.settings[SettingResultDetails] = DetailsOfHits
@@ -70,16 +70,17 @@
 	assert.Less(t, r.zoneLink.limit, before[1])
 }
 
-// Under congestion so deep that nothing answers in time, no answer is left to tell of it.
+// During congestion so severe that no answer is in time, no late answer indicates it either: unanswered attempts must
+// lower the limits of their path.
 func TestUnansweredAttemptsLowerLimitsOfTheirPath(t *testing.T) {
 	for name, c := range map[string]struct {
 		change   func(*attempt)
 		narrower bool
 	}{
-		"out at the end of its time": {func(*attempt) {}, true},
-		"sent shortly before it":     {func(a *attempt) { a.sentAt = 104.8 }, false},
-		"taken for lost":             {func(a *attempt) { a.move(attemptLost) }, false},
-		"given up before":            {func(a *attempt) { a.state, a.result = attemptEnded, Cancelled }, false},
+		"in flight at the deadline":        {func(*attempt) {}, true},
+		"sent shortly before the deadline": {func(a *attempt) { a.sentAt = 104.8 }, false},
+		"presumed lost":                    {func(a *attempt) { a.move(attemptLost) }, false},
+		"cancelled earlier":                {func(a *attempt) { a.state, a.result = attemptEnded, Cancelled }, false},
 	} {
 		r := newTestRouter(Idempotent)
 		r.settings[SettingResultDetails] = DetailsOfHits
@@ -98,15 +99,15 @@
 		r.plan(req)
 		assert.IsType(t, RejectRequest{}, finalAction(r), name)
 		for i, g := range ways {
-			assert.Equal(t, c.narrower, g.limit < before[i], "%s, way %d", name, i)
+			assert.Equal(t, c.narrower, g.limit < before[i], "%s, path %d", name, i)
 		}
 		//nolint:testifylint // exact by intent
-		assert.Equal(t, cache, a.target.limiter.limit, "%s: a fill is not laid to the cache", name)
+		assert.Equal(t, cache, a.target.limiter.limit, "%s: the cache is not at fault for a fill", name)
 	}
 }
 
-// A limit of a path that many routers share falls with each congestion that any of them causes, until nothing passes.
-// It must keep a minimum that depends on the number of routers.
+// A limit of a path that many routers share decreases with each congestion that any of them causes, until it admits
+// nothing. It must keep a minimum that depends on the number of routers.
 func TestSharedPathLimitsKeepAHigherMinimum(t *testing.T) {
 	for n, least := range map[float64]float64{1: 10, 4: 5, 400: 10 * minLimitShare} {
 		l := limiter{}
@@ -119,20 +120,21 @@
 	}
 }
 
-// An endpoint in its recovery ramp, below the least that its limit falls to, refuses an attempt. A decrease up to that
-// minimum would send it more for refusing, while it is cold (rule 4). The limit stays, and its ramp leads less far.
+// An endpoint in its recovery ramp, with a limit below the minimum, refuses an attempt. Decreasing the limit "down" to
+// that minimum would raise it and send the cold endpoint more attempts because it refused one (rule 4). The limit must
+// stay, and its recovery threshold must fall.
 func TestDecreaseNeverRaisesALimit(t *testing.T) {
 	for _, limit := range []float64{0.5, 1, 2, 4, 20} {
 		l := limiter{}
 		l.setShare(20, 1)
-		l.limit = limit // as an ejection or a cold start sets it; the minimum is 4
+		l.limit = limit // as set by an ejection or a slow start; the minimum is 4
 		for now := range 10 {
 			limitBefore, provenBefore := l.limit, l.provenLimit
 			l.decrease(100+float64(now), true)
 			assert.LessOrEqual(t, l.limit, limitBefore)
 			assert.LessOrEqual(t, l.provenLimit, provenBefore)
 			assert.GreaterOrEqual(t, l.provenLimit, l.minLimit)
-			assert.Equal(t, limit >= l.minLimit, l.atProvenLimit(), "a ramp goes on below the minimum alone")
+			assert.Equal(t, limit >= l.minLimit, l.atProvenLimit(), "the ramp continues only below the minimum")
 		}
 		assert.InDelta(t, l.minLimit, l.provenLimit, 1e-9)
 	}
--- a/routing/decide.go
+++ b/routing/decide.go
@@ -1,37 +1,37 @@
 package routing
 
-// Router decides for one instance. Its zero value is of no use: see New.
+// Router makes the routing decisions of one router instance. Use New to create one; the zero value is not usable.
 type Router struct {
 	settings    Settings
-	numbers     map[SettingName]float64 // settings read as numbers
+	numbers     map[SettingName]float64 // cache of settings parsed as numbers
 	classes     map[ClassIndex]*class
 	randomState uint64
 	now         float64
 	actions     []Action
 
 	endpoints []*endpoint  // by id
-	removed   []*endpoint  // of these, removed from the list and not forgotten
-	caches    endpointList // of this zone
+	removed   []*endpoint  // members of endpoints that were removed from the list and have not expired
+	caches    endpointList // edge caches of this zone
 	parents   endpointList
 	origins   endpointList
-	zoneLink  limiter // the link into the zone
+	zoneLink  limiter // limiter of the link into the zone
 
 	requests        map[RequestID]*request
 	requestsByToken map[uint64]*request
-	queue           []*request // highest priority a KB first
+	queue           []*request // sorted by priority per KB, highest first
 	sequence        uint64
 
 	objects              map[string]*object
-	sweptAt              float64              // when idle objects were last searched for
-	purges               map[purgeKey]float64 // time of the newest of each
+	sweptAt              float64              // time of the last sweep for idle objects
+	purges               map[purgeKey]float64 // time of the latest purge of each key
 	purgesForgottenUntil float64
 
-	slownessSamples   []float64 // the last durations over those after which attempts are suspected
-	unansweredSamples []float64 // the last attempts slower than any of those, 1 for one without an answer
-	missSamples       []float64 // the last attempts expected to miss, 1 for one that was filled
+	slownessSamples   []float64 // recent attempt durations relative to their suspicion time, see attempt.slowness
+	unansweredSamples []float64 // recent attempts slower than all slownessSamples, 1 for one without an answer
+	missSamples       []float64 // recent attempts that expected a miss, 1 for one that was filled
 }
 
-// New returns a router that knows nothing but its settings. Its random numbers follow from the seed.
+// New returns a router without endpoints. The seed determines its random numbers.
 func New(seed uint64, settings Settings) *Router {
 	return &Router{
 		settings:        settings,
@@ -45,8 +45,8 @@
 	}
 }
 
-// Decide takes one event at the time now, in seconds, and returns what is to be done, in order. The list is valid
-// until the next call. The result of a probe changes nothing.
+// Decide handles one event at the time now, in seconds, and returns the actions to carry out in order. The slice is
+// valid until the next call. Probe results have no effect.
 func (r *Router) Decide(now float64, event Event) []Action {
 	r.now = now
 	r.actions = r.actions[:0]
@@ -82,13 +82,13 @@
 	return r.actions
 }
 
-// The parameters of the linear congruential generator under the permuted one (PCG-XSH-RR, 64 bits of state).
+// Parameters of the permuted congruential generator's LCG (PCG-XSH-RR, 64 bits of state).
 const (
 	randomMultiplier = 6364136223846793005
 	randomIncrement  = 1442695040888963407
 )
 
-// nextRandom is the next number of a permuted congruential generator, from 0 up to 1.
+// nextRandom returns the next number of a permuted congruential generator, in the range [0, 1).
 func (r *Router) nextRandom() float64 {
 	old := r.randomState
 	r.randomState = old*randomMultiplier + randomIncrement
--- a/routing/decide_bench_test.go
+++ b/routing/decide_bench_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// benchmarkSizes are numbers of caches in one zone.
+// benchmarkSizes are the numbers of caches in the zone.
 var benchmarkSizes = []int{4, 64, 200, 256, 1024, 3200}
 
-// newBenchmarkRouter knows so many caches of one zone, two parents and the origin.
+// newBenchmarkRouter returns a router with a number of caches in its zone, two parents and the origin.
 func newBenchmarkRouter(caches int) *Router {
 	r := New(7, testSettings(Idempotent))
 	rows := []Endpoint{{ID: "o", Kind: 2, Weight: 1}}
@@ -27,7 +27,7 @@
 	return Endpoint{ID: EndpointID(fmt.Sprintf("s-%08x", uint32(i*2654435761))), Zone: 1, Weight: 4}
 }
 
-// requestAnswered has a request for an object arrive and be answered.
+// requestAnswered sends a request for an object to the router and answers its attempt.
 func requestAnswered(r *Router, now float64, number int, object string) {
 	id := RequestID(strconv.Itoa(number))
 	arrived := RequestArrived{Request: id, Object: object, SizeKB: 100, Deadline: now + 5}
@@ -38,13 +38,13 @@
 	r.Decide(now+0.01, end)
 }
 
-// benchmarkObjects is how many objects the router of a benchmark knows before it is measured.
+// benchmarkObjects is the number of objects that the router of a benchmark knows before the measurement.
 const benchmarkObjects = 2048
 
 func benchmarkObject(i int) string { return fmt.Sprintf("%016x", i%benchmarkObjects) }
 
-// benchmarkRequests measures requests of a router that knows all objects. Before each, prepare returns the name of the
-// object that is requested.
+// benchmarkRequests measures requests at a router that knows all objects. Before each request, prepare returns the name
+// of the requested object.
 func benchmarkRequests(b *testing.B, caches int, prepare func(r *Router, now float64, i int) string) {
 	b.Helper()
 	r, now := newBenchmarkRouter(caches), 100.0
@@ -60,7 +60,7 @@
 }
 
 // BenchmarkDecide measures a request, from its arrival to the end of its attempt, by the number of caches in the zone:
-// for objects that are known, where each eighth is new, and with an update of one cache before each request.
+// for known objects, with one new object in eight, and with an update of one cache before each request.
 func BenchmarkDecide(b *testing.B) {
 	for _, caches := range benchmarkSizes {
 		b.Run(fmt.Sprintf("Known/caches=%d", caches), func(b *testing.B) {
@@ -77,7 +77,7 @@
 		b.Run(fmt.Sprintf("ListChange/caches=%d", caches), func(b *testing.B) {
 			benchmarkRequests(b, caches, func(r *Router, now float64, i int) string {
 				changed := benchmarkCache(i / 2 % caches)
-				changed.Status = EndpointStatus((i + 1) % 2) // draining and ready again, one after another
+				changed.Status = EndpointStatus((i + 1) % 2) // alternately draining and ready
 				r.Decide(now, EndpointUpdate{Kind: Incremental, Endpoints: []Endpoint{changed}})
 				return benchmarkObject(i)
 			})
@@ -85,7 +85,8 @@
 	}
 }
 
-// TestObjectsTakeTheSameMemoryInLargeZones holds what an object keeps of the caches' order.
+// TestObjectsTakeTheSameMemoryInLargeZones checks that the part of the hash order stored per object does not grow with
+// the number of caches.
 func TestObjectsTakeTheSameMemoryInLargeZones(t *testing.T) {
 	for _, caches := range []int{64, 3200} {
 		r := newBenchmarkRouter(caches)
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -1,44 +1,45 @@
 package routing
 
-// role is what an endpoint is to this router.
+// role is the role of an endpoint relative to this router.
 type role int
 
 const (
-	otherZone role = iota // an edge cache of another zone
-	edgeCache             // of this zone
+	otherZone role = iota // edge cache of another zone
+	edgeCache             // edge cache of this zone
 	parentCache
 	originServer
 )
 
-// endpoint is what this router knows of an endpoint in the list.
+// endpoint is the state that this router tracks for an endpoint of the list.
 type endpoint struct {
 	Endpoint
 	limiter              limiter
 	role                 role
 	listed               listing
-	zonesAway            float64 // parent zones on the way to it
-	routersSharing       float64 // number of routers that send to it
+	zonesAway            float64 // number of parent zones between this zone and the endpoint
+	routersSharing       float64 // number of routers that send attempts to it
 	retryBudgetExhausted bool
-	removedAt            float64 // when the list first said so, 0 if it does not
+	removedAt            float64 // time of its removal from the list, 0 if listed
 
-	heardAt        []float64 // the last few times at which it was heard
-	recentFailures []float64 // the last few results, 1 for a failure
-	ejections      int       // since an answer at its proven limit or above
+	heardAt        []float64 // times of recent responses
+	recentFailures []float64 // recent results, 1 for a failure
+	ejections      int       // ejections since the last success outside of a recovery ramp
 	ejectedUntil   float64
-	suspectedUntil float64 // by other routers
+	suspectedUntil float64 // end of the suspicion reported by other routers
 
-	recentWork  []workSample // sent to it while it is cold
+	recentWork  []workSample // work sent to it during slow start
 	cached      map[*chunk]*cachedChunk
-	byGap       []*cachedChunk // largest gap first
-	idleSeconds []float64      // idle times of chunks before they were missed, the last few
+	byGap       []*cachedChunk // sorted by request gap, largest first
+	idleSeconds []float64      // recent idle times of chunks before they were evicted
 }
 
-// recordHeard notes that an endpoint was heard: it answered, or an answer through it shows that it did.
+// recordResponse records a response of an endpoint: its own answer, or an answer through a cache that used it as
+// source.
 func (e *endpoint) recordHeard(now float64) {
 	e.heardAt = appendSample(e.heardAt, now, maxHeardTimes)
 }
 
-// lastHeardAt is when an endpoint was last heard, 0 for never.
+// lastResponseAt returns the time of the last response of an endpoint, 0 if there was none.
 func (e *endpoint) lastHeardAt() float64 {
 	if len(e.heardAt) == 0 {
 		return 0
@@ -46,15 +47,16 @@
 	return e.heardAt[len(e.heardAt)-1]
 }
 
-// quietFactor is how many times as long as the mean of the others an interval between answers is that tells of a
-// pause in the traffic.
+// trafficPauseFactor is the ratio of an interval between responses to the mean of the others above which the interval
+// is a pause in the traffic.
 const quietFactor = 10.0
 
-// heardIntervalSeconds is the mean time between the last few times that an endpoint was heard, and 0 if there are fewer
-// than two. A pause in the traffic does not count, which shows once maxHeardTimes of them are known.
+// responseIntervalSeconds returns the mean interval between the recent responses of an endpoint, 0 for fewer than two
+// responses. The longest interval is excluded if it is a pause in the traffic, which is determined once
+// maxResponseSamples responses are known.
 //
-// It guards against an endpoint that hangs soon after a quiet time: with the pause counted, it would be silent only
-// after several times the pause's share. That shows as requests that wait for their deadlines.
+// Excluding it guards against an endpoint that hangs soon after a pause in the traffic: with the pause included, the
+// endpoint would be found unresponsive only after several times the mean, and requests would wait for their deadlines.
 func (e *endpoint) heardIntervalSeconds() float64 {
 	if len(e.heardAt) < 2 {
 		return 0
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// forgetEndpointSeconds is the time after which a removed endpoint is forgotten. Until then what was learned of it
-// counts if it is listed again. Memory must not grow with the endpoints of all time.
+// removedEndpointTTLSeconds is the time after which a removed endpoint is dropped. Until then its state is restored if
+// it is listed again. The TTL bounds memory as endpoints come and go.
 const forgetEndpointSeconds = 60.0
 
-// search finds the place of an endpoint in the list by id.
+// search returns the index of an endpoint in the list sorted by ID, and whether it is present.
 func (r *Router) search(id EndpointID) (int, bool) {
 	return slices.BinarySearchFunc(r.endpoints, id, func(e *endpoint, id EndpointID) int {
 		return cmp.Compare(e.ID, id)
 	})
 }
 
-// findOrAddEndpoint finds an endpoint, or adds one of which nothing is known.
+// findOrAddEndpoint returns the endpoint with the ID, and adds an empty one if it is not known.
 func (r *Router) findOrAddEndpoint(id EndpointID) *endpoint {
 	at, found := r.search(id)
 	if !found {
@@ -26,7 +26,7 @@
 	return r.endpoints[at]
 }
 
-// findEndpoint finds an endpoint, nil where there is none.
+// findEndpoint returns the endpoint with the ID, or nil if it is not known.
 func (r *Router) findEndpoint(id EndpointID) *endpoint {
 	at, found := r.search(id)
 	if !found {
@@ -35,8 +35,8 @@
 	return r.endpoints[at]
 }
 
-// mergeEndpoints brings the list up to date and returns the endpoints that are new or have started again. Of those
-// only what is in flight and was sent to them stays.
+// mergeEndpoints applies an update to the list and returns the endpoints that are new or have restarted. These keep
+// only their number of attempts in flight and the work sent to them.
 func (r *Router) mergeEndpoints(update EndpointUpdate) (started []*endpoint) {
 	snapshot := update.Kind == Snapshot || update.Kind == Restored
 	if snapshot {
@@ -70,7 +70,7 @@
 	return started
 }
 
-// forgetRemoved forgets endpoints that were removed long ago.
+// expireRemovedEndpoints drops endpoints that were removed more than removedEndpointTTLSeconds ago.
 func (r *Router) forgetRemoved() {
 	r.removed = slices.DeleteFunc(r.removed, func(e *endpoint) bool {
 		if e.Status != Removed {
@@ -88,14 +88,14 @@
 	})
 }
 
-// classifyEndpoints works out what each endpoint is by the settings, and which are ready.
+// classifyEndpoints determines the role of each endpoint from the settings, and which endpoints are ready.
 func (r *Router) classifyEndpoints() {
 	for _, e := range r.endpoints {
 		r.classify(e)
 	}
 }
 
-// classify works out what an endpoint is by the settings, and lists it if it is ready.
+// classify determines the role of an endpoint from the settings, and adds it to the list of its role if it is ready.
 func (r *Router) classify(e *endpoint) {
 	zone := int(r.number(SettingZone, 0))
 	routers := max(r.number(SettingRouters, 1), 1)
@@ -120,13 +120,13 @@
 	}
 }
 
-// zonesAway is the number of parent zones on the ring between this zone's parent zone and a parent's.
+// zonesAway returns the ring distance, in parent zones, between this zone's parent zone and a parent cache.
 func (r *Router) zonesAway(e *endpoint) float64 {
 	if float64(e.Kind) != r.number(SettingParentKind, -1) {
 		return 0
 	}
 	own := int(r.settings.FloatItem(SettingParentZoneOf, int(r.number(SettingZone, 0)), float64(e.Zone)))
-	ringSize := 0.0 // parent zones come first among the zones and are their own
+	ringSize := 0.0 // parent zones are the first zones, and each is its own parent zone
 	for r.settings.FloatItem(SettingParentZoneOf, int(ringSize), -1) == ringSize {
 		ringSize++
 	}
@@ -134,7 +134,7 @@
 	return min(distance, max(ringSize-distance, 0))
 }
 
-// originLimiter is the limiter of the first origin listed; one without a limit where there is none.
+// originLimiter returns the limiter of the first listed origin, or an unlimited one if there is no origin.
 func (r *Router) originLimiter() *limiter {
 	if len(r.origins.endpoints) > 0 {
 		return &r.origins.endpoints[0].limiter
@@ -142,7 +142,8 @@
 	return &limiter{limit: math.Inf(1)}
 }
 
-// cacheCandidates and parentCandidates are the ready caches and parents in the order of an object's hash.
+// cacheCandidates returns the ready edge caches in the order of an object's hash; parentCandidates does so for the
+// parent caches.
 func (r *Router) cacheCandidates(o *object) candidates {
 	r.caches.refresh(&o.caches, o.id)
 	return candidates{list: &r.caches, order: &o.caches, object: o.id}
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Over a long time endpoints are always new.
+// Endpoints are replaced all the time, so memory must not grow with those that were removed.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	for i := range 20 {
@@ -20,7 +20,8 @@
 	assert.Len(t, r.caches.endpoints, 4)
 }
 
-// Whatever the number of routers is said to be, a request is sent, and all shares together stay near the capacity.
+// For any configured number of routers, valid or not, a request is sent, and the shares of all routers add up to about
+// the capacity.
 func TestAnyCountOfRoutersGetsSharesOfTheCapacity(t *testing.T) {
 	for _, count := range []string{"", "0", "-3", "0.5", "1", "400"} {
 		r := New(7, testSettings(WithIdempotencyKey))
@@ -36,8 +37,8 @@
 	}
 }
 
-// Until it is forgotten, a removed endpoint that is listed again continues as it was. The decision
-// traces do not notice the time: its value is held here.
+// A removed endpoint that is listed again before it expires keeps its state. The decision traces do not cover the
+// expiry time, so this test does.
 func TestRemovedEndpointIsRememberedForAMinute(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	removed := Endpoint{ID: "c0", Zone: 1, Weight: 4, Status: Removed}
--- a/routing/events.go
+++ b/routing/events.go
@@ -1,16 +1,16 @@
 package routing
 
-// RequestID names a request among all that one router has open.
+// RequestID identifies a request among the open requests of one router.
 type RequestID string
 
-// EndpointID names an edge cache, a parent cache or the origin, as the endpoint list does.
+// EndpointID identifies an edge cache, a parent cache or the origin in the endpoint list.
 type EndpointID string
 
-// ClassIndex is the position of a request class in the settings.
+// ClassIndex is the index of a request class in the settings.
 type ClassIndex int
 
-// Decider is one router's decision logic. Events come in the order in which they happened and never with an earlier
-// time; the actions are to be carried out in order, at that same time. Times are seconds of one clock.
+// Decider is the decision logic of one router. Events arrive in chronological order, and their times do not decrease.
+// The caller carries out the actions in order at the time of the event. All times are seconds of the same clock.
 type Decider interface {
 	Decide(now float64, event Event) []Action
 }
@@ -19,29 +19,29 @@
 // RetryBudgetChanged, AttemptStalled and HealthObservation.
 type Event interface{ event() }
 
-// UpdateKind says how an EndpointUpdate relates to the list in hand.
+// UpdateKind is the relation of an EndpointUpdate to the current endpoint list.
 type UpdateKind int
 
 // The kinds of endpoint updates.
 const (
-	Incremental UpdateKind = iota // only the endpoints that changed
+	Incremental UpdateKind = iota // the changed endpoints only
 	Snapshot                      // all endpoints
-	Restored                      // all endpoints, as last known before a restart
-	Unavailable                   // no endpoints: the list could not be had
+	Restored                      // all endpoints as last known before a restart
+	Unavailable                   // the list could not be obtained
 )
 
-// EndpointStatus is the status of an endpoint in the list.
+// EndpointStatus is the status of an endpoint in the endpoint list.
 type EndpointStatus int
 
-// The statuses of an endpoint.
+// Statuses of an endpoint.
 const (
 	Ready EndpointStatus = iota
 	Draining
 	Removed
 )
 
-// Endpoint is one entry of the list: an edge cache, a parent cache or the origin. Its Weight is its capacity in
-// transfers at a time.
+// Endpoint is one entry of the endpoint list: an edge cache, a parent cache or the origin. Weight is its capacity in
+// concurrent transfers.
 type Endpoint struct {
 	ID        EndpointID
 	Zone      int
@@ -49,16 +49,16 @@
 	Cell      int
 	Status    EndpointStatus
 	Weight    float64
-	StartedAt float64 // time of its last start, 0 for long ago
+	StartedAt float64 // time of its last start, 0 if it started long ago
 }
 
-// EndpointUpdate is news of the endpoints.
+// EndpointUpdate reports a change of the endpoint list.
 type EndpointUpdate struct {
 	Kind      UpdateKind
 	Endpoints []Endpoint
 }
 
-// RequestArrived is a request that this router has accepted.
+// RequestArrived reports a request that this router has accepted.
 type RequestArrived struct {
 	Request     RequestID
 	Class       ClassIndex
@@ -66,14 +66,14 @@
 	Chunk       int
 	ObjectGroup int
 	Deadline    float64 // time at which the client gives up
-	SizeKB      float64 // 0 where sizes are not known
+	SizeKB      float64 // 0 if unknown
 	Write       bool
 }
 
-// AttemptResult says how an attempt ended.
+// AttemptResult is the result of an attempt.
 type AttemptResult int
 
-// The results of an attempt. Overloaded, ConnectFailed, NotSent and CacheMiss prove that it did not run.
+// Results of an attempt. Overloaded, ConnectFailed, NotSent and CacheMiss prove that the request did not run.
 const (
 	Completed AttemptResult = iota
 	ServerError
@@ -86,60 +86,60 @@
 	CacheMiss
 )
 
-// isAnswer says whether the endpoint itself was heard.
+// isAnswer reports whether the endpoint itself responded.
 func (a AttemptResult) isAnswer() bool {
 	return a == Completed || a == ServerError || a == Overloaded || a == CacheMiss
 }
 
-// ResultDetail says more of a result, where the deployment reports it.
+// ResultDetail details an AttemptResult, if the deployment reports details.
 type ResultDetail int
 
-// The details of a result. From SourceRefused on they say why a fill failed.
+// Details of a result. SourceRefused and those after it are reasons for a failed fill.
 const (
 	NoDetail ResultDetail = iota
 	CacheHit
 	Filled
 	FilledByOrigin
-	JoinedFill // it waited for a fill that another request had started
+	JoinedFill // the attempt waited for a fill that another request had started
 	StaleHit
 	SourceRefused
 	SourceUnreachable
 	SourceCacheMiss
-	FillSlotsExhausted // the cache runs as many fills as it can
+	FillSlotsExhausted // the cache has reached its limit of concurrent fills
 	OriginFailed
 )
 
-// LoadMetric is one value of a load report.
+// LoadMetric is one metric of a load report.
 type LoadMetric struct {
 	Name  string
 	Value float64
 }
 
-// AttemptEnded is the end of an attempt. Every attempt has exactly one.
+// AttemptEnded reports the end of an attempt. Each attempt has exactly one.
 type AttemptEnded struct {
 	Request          RequestID
-	Attempt          int // its number among the request's attempts, from 0
+	Attempt          int // index of the attempt among those of its request
 	Endpoint         EndpointID
 	Result           AttemptResult
 	Detail           ResultDetail
 	ElapsedSeconds   float64
 	FirstByteSeconds float64
-	RequestDone      bool // the request has ended, by this attempt or before
+	RequestDone      bool // whether the request has ended, by this attempt or earlier
 	LoadReport       []LoadMetric
 }
 
-// answeredFromCache says whether the endpoint is known to have had a copy.
+// answeredFromCache reports whether the endpoint is known to have had a copy.
 func (end AttemptEnded) answeredFromCache() bool {
 	return end.Result == Completed && (end.Detail == CacheHit || end.Detail == StaleHit)
 }
 
-// ClientDisconnected says that a client has left; no answer is owed any more.
+// ClientDisconnected reports that a client has disconnected and needs no answer.
 type ClientDisconnected struct{ Request RequestID }
 
-// TimerFired is a timer that has expired.
+// TimerFired reports an expired timer.
 type TimerFired struct{ Token uint64 }
 
-// ProbeResult is the answer to a Probe.
+// ProbeResult reports the result of a Probe.
 type ProbeResult struct {
 	Endpoint       EndpointID
 	Result         AttemptResult
@@ -147,30 +147,31 @@
 	LoadReport     []LoadMetric
 }
 
-// Purge invalidates the copies of an object, or of all of a group where Object is empty, that were made more than
-// AgeSeconds ago.
+// Purge invalidates the copies of an object that were made more than AgeSeconds ago. If Object is empty, it invalidates
+// those of all objects in ObjectGroup.
 type Purge struct {
 	AgeSeconds  float64
 	ObjectGroup int
 	Object      string
 }
 
-// RetryBudgetChanged says whether anything is left of a retry budget: that of an endpoint, or of a class where none
-// is named.
+// RetryBudgetChanged reports whether a retry budget has retries available. The budget is that of Endpoint, or that of
+// Class if Endpoint is empty.
 type RetryBudgetChanged struct {
 	Class     ClassIndex
 	Endpoint  EndpointID
 	Available bool
 }
 
-// AttemptStalled says that an attempt's connection is silent while its endpoint answers on another, or may be asked
-// on another: the path is suspected before the endpoint is.
+// AttemptStalled reports that the connection of an attempt is silent while its endpoint responds, or can be probed, on
+// another connection: the network path is suspected before the endpoint.
 type AttemptStalled struct {
 	Request RequestID
 	Attempt int
 }
 
-// HealthObservation says how far several routers suspect an endpoint, from 0 to 1, and for how long that counts.
+// HealthObservation is the suspicion of several routers that an endpoint has failed, from 0 to 1, valid for
+// ValidSeconds.
 type HealthObservation struct {
 	Endpoint     EndpointID
 	Suspicion    float64
--- a/routing/hashorder.go
+++ b/routing/hashorder.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	storedCandidates = 4   // endpoints of its hash order that an object keeps: mostly the first one is used
-	maxMoves         = 256 // changes of a list by which orders are repaired; after more they are worked out anew
+	storedCandidates = 4   // endpoints of its hash order stored per object: usually the first one is used
+	maxMoves         = 256 // list changes up to which a stored order is repaired; after more it is recomputed
 )
 
-// hashOrder is the beginning of the order in which an object prefers the endpoints of a list, highest score first. It
-// takes 40 bytes and 8 for each endpoint of best, which are storedCandidates at most between two decisions.
+// hashOrder is the prefix of the order in which an object prefers the endpoints of a list, highest score first. It
+// takes 40 bytes, and 8 bytes for each endpoint of best, which has at most storedCandidates between two decisions.
 type hashOrder struct {
 	best    []*endpoint
-	version int // of the list that it is of
+	version int // version of the list that best is computed from
 }
 
-// endpointList holds the ready endpoints of one role and what changed in it of late.
+// endpointList holds the ready endpoints of one role and its recent changes.
 type endpointList struct {
-	endpoints []*endpoint // by id
-	version   int         // number of the last change
-	moves     []*endpoint // that came, left or got another score, with the last changes
+	endpoints []*endpoint // sorted by ID
+	version   int         // number of changes so far
+	moves     []*endpoint // endpoints that were added, removed or had their score changed, most recent last
 }
 
-// listing is an endpoint's place in a list, and what its score in that list depends on.
+// listEntry is the list that an endpoint belongs to, and the values that its score in that list depends on.
 type listing struct {
-	list              *endpointList // nil for none
+	list              *endpointList // nil if it is in no list
 	weight, zonesAway float64
 }
 
-// list brings an endpoint's place in the lists up to date.
+// updateList moves an endpoint to the given list, or out of its list if nil, and records changes of its score.
 func (e *endpoint) list(list *endpointList) {
 	wanted := listing{list: list, weight: e.Weight, zonesAway: e.zonesAway}
 	if list == nil {
@@ -73,8 +73,9 @@
 	l.moves = append(l.moves, e)
 }
 
-// refresh brings an object's order up to date with the list. Only the endpoints that moved are compared: those that
-// stayed keep their order, and one that moved has its place if it is before the last of these.
+// refresh updates the stored order of an object to the current version of the list. Only changed endpoints are
+// compared: unchanged ones keep their relative order, and a changed one is inserted if it ranks before the last of
+// these.
 func (l *endpointList) refresh(order *hashOrder, object string) {
 	missed := l.version - order.version
 	order.version = l.version
@@ -99,7 +100,7 @@
 	order.best = order.best[:min(len(order.best), storedCandidates)]
 }
 
-// insert puts an endpoint at its place if that is before the last one.
+// insert adds an endpoint at its rank if it ranks before the last one.
 func (order *hashOrder) insert(prefix hashPrefix, e *endpoint) {
 	score := prefix.score(e)
 	for i, other := range order.best {
@@ -111,15 +112,15 @@
 	}
 }
 
-// candidates are the endpoints of a list in the order of an object's hash, or in that of their ids where order is nil.
+// candidates are the endpoints of a list in the order of an object's hash, or sorted by ID if order is nil.
 type candidates struct {
 	list   *endpointList
 	order  *hashOrder
 	object string
 }
 
-// at returns the candidate of a rank, nil past the last one. The order is worked out as far as it is asked for, and for
-// maxCandidates at most.
+// at returns the candidate of a rank, or nil after the last one. The order is computed as far as requested, and for at
+// most maxCandidates.
 func (c candidates) at(rank int) *endpoint {
 	best := c.list.endpoints
 	if c.order != nil {
@@ -135,7 +136,7 @@
 	return best[rank]
 }
 
-// first returns the first candidate that fits, nil where none does.
+// first returns the first candidate for which fits returns true, or nil.
 func (c candidates) first(fits func(*endpoint) bool) *endpoint {
 	for rank := 0; ; rank++ {
 		if e := c.at(rank); e == nil || fits(e) {
@@ -144,15 +145,15 @@
 	}
 }
 
-// release lets go of what was worked out past the candidates that an object keeps.
+// trim discards the candidates after the first storedCandidates, which are stored with the object.
 func (c candidates) release() {
 	if c.order != nil && len(c.order.best) > storedCandidates {
 		c.order.best = slices.Clone(c.order.best[:storedCandidates])
 	}
 }
 
-// highestByHash returns the first endpoints of a list in the order of an object's hash, so many at most. Of equal
-// scores the smaller id goes first, as in the list.
+// highestByHash returns the first count endpoints of a list in the order of an object's hash. Endpoints of equal scores
+// are sorted by ID, as in the list.
 func highestByHash(object string, list []*endpoint, count int) []*endpoint {
 	prefix := newHashPrefix(object)
 	best, scores := make([]*endpoint, 0, count), make([]float64, 0, count)
@@ -180,16 +181,16 @@
 	return best
 }
 
-// The parameters of the FNV-1a hash with 64 bits.
+// Parameters of the 64-bit FNV-1a hash.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// hashPrefix is the hash of the beginning of a text.
+// hashPrefix is the FNV-1a hash of a string prefix.
 type hashPrefix uint64
 
-// newHashPrefix returns the hash of an object's name and the space behind it.
+// newHashPrefix returns the hash of an object's name and a following space.
 func newHashPrefix(object string) hashPrefix { return hashPrefix(fnvOffset).extend(object).extend(" ") }
 
 func (h hashPrefix) extend(text string) hashPrefix {
@@ -199,8 +200,8 @@
 	return h
 }
 
-// unit maps the text to a number between 0 and 1. The last mixing steps are MurmurHash3's: FNV alone gives similar
-// texts similar high bits.
+// unit maps the hash to the interval (0, 1). The final mixing steps are those of MurmurHash3, as plain FNV gives
+// similar strings similar high bits.
 func (h hashPrefix) unit() float64 {
 	mixed := uint64(h)
 	mixed = (mixed ^ mixed>>33) * 0xff51afd7ed558ccd
@@ -208,10 +209,10 @@
 	return (float64((mixed^mixed>>33)>>11) + 0.5) / (1 << 53)
 }
 
-// score is the hash score of an endpoint for the object.
+// score returns the hash score of an endpoint for the object.
 func (h hashPrefix) score(e *endpoint) float64 { return hashScore(h.extend(string(e.ID)).unit(), e) }
 
-// scoreBound is no less than the score and costs no logarithm: the logarithm of a number is at most the number less 1.
+// scoreBound returns an upper bound of the score without computing a logarithm: ln(x) is at most x-1.
 func scoreBound(unit float64, e *endpoint) float64 {
 	bound := (unit - 1) / max(e.Weight, minHashWeight)
 	if e.zonesAway != 0 {
--- a/routing/hashorder_test.go
+++ b/routing/hashorder_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// referenceOrder sorts a list by the score of weighted rendezvous hashing, all of it.
+// referenceOrder sorts a complete list by the score of weighted rendezvous hashing.
 func referenceOrder(object string, list []*endpoint) []*endpoint {
 	score := func(e *endpoint) float64 {
 		hash := fnv.New64a()
@@ -29,7 +29,7 @@
 	return sorted
 }
 
-// ranked lists what candidates yield.
+// ranked returns all candidates in their order.
 func ranked(c candidates) []*endpoint {
 	var all []*endpoint
 	for rank, e := 0, c.at(0); e != nil; rank, e = rank+1, c.at(rank+1) {
@@ -38,8 +38,9 @@
 	return all
 }
 
-// TestOrdersFollowTheListLikeASort draws changes of the list: caches that come, go, drain and change their weight, many
-// at once or few. The repaired orders of several objects have to be those that a sort of the full list gives.
+// TestOrdersFollowTheListLikeASort generates changes of the list: caches that are added, removed, drained and change
+// their weight, many or few at a time. The repaired orders of several objects must equal those of sorting the complete
+// list.
 func TestOrdersFollowTheListLikeASort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := New(7, testSettings(Idempotent))
@@ -101,8 +102,8 @@
 	}
 }
 
-// TestChunksKnowWhichCachesHoldThem compares what chunks and caches know of one another, across restarts, purges and
-// removals.
+// TestChunksKnowWhichCachesHoldThem checks that the records of chunks and caches about each other agree across
+// restarts, purges and removals.
 func TestChunksKnowWhichCachesHoldThem(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	check := func(want int) {
--- a/routing/helpers_test.go
+++ b/routing/helpers_test.go
@@ -2,7 +2,8 @@
 
 import "strconv"
 
-// testSettings are those of a small deployment with two classes: an idempotent one and one of the given effect.
+// testSettings returns the settings of a small deployment with two classes: an idempotent one and one with the given
+// effect.
 func testSettings(effect Effect) Settings {
 	return Settings{
 		SettingRouter:                            "0",
@@ -42,7 +43,7 @@
 	}
 }
 
-// newTestRouter knows three caches, two parents and the origin, all warm, at time 100.
+// newTestRouter returns a router at time 100 with three caches, two parents and the origin, none in slow start.
 func newTestRouter(effect Effect) *Router {
 	r := New(7, testSettings(effect))
 	rows := []Endpoint{{ID: "o", Kind: 2, Weight: 1}}
@@ -60,7 +61,7 @@
 	return RequestArrived{Request: id, Object: object, SizeKB: 100, Deadline: 105}
 }
 
-// actionsOf picks the actions of one type.
+// actionsOf returns the actions of one type.
 func actionsOf[A Action](actions []Action) []A {
 	var picked []A
 	for _, action := range actions {
@@ -71,7 +72,8 @@
 	return picked
 }
 
-// addSentRequest adds a request of class 1 whose single attempt, to c0, ended with the result or is still in flight.
+// addSentRequest adds a request of class 1 with a single attempt, at c0, that has ended with the result or is in
+// flight.
 func addSentRequest(r *Router, result AttemptResult, inFlight bool) *request {
 	cache := r.findOrAddEndpoint("c0")
 	object := r.findOrAddObject("x", 0)
@@ -100,7 +102,7 @@
 	return req
 }
 
-// finalAction is the last final action emitted, nil if there is none.
+// finalAction returns the last final action emitted, or nil if there is none.
 func finalAction(r *Router) Action {
 	var final Action
 	for _, action := range r.actions {
--- a/routing/object.go
+++ b/routing/object.go
@@ -5,26 +5,27 @@
 	"slices"
 )
 
-// chunk is a part of an object that is cached and requested by itself. Its gap is the time between requests for it.
+// chunk is a part of an object that is requested and cached separately. Its request gap is the time between requests
+// for it.
 type chunk struct {
 	index             int
-	averageGapSeconds float64 // as of the last request
+	averageGapSeconds float64 // mean request gap as of the last request
 	lastRequestAt     float64
 	requested         bool
-	filledByParent    bool        // since its last purge
-	cachedBy          []*endpoint // caches of the zone that are known to have it, by id
+	filledByParent    bool        // a parent cache has filled it since its last purge
+	cachedBy          []*endpoint // caches of the zone known to have it, sorted by ID
 }
 
-// object is what is known of a requested object.
+// object is the state that the router tracks for a requested object.
 type object struct {
 	id              string
 	group           int
-	chunks          []*chunk // by index
+	chunks          []*chunk // sorted by index
 	lastRequestAt   float64
 	caches, parents hashOrder
 }
 
-// findOrAddObject finds an object, or adds it.
+// findOrAddObject returns the object with the ID, and adds it if it is not known.
 func (r *Router) findOrAddObject(id string, group int) *object {
 	if r.objects[id] == nil {
 		r.objects[id] = &object{id: id, group: group}
@@ -32,7 +33,7 @@
 	return r.objects[id]
 }
 
-// findOrAddChunk finds a chunk of the object, or adds it.
+// findOrAddChunk returns the chunk of the object with the index, and adds it if it is not known.
 func (o *object) findOrAddChunk(index int) *chunk {
 	at, found := slices.BinarySearchFunc(o.chunks, index, func(c *chunk, index int) int {
 		return cmp.Compare(c.index, index)
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -2,10 +2,12 @@
 
 import "slices"
 
-// localRefusalSeconds is the time in which only the cache itself can have refused a fill: sources are farther away.
+// localRefusalSeconds is the time within which only the cache itself can have refused a fill: answers of sources take
+// longer.
 const localRefusalSeconds = 0.004
 
-// attemptEnded learns from the end of an attempt and plans its request and then the first of the queued ones.
+// attemptEnded handles the end of an attempt: it processes the outcome, then plans the request, then the first requests
+// of the queue.
 func (r *Router) attemptEnded(end AttemptEnded) {
 	req, a := r.findAttempt(end.Request, end.Attempt)
 	if a == nil || !a.move(attemptEnded) {
@@ -26,9 +28,9 @@
 	}
 }
 
-// learn takes what an end shows of the attempt's target, its source and the paths between.
+// processOutcome updates the state of the attempt's target, its source and the paths between them from its outcome.
 func (r *Router) learn(req *request, a *attempt, end AttemptEnded) {
-	slowness := a.slowness(end.ElapsedSeconds) // 0 for an attempt that was taken for lost
+	slowness := a.slowness(end.ElapsedSeconds) // 0 for an attempt presumed lost
 	r.recordSlowest(slowness, end.Result)
 	if end.Result.isAnswer() {
 		a.target.recordHeard(r.now)
@@ -44,13 +46,14 @@
 		}
 	case ConnectFailed, ConnectionBroken:
 		r.recordResult(a.target, true)
-	case TimedOut, Cancelled, NotSent: // they say nothing of the endpoints
+	case TimedOut, Cancelled, NotSent: // these results say nothing about the endpoints
 	}
 }
 
-// learnFromSuccess counts a completed attempt, and the errors of attempts before it. Errors count only now: a request
-// that cannot be served fails everywhere, and would eject one endpoint after another if each error counted at once. The
-// slowness of an attempt that was taken for lost is 0: its late answer takes a place among the samples and raises none.
+// processSuccess records a completed attempt and the failures of earlier attempts of its request. Failures count only
+// now: a request that cannot be served fails at every endpoint, and would eject one endpoint after another if each
+// failure counted immediately. The slowness of an attempt that was presumed lost is 0: its late answer is counted as a
+// sample but raises no maximum.
 func (r *Router) learnFromSuccess(req *request, a *attempt, end AttemptEnded, slowness float64) {
 	for _, earlier := range req.attempts {
 		if earlier.blame != noBlame {
@@ -76,7 +79,7 @@
 	r.adjustLimits(req, a, end, filled)
 }
 
-// learnFromFailure finds out from an error or a refusal who is at fault.
+// processFailure attributes a server error or a refusal to the endpoint or path at fault.
 func (r *Router) learnFromFailure(req *request, a *attempt, end AttemptEnded) {
 	switch end.Detail {
 	case SourceRefused, SourceUnreachable, OriginFailed:
@@ -99,22 +102,23 @@
 	r.learnFromUnexplained(a, end)
 }
 
-// originFailed says whether a fill failed at the origin and not at its source: a source that was heard since the
-// attempt was sent can be reached.
+// originFailed reports whether a fill failed at the origin rather than at its source. A source that responded after the
+// attempt was sent is reachable, so an unreachable endpoint is the origin.
 func originFailed(a *attempt, detail ResultDetail) bool {
 	heardSince := a.originLimiter != nil && a.source.lastHeardAt() > a.sentAt
 	return detail == OriginFailed || (detail == SourceUnreachable && heardSince)
 }
 
-// learnFromUnexplained takes a failure that says nothing of its source, which may be at fault all the same. A refused
-// fill counts as a failure of the source: one that is lost behind a cache shows as refusals of that cache alone.
+// processUnexplainedFailure handles a failure without details on the source, which may still be at fault. A refused
+// fill counts as a failure of the source: a source that is down behind a cache is visible only as refusals of that
+// cache.
 func (r *Router) learnFromUnexplained(a *attempt, end AttemptEnded) {
 	refused := end.Result == Overloaded
 	sourceMayBeAtFault := a.fill.missExpected() && a.hasSource() && !r.reportsAllDetails()
 	refusedFill := refused && sourceMayBeAtFault
 	switch {
 	case end.Detail == FillSlotsExhausted || refusedFill && end.ElapsedSeconds < localRefusalSeconds:
-		r.zoneLink.decrease(r.now, true) // fills have taken all of the cache's slots
+		r.zoneLink.decrease(r.now, true) // concurrent fills occupy all fill slots of the cache
 	case refusedFill:
 		a.source.limiter.decrease(r.now, true)
 		r.recordResult(a.source, true)
--- a/routing/outcome_test.go
+++ b/routing/outcome_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An origin that fails makes every fill through its parents fail. Counted against these, it ejects all parents one by
-// one, and nothing can be filled any more. The origin's limit must fall and the parent must keep its limit and not be
-// ejected.
+// A failing origin fails every fill through its parents. Counting these failures against the parents would eject them
+// one by one, until nothing can be filled. The limit of the origin must decrease; the parent must keep its limit and
+// must not be ejected.
 func TestOriginFailureIsNotCountedAgainstParent(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	req := addSentRequest(r, 0, true)
@@ -24,9 +24,8 @@
 	assert.Zero(t, p.ejectedUntil)
 }
 
-// A refusal that comes at once was made by the cache itself, whose fill slots are taken; one that takes longer came
-// from the source. Attributed to the wrong one it lowers a limit that is not at fault. The time that it took must
-// decide.
+// An immediate refusal was made by the cache itself, whose fill slots are occupied; a later one came from the source.
+// Attributing it to the wrong one lowers a limit that is not at fault, so its duration must decide.
 func TestUnexplainedRefusalIsAttributedByItsDuration(t *testing.T) {
 	for took, link := range map[float64]bool{localRefusalSeconds / 2: true, localRefusalSeconds * 2: false} {
 		r := newTestRouter(Idempotent)
@@ -34,7 +33,7 @@
 		req := addSentRequest(r, 0, true)
 		p := r.findOrAddEndpoint("p0")
 		req.attempts[0].source, req.attempts[0].fill = p, expectFill
-		r.zoneLink.minLimit = 1 // shared with others
+		r.zoneLink.minLimit = 1 // path shared with other routers
 		before, source := r.zoneLink.limit, p.limiter.limit
 		r.learn(req, req.attempts[0], AttemptEnded{Result: Overloaded, ElapsedSeconds: took})
 		assert.Equal(t, link, r.zoneLink.limit < before)
@@ -42,7 +41,7 @@
 	}
 }
 
-// Whatever its cause, one refusal only lowers the limit of the source.
+// A single refused fill only lowers the limit of the source, whatever its cause; repeated ones must eject the source.
 func TestRepeatedlyRefusedFillsEjectTheirSource(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	r.settings[SettingResultDetails] = DetailsOfHits
@@ -57,8 +56,9 @@
 	assert.Zero(t, r.findOrAddEndpoint("c0").ejectedUntil)
 }
 
-// A request that no endpoint can serve fails everywhere. If each of its errors counted, it would eject one endpoint
-// after another. Errors must count only once another endpoint has completed the same request.
+// A request that no endpoint can serve fails at all of them. Counting each of its failures immediately would eject one
+// endpoint after another, although they work. Failures must count only after another endpoint has completed the same
+// request; without such an endpoint, none must be ejected.
 func TestErrorCountsOnlyOnceRequestCompletesElsewhere(t *testing.T) {
 	for _, completed := range []bool{false, true} {
 		r := newTestRouter(Idempotent)
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -5,42 +5,42 @@
 	"slices"
 )
 
-// When an attempt is suspected, and when it is lost.
+// Thresholds for suspecting an attempt and for presuming it lost.
 const (
 	suspectShare            = 0.5  // share of the unstretched objective after which an attempt is suspected
 	suspectSendTimes        = 1.3  // sending times added to that: a busy link stretches a transfer
-	suspectRecheckSeconds   = 0.1  // time between reviews of a suspected attempt
-	minSilenceSeconds       = 0.35 // time without a sound of a target before it is silent: over usual pauses
-	minSourceSilenceSeconds = 0.7  // likewise of a source: its answers come through the target
-	silenceIntervals        = 4.0  // usual intervals between sounds after which an endpoint is silent
-	maxHeardTimes           = 10   // last times at which an endpoint was heard: their intervals are the usual ones
-	lostSlownessFactor      = 1.3  // times as slow as any of late that a lost attempt is: congestion slows all
-	maxSlownessSamples      = 64   // last answered attempts that are meant by that: durations vary widely
-	maxUnansweredSamples    = 10   // last attempts slower than all of those: few, so that changes show soon
-	minUnansweredSamples    = 4    // number of them before their share counts: fewer are chance
-	unansweredShare         = 0.5  // share of them without an answer from which another one is lost
+	suspectRecheckSeconds   = 0.1  // interval between reviews of a suspected attempt
+	minSilenceSeconds       = 0.35 // minimum time without a response of a target: above usual pauses
+	minSourceSilenceSeconds = 0.7  // minimum time without a response of a source: it responds through the target
+	silenceIntervals        = 4.0  // mean response intervals without a response after which an endpoint is unresponsive
+	maxHeardTimes           = 10   // recent responses sampled for the mean response interval
+	lostSlownessFactor      = 1.3  // slowness of a lost attempt relative to recent answers: congestion slows all
+	maxSlownessSamples      = 64   // recent answered attempts sampled for slowness: durations vary widely
+	maxUnansweredSamples    = 10   // recent attempts slower than all of these: few, to follow changes quickly
+	minUnansweredSamples    = 4    // samples required before their share is used: fewer are chance
+	unansweredShare         = 0.5  // share without an answer above which such an attempt is presumed lost
 )
 
-// When an endpoint is ejected, and for how long.
+// Thresholds and durations of outlier ejection.
 const (
-	maxResultSamples     = 10  // last results of an endpoint that count: few, so that changes show soon
-	ejectFailureCount    = 4   // number of failures among them that ejects at least: fewer are chance
-	ejectFailureShare    = 0.5 // share of them that ejects: below it attempts cost less than a lost cache
-	firstEjectionSeconds = 1.0 // time of the first ejection; each further one is twice as long
-	maxEjectionSeconds   = 4.0 // time of the longest: an endpoint that is back is wanted soon
-	limitAfterEjection   = 1.0 // attempts in flight at an endpoint that returns, in a recovery ramp
-	suspicionThreshold   = 0.5 // suspicion, of 1, from which one own failure ejects: two honest routers say so
-	suspicionEjections   = 2.0 // number of earlier ejections that other routers' suspicion counts for
+	maxResultSamples     = 10  // recent results of an endpoint that count: few, to follow changes quickly
+	ejectFailureCount    = 4   // minimum number of failures that eject: fewer are chance
+	ejectFailureShare    = 0.5 // minimum share of failures that ejects: below it, losing the cache costs more
+	firstEjectionSeconds = 1.0 // duration of the first ejection; it doubles with each further one
+	maxEjectionSeconds   = 4.0 // maximum duration: a recovered endpoint is used again soon
+	limitAfterEjection   = 1.0 // initial limit after an ejection, in attempts in flight, in a recovery ramp
+	suspicionThreshold   = 0.5 // suspicion above which one own failure ejects: reached by two honest routers
+	suspicionEjections   = 2.0 // earlier ejections that the suspicion of other routers counts as
 )
 
-// suspectTime is when an attempt that is sent at a time is suspected: after a share of its class's objective, which is
-// that of a request without size, and some sending times of its size.
+// suspectTime returns when an attempt sent at a time becomes suspected: after a share of its class's objective for a
+// request without size, and a number of sending times of its size.
 func suspectTime(sentAt, objectiveSeconds, sendSeconds float64) float64 {
 	return sentAt + suspectShare*objectiveSeconds + suspectSendTimes*sendSeconds
 }
 
-// healthObserved takes other routers' suspicion of an endpoint. It ejects nothing by itself, because other routers may
-// be wrong or lie: an attempt of this router has to fail too.
+// healthObserved records the suspicion of other routers about an endpoint. It ejects nothing by itself, because other
+// routers may be wrong or malicious: an attempt of this router has to fail as well.
 func (r *Router) healthObserved(ev HealthObservation) {
 	if e := r.findEndpoint(ev.Endpoint); e != nil {
 		e.suspectedUntil = r.now
@@ -50,8 +50,9 @@
 	}
 }
 
-// reviewSuspected says whether a suspected attempt is lost. It is if its endpoint is silent, which is then ejected or
-// has its limit decreased. It is too if it is slower for its size than any of late and such attempts go unanswered.
+// reviewSuspected reports whether a suspected attempt is presumed lost. It is lost if its endpoint is unresponsive;
+// that endpoint is then ejected or has its limit decreased. It is also lost if it is slower for its size than all
+// recent answers and such attempts mostly go unanswered.
 func (r *Router) reviewSuspected(a *attempt) bool {
 	if silent := r.silentEndpoint(a); silent != nil {
 		r.ejectOrDecreaseLimit(silent)
@@ -61,17 +62,19 @@
 	if !r.slowestGoUnanswered() || slowness <= r.greatestSlowness() {
 		return false
 	}
-	raised := lostSlownessFactor * slowness // so that the next one waits longer
+	raised := lostSlownessFactor * slowness // the next such attempt waits longer
 	r.slownessSamples = appendSample(r.slownessSamples, raised, maxSlownessSamples)
 	return true
 }
 
-// silentEndpoint is the target of a suspected attempt, or else its source, if it is silent; nil where neither is.
+// unresponsiveEndpoint returns the target of a suspected attempt if it is unresponsive, otherwise the source if that
+// is, otherwise nil.
 //
-// It guards against hangs, lost machines and cut paths. They show as attempts without any end, and as no other answer
-// of that endpoint since. Silence alone is no proof: nothing is heard during a long transfer, and a router with few
-// requests seldom hears an endpoint. So it has to last several times as long as usual, and the attempt has to be slower
-// for its size than any of late. It does harm where all become slow at once.
+// It guards against hung or lost machines and broken network paths: attempts never end, and the endpoint answers
+// nothing else meanwhile. Missing responses alone are no proof: an endpoint may send none during a long transfer, and a
+// router with few requests seldom gets a response. The time without a response therefore has to exceed several mean
+// response intervals, and the attempt has to be slower for its size than all recent ones. The check is harmful when all
+// attempts become slow at once.
 func (r *Router) silentEndpoint(a *attempt) *endpoint {
 	switch {
 	case a.target.lastHeardAt() < a.sentAt:
@@ -86,8 +89,9 @@
 	return nil
 }
 
-// silentForTooLong says whether an endpoint that was not heard since an attempt was sent is silent. The silence has to
-// be longer than the least and than some of the endpoint's usual intervals, both in seconds.
+// silentTooLong reports whether an endpoint that has not responded since an attempt was sent is unresponsive. The time
+// without a response has to exceed both a minimum and a multiple of the endpoint's mean response interval, both in
+// seconds.
 func (r *Router) silentForTooLong(a *attempt, leastSeconds, usualIntervalSeconds float64) bool {
 	inFlightSeconds := r.now - a.sentAt
 	if inFlightSeconds <= max(leastSeconds, silenceIntervals*usualIntervalSeconds) {
@@ -97,20 +101,20 @@
 	return !answeredOfLate
 }
 
-// slowestGoUnanswered says whether most attempts that were slower than any of late had no answer. It guards against
-// answers that never come from endpoints that answer others: these show as requests that end at their deadline after
-// one attempt. Where slow answers come in the end their share is low, and nothing is given up.
+// slowestGoUnanswered reports whether most attempts that were slower than all recent answers got no answer. It guards
+// against single answers that never arrive from endpoints that answer others: requests then end at their deadline after
+// one attempt. Where slow answers do arrive, the share of unanswered attempts is low and no attempt is presumed lost.
 func (r *Router) slowestGoUnanswered() bool {
 	return len(r.unansweredSamples) >= minUnansweredSamples && mean(r.unansweredSamples) >= unansweredShare
 }
 
-// slowness is the seconds that an attempt is in flight over those after which it is suspected, which go by its size. It
-// is 0 for an attempt that was taken for lost, however long it lasts: its suspectAt is +Inf.
+// slowness returns the ratio of the seconds that an attempt is in flight to those after which it is suspected, which
+// depend on its size. It is 0 for an attempt presumed lost, regardless of its duration: its suspectAt is +Inf.
 func (a *attempt) slowness(inFlightSeconds float64) float64 {
 	return inFlightSeconds / (a.suspectAt - a.sentAt)
 }
 
-// greatestSlowness is that of the last attempts that had an answer, 1 at least.
+// greatestSlowness returns the maximum slowness of the recent answered attempts, at least 1.
 func (r *Router) greatestSlowness() float64 {
 	greatest := 1.0
 	for _, slowness := range r.slownessSamples {
@@ -119,8 +123,8 @@
 	return greatest
 }
 
-// recordSlowest takes the end of an attempt that was slower than all of late, once there are enough of these: whether
-// there was no answer.
+// recordSlowest records whether an ended attempt that was slower than all slownessSamples got no answer. It has no
+// effect until there are maxSlownessSamples.
 func (r *Router) recordSlowest(slowness float64, result AttemptResult) {
 	if len(r.slownessSamples) == maxSlownessSamples && slowness > slices.Max(r.slownessSamples) {
 		unanswered := indicator(result == Cancelled || result == TimedOut)
@@ -128,8 +132,8 @@
 	}
 }
 
-// stateOfLost is the state of an attempt that is taken for lost. It is left in flight where two may run, and where
-// cancelling would lose the answer of a request that must not run again.
+// lostAttemptState returns the state of an attempt that becomes presumed lost. The attempt stays in flight if hedging
+// is allowed, or if the request is non-idempotent and a cancel would lose its only possible answer.
 func (r *Router) stateOfLost(req *request) attemptState {
 	if r.settings.Bool(SettingHedging) || r.class(req.Class).effect == NonIdempotent {
 		return attemptLost
@@ -137,10 +141,10 @@
 	return attemptAbandoned
 }
 
-// hasAlternative says whether another endpoint is ready and not ejected that can stand in: an edge cache of this zone
-// for one of these, a parent for all others. That includes origins and edge caches of other zones, which matters only
-// where an endpoint got that role after an attempt or an ejection: an origin is not ejected, and an edge cache of
-// another zone is not chosen.
+// hasAlternative reports whether another endpoint that can replace e is ready and not ejected: an edge cache of this
+// zone for another one, a parent cache for any other endpoint. The latter includes origins and edge caches of other
+// zones, which matters only if an endpoint's role changed after an attempt or an ejection: an origin is not ejected,
+// and an edge cache of another zone is not selected.
 func (r *Router) hasAlternative(e *endpoint) bool {
 	alternatives := r.parents.endpoints
 	if e.role == edgeCache {
@@ -151,19 +155,20 @@
 	})
 }
 
-// barredByEjection says whether an ejected endpoint is left out at a fallback level. At the last level it is used
-// if all of its role are ejected: requests would find nobody else. A full alternative does not open it, as a burst
-// would then be sent to the endpoint that failed.
+// excludedByEjection reports whether an endpoint is excluded at a fallback level because it is ejected. At the last
+// level it is used if all endpoints of its role are ejected, as requests would otherwise have no endpoint. Alternatives
+// that are merely at their limit do not allow it, because a burst would then be sent to the endpoint that failed.
 func (r *Router) barredByEjection(e *endpoint, level fallbackLevel) bool {
 	return e.ejectedUntil > r.now && (level < ejectedAllowed || r.hasAlternative(e))
 }
 
-// mayEject allows an ejection where another endpoint can stand in. It guards against ejecting all endpoints of a role:
-// where all fail the cause is common, as with requests that nobody can serve or an origin that is down.
+// mayEject reports whether an endpoint may be ejected: only if another endpoint can replace it. This prevents ejecting
+// all endpoints of a role: if all fail, the cause is common, such as requests that no endpoint can serve or an origin
+// that is down.
 func (r *Router) mayEject(e *endpoint) bool { return e.role != originServer && r.hasAlternative(e) }
 
-// ejectionSeconds is how long an endpoint is ejected that was so some times since it last worked. Other routers'
-// suspicion counts like earlier ejections.
+// ejectionSeconds returns the duration of an ejection after a number of ejections since the endpoint last worked. The
+// suspicion of other routers counts as suspicionEjections earlier ejections.
 func ejectionSeconds(ejections int, suspected bool) float64 {
 	doublings := float64(ejections)
 	if suspected {
@@ -172,8 +177,8 @@
 	return min(firstEjectionSeconds*math.Pow(2, doublings), maxEjectionSeconds)
 }
 
-// ejectOrDecreaseLimit keeps attempts from an endpoint for a while. Where it may not be ejected, its limit decreases.
-// An ejection that is under way stays as it is.
+// ejectOrDecreaseLimit ejects an endpoint, or decreases its limit if it must not be ejected. A current ejection is not
+// extended.
 func (r *Router) ejectOrDecreaseLimit(e *endpoint) {
 	if !r.mayEject(e) {
 		e.limiter.decrease(r.now, true)
@@ -188,7 +193,8 @@
 	e.limiter.limit = limitAfterEjection
 }
 
-// recordResult counts a result of an endpoint: errors, refused fills, broken connections and completed attempts.
+// recordResult records a result of an endpoint as failure or success: errors, refused fills and broken connections, or
+// completed attempts.
 func (r *Router) recordResult(e *endpoint, failed bool) {
 	if !failed && e.limiter.atProvenLimit() {
 		e.ejections = 0
@@ -199,8 +205,8 @@
 	}
 }
 
-// failuresEject says whether an endpoint whose last attempt failed is ejected: when half of its last few failed, or at
-// once when all since an ejection failed or others suspect it.
+// failuresEject reports whether an endpoint whose last attempt failed is ejected: if half of its recent results are
+// failures, or immediately if all results since its last ejection are failures or other routers suspect it.
 func failuresEject(results []float64, ejectedBefore, suspected bool) bool {
 	share := mean(results)
 	often := share*float64(len(results)) >= ejectFailureCount && share >= ejectFailureShare
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An endpoint that hangs keeps its connections open and answers nothing. Its requests would wait until their deadline,
-// and further ones would follow. It must be ejected, and the request must get a second attempt elsewhere while the
-// first goes on.
+// A hung endpoint keeps its connections open and answers nothing. Its requests would wait until their deadlines, and it
+// would be sent more of them. It must be ejected, and the request must get a second attempt at another endpoint while
+// the first is in flight.
 func TestSilentEndpointIsEjectedAndAttemptHedged(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	req := addSentRequest(r, 0, true)
@@ -20,17 +20,17 @@
 	assert.Greater(t, r.findOrAddEndpoint("c0").ejectedUntil, r.now)
 	require.Len(t, req.attempts, 2)
 	assert.NotEqual(t, EndpointID("c0"), req.attempts[1].target.ID)
-	assert.Empty(t, actionsOf[CancelAttempt](r.actions), "a second copy runs beside the first")
+	assert.Empty(t, actionsOf[CancelAttempt](r.actions), "the second attempt runs beside the first")
 }
 
-// A router that seldom hears a cache hears nothing during a long transfer. The attempt is lost only once it is
-// slower for its size, by a margin, than any of late.
+// A router with few requests to a cache gets no response during a long transfer. The attempt is lost only if it is
+// slower for its size, by a margin, than all recent ones.
 func TestLongTransferIsNotTakenForSilence(t *testing.T) {
 	for _, slow := range [][]float64{nil, {0.7, 2, 0.9}} {
 		r := newTestRouter(Idempotent)
 		r.slownessSamples = slow
 		c, a := r.findOrAddEndpoint("c0"), addSentRequest(r, 0, true).attempts[0]
-		a.suspectAt = 102 // for its size it may take two seconds
+		a.suspectAt = 102 // suspected after two seconds, because of its size
 		bar := 2 * lostSlownessFactor * r.greatestSlowness()
 		r.now = 100 + bar - 0.01
 		assert.False(t, r.reviewSuspected(a))
@@ -41,8 +41,8 @@
 	}
 }
 
-// An endpoint answers others while one attempt is late. Taken for silent it would be ejected although it works. Having
-// been heard since the attempt was sent must keep it.
+// An endpoint that answers other attempts while one is late must not be ejected: it works. A response since the attempt
+// was sent shows that.
 func TestHeardEndpointIsNotSilent(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	req := addSentRequest(r, 0, true)
@@ -51,8 +51,8 @@
 	assert.False(t, r.reviewSuspected(req.attempts[0]))
 }
 
-// A common cause ejects every endpoint at once. A router that then used none would reject all requests until the first
-// ejection ends. It must send the request all the same.
+// A common cause may eject all endpoints at once. A router that used none of them would reject all requests until the
+// first ejection ends. It must still send the request.
 func TestEjectedEndpointsAreUsedWhenAllAreEjected(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	for _, e := range r.endpoints {
@@ -61,9 +61,9 @@
 	assert.Len(t, actionsOf[StartAttempt](r.Decide(100, newArrival("t", "x"))), 1)
 }
 
-// An endpoint has been quiet for a minute, as there was no traffic, answers once and hangs. Counted as an interval
-// between answers, the minute would hide the hang: requests wait for their deadlines. Its silence shows as soon
-// as that of an endpoint without the pause.
+// An endpoint without traffic for a minute answers once and hangs. Counting the minute as a response interval would
+// hide the hang, and requests would wait for their deadlines. The endpoint must be found unresponsive as soon as one
+// without the pause.
 func TestHangAfterAQuietTimeIsNoticed(t *testing.T) {
 	for name, pause := range map[string]float64{"a minute": 60, "ten seconds": 10, "none": 0.1} {
 		t.Run(name, func(t *testing.T) {
@@ -96,13 +96,13 @@
 	e.recordHeard(at)
 	assert.InDelta(t, 17.0/9, e.heardIntervalSeconds(), 1e-9)
 	e.recordHeard(at + 100)
-	assert.InDelta(t, 16.0/8, e.heardIntervalSeconds(), 1e-9, "a hundred seconds are a pause")
+	assert.InDelta(t, 16.0/8, e.heardIntervalSeconds(), 1e-9, "a hundred seconds count as a pause")
 	e.heardAt = e.heardAt[maxHeardTimes-3:]
-	assert.InDelta(t, 109.0/2, e.heardIntervalSeconds(), 1e-9, "two intervals are too few to tell")
+	assert.InDelta(t, 109.0/2, e.heardIntervalSeconds(), 1e-9, "two intervals are too few to detect a pause")
 }
 
-// An endpoint with little traffic is heard seldom. A fixed bound would take its usual pauses for silence. The bound
-// must be a multiple of the interval at which it was heard until then.
+// An endpoint with little traffic responds seldom. A fixed bound would find it unresponsive during a usual pause, so
+// the bound must be a multiple of its mean response interval.
 func TestSilenceIsMeasuredInUsualSignIntervals(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	c, a := r.findOrAddEndpoint("c0"), addSentRequest(r, 0, true).attempts[0]
@@ -114,8 +114,8 @@
 	}
 }
 
-// An attempt slower than any of the last dozens is retried elsewhere once such attempts mostly had no answer. The
-// next one waits longer.
+// An attempt slower than all recent answers is retried at another endpoint once most such attempts got no answer. The
+// next such attempt waits longer.
 func TestAttemptThatNeverEndsIsLostThoughEndpointIsHeard(t *testing.T) {
 	for _, lost := range []bool{true, false} {
 		r := newTestRouter(Idempotent)
@@ -131,13 +131,13 @@
 		for range ejectFailureCount {
 			code := Cancelled
 			if !lost {
-				code = ServerError // it came after all
+				code = ServerError // the late answer did arrive
 			}
 			r.learn(late(), r.requests["t"].attempts[0], AttemptEnded{Result: code, ElapsedSeconds: 0.75})
 		}
 		req := late()
 		r.Decide(100.5, TimerFired{1})
-		assert.Len(t, req.attempts, 1, "as long as others took")
+		assert.Len(t, req.attempts, 1, "as slow as other attempts")
 		r.Decide(100.75, TimerFired{1})
 		assert.Equal(t, lost, len(req.attempts) == 2)
 		assert.Zero(t, r.findOrAddEndpoint("c0").ejectedUntil)
@@ -148,7 +148,8 @@
 	}
 }
 
-// With suspicion by other routers one own failure is enough; the suspicion expires.
+// Suspicion by other routers ejects nothing by itself; with it, a single failure seen by this router is enough. The
+// suspicion expires.
 func TestHealthObservationAloneEjectsNothing(t *testing.T) {
 	ejects := map[float64]bool{0: false, suspicionThreshold / 2: false, suspicionThreshold: true, 1: true}
 	for suspicion, want := range ejects {
@@ -163,7 +164,7 @@
 		assert.Equal(t, want, c.ejectedUntil > r.now, "suspicion %v", suspicion)
 		if want {
 			assert.InDelta(t, min(firstEjectionSeconds*4, maxEjectionSeconds), c.ejectedUntil-r.now, 1e-9,
-				"as long as one that failed before: other routers found it so")
+				"as long as for an endpoint with earlier ejections: other routers suspect it")
 		}
 	}
 	r := newTestRouter(Idempotent)
@@ -174,8 +175,8 @@
 	assert.Zero(t, c.ejectedUntil, "the suspicion has expired")
 }
 
-// The longest ejection hides how many ejections a suspicion counts for and how many doublings there are: the first is
-// held by its sum with the longest, the second by the time of an endpoint that fails without end.
+// The maximum ejection time masks both the number of ejections that a suspicion counts as and the number of doublings.
+// The former is checked by the sum that equals the maximum, the latter by an endpoint that fails forever.
 func TestEjectionsDoubleUpToTheLongest(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	c := r.findOrAddEndpoint("c0")
@@ -186,12 +187,12 @@
 	}
 	c.ejections = 1 << 40
 	r.ejectOrDecreaseLimit(c)
-	assert.InDelta(t, 4, c.ejectedUntil-r.now, 1e-9, "after very many")
+	assert.InDelta(t, 4, c.ejectedUntil-r.now, 1e-9, "after very many ejections")
 	suspected := r.findOrAddEndpoint("c1")
 	suspected.suspectedUntil = r.now + 1
 	r.ejectOrDecreaseLimit(suspected)
 	assert.InDelta(t, 4, suspected.ejectedUntil-r.now, 1e-9)
 	whenSuspected := firstEjectionSeconds * math.Pow(2, suspicionEjections)
 	//nolint:testifylint // exact by intent
-	assert.Equal(t, maxEjectionSeconds, whenSuspected, "no more and no less than the longest")
+	assert.Equal(t, maxEjectionSeconds, whenSuspected, "exactly the maximum ejection time")
 }
--- a/routing/purge.go
+++ b/routing/purge.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	maxPurges              = 16384 // purges remembered: bounds memory; caches may return with a disk after hours
-	forgottenPurgesDivisor = 8     // one in so many purges is forgotten when there are too many
+	maxPurges              = 16384 // bounds the memory for purges; caches may return with their disk after hours
+	forgottenPurgesDivisor = 8     // fraction (1/n) of the purges dropped when there are too many
 )
 
-// purgeKey names what a purge invalidates: an object, or a group where there is none.
+// purgeKey is the object that a purge invalidates, or the object group if object is empty.
 type purgeKey struct {
 	object string
 	group  int
 }
 
-// recordPurge remembers a purge and forgets what was thought cached of it.
+// recordPurge records a purge and removes what it invalidates from the known contents of the caches.
 func (r *Router) recordPurge(p Purge) {
 	key := purgeKey{object: p.Object}
 	if p.Object == "" {
@@ -39,8 +39,9 @@
 	}
 }
 
-// forgetOldestPurges drops some of the purges, so that it is not done for each one, and remembers until when: copies
-// that an endpoint with an older disk brings back must be younger than that (see ageOfNewestPurge).
+// evictOldestPurges drops several of the oldest purges at once, so that it does not run for each new purge, and records
+// the time of the latest dropped one: copies on the disk of a restarted endpoint must be newer than that (see
+// ageOfNewestPurge).
 func (r *Router) forgetOldestPurges() {
 	times := make([]float64, 0, len(r.purges))
 	for _, at := range r.purges {
--- a/routing/purge_test.go
+++ b/routing/purge_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A cache that was down during a purge may return with its disk, long after running caches dropped their copies.
+// A cache that was down during a purge may return with its disk, long after running caches have dropped their copies.
 func TestPurgeBoundsCopyAgeHoweverLongAgo(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	p := r.findOrAddObject("x", 3).findOrAddChunk(0)
@@ -23,10 +23,11 @@
 	assert.InDelta(t, 3600.2-purgeAgeMarginSeconds, r.maxCopyAge(req, a), 1e-9)
 	r.Decide(3710, Purge{ObjectGroup: 3})
 	//nolint:testifylint // exact by intent
-	assert.Equal(t, minCopyAgeSeconds, r.maxCopyAge(other, a), "never 0, which means any")
+	assert.Equal(t, minCopyAgeSeconds, r.maxCopyAge(other, a), "never 0, which allows any age")
 }
 
-// Purges are forgotten in the end. An endpoint that started since may serve nothing from before them.
+// Old purges are dropped to bound memory. An endpoint that started after the latest dropped one must not serve copies
+// from before it.
 func TestForgottenPurgesBoundCopyAgeOfEndpointsStartedSince(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	for i := range maxPurges + 1 {
@@ -39,11 +40,11 @@
 	a.target.StartedAt = r.purgesForgottenUntil + 1
 	assert.InDelta(t, r.now-r.purgesForgottenUntil-purgeAgeMarginSeconds, r.maxCopyAge(req, a), 1e-9)
 	a.target, a.source = a.source, a.target
-	assert.Positive(t, r.maxCopyAge(req, a), "as a source of fills too")
+	assert.Positive(t, r.maxCopyAge(req, a), "also as a source of fills")
 }
 
-// Under congestion a late answer earns less than a stale copy in time. Asking for a fresh copy then fills the link
-// further. The allowed age must grow by the stale time, but never past a purge, and not where a late answer is worth
+// During congestion, a late answer is worth less than a timely stale copy, and requesting a fresh copy loads the link
+// further. The maximum copy age must grow by the stale time, but never past a purge, and not if a late answer is worth
 // more.
 func TestStaleCopyWillDoUnderCongestionUnlessPurged(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
@@ -61,7 +62,7 @@
 	assert.Zero(t, r.maxCopyAge(req, a), "a late answer is worth more")
 }
 
-// The number of purges that are remembered; a trace notices it only through endpoints that start later.
+// The number of purges that are remembered: decision traces cover it only through endpoints that start later.
 func TestPurgesAreRememberedUpToTheirNumber(t *testing.T) {
 	const remembered = 16384
 	r := newTestRouter(WithIdempotencyKey)
@@ -72,6 +73,6 @@
 	assert.Len(t, r.purges, remembered)
 	assert.Zero(t, r.purgesForgottenUntil)
 	purge(remembered)
-	assert.Len(t, r.purges, remembered-remembered/8, "an eighth is forgotten at once")
+	assert.Len(t, r.purges, remembered-remembered/8, "an eighth is dropped at once")
 	assert.Equal(t, 100+float64(remembered/8)/100, r.purgesForgottenUntil) //nolint:testifylint // exact by intent
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -5,41 +5,41 @@
 	"slices"
 )
 
-// request is an open request with what is wanted for it.
+// request is an open request with its desired state.
 type request struct {
 	RequestArrived
-	token            uint64 // of its timers
+	token            uint64 // token of its timers
 	arrivedAt        float64
-	sendSeconds      float64 // of its size, or its class's mean
-	sendTimeLearned  bool    // sendSeconds is from answers, as the size is not known
+	sendSeconds      float64 // expected sending time, from its size or the mean of its class
+	sendTimeLearned  bool    // size unknown: sendSeconds is estimated from earlier answers
 	priorityPerKB    float64
-	objectiveSeconds float64 // s, of its size
+	objectiveSeconds float64 // latency objective for its size
 	chunk            *chunk
 	object           *object
-	firstOfChunk     bool // no request for the chunk was seen before
+	firstOfChunk     bool // first request for the chunk that this router has received
 	state            requestState
 	attempts         []*attempt
-	wakeAt           float64 // when it is to be planned again
-	timerAt          float64 // when its next timer fires, 0 for none
+	wakeAt           float64 // time of its next planning
+	timerAt          float64 // time of its pending timer, 0 if none
 }
 
-// requestState is where a request is between its arrival and its end. These are all transitions; Router.moveRequest
-// makes them and no other:
+// requestState is the state of a request between its arrival and its end. The table lists all transitions; only
+// Router.moveRequest makes them:
 //
 //	from    to      when
-//	open    queued  it may have another attempt and no endpoint has room
-//	queued  open    it gets an attempt, or its attempts are awaited
+//	open    queued  it may have another attempt and no endpoint has capacity
+//	queued  open    it gets an attempt, or waits for its attempts in flight
 //	open    ended   it has completed, its final action is emitted, or its client has disconnected
-//	queued  ended   likewise
+//	queued  ended   as for open to ended
 type requestState uint8
 
 const (
-	requestOpen   requestState = iota // its attempts are chosen or in flight
-	requestQueued                     // it is in the queue; attempts that were taken for lost may be in flight
-	requestEnded                      // no answer is owed; the ends of its attempts may be awaited
+	requestOpen   requestState = iota // its attempts are selected or in flight
+	requestQueued                     // it is in the queue; attempts presumed lost may be in flight
+	requestEnded                      // it needs no answer; attempts may still be in flight
 )
 
-// moveRequest takes a request to another state, and into the queue or out of it. An ended one stays ended.
+// moveRequest sets the state of a request, and adds it to the queue or removes it. An ended request stays ended.
 func (r *Router) moveRequest(req *request, to requestState) {
 	if req.state == to || req.state == requestEnded {
 		return
@@ -54,12 +54,12 @@
 	req.state = to
 }
 
-// compareInQueue orders queued requests: the highest priority a KB first, then the oldest.
+// compareInQueue orders queued requests by priority per KB, highest first, then by age, oldest first.
 func compareInQueue(a, b *request) int {
 	return cmp.Or(cmp.Compare(b.priorityPerKB, a.priorityPerKB), cmp.Compare(a.token, b.token))
 }
 
-// addRequest enters a request under its id and a new token, and finds its chunk.
+// addRequest registers a request under its ID and a new token, and assigns its object and chunk.
 func (r *Router) addRequest(req *request) {
 	r.sequence++
 	req.token = r.sequence
@@ -71,7 +71,7 @@
 	req.firstOfChunk = !req.chunk.requested
 }
 
-// removeUnlessInFlight forgets a request that has ended, once the ends of all its attempts are known.
+// removeUnlessInFlight removes an ended request once all its attempts have ended.
 func (r *Router) removeUnlessInFlight(req *request) {
 	if !slices.ContainsFunc(req.attempts, isInFlight) {
 		delete(r.requests, req.Request)
@@ -79,7 +79,7 @@
 	}
 }
 
-// findAttempt finds an attempt of an open request, nil where there is none.
+// findAttempt returns an attempt and its request, or nils if they are not known.
 func (r *Router) findAttempt(id RequestID, number int) (*request, *attempt) {
 	req := r.requests[id]
 	if req == nil || number < 0 || number >= len(req.attempts) {
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -6,24 +6,25 @@
 )
 
 const (
-	idempotencyMarginSeconds = 0.25 // time before the end of an idempotency key's window: for the way to the endpoint
-	sendMarginSeconds        = 0.05 // time before an attempt may not be begun any more: for the way to the socket
-	endpointPauseSeconds     = 0.1  // time after an attempt's end in which its request leaves that endpoint alone
-	retryAfterMeanSeconds    = 1.5  // mean time that a rejected client should stay away: congestion lasts seconds
-	retryAfterLeastShare     = 0.5  // least share of the mean; up to once the mean is drawn on top
+	idempotencyMarginSeconds = 0.25 // margin before the end of the idempotency window: travel time to the endpoint
+	sendMarginSeconds        = 0.05 // margin before the latest time of sending: time until the socket is written
+	endpointPauseSeconds     = 0.1  // delay after an attempt's end before its request uses that endpoint again
+	retryAfterMeanSeconds    = 1.5  // mean delay before a rejected client retries: congestion lasts seconds
+	retryAfterLeastShare     = 0.5  // minimum as a share of the mean; a random part of up to the mean is added
 )
 
-// provesNotRun says whether the request cannot have had its effect at the endpoint.
+// provesNotRun reports whether the result proves that the request had no effect at the endpoint.
 func (a AttemptResult) provesNotRun() bool {
 	return a == Overloaded || a == ConnectFailed || a == NotSent || a == CacheMiss
 }
 
-// mayHaveRun says whether an attempt may have had its effect.
+// mayHaveRun reports whether an attempt may have had its effect.
 func (a *attempt) mayHaveRun() bool {
 	return a.state.inFlight() || (a.state == attemptEnded && !a.result.provesNotRun())
 }
 
-// mayRetry allows a further attempt within the limits of attempts and budget if it cannot run a request twice (rule 2).
+// mayRetry reports whether a request may have another attempt: within its limits of attempts and retry budget, and
+// without the risk of running twice (rule 2).
 func (r *Router) mayRetry(req *request) bool {
 	class := r.class(req.Class)
 	for _, a := range req.attempts {
@@ -34,14 +35,14 @@
 	return r.hasRetriesLeft(class, len(req.attempts))
 }
 
-// hasRetriesLeft says whether a request of a class that had some attempts may have one more.
+// hasRetriesLeft reports whether a request of a class may have another attempt after a number of attempts.
 func (r *Router) hasRetriesLeft(class *class, attempts int) bool {
 	exhausted := class.retryBudgetExhausted && attempts > 0
 	return !exhausted && float64(attempts) < r.number(SettingMaxAttempts, 1)
 }
 
-// barsRetry says whether another run beside an attempt would do harm: both may have their effect, and no idempotency
-// key that endpoints still recognize makes them one.
+// preventsRetry reports whether an attempt rules out a retry: both may take effect, and no idempotency key that
+// endpoints still recognize deduplicates them.
 func (r *Router) barsRetry(class *class, a *attempt) bool {
 	if class.effect == Idempotent || !a.mayHaveRun() {
 		return false
@@ -50,18 +51,18 @@
 	return class.effect != WithIdempotencyKey || r.now > windowEnd
 }
 
-// barredByRetryBudget says whether a request that had some attempts may not go to an endpoint, whose budget of retries
-// is exhausted. It guards against retries that keep an endpoint down which fails under load: attempts then grow while
-// requests do not. First attempts pass, so an endpoint that works again is found.
+// excludedByRetryBudget reports whether an endpoint is excluded for a request with earlier attempts because its retry
+// budget is exhausted. It guards against retry storms that prevent an overloaded endpoint from recovering: attempts
+// then grow while requests do not. First attempts are not excluded, so a recovered endpoint is detected.
 func barredByRetryBudget(e *endpoint, attempts int) bool {
 	return e.retryBudgetExhausted && attempts > 0
 }
 
-// triedAlready says whether a request has used an endpoint: at all at the first fallback level, just now at the
-// others. It guards against a request that uses up its attempts within milliseconds at one endpoint that refuses at
-// once. Used tells whether an attempt has used it as target, or as source. An attempt in flight bars nothing at the
-// other levels: where there is a further attempt beside it, it was taken for lost, and its endpoint may be the only
-// one.
+// triedAlready reports whether a request has used an endpoint: ever, at the first fallback level, or within
+// endpointPauseSeconds, at the others. It guards against a request that uses up its attempts within milliseconds at an
+// endpoint that refuses immediately. The function used selects the role, target or source. At the other levels an
+// attempt in flight does not exclude its endpoint: a further attempt beside it means that it is presumed lost, and its
+// endpoint may be the only one.
 func triedAlready(req *request, e *endpoint, level fallbackLevel, now float64, used usedFunc) bool {
 	for _, a := range req.attempts {
 		if used(a, e) && (level == untriedOnly || now < a.endedAt+endpointPauseSeconds) {
@@ -71,9 +72,9 @@
 	return false
 }
 
-// sendBefore is when an attempt that is decided now may not be begun any more. A connection that comes up late, or
-// whose socket takes nothing, must not carry it past the grace of a drain (rule 3) or of a purge (rule 5) that is heard
-// of meanwhile, nor past the window of its idempotency key (rule 2).
+// sendBefore returns the time from which an attempt decided now must not be sent any more. A connection that is
+// established late, or whose socket blocks, must not delay the attempt past the grace period of a drain (rule 3) or a
+// purge (rule 5) received meanwhile, nor past its idempotency window (rule 2).
 func (r *Router) sendBefore(req *request) float64 {
 	grace := min(r.number(SettingDrainGrace, math.Inf(1)), r.number(SettingPurgeGrace, math.Inf(1)))
 	latest := min(req.Deadline, r.now+grace)
@@ -86,7 +87,8 @@
 	return max(latest-sendMarginSeconds, r.now)
 }
 
-// inDeduplicationScope keeps a request that may have run where its idempotency key is recognized (rule 2).
+// inDeduplicationScope reports whether an endpoint recognizes the idempotency key of a request that may have run at
+// other endpoints (rule 2).
 func (r *Router) inDeduplicationScope(req *request, e *endpoint) bool {
 	class := r.class(req.Class)
 	return class.effect != WithIdempotencyKey || !slices.ContainsFunc(req.attempts, func(a *attempt) bool {
@@ -96,8 +98,8 @@
 	})
 }
 
-// chooseFinalAction is the answer to a request that is given up: rejected where the client may safely repeat it, else
-// aborted (rule 2).
+// chooseFinalAction returns the final action for a request that is given up: a rejection if the client may safely
+// repeat it, otherwise an abort (rule 2).
 func (r *Router) chooseFinalAction(req *request) Action {
 	class := r.class(req.Class)
 	recognized := class.effect == WithIdempotencyKey && class.deduplicationScope == AnyScope
@@ -107,17 +109,18 @@
 	return RejectRequest{Request: req.Request, RetryAfterSeconds: r.retryAfterSeconds()}
 }
 
-// retryAfterSeconds is how long a rejected client should stay away, 0 for no advice. It is drawn, so that clients that
-// were rejected together do not return together.
+// retryAfterSeconds returns the delay before a rejected client retries, 0 if unset. The delay is random, so that
+// clients that were rejected together do not retry together.
 func (r *Router) retryAfterSeconds() float64 {
 	drawn := retryAfterMeanSeconds * (retryAfterLeastShare + r.nextRandom())
 	if !r.settings.Bool(SettingRetryAfterAllowed) {
-		drawn = 0 // after the draw, so that the settings do not change the sequence of random numbers
+		drawn = 0 // after the draw, so that settings do not change the random sequence
 	}
 	return min(drawn, r.number(SettingMaxRetryAfter, 0))
 }
 
-// retryBudgetChanged notes whether there are retries left for an endpoint, or for a class where none is named.
+// retryBudgetChanged records whether the retry budget of an endpoint, or of a class if no endpoint is named, is
+// exhausted.
 func (r *Router) retryBudgetChanged(ev RetryBudgetChanged) {
 	if e := r.findEndpoint(ev.Endpoint); e != nil {
 		e.retryBudgetExhausted = !ev.Available
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A rejection tells the client that trying again is harmless. For a non-idempotent request that is still out this would
-// be wrong: it may run twice. Such a request must be aborted, any other rejected, and none of them before its time.
+// A rejection reports to the client that repeating the request is safe. For a non-idempotent request with an attempt in
+// flight that is wrong, as it may run twice. Such a request must be aborted, any other one rejected, and none before
+// the margin at its deadline.
 func TestGiveUpAtDeadlineRejectsUnlessRequestMayHaveRun(t *testing.T) {
 	for _, c := range []struct {
 		effect Effect
@@ -24,7 +25,7 @@
 		req := addSentRequest(r, Overloaded, c.out)
 		r.now = 104.9
 		r.plan(req)
-		assert.Nil(t, finalAction(r), "before its time")
+		assert.Nil(t, finalAction(r), "before the deadline margin")
 		r.now = 105 - deadlineMarginSeconds
 		req.attempts = req.attempts[:1]
 		r.plan(req)
@@ -32,8 +33,8 @@
 	}
 }
 
-// A retry after an attempt that may have run makes a non-idempotent request run twice. Without a retry after one that
-// surely did not run, requests are lost for nothing. For each effect and each result the request must be retried or
+// A retry after an attempt that may have run makes a non-idempotent request run twice; no retry after one that
+// certainly did not run loses the request needlessly. For each effect and result, the request must be retried or
 // aborted as the result proves.
 func TestRetryDependsOnEffectAndResult(t *testing.T) {
 	proves := map[AttemptResult]bool{Overloaded: true, ConnectFailed: true, NotSent: true, CacheMiss: true}
@@ -53,8 +54,8 @@
 	}
 }
 
-// An endpoint forgets an idempotency key after its window, and a retry after that runs again. The window must count
-// from the first attempt that may have run, and attempts that did not run must not start it.
+// An endpoint drops an idempotency key after its window, and a later retry runs again. The window must start with the
+// first attempt that may have run, and attempts that did not run must not start it.
 func TestIdempotencyWindowCountsFromAttemptThatMayHaveRun(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	req := addSentRequest(r, ConnectionBroken, false)
@@ -67,7 +68,7 @@
 }
 
 // An endpoint recognizes a key only within its deduplication scope. A retry in another cell would run the request a
-// second time. Endpoints outside of the scope must not be used.
+// second time, so endpoints outside of the scope must not be used.
 func TestRetryWithIdempotencyKeyStaysInItsScope(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	r.settings[ClassSetting(1, ClassDeduplicationScope)] = string(CellScope)
@@ -77,8 +78,8 @@
 	assert.True(t, r.inDeduplicationScope(req, r.findOrAddEndpoint("c2")))
 }
 
-// Cancelling the only attempt of a non-idempotent request throws its answer away and allows no other. Without hedging
-// the router must wait for it, without a cancel and without a final answer.
+// Cancelling the only attempt of a non-idempotent request discards its answer and allows no other attempt. Without
+// hedging, the router must wait for it, with neither a cancel nor a final action.
 func TestNonIdempotentAttemptIsNotCancelledWhenSilent(t *testing.T) {
 	r := newTestRouter(NonIdempotent)
 	r.settings[SettingHedging] = "false"
@@ -89,7 +90,8 @@
 	assert.Nil(t, finalAction(r))
 }
 
-// An exhausted budget stops the retries of a class and leaves first attempts alone; that of an endpoint bars it alone.
+// An exhausted retry budget of a class stops its retries but not its first attempts; the budget of an endpoint excludes
+// only that endpoint.
 func TestExhaustedRetryBudgetStopsRetriesOnly(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	fresh, once := &request{}, &request{attempts: []*attempt{{state: attemptEnded, result: Overloaded}}}
@@ -112,14 +114,14 @@
 	assert.True(t, r.usable(once, e, 0, used))
 }
 
-// TestAttemptIsNotBegunAfterGraceOrWindow holds until when the connection may begin an attempt: drains and purges may
-// be heard of right after it was decided, and the window of an idempotency key counts from the first one that may have
+// TestAttemptIsNotSentAfterGraceOrWindow checks the time until which the connection may send an attempt: drains and
+// purges may arrive right after the decision, and the idempotency window starts with the first attempt that may have
 // run.
-func TestAttemptIsNotBegunAfterGraceOrWindow(t *testing.T) {
+func TestAttemptIsNotSentAfterGraceOrWindow(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	r.settings[SettingDrainGrace], r.settings[SettingPurgeGrace] = "1", "0.5"
 	first := actionsOf[StartAttempt](r.Decide(100, newArrival("a", "x")))
-	assert.InDelta(t, 100.45, first[0].SendBefore, 1e-9, "the traces do not have it: the margin of 50 ms is held here")
+	assert.InDelta(t, 100.45, first[0].SendBefore, 1e-9, "the 50 ms margin, which the decision traces do not cover")
 
 	req := addSentRequest(r, ConnectionBroken, false)
 	r.now = 104.6
@@ -128,12 +130,12 @@
 	req.Deadline = 109
 	assert.InDelta(t, 105.1-sendMarginSeconds, r.sendBefore(req), 1e-9)
 	r.now = 108.99
-	assert.InDelta(t, 108.99, r.sendBefore(req), 1e-9, "not before now: the deadline itself bounds it")
+	assert.InDelta(t, 108.99, r.sendBefore(req), 1e-9, "not before now: the deadline itself limits it")
 }
 
-// A zone has one cache, and the connection of an attempt there is silent while the cache answers others. Left alone for
-// the attempt that is still in flight, it could not serve the request, which would end at its deadline. It gets another
-// attempt, and only once the first is taken for lost.
+// In a zone with a single cache, the connection of an attempt is silent while the cache answers others. If the attempt
+// in flight excluded the cache, the request could not be served and would end at its deadline. It must get another
+// attempt, but only after the first is presumed lost.
 func TestLostAttemptIsRetriedAtTheOnlyEndpoint(t *testing.T) {
 	r := New(7, testSettings(Idempotent))
 	r.Decide(100, EndpointUpdate{Kind: Restored, Endpoints: []Endpoint{
--- a/routing/router.go
+++ b/routing/router.go
@@ -3,15 +3,16 @@
 import "cmp"
 
 const (
-	deadlineMarginSeconds = 0.006 // time before the deadline at which a request is given up: a few ticks of the clock
-	queueShare            = 0.8   // share of the objective by which a queued request's attempt has to end
-	queuedSendTimes       = 2.0   // sending times that a queued request's attempt needs: the paths are full then
-	queueRecheckSeconds   = 0.1   // time between plans of a queued request that nothing else wakes
-	maxQueueRetries       = 12    // queued requests planned after each end of an attempt: bounds its work
-	unknownSizeKB         = 1.0   // size of a chunk where sizes are not known: chunks are counted then
+	deadlineMarginSeconds = 0.006 // margin before the deadline for giving up a request: a few clock ticks
+	queueShare            = 0.8   // share of the objective within which a queued request's attempt has to end
+	queuedSendTimes       = 2.0   // sending times expected for a queued request's attempt: its paths are full
+	queueRecheckSeconds   = 0.1   // interval between plans of a queued request without other events
+	maxQueueRetries       = 12    // queued requests planned after each end of an attempt: bounds the work
+	unknownSizeKB         = 1.0   // assumed size of a chunk of unknown size: all chunks count the same
 )
 
-// updateEndpoints takes news of the endpoints. One that started again is empty, cold and without results.
+// updateEndpoints applies an endpoint update. An endpoint that has restarted is empty, in slow start and without
+// results.
 func (r *Router) updateEndpoints(update EndpointUpdate) {
 	if update.Kind == Unavailable || (update.Kind == Restored && r.subscribesOnRequest()) {
 		r.actions = append(r.actions, SubscribeEndpoints{})
@@ -24,7 +25,7 @@
 	}
 }
 
-// requestArrived takes a request and decides its first attempt.
+// requestArrived registers a request and decides its first attempt.
 func (r *Router) requestArrived(arrived RequestArrived) {
 	sizeKnown := arrived.SizeKB > 0
 	arrived.SizeKB = cmp.Or(max(arrived.SizeKB, 0), unknownSizeKB)
@@ -36,7 +37,7 @@
 	r.plan(req)
 }
 
-// plan decides what is wanted for a request now and reconciles it with what is under way.
+// plan computes the desired state of a request and reconciles it with the current state.
 func (r *Router) plan(req *request) {
 	var final Action
 	if req.state != requestEnded {
@@ -45,8 +46,8 @@
 	r.reconcile(req, final)
 }
 
-// updateWanted decides what a request gets next: it adds its next attempt, moves it into the queue or out of it and
-// sets its wake time. It returns the final action of a request that is given up.
+// updateDesiredState decides the next step of a request: it adds its next attempt, moves it into or out of the queue
+// and sets its wake time. It returns the final action of a request that is given up.
 func (r *Router) updateWanted(req *request) Action {
 	req.wakeAt = answerBy(req)
 	step, next := r.chooseNextStep(req)
@@ -66,18 +67,18 @@
 	return nil
 }
 
-// nextStep is what a request gets next.
+// nextStep is the next step of a request.
 type nextStep int
 
 const (
-	awaitAttempts nextStep = iota // nothing but the ends of its attempts
-	sendAttempt                   // an attempt more
-	queueRequest                  // a place in the queue, until an endpoint has room
-	giveUp                        // a final action without a response
+	awaitAttempts nextStep = iota // wait for the attempts in flight
+	sendAttempt                   // send another attempt
+	queueRequest                  // wait in the queue until an endpoint has capacity
+	giveUp                        // emit a final action without a response
 )
 
-// chooseNextStep decides what a request gets next, and its attempt where that is one. A request is given up when its
-// time is over, or when nothing is in flight for it and no attempt may follow or could still be in time.
+// chooseNextStep returns the next step of a request, with the attempt to send for sendAttempt. A request is given up
+// when its deadline is reached, or when no attempt is in flight and no further attempt is allowed or could be in time.
 func (r *Router) chooseNextStep(req *request) (nextStep, *attempt) {
 	if r.now >= answerBy(req) {
 		return giveUp, nil
@@ -101,22 +102,22 @@
 	return giveUp, nil
 }
 
-// answerBy is when a request is given up, so that its final action is out before the client's deadline.
+// giveUpTime returns when a request is given up, so that its final action precedes the client's deadline.
 func answerBy(req *request) float64 { return req.Deadline - deadlineMarginSeconds }
 
-// queueUntil is until when an attempt on full paths that begins then is still in time.
+// queueUntil returns the latest time at which an attempt on paths at their limits can start and still be in time.
 func queueUntil(req *request) float64 {
 	return req.arrivedAt + queueShare*req.objectiveSeconds - queuedSendTimes*req.sendSeconds
 }
 
-// worthQueueing says whether a request that no endpoint has room for may wait for room. It guards against attempts that
-// are sent too late to be of use and fill the paths of others, which show as late answers after a burst is over. Until
-// queueUntil an attempt that takes as long as on full paths is still in time.
+// worthQueueing reports whether a request may wait in the queue for capacity. It guards against attempts that are sent
+// too late to be useful and take capacity from other requests, visible as late answers after a burst has ended. Until
+// queueUntil, an attempt on paths at their limits still ends in time.
 func (r *Router) worthQueueing(req *request) bool {
 	return r.now < queueUntil(req) && len(r.caches.endpoints) > 0
 }
 
-// addAttempt adds an attempt to a request, with how old its copy may be and whether a filled one is stored.
+// addAttempt adds an attempt to a request and sets its retention rank, maximum copy age and suspicion time.
 func (r *Router) addAttempt(req *request, next *attempt) {
 	if next.target.role == edgeCache && r.shouldStore(req, next.target) {
 		next.retentionRank = storedRank
@@ -130,8 +131,8 @@
 	req.wakeAt = min(req.wakeAt, next.suspectAt)
 }
 
-// reconcile emits the difference between what is wanted for a request and what is under way, and the final action of a
-// request that is given up. Each request ends once, so it gets one final action at most.
+// reconcile emits the difference between the desired and the current state of a request, and the final action if it is
+// given up. A request ends once, so it gets at most one final action.
 func (r *Router) reconcile(req *request, final Action) {
 	ended := req.state == requestEnded || final != nil
 	for i, a := range req.attempts {
@@ -156,7 +157,7 @@
 	}
 }
 
-// startAttempt emits an attempt and counts it at the limiters and at the cold endpoints that it loads.
+// startAttempt emits the action that sends an attempt and adds its load to the limiters and to endpoints in slow start.
 func (r *Router) startAttempt(req *request, a *attempt) {
 	a.move(attemptAwaited)
 	a.sentAt = r.now
@@ -170,8 +171,8 @@
 	r.recordColdWork(req, a)
 }
 
-// reviewAttempts reviews the attempts of a request. It tells whether any is in flight, and whether the request still
-// waits for one: attempts that this review or an earlier one took for lost are in flight and not awaited.
+// reviewAttempts reviews the attempts of a request. It reports whether any is in flight, and whether the request waits
+// for one: attempts presumed lost are in flight and not awaited.
 func (r *Router) reviewAttempts(req *request) (inFlight, awaited bool) {
 	for _, a := range req.attempts {
 		if !a.state.inFlight() {
@@ -179,7 +180,7 @@
 		}
 		inFlight = true
 		r.reviewAttempt(req, a)
-		if a.state == attemptAwaited { // none is stalled after its review
+		if a.state == attemptAwaited { // no attempt is stalled after its review
 			awaited = true
 			req.wakeAt = min(req.wakeAt, max(a.suspectAt, r.now+suspectRecheckSeconds))
 		}
@@ -187,7 +188,8 @@
 	return inFlight, awaited
 }
 
-// reviewAttempt takes an attempt in flight for lost if it is stalled, or if it is suspected by now and found lost.
+// reviewAttempt marks an attempt in flight as presumed lost if it is stalled, or if it is suspected and its review
+// finds it lost.
 func (r *Router) reviewAttempt(req *request, a *attempt) {
 	suspected := a.state == attemptAwaited && r.now >= a.suspectAt
 	if a.state == attemptStalled || (suspected && r.reviewSuspected(a)) {
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A client leaves while its request is in flight, and the attempt then fails. A retry would load an endpoint for
-// nobody. No attempt must start and the request must be forgotten.
+// A client disconnects while its attempt is in flight, and the attempt then fails. A retry would load an endpoint
+// without a recipient for the answer. No attempt must start, and the request must be removed.
 func TestDisconnectedClientStartsNoAttempt(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	addSentRequest(r, 0, true)
@@ -20,15 +20,15 @@
 	assert.Empty(t, r.requests)
 }
 
-// Where hedging is not allowed, a second attempt beside a lost one would run the request on two endpoints at a time.
-// The lost attempt must be cancelled first, and the retry must wait for its end and go elsewhere.
+// Without hedging, a second attempt beside a lost one would run the request at two endpoints at once. The lost attempt
+// must be cancelled first, and the retry must wait for its end and use another endpoint.
 func TestWithoutHedgingLostAttemptIsCancelledBeforeRetry(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	r.settings[SettingHedging] = "false"
 	req := addSentRequest(r, 0, true)
 	req.attempts[0].suspectAt = 100.3
 	r.now = 100.4
-	r.plan(req) // silent: cancelled, and the end is awaited
+	r.plan(req) // unresponsive: cancelled, and its end is awaited
 	assert.Equal(t, []CancelAttempt{{"t", 0}}, actionsOf[CancelAttempt](r.actions))
 	assert.Len(t, req.attempts, 1)
 	actions := r.Decide(100.41, AttemptEnded{Request: "t", Endpoint: "c0", Result: Cancelled})
@@ -36,16 +36,16 @@
 	assert.NotEqual(t, EndpointID("c0"), actionsOf[StartAttempt](actions)[0].Endpoint)
 }
 
-// With an empty endpoint list no attempt can ever be made. A request that waits until its deadline would only hold
-// memory and its client. It must be rejected at once.
+// With an empty endpoint list no attempt is possible, and waiting for the deadline would only hold memory and the
+// client. The request must be rejected immediately.
 func TestRequestWithoutEndpointsIsRejectedAtOnce(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	r.Decide(100, EndpointUpdate{Kind: Snapshot})
 	assert.Len(t, actionsOf[RejectRequest](r.Decide(100, newArrival("t", "x"))), 1)
 }
 
-// A request that nobody has room for is given up once twice its sending time would end past a share of its
-// objective; a large one at once.
+// A request without an endpoint with capacity is given up once twice its sending time would end after a share of its
+// objective; a large request is given up immediately.
 func TestRequestIsQueuedOnlyWhileAttemptCouldBeInTime(t *testing.T) {
 	for kb, most := range map[float64]float64{20: queueShare*0.54 - 0.04, 100: queueShare*0.7 - 0.2, 4000: 0} {
 		r := newTestRouter(Idempotent)
@@ -53,7 +53,7 @@
 			e.limiter.limit, e.limiter.provenLimit = 0, 0
 		}
 		a := newArrival("t", "x")
-		a.SizeKB = kb // at 1000 KB a second, the objective being half a second and two sending times
+		a.SizeKB = kb // at 1000 KB/s, with an objective of half a second plus two sending times
 		actions := r.Decide(100, a)
 		if most > 0 {
 			assert.Empty(t, actionsOf[RejectRequest](actions))
@@ -66,8 +66,8 @@
 	}
 }
 
-// When room comes back, a large request of the same class would take as much of it as several small ones. The queue
-// must release the request with the highest priority weight for each KB first.
+// When capacity becomes available, a large request takes as much of it as several small ones of the same class. The
+// queue must release the request with the highest priority weight per KB first.
 func TestQueueReleasesHighestPriorityPerKBFirst(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	for _, c := range r.caches.endpoints {
@@ -87,8 +87,8 @@
 	assert.Equal(t, RequestID("small"), acts[0].Request)
 }
 
-// Missing settings, an empty list or endpoints without a weight end in divisions by zero or in requests that are never
-// answered. Each request must get exactly one final answer.
+// Missing settings, an empty list or endpoints without weight could cause divisions by zero or requests that are never
+// answered. Each request must get exactly one final action.
 func TestBareSettingsAndOddEndpointListsAreAnswered(t *testing.T) {
 	lists := map[string][]Endpoint{"empty": nil, "one cache": {{ID: "c"}}, "zero weight": {{ID: "c"}, {ID: "d"}}}
 	for name, rows := range lists {
@@ -105,8 +105,8 @@
 	}
 }
 
-// A decision that depends on the order of a map or on the clock of the machine can be neither replayed nor compared.
-// The same events with the same seed must give the same actions.
+// Decisions that depend on the order of a map or on the system clock could be neither replayed nor compared. The same
+// events and seed must give the same actions.
 func TestSameEventsGiveSameActions(t *testing.T) {
 	run := func() (out []Action) {
 		r := newTestRouter(WithIdempotencyKey)
@@ -125,8 +125,8 @@
 	assert.Equal(t, first, second)
 }
 
-// An attempt whose connection stalled is given up and its endpoint is not ejected. One that must not run twice is
-// waited for.
+// An attempt with a stalled connection is given up without ejecting its endpoint. If the request must not run twice,
+// the router waits for the attempt instead.
 func TestStalledAttemptIsGivenUpWithoutEjection(t *testing.T) {
 	for effect, want := range map[Effect]attemptState{
 		Idempotent:         attemptCancelled,
--- a/routing/samples.go
+++ b/routing/samples.go
@@ -1,6 +1,6 @@
 package routing
 
-// appendSample appends to the last samples, of which it keeps a number at most.
+// appendSample appends a sample and drops the oldest samples beyond the maximum number.
 func appendSample[S any](samples []S, sample S, most int) []S {
 	if len(samples) >= most {
 		samples = append(samples[:0], samples[len(samples)-most+1:]...)
@@ -8,7 +8,7 @@
 	return append(samples, sample)
 }
 
-// meanIfEnough is the mean of samples once there are so many of them.
+// meanIfEnough returns the mean of at least a minimum number of samples, or the default value if there are fewer.
 func meanIfEnough(samples []float64, enough int, otherwise float64) float64 {
 	if len(samples) < enough {
 		return otherwise
@@ -24,7 +24,7 @@
 	return sum / float64(len(samples))
 }
 
-// indicator is 1 for true and 0 for false.
+// indicator returns 1 for true and 0 for false.
 func indicator(condition bool) float64 {
 	if condition {
 		return 1
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	zoneDistanceFactor   = 2.0  // times as seldom first in hash order a zone of distance: fills cost more
-	minHashWeight        = 1e-3 // capacity, in transfers, that an endpoint counts for at least in the hash order
-	maxCandidates        = 64   // endpoints of a list that a choice tries: where these are full, few others are not
-	minCacheOnlyHitShare = 0.1  // share of hits where a miss is expected that makes a cache-only attempt worth it
-	maxMissSamples       = 64   // last attempts expected to miss that the miss rate is taken of: these vary widely
-	minMissSamples       = 8    // number of these before their mean is used
-	unknownMissRate      = 1.0  // share of misses before that
-	peerFreshShare       = 0.5  // share of the fresh time after which a peer's copy is too near to its end
+	zoneDistanceFactor   = 2.0  // reduction of first ranks in hash order per zone of distance: fills cost more
+	minHashWeight        = 1e-3 // minimum weight in the hash order, in transfers
+	maxCandidates        = 64   // candidates tried per selection: if all are at their limits, most others are
+	minCacheOnlyHitShare = 0.1  // minimum hit rate, where a miss is expected, for a cache-only attempt
+	maxMissSamples       = 64   // recent attempts sampled for the miss rate: it varies widely
+	minMissSamples       = 8    // samples required before their mean is used
+	unknownMissRate      = 1.0  // miss rate assumed with fewer samples
+	peerFreshShare       = 0.5  // share of the fresh time after which a peer's copy expires too soon
 )
 
-// fallbackLevel says which endpoints a request may use. Each level allows more than the one before it and is used where
-// no endpoint is usable at that. Limits, budgets of retries and cold budgets hold at each level.
+// fallbackLevel determines which endpoints a request may use. Each level allows more endpoints than the one before it,
+// and applies if no endpoint is usable at that one. Limits, retry budgets and slow-start budgets apply at all levels.
 type fallbackLevel int
 
 const (
-	untriedOnly    fallbackLevel = iota // not used by this request, and not ejected
-	triedAllowed                        // no attempt of this request ended there just now, and not ejected
-	ejectedAllowed                      // as before; ejected ones too if there is no other
+	untriedOnly    fallbackLevel = iota // endpoints not used by this request and not ejected
+	triedAllowed                        // not ejected, and no attempt of this request ended there just now
+	ejectedAllowed                      // as triedAllowed, and ejected endpoints if there are no others
 	fallbackLevelCount
 )
 
-// chooseAttempt picks the target and the fill's source of a next attempt, or returns nil if no endpoint has room.
+// chooseAttempt selects the target and the fill source of a request's next attempt. It returns nil if no endpoint has
+// capacity.
 func (r *Router) chooseAttempt(req *request) *attempt {
 	caches, parents := r.cacheCandidates(req.object), r.parentCandidates(req.object)
 	defer caches.release()
@@ -62,8 +63,9 @@
 	return a
 }
 
-// chooseTarget is the first usable cache in hash order. Where caches may be bypassed, uncacheable requests do so, and
-// others do if no cache is usable at the first fallback level and the zone's link has room.
+// chooseTarget returns the first usable cache in hash order. Where direct attempts are allowed, uncacheable requests
+// bypass the caches; other requests do so if no cache is usable at the first fallback level and the zone's link has
+// capacity.
 func (r *Router) chooseTarget(req *request, caches candidates, sources [2]candidates) *endpoint {
 	direct, uncacheable := r.settings.Bool(SettingDirectAttempts), r.uncacheable(req)
 	for level := untriedOnly; level < fallbackLevelCount; level++ {
@@ -85,7 +87,8 @@
 	return nil
 }
 
-// chooseSource is the first usable parent or origin, or the target itself if there is none: see attempt.hasSource.
+// chooseSource returns the first usable parent cache or origin, or the target itself if there is none: see
+// attempt.hasSource.
 func (r *Router) chooseSource(req *request, target *endpoint, sources [2]candidates) *endpoint {
 	for level := untriedOnly; level < fallbackLevelCount; level++ {
 		for _, list := range sources {
@@ -98,8 +101,8 @@
 	return target
 }
 
-// usable says whether a request may use an endpoint at a fallback level. Used tells whether an attempt has used
-// the endpoint as target, or as source.
+// usable reports whether a request may use an endpoint at a fallback level. The function used selects the role, target
+// or source, in which earlier attempts are checked.
 func (r *Router) usable(req *request, e *endpoint, level fallbackLevel, used usedFunc) bool {
 	return !r.barredByEjection(e, level) &&
 		e.limiter.admits(req.Write, r.now) &&
@@ -108,10 +111,10 @@
 		r.withinColdBudget(req, e)
 }
 
-// limitFill holds a fill to the limits on its way, and says whether the attempt may be made. Where a limit is reached,
-// one attempt goes only as far as the cache or the parent.
+// limitFill applies the limits on the fill path to an attempt, and reports whether it may be sent. If a limit is
+// reached, one attempt per request is sent that goes only as far as the cache or the parent.
 func (r *Router) limitFill(req *request, a *attempt) bool {
-	var origin *limiter // nil where the origin is not reached
+	var origin *limiter // nil if the fill does not reach the origin
 	if !req.chunk.filledByParent {
 		origin = r.originLimiter()
 	}
@@ -134,9 +137,10 @@
 	return true
 }
 
-// fillWithinLimits is how far an attempt may go for a chunk that its target lacks. It guards against requests that wait
-// for a full link while a cache has what they ask for, as a router with few requests does not know all copies. A wrong
-// guess costs one short attempt. Writes pass these limits: nothing cached answers them.
+// fillWithinLimits returns how far an attempt may go for a chunk that is not known to be cached at its target. It
+// guards against requests that wait for a link at its limit while a cache has the chunk: a router with few requests
+// does not know all copies. A wrong guess costs one short attempt. Writes are exempt from these limits, because no
+// cached copy answers them.
 func (r *Router) fillWithinLimits(req *request, a *attempt, origin *limiter) fillPlan {
 	linkFull := !req.Write && !r.zoneLink.hasRoom(r.now)
 	originFull := !req.Write && origin != nil && !origin.hasRoom(r.now)
@@ -151,7 +155,7 @@
 	return expectFill
 }
 
-// mayTryCacheOnly allows one cache-only attempt a request, and to the cache alone only where hits are likely.
+// mayTryCacheOnly allows one cache-only attempt per request, and one at the target alone only if hits are likely.
 func (r *Router) mayTryCacheOnly(req *request, a *attempt) bool {
 	if r.uncacheable(req) || slices.ContainsFunc(req.attempts, isCacheOnly) {
 		return false
@@ -159,13 +163,14 @@
 	return a.fill == sourceOnly || r.missRate() <= 1-minCacheOnlyHitShare
 }
 
-// missRate is the share of the last attempts expected to miss that did.
+// missRate returns the share of misses among recent attempts that expected one.
 func (r *Router) missRate() float64 {
 	return meanIfEnough(r.missSamples, minMissSamples, unknownMissRate)
 }
 
-// peerWithChunk is another cache of the zone that is known to have a chunk which the target lacks, after restarts,
-// ejections and full limits. It spares the link; a wrong guess costs one short attempt.
+// peerWithChunk returns another cache of the zone that is known to have a chunk which the target lacks, as after
+// restarts, ejections and limits that were reached. A peer fill spares the zone's link; a wrong guess costs one short
+// attempt.
 func (r *Router) peerWithChunk(req *request, target *endpoint) *endpoint {
 	tried := slices.ContainsFunc(req.attempts, isFromPeer)
 	if !r.mayUsePeers() || tried || target.cached[req.chunk] != nil || r.uncacheable(req) {
@@ -181,21 +186,21 @@
 	return nil
 }
 
-// mayFillPeers says whether a cache of the zone has room to fill a miss of another one.
+// mayFillPeers reports whether a cache of the zone has capacity to serve the miss of a peer.
 func (r *Router) mayFillPeers(req *request, e *endpoint) bool {
 	return e.listed.list == &r.caches && e.ejectedUntil <= r.now && e.limiter.hasRoom(r.now) &&
 		r.withinColdBudget(req, e)
 }
 
-// stillCached says whether a copy was used within its cache's horizon and, of a class whose copies expire after some
-// seconds, is fresh for long enough.
+// stillCached reports whether a copy was used within its cache's horizon and, for a class whose copies expire after
+// some seconds, remains fresh for long enough.
 func (r *Router) stillCached(copied *cachedChunk, cache *endpoint, freshSeconds float64) bool {
 	return r.now-copied.lastUsedAt < r.horizon(cache) &&
 		(freshSeconds == 0 || r.now-copied.filledAt < peerFreshShare*freshSeconds)
 }
 
-// hashScore is that of weighted rendezvous hashing, of a hash between 0 and 1. Nearer and heavier endpoints come
-// first more often.
+// hashScore returns the weighted rendezvous hashing score of an endpoint for a hash in the interval (0, 1). Nearer
+// endpoints and those of higher weight rank first more often.
 func hashScore(unit float64, e *endpoint) float64 {
 	score := math.Log(unit) / max(e.Weight, minHashWeight)
 	return score * math.Pow(zoneDistanceFactor, e.zonesAway)
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// When one cache goes, an order that shuffles the others would lose what they have cached. The rest must keep their
-// order, and a request must skip a cache without room for the next in that order.
+// If the removal of one cache reordered the others, requests would miss what these have cached. The remaining caches
+// must keep their order, and a request must skip a cache at its limit for the next one in that order.
 func TestHashOrderIsStableAndSkipsFullCaches(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	all := highestByHash("x", r.caches.endpoints, 3)
@@ -19,13 +19,13 @@
 		return e == all[0]
 	}), 3)
 	assert.Equal(t, []EndpointID{all[1].ID, all[2].ID}, []EndpointID{less[0].ID, less[1].ID})
-	all[0].limiter.inFlight = all[0].limiter.limit // it has no room
+	all[0].limiter.inFlight = all[0].limiter.limit // at its limit
 	starts := actionsOf[StartAttempt](r.Decide(100, newArrival("t", "x")))
 	require.Len(t, starts, 1)
 	assert.Equal(t, all[1].ID, starts[0].Endpoint)
 }
 
-// A draining endpoint ends soon, and what is sent to it is lost. Neither as target nor as source may it get an attempt,
+// A draining endpoint stops soon, and attempts sent to it are lost. It must get no attempt, as target or as source,
 // even if it is known to have the chunk.
 func TestDrainingAndRemovedEndpointsAreNeverUsed(t *testing.T) {
 	for _, status := range []EndpointStatus{Draining, Removed} {
@@ -48,8 +48,8 @@
 	}
 }
 
-// A fill from a far parent takes the longer path. If all objects went to the nearest parent, the others would stay
-// empty. The nearer parent must get more objects, in proportion to the distance factor.
+// Fills from distant parents are slower, but if all objects used the nearest parent, the others would have nothing
+// cached. The nearer parent must get more objects, in proportion to the distance factor.
 func TestHashOrderPrefersNearerParents(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	r.findOrAddEndpoint("p1").Zone, r.settings[SettingParentZoneOf], r.numbers[SettingZone] = 1, "0,1,0", 2
@@ -63,23 +63,23 @@
 	assert.InDelta(t, 300*zoneDistanceFactor/(1+zoneDistanceFactor), near, 40)
 }
 
-// While the zone's link is full, a request for a cached chunk would wait for nothing, and a second cache-only attempt
-// would only repeat the first miss. One attempt without a fill must be made, and after a miss the request must be
-// queued until the link has room.
+// While the zone's link is at its limit, a request for a cached chunk would wait needlessly, and a second cache-only
+// attempt would only repeat the first miss. One attempt without a fill must be sent, and after a miss the request must
+// be queued until the link has capacity.
 func TestFullLinkAllowsOneCacheOnlyAttempt(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	r.zoneLink.limit, r.missSamples = 0, []float64{1, 0, 0, 0, 1, 0, 0, 0}
 	starts := actionsOf[StartAttempt](r.Decide(100, newArrival("t", "x")))
 	require.Len(t, starts, 1)
-	assert.Equal(t, starts[0].Endpoint, starts[0].Source, "nothing is filled")
+	assert.Equal(t, starts[0].Endpoint, starts[0].Source, "no fill source")
 	actions := r.Decide(100.01, AttemptEnded{Request: "t", Endpoint: starts[0].Endpoint, Result: CacheMiss})
 	assert.Empty(t, actionsOf[StartAttempt](actions), "queued, no second cache-only attempt")
 	r.zoneLink.limit = 5
 	assert.Len(t, actionsOf[StartAttempt](r.Decide(100.11, TimerFired{r.requests["t"].token})), 1)
 }
 
-// Counted as a fill each, attempts that mostly hit would exhaust the link's limit while the link is idle. An attempt
-// must count with the miss rate, for the link and for the gap of a chunk that was never seen.
+// If attempts that mostly hit counted as one fill each, they would exhaust the link's limit while the link is idle.
+// Attempts must count with the miss rate, both at the link and in the gap of a chunk without earlier requests.
 func TestMissRateScalesUnseenGapAndFillLoad(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	r.missSamples = []float64{1, 0, 0, 0, 1, 0, 0, 0}
@@ -91,8 +91,8 @@
 	assert.Zero(t, r.zoneLink.inFlight)
 }
 
-// While the origin is full, a parent may still have the chunk. The attempt must be cache-only with a parent as its
-// source, and free to fill once a parent is known to have the chunk.
+// While the origin is at its limit, a parent may have the chunk. The attempt must be cache-only with a parent as its
+// source, and must be allowed to fill if a parent is known to have the chunk.
 func TestFullOriginAllowsCacheOnlyAttemptUpToTheParent(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	r.findOrAddEndpoint("o").limiter.limit = 0
@@ -100,30 +100,30 @@
 	require.Len(t, starts, 1)
 	assert.True(t, starts[0].CacheOnly)
 	assert.Contains(t, []EndpointID{"p0", "p1"}, starts[0].Source)
-	r.requests["t"].chunk.filledByParent = true // a parent has it: the origin is not reached
+	r.requests["t"].chunk.filledByParent = true // a parent has the chunk: the origin is not used
 	assert.False(t, actionsOf[StartAttempt](r.Decide(100, newArrival("u", "x")))[0].CacheOnly)
 }
 
-// The traces do not notice these numbers: their values are held here.
+// The decision traces do not cover these constants, so this test checks their values.
 func TestMissRateCountsFromEightSamples(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	r.missSamples = []float64{0, 0, 0, 0, 0, 0, 0}
 	//nolint:testifylint // exact by intent
-	assert.Equal(t, 1.0, r.missRate(), "each attempt may miss until enough are known")
+	assert.Equal(t, 1.0, r.missRate(), "each attempt may miss until there are enough samples")
 	r.missSamples = append(r.missSamples, 1)
 	assert.InDelta(t, 1.0/8, r.missRate(), 1e-9)
 }
 
 // A weight of zero would divide by zero in the score. Such an endpoint must count with the minimum weight, and a weight
-// just above the minimum must count as it is.
+// just above the minimum must be unchanged.
 func TestEndpointWithoutWeightCountsForALittleInTheHashOrder(t *testing.T) {
 	assert.InDelta(t, math.Log(0.5)*1000, hashScore(0.5, &endpoint{}), 1e-9)
 	assert.InDelta(t, math.Log(0.5)*1000, hashScore(0.5, &endpoint{Endpoint: Endpoint{Weight: 0.001}}), 1e-9)
 	assert.InDelta(t, math.Log(0.5)*500, hashScore(0.5, &endpoint{Endpoint: Endpoint{Weight: 0.002}}), 1e-9)
 }
 
-// Without a bound the work for one request grows with the list of caches, and with too low a bound a request finds no
-// room although there is some. The choice must try 64 candidates and no more.
+// Without a bound, the work per request grows with the list of caches; with too low a bound, a request finds no
+// capacity although there is some. A selection must try exactly 64 candidates.
 func TestChoiceTriesSixtyFourCandidates(t *testing.T) {
 	r := newBenchmarkRouter(100)
 	caches := r.cacheCandidates(r.findOrAddObject("x", 0))
--- a/routing/sendtime.go
+++ b/routing/sendtime.go
@@ -1,18 +1,18 @@
 package routing
 
-// Sending times that are learned from samples, of a class.
+// Sampling of sending times per class.
 const (
-	maxSendSamples = 64 // last sending times of a class that its mean is taken of: these vary widely
-	minSendSamples = 8  // number of these before their mean is used
+	maxSendSamples = 64 // recent sending times sampled per class: they vary widely
+	minSendSamples = 8  // samples required before their mean is used
 )
 
-// setSendTime sets how long a request takes to send, and its objective with that. Where its size and the pace are known
-// the time follows from them, and is a sample of its class's.
+// setSendTime sets the expected sending time of a request and its latency objective, which depends on that. If its size
+// and the transfer rate are known, they determine the sending time, which is also a sample of its class.
 //
-// Where they are not, the time is the mean of its class's answers from caches, which wait for no fill. It guards
-// against attempts that count as no work at all: each router then sends a cold endpoint its usual load, and it goes
-// down again (rule 4). Until there are enough samples, and where congestion stretches them, it is the objective at
-// most, so that late answers still show.
+// Otherwise the sending time is the mean duration of its class's answers from caches, which include no fill. This
+// guards against attempts that count as no work: each router would then send an endpoint in slow start its usual load,
+// and the endpoint would fail again (rule 4). With too few samples, or with samples stretched by congestion, the
+// sending time is bounded by the objective, so that late answers are still detected.
 func (r *Router) setSendTime(req *request, sizeKnown bool) {
 	class := r.class(req.Class)
 	if pace := r.number(SettingTransferRate, 0); sizeKnown && pace > 0 {
@@ -26,7 +26,7 @@
 	req.objectiveSeconds = class.objectiveSeconds + req.sendSeconds*class.objectiveStretch
 }
 
-// learnSendTime takes the time of an answer from a cache as a sample, where its request's size is not known.
+// observeSendTime records the duration of an answer from a cache as a sample if the size of its request is unknown.
 func (r *Router) learnSendTime(req *request, end AttemptEnded) {
 	if req.sendTimeLearned && end.answeredFromCache() {
 		r.class(req.Class).recordSendTime(end.ElapsedSeconds)
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// Settings are the facts that a router is given at its start, by name. Lists are separated by commas.
+// Settings are the settings of a router, by name. Lists are separated by commas.
 type Settings map[SettingName]string
 
-// Float reads a number, or returns the other value where the setting is missing or no number.
+// Float returns a setting as a number, or the default value if it is missing or not a number.
 func (s Settings) Float(name SettingName, otherwise float64) float64 {
 	if number, err := strconv.ParseFloat(s[name], 64); err == nil {
 		return number
@@ -17,10 +17,10 @@
 	return otherwise
 }
 
-// Bool tells whether a setting is true.
+// Bool reports whether a setting is true.
 func (s Settings) Bool(name SettingName) bool { return s[name] == "true" }
 
-// ListItem reads item i of a list, empty where there is none.
+// ListItem returns item i of a list, or an empty string if there is none.
 func (s Settings) ListItem(name SettingName, i int) string {
 	list := s[name]
 	for ; i > 0; i-- {
@@ -34,7 +34,7 @@
 	return item
 }
 
-// FloatItem reads item i of a list of numbers.
+// FloatItem returns item i of a list as a number, or the default value if it is missing or not a number.
 func (s Settings) FloatItem(name SettingName, i int, otherwise float64) float64 {
 	if number, err := strconv.ParseFloat(s.ListItem(name, i), 64); err == nil {
 		return number
@@ -42,24 +42,24 @@
 	return otherwise
 }
 
-// class is a request class as the settings have it, and what was last seen of it.
+// class holds the settings of a request class and its current state.
 type class struct {
-	objectiveSeconds         float64 // s, the latency objective of a request without size
-	objectiveStretch         float64 // sending times added to that
-	priority                 float64 // weight of an answer in time
-	latePriorityShare        float64 // weight of a late answer
-	idempotencyWindowSeconds float64 // s for which an idempotency key is recognized
-	freshSeconds             float64 // 0 where copies do not expire
-	staleSeconds             float64 // after the fresh time, in which a copy may still be served
-	stalePriorityShare       float64 // share of the priority of such an answer
+	objectiveSeconds         float64 // latency objective of a request without size
+	objectiveStretch         float64 // sending times added to the latency objective
+	priority                 float64 // weight of an answer within the objective
+	latePriorityShare        float64 // weight of a late answer, as a share of priority
+	idempotencyWindowSeconds float64 // how long endpoints recognize an idempotency key
+	freshSeconds             float64 // 0 if copies do not expire
+	staleSeconds             float64 // how long after the fresh time a copy may be served
+	stalePriorityShare       float64 // weight of a stale answer, as a share of priority
 	effect                   Effect
 	deduplicationScope       DeduplicationScope
 	uncacheable              bool
 	retryBudgetExhausted     bool
-	sendSecondsSamples       []float64 // s, the last sending times
+	sendSecondsSamples       []float64 // recent sending times
 }
 
-// class reads what the settings say of a request class, once.
+// class returns a request class. Its settings are parsed once.
 func (r *Router) class(index ClassIndex) *class {
 	if known := r.classes[index]; known != nil {
 		return known
@@ -85,7 +85,7 @@
 	return read
 }
 
-// number reads a number of the settings, once.
+// number returns a setting as a number, or the default value if it is missing or not a number. It is parsed once.
 func (r *Router) number(name SettingName, otherwise float64) float64 {
 	number, known := r.numbers[name]
 	if !known {
@@ -98,21 +98,22 @@
 	return number
 }
 
-// subscribesOnRequest says whether the discovery service notifies only those who ask it.
+// subscribesOnRequest reports whether the discovery service notifies only routers that subscribe.
 func (r *Router) subscribesOnRequest() bool {
 	return r.settings[SettingDiscoveryMode] == DiscoveryOnRequest
 }
 
-// reportsAllDetails says whether endpoints report the details of all results, failures of sources included.
+// reportsAllDetails reports whether endpoints report the details of all results, including failures of sources.
 func (r *Router) reportsAllDetails() bool { return r.settings[SettingResultDetails] == DetailsOfAll }
 
-// mayUsePeers says whether misses may be filled by other caches of the zone.
+// mayUsePeers reports whether other caches of the zone may fill misses.
 func (r *Router) mayUsePeers() bool {
 	allowed := r.settings[SettingPeerCaches]
 	return allowed == PeerCachesInZone || allowed == PeerCachesAnywhere
 }
 
-// coldCapacity is the share of its capacity that an endpoint has when it starts, and how long it takes to warm up.
+// slowStartParameters returns the share of its capacity that an endpoint has when it starts, and the duration of its
+// warm-up.
 func (r *Router) coldCapacity(e *endpoint) (share, seconds float64) {
 	if e.role == parentCache {
 		return r.number(SettingParentColdCapacity, 1), r.number(SettingParentWarmUp, 0)
@@ -120,7 +121,7 @@
 	return r.number(SettingColdCapacity, 1), r.number(SettingWarmUp, 0)
 }
 
-// linkTransfers is the capacity of the zone's link in transfers at a time, 0 if it is not known.
+// linkTransfers returns the capacity of the zone's link in concurrent transfers, 0 if unknown.
 func (r *Router) linkTransfers() float64 {
 	linkKBPerSecond := r.settings.FloatItem(SettingZoneLinkRate, int(r.number(SettingZone, 0)), 0)
 	return linkKBPerSecond / max(r.number(SettingTransferRate, 0), 1)
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -3,15 +3,15 @@
 import "slices"
 
 const (
-	coldLimit       = 2.0 // attempts in flight at an endpoint that has just started, in a recovery ramp
-	coldBudgetShare = 1.0 // share of a cold endpoint's capacity that is used: a multiple of it brings it down
+	coldLimit       = 2.0 // initial limit of a starting endpoint, in attempts in flight, in a recovery ramp
+	coldBudgetShare = 1.0 // used share of the capacity during slow start: a multiple of it overloads the endpoint
 )
 
-// workSample is work sent to a cold endpoint at a time, in seconds of sending.
+// workSample is the work of one attempt sent to an endpoint in slow start, in seconds of sending.
 type workSample struct{ at, seconds float64 }
 
-// startingLimit is the limit of an endpoint that starts with some share of its capacity, given the limit that it has
-// once it is warm. Both are numbers of attempts in flight.
+// startingLimit returns the initial limit of an endpoint with a current share of its capacity, given its limit at full
+// capacity. Both limits are numbers of attempts in flight.
 func startingLimit(warmLimit, warmShare float64) float64 {
 	if warmShare < 1 {
 		return coldLimit
@@ -19,7 +19,8 @@
 	return warmLimit
 }
 
-// warmShare is the share of its capacity that an endpoint surely has: linear from the cold share to 1.
+// warmShare returns the share of its capacity that an endpoint is certain to have: it grows linearly from the initial
+// share to 1 during the warm-up.
 func (r *Router) warmShare(e *endpoint) float64 {
 	if e.StartedAt <= 0 || e.role == originServer {
 		return 1
@@ -31,7 +32,8 @@
 	return floor + (1-floor)*max(r.now-e.StartedAt, 0)/warmUp
 }
 
-// workOf is the seconds of sending that an attempt counts for: its class's mean, at a parent its own if more.
+// workOf returns the seconds of sending that an attempt counts as: the mean of its class, and at a parent at least its
+// own sending time.
 func (r *Router) workOf(req *request, e *endpoint) float64 {
 	class := r.class(req.Class)
 	usual := meanIfEnough(class.sendSecondsSamples, minSendSamples, max(req.sendSeconds, class.objectiveSeconds))
@@ -41,7 +43,7 @@
 	return usual
 }
 
-// recordColdWork charges an attempt to its target, and a fill to the source that it has beside, while they are cold.
+// recordSlowStartWork charges an attempt to its target, and a fill to a separate source, during their slow start.
 func (r *Router) recordColdWork(req *request, a *attempt) {
 	r.chargeWhileCold(req, a.target)
 	if a.hasSource() && a.fill.missExpected() {
@@ -49,24 +51,25 @@
 	}
 }
 
-// chargeWhileCold charges an attempt of a request to an endpoint if that is cold.
+// chargeDuringSlowStart charges an attempt of a request to an endpoint that is in slow start.
 func (r *Router) chargeWhileCold(req *request, e *endpoint) {
 	if r.warmShare(e) < 1 {
 		e.recentWork = append(e.recentWork, workSample{at: r.now, seconds: r.workOf(req, e)})
 	}
 }
 
-// withinColdBudget protects cold endpoints (rule 4): in any window this router sends no more than its even share of
-// what a cache, or a parent with its fills, can do then. It guards against an endpoint that starts, is sent its usual
-// load while it is cold and goes down again, which shows as repeated starts in the endpoint list. The shares of all
-// routers together stay within the capacity, which is wasted where other routers are idle.
+// withinSlowStartBudget reports whether an endpoint in slow start can take another attempt (rule 4). In any overload
+// window, this router sends at most its even share of the capacity that a cache, or a parent with its fills, has then.
+// It guards against an endpoint that restarts, gets its usual load while its cache is cold and fails again, visible as
+// repeated restarts in the endpoint list. The shares of all routers add up to at most the capacity, so the shares of
+// idle routers are wasted.
 func (r *Router) withinColdBudget(req *request, e *endpoint) bool {
 	warm, window := r.warmShare(e), r.number(SettingOverloadWindow, 1)
 	return warm >= 1 ||
 		r.workOf(req, e)+e.workSince(r.now-window) <= coldBudgetShare*warm*e.Weight*window/e.routersSharing
 }
 
-// workSince adds up what was sent to an endpoint after a time, and forgets the rest.
+// workSince returns the sum of the work sent to an endpoint after a time, and drops older samples.
 func (e *endpoint) workSince(since float64) (seconds float64) {
 	e.recentWork = slices.DeleteFunc(e.recentWork, func(s workSample) bool { return s.at <= since })
 	for _, s := range e.recentWork {
