--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -8,16 +8,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A cold endpoint goes down if it gets more than its share within an overload window. A budget that is counted from
-// fixed times would allow twice as much across a boundary. Work must be refused at the budget, counted over the last
-// window, and allowed again once that has passed.
+// An endpoint in slow start fails if it gets more than its budget within an overload window. Counting the budget in
+// fixed windows would allow twice as much across a boundary. Work above the budget must be refused, counted over the
+// last window, and allowed again once that has passed.
 func TestColdBudgetHoldsOverAnyWindow(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	c := r.findOrAddEndpoint("c0")
 	c.StartedAt = 100
 	req := &request{RequestArrived: RequestArrived{SizeKB: 100}, sendSeconds: 0.1}
 	r.class(0).sendSecondsSamples = []float64{.1, .1, .1, .1, .1, .1, .1, .1}
-	budget := coldBudgetShare * 0.25 * 4 * 2 // share, capacity and window, one router
+	budget := coldBudgetShare * 0.25 * 4 * 2 // capacity share, capacity and window, for a single router
 	c.recentWork = []workSample{{100, budget - 0.1}}
 	r.now = 100
 	assert.True(t, r.withinColdBudget(req, c))
@@ -27,8 +27,8 @@
 	assert.True(t, r.withinColdBudget(req, c))
 }
 
-// A cold parent gets its load as fills through caches. If only direct attempts counted, the fills of all routers would
-// overload it. Fills must be charged to it, and its budget must be divided by the routers that share it.
+// A parent in slow start gets its load as fills through caches. If only direct attempts counted, the fills of all
+// routers would overload it. Fills must be charged to it, and its budget must be divided by the routers that share it.
 func TestColdParentIsChargedForFillsAndSharedByAllRouters(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	for _, id := range []string{"p0", "p1"} {
@@ -45,8 +45,8 @@
 	assert.LessOrEqual(t, total, 2*coldBudgetShare*0.1*20*2/2)
 }
 
-// All caches and a parent start again at once, and the routers send all that they have. What arrives at each stays,
-// in every window, below what topples it, and each is used.
+// All caches and a parent restart at once, and the routers send their usual load. In every window, the work that
+// arrives at each must stay below its overload threshold, and each must be used.
 func TestColdZoneIsNotOverloadedWhenItReturns(t *testing.T) {
 	const routersSharing = 6
 	arrivals := arrivalTimes{}
@@ -69,22 +69,22 @@
 
 // coldEndpoint is an endpoint that started at time 100.
 type coldEndpoint struct {
-	weight        float64 // transfers at a time
-	coldShare     float64 // of its capacity, at its start
+	weight        float64 // concurrent transfers
+	coldShare     float64 // initial share of its capacity
 	warmUpSeconds float64
 }
 
-// capacityOfTwoSeconds returns the seconds of sending that the endpoint can do within the two seconds of the overload
-// window.
+// capacityOfTwoSeconds returns the seconds of sending that the endpoint can do within the overload window of two
+// seconds.
 func (c coldEndpoint) capacityOfTwoSeconds(now float64) float64 {
 	return (c.coldShare + (1-c.coldShare)*(now-100)/c.warmUpSeconds) * c.weight * 2
 }
 
-// arrivalTimes has the times at which an attempt, or a fill, came to an endpoint.
+// arrivalTimes holds the times at which attempts or fills arrived at each endpoint.
 type arrivalTimes map[EndpointID][]float64
 
-// workWithin returns the seconds of sending that came to an endpoint after one time and up to another, at a tenth of a
-// second each.
+// workWithin returns the seconds of sending that arrived at an endpoint after one time and up to another, at a tenth of
+// a second per arrival.
 func (a arrivalTimes) workWithin(id EndpointID, after, upTo float64) float64 {
 	sum := 0.0
 	for _, at := range a[id] {
@@ -93,8 +93,8 @@
 	return sum
 }
 
-// addRouter adds what a router sends for 50 requests a second during 6 s, each answered a tenth of a second later by a
-// fill.
+// addRouter adds the attempts that a router sends for 50 requests per second during 6 s, each answered after a tenth of
+// a second by a fill.
 func (a arrivalTimes) addRouter(r *Router) {
 	for n := range 300 {
 		now := 100 + float64(n)/50
@@ -117,7 +117,7 @@
 	}
 }
 
-// newColdZoneRouter returns one of the routers of a zone whose caches and one of whose parents started at time 100.
+// newColdZoneRouter returns a router of a zone whose caches started at time 100, as did one of its two parents.
 func newColdZoneRouter(seed uint64, routersSharing int) *Router {
 	settings := testSettings(WithIdempotencyKey)
 	settings[SettingRouters] = strconv.Itoa(routersSharing)
@@ -135,9 +135,9 @@
 	return r
 }
 
-// A restarted cache has lost its copies. A router that still counts on them, or on the limit from before, sends it
-// usual load while it is cold. What is known to be cached must be forgotten, and the limit must start at the cold
-// limit.
+// A restarted cache has lost its copies. A router that relies on them, or on the previous limit, sends the cache its
+// usual load during slow start. The known contents of the cache must be cleared, and its limit must start at the
+// slow-start limit.
 func TestRestartedEndpointIsEmptyAndStartsAtColdLimit(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	c, p := r.findOrAddEndpoint("c0"), &chunk{}
@@ -150,8 +150,8 @@
 	assert.Equal(t, coldLimit+1, c.limiter.limit) //nolint:testifylint // exact by intent
 }
 
-// Where neither sizes nor rates are known, the cost of an attempt is an estimate. Estimated as nothing it would let any
-// load through to a cold endpoint. The budget must hold all the same, and requests must still be sent.
+// If neither sizes nor rates are known, the work of an attempt is an estimate. An estimate of zero would admit any load
+// to an endpoint in slow start. The budget must still apply, and requests must still be sent.
 func TestColdBudgetHoldsWithoutSizesOrLinks(t *testing.T) {
 	r := New(7, testSettings(WithIdempotencyKey))
 	r.settings[SettingZoneLinkRate], r.settings[SettingTransferRate] = "", ""
@@ -169,19 +169,19 @@
 	assert.Positive(t, r.findOrAddEndpoint("c").limiter.inFlight)
 }
 
-// Sizes and weights are not known, as in the deployment where a cache 1.5 s after its start was sent 5.3 times what it
-// could do by 21 routers: each attempt counted as a tenth of a millisecond of work. A router that has learned how long
-// its classes take, and one that has just started, must keep all of them together within what the cache can do.
+// Reproduces a deployment with unknown sizes and weights, where 21 routers sent a cache 5.3 times its capacity 1.5 s
+// after its start, because each attempt counted as a tenth of a millisecond of work. Routers that have learned how long
+// their classes take, and those that have just started, must together stay within the capacity of the cache.
 func TestColdCacheIsNotOverloadedWhereSizesAreUnknown(t *testing.T) {
 	const (
 		routersSharing  = 21
-		sendSeconds     = 0.43 // of an attempt, on average
-		transfers       = 4    // at a time, of a cache that is warm; its weight is not known
+		sendSeconds     = 0.43 // mean of an attempt
+		transfers       = 4    // concurrent transfers of a warm cache; its weight is unknown
 		coldShare       = 0.3
 		warmUpSeconds   = 12
-		overloadFactor  = 3 // over a second
+		overloadFactor  = 3 // over a window of one second
 		startedSeconds  = 1.3
-		requestsASecond = 10 // of each router
+		requestsASecond = 10 // per router
 	)
 	for name, answersBefore := range map[string]int{"learned": 20, "just started": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -206,8 +206,7 @@
 	}
 }
 
-// newRouterWithoutSizes returns a router of a zone of three warm caches, at time 100. Neither sizes nor weights are
-// known.
+// newRouterWithoutSizes returns a router of a zone with three warm caches, at time 100. Sizes and weights are unknown.
 func newRouterWithoutSizes(seed uint64, routersSharing int) *Router {
 	settings := testSettings(Idempotent)
 	settings[SettingRouters] = strconv.Itoa(routersSharing)
@@ -223,7 +222,7 @@
 	return r
 }
 
-// answerRequests has requests arrive one after another, each answered from a cache after some seconds.
+// answerRequests sends sequential requests, each answered from a cache after some seconds.
 func answerRequests(r *Router, count int, seconds float64) {
 	for n := range count {
 		now, id := 100+2*float64(n), RequestID(fmt.Sprint("warm", n))
@@ -236,9 +235,9 @@
 	}
 }
 
-// An attempt goes to a cold endpoint that is its own source, as one straight to a parent does. Charged as target and as
-// source, it would count twice, and half of the endpoint's budget would be left unused. It counts once; a fill through
-// a cold cache from a cold parent counts at both.
+// A direct attempt to a parent in slow start has the parent as both target and source. Charging both would count the
+// attempt twice and leave half of the endpoint's budget unused. It must count once, while a fill through a cold cache
+// from a cold parent counts at both.
 func TestColdWorkIsChargedOnceToEachEndpoint(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	cache, parent := r.findOrAddEndpoint("c0"), r.findOrAddEndpoint("p0")
@@ -252,12 +251,12 @@
 	assert.Equal(t, []int{2, 2}, []int{len(cache.recentWork), len(parent.recentWork)})
 }
 
-// The least number of samples is held here, apart from that of the miss rate, which is as large.
+// Checks the minimum number of samples, separately from that of the miss rate, which has the same value.
 func TestWorkIsTheMeanSendingTimeFromEightSamples(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	req, cache := &request{sendSeconds: 0.3}, r.findOrAddEndpoint("c0")
 	r.class(0).sendSecondsSamples = []float64{.1, .1, .1, .1, .1, .1, .1}
-	assert.InDelta(t, 0.5, r.workOf(req, cache), 1e-9, "the objective, as too few sending times are known")
+	assert.InDelta(t, 0.5, r.workOf(req, cache), 1e-9, "the objective, as there are too few samples")
 	r.class(0).sendSecondsSamples = append(r.class(0).sendSecondsSamples, .1)
 	assert.InDelta(t, 0.1, r.workOf(req, cache), 1e-9)
 }
--- a/routing/trace_test.go
+++ b/routing/trace_test.go
@@ -16,13 +16,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-var updateTraces = flag.Bool("update-traces", false, "write testdata/decision-traces.golden anew")
+var updateTraces = flag.Bool("update-traces", false, "rewrite testdata/decision-traces.golden")
 
 const tracesFile = "decision-traces.golden"
 
-// TestDecisionTracesAreUnchanged plays synthetic deployments from fixed seeds and compares every action, with its
-// numbers at full precision, by hash with what an earlier version of the module decided. A refactoring must leave all
-// hashes as they are; a change of a decision writes the file anew (-update-traces) and says why in its commit.
+// TestDecisionTracesAreUnchanged simulates synthetic deployments from fixed seeds. It compares all actions, with
+// numbers at full precision, by hash with the decisions of an earlier version of the module. A refactoring must not
+// change any hash; a change of a decision rewrites the file (-update-traces) and gives the reason in its commit.
 func TestDecisionTracesAreUnchanged(t *testing.T) {
 	var got bytes.Buffer
 	for _, scenario := range scenarios() {
@@ -41,7 +41,8 @@
 	assert.Equal(t, string(want), got.String())
 }
 
-// TestDecisionTraceTellsDecisionsApart guards the net itself: another seed of the module alone has to show.
+// TestDecisionTraceTellsDecisionsApart checks that the trace detects changes: another seed of the module must change
+// the hash.
 func TestDecisionTraceTellsDecisionsApart(t *testing.T) {
 	scenario := scenarios()[0]
 	first := playScenario(scenario, 1).hash.Sum(nil)
@@ -50,8 +51,8 @@
 	assert.NotEqual(t, first, playScenario(scenario, 1).hash.Sum(nil))
 }
 
-// decisionTrace is a running hash over the actions as text. The text names neither types nor fields of the module, so
-// that it stays equal when these are renamed.
+// decisionTrace is a running hash of the actions as text. The text contains no names of types or fields of the module,
+// so that renaming them does not change the hash.
 type decisionTrace struct {
 	hash    interface{ Sum([]byte) []byte }
 	write   func([]byte) (int, error)
@@ -70,7 +71,7 @@
 	_, _ = d.write([]byte(line))
 }
 
-// exact writes a number so that it can be read back without loss.
+// formatExact formats a number so that parsing it gives the same number.
 func exact(number float64) string { return strconv.FormatFloat(number, 'g', -1, 64) }
 
 func encodeAction(action routing.Action) string {
--- a/routing/tracedisturb_test.go
+++ b/routing/tracedisturb_test.go
@@ -6,14 +6,14 @@
 	"cairnfront/routing"
 )
 
-// changeCondition lets one endpoint misbehave; most recover soon.
+// changeCondition makes one endpoint misbehave; most endpoints recover soon.
 func (w *traceWorld) changeCondition() {
 	e := w.endpoints[w.random.IntN(len(w.endpoints))]
 	e.condition = condition(w.random.IntN(int(conditionCount)))
 	w.after(w.scenario.conditionSeconds+0.5+4*w.random.Float64(), func() { e.condition = healthy })
 }
 
-// disturb brings one event that is of no request.
+// disturb sends one random event that does not concern a request.
 func (w *traceWorld) disturb() {
 	e := w.endpoints[w.random.IntN(len(w.endpoints))]
 	switch w.random.IntN(12) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// observe brings a health observation of any endpoint.
+// observe sends a health observation of a random endpoint.
 func (w *traceWorld) observe() { w.observeHealth(w.endpoints[w.random.IntN(len(w.endpoints))]) }
 
 func (w *traceWorld) observeHealth(e *traceEndpoint) {
@@ -77,7 +77,7 @@
 	w.after(2*w.random.Float64(), func() { w.decide(change) })
 }
 
-// strayEvents are about requests, attempts and endpoints that the router does not know or has no use for.
+// strayEvents sends events for requests, attempts and endpoints that the router does not know or ignores.
 func (w *traceWorld) strayEvents(e *traceEndpoint) {
 	w.decide(routing.ProbeResult{Endpoint: e.ID, Result: routing.Completed})
 	w.decide(routing.AttemptEnded{Request: "unknown", Endpoint: e.ID})
--- a/routing/traceendpoint_test.go
+++ b/routing/traceendpoint_test.go
@@ -2,7 +2,7 @@
 
 import "cairnfront/routing"
 
-// condition is how an endpoint behaves for a while.
+// condition is the temporary behavior of an endpoint.
 type condition int
 
 const (
@@ -15,16 +15,16 @@
 	conditionCount
 )
 
-// traceEndpoint is an endpoint as the synthetic deployment plays it.
+// traceEndpoint is a simulated endpoint of the synthetic deployment.
 type traceEndpoint struct {
 	routing.Endpoint
 	condition condition
 	inFlight  int
 	cached    map[string]bool
-	order     []string // of cached, oldest first
+	order     []string // cached chunks, oldest first
 }
 
-// play says how an attempt ends at its endpoint, and after how long.
+// simulateAttempt returns the result of an attempt at its endpoint and its duration.
 func (w *traceWorld) play(
 	request *traceRequest, attempt *traceAttempt,
 ) (routing.AttemptResult, routing.ResultDetail, float64) {
@@ -61,7 +61,7 @@
 	return routing.Completed, w.reported(routing.CacheHit), round + 0.02 + transfer
 }
 
-// playCache answers from the cache, or fills from the source.
+// simulateCache returns the result of an attempt at a cache: an answer from the cache, or a fill from the source.
 func (w *traceWorld) playCache(
 	request *traceRequest, attempt *traceAttempt, round, transfer float64,
 ) (routing.AttemptResult, routing.ResultDetail, float64) {
@@ -91,7 +91,7 @@
 	return routing.Completed, w.reported(details[w.random.IntN(len(details))]), round + 0.03 + 1.5*transfer
 }
 
-// sourceFailure says how a fill fails at its source, if it does.
+// sourceFailure returns the result of a failed fill at its source, and whether the fill fails.
 func (w *traceWorld) sourceFailure(source *traceEndpoint) (routing.AttemptResult, routing.ResultDetail, float64, bool) {
 	switch source.condition {
 	case healthy, slow, conditionCount: // a slow source only takes longer
@@ -107,7 +107,7 @@
 	return 0, 0, 0, false
 }
 
-// reported is a detail as far as the deployment reports it.
+// reported returns a detail if the deployment reports it, otherwise NoDetail.
 func (w *traceWorld) reported(detail routing.ResultDetail) routing.ResultDetail {
 	switch w.scenario.settings[routing.SettingResultDetails] {
 	case routing.DetailsOfAll:
--- a/routing/tracescenarios_test.go
+++ b/routing/tracescenarios_test.go
@@ -6,7 +6,7 @@
 	"cairnfront/routing"
 )
 
-// traceScenario is a deployment of the decision trace: its settings, its endpoints and how much happens to them.
+// traceScenario is a deployment of the decision trace: its settings, its endpoints and the rates of its events.
 type traceScenario struct {
 	name             string
 	settings         routing.Settings
@@ -16,15 +16,15 @@
 	origin           bool
 	requestsPerS     float64
 	seconds          float64
-	purges           int // sent in one block before the last third
+	purges           int // sent at once, before the last third
 
-	conditionSeconds       float64 // added to how long an endpoint misbehaves
-	observationsPerS       float64 // health observations beside those of disturb
-	purgesBeforeRequests   bool    // some requests come right after a purge of their object
-	endpointsWithoutWeight bool    // caches of the last half have no weight
+	conditionSeconds       float64 // added to the duration of misbehavior
+	observationsPerS       float64 // rate of health observations in addition to those of disturb
+	purgesBeforeRequests   bool    // some requests follow a purge of their object immediately
+	endpointsWithoutWeight bool    // the second half of the caches has no weight
 }
 
-// traceSettings are those of a small deployment with one class of each kind.
+// traceSettings returns the settings of a small deployment with one class of each kind.
 func traceSettings(changes routing.Settings) routing.Settings {
 	settings := routing.Settings{
 		routing.SettingRouter:                                    "0",
@@ -153,14 +153,14 @@
 	}
 }
 
-// rareScenarios are deployments whose traces notice constants that those of scenarios do not.
+// rareScenarios returns deployments whose traces cover constants that commonScenarios do not.
 func rareScenarios() []traceScenario {
 	return []traceScenario{
-		{ // objects are idle for about as long as they are remembered
+		{ // objects are idle for about the idle TTL
 			name: "seldom-requested", settings: traceSettings(nil),
 			seeds: []uint64{15, 16}, caches: 3, parents: 2, origin: true, requestsPerS: 4, seconds: 600,
 		},
-		{ // shares of an endpoint below what any limit starts at
+		{ // shares of an endpoint below the minimum initial limit
 			name: "hundreds-of-routers",
 			settings: traceSettings(routing.Settings{
 				routing.SettingRouters:       "400",
@@ -169,7 +169,7 @@
 			seeds: []uint64{17, 18}, caches: 4, parents: 2, origin: true, requestsPerS: 10, seconds: 60,
 			endpointsWithoutWeight: true,
 		},
-		{ // repeated ejections, observations of other routers, windows that end while retries are decided
+		{ // repeated ejections, health observations, and idempotency windows that end during retries
 			name: "long-failures-observed",
 			settings: traceSettings(routing.Settings{
 				routing.ClassSetting(1, routing.ClassIdempotencyWindow): "0.65",
--- a/routing/traceworld_test.go
+++ b/routing/traceworld_test.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	traceStart       = 1000.0 // s, the clock at the start
+	traceStart       = 1000.0 // s, initial clock value
 	traceZone        = 2
 	traceParentKind  = 1
 	traceOriginKind  = 2
@@ -17,12 +17,12 @@
 	traceChunks      = 5
 	traceGroups      = 8
 	traceClasses     = 6
-	cachedChunks     = 120   // stored by a cache
-	cancelDelay      = 0.001 // s until a cancelled attempt's end is heard
-	traceIdleGap     = 75.0  // s without traffic before the last requests, longer than anything is remembered
+	cachedChunks     = 120   // capacity of a cache in chunks
+	cancelDelay      = 0.001 // s from a cancel to the end of its attempt
+	traceIdleGap     = 75.0  // s without traffic before the last requests, longer than any state is retained
 	requestsAfterGap = 200
 
-	purgedRequestInterval = 10 // requests, of which one comes right after a purge where a scenario has that
+	purgedRequestInterval = 10 // every nth request follows a purge, in scenarios with purgesBeforeRequests
 )
 
 type traceAttempt struct {
@@ -41,7 +41,7 @@
 	done     bool
 }
 
-// scheduled is something that happens at a time. Equal times keep the order in which they were scheduled.
+// scheduled is a function to run at a time. Functions at equal times run in the order in which they were scheduled.
 type scheduled struct {
 	at    float64
 	order int
@@ -62,7 +62,7 @@
 	return last
 }
 
-// mustSchedule returns an item of a schedule from container/heap, which has no types. It panics at anything else.
+// mustSchedule returns an item of a schedule from container/heap, which is untyped. It panics for any other type.
 func mustSchedule(item any) scheduled {
 	next, ok := item.(scheduled)
 	if !ok {
@@ -71,7 +71,7 @@
 	return next
 }
 
-// traceWorld feeds one router with what a deployment would report and carries its actions out.
+// traceSimulation sends one router the events of a simulated deployment and carries out its actions.
 type traceWorld struct {
 	scenario  traceScenario
 	random    *rand.Rand
@@ -145,7 +145,7 @@
 
 func (w *traceWorld) after(seconds float64, run func()) { w.at(w.now+seconds, run) }
 
-// scheduleAll sets the traffic and what happens to the endpoints.
+// scheduleAll schedules the requests and the events of endpoints.
 func (w *traceWorld) scheduleAll() {
 	end := traceStart + w.scenario.seconds
 	for at := traceStart; at < end; at += w.random.ExpFloat64() / w.scenario.requestsPerS {
@@ -170,7 +170,7 @@
 	}
 }
 
-// decide hands an event to the router, records its actions and carries them out.
+// decide sends an event to the router, records its actions and carries them out.
 func (w *traceWorld) decide(event routing.Event) {
 	w.trace.events++
 	number := w.trace.events
@@ -198,7 +198,7 @@
 	}
 }
 
-// arrive brings a request for a chunk; low numbers are asked for more often.
+// arrive sends a request for a random chunk; objects of low numbers are requested more often.
 func (w *traceWorld) arrive() {
 	w.arrived++
 	id := routing.RequestID(fmt.Sprint("r", w.arrived))
@@ -244,7 +244,7 @@
 	}
 }
 
-// start plays an attempt: how it ends and when follows from the endpoint, its source and chance.
+// start simulates an attempt: its result and duration depend on the endpoint, its source and chance.
 func (w *traceWorld) start(action routing.StartAttempt) {
 	request := w.requests[action.Request]
 	attempt := &traceAttempt{
@@ -273,7 +273,7 @@
 }
 
 func (w *traceWorld) cancel(action routing.CancelAttempt) {
-	if w.random.IntN(4) > 0 { // else its answer was faster than the cancel
+	if w.random.IntN(4) > 0 { // otherwise it is answered before the cancel takes effect
 		w.after(cancelDelay, func() { w.end(action.Request, action.Attempt, routing.Cancelled, routing.NoDetail) })
 	}
 }
--- a/simadapter/actions.go
+++ b/simadapter/actions.go
@@ -11,10 +11,10 @@
 
 const (
 	writeBufferBytes = 1 << 18
-	secondsDecimals  = 6 // the simulator counts microseconds
+	secondsDecimals  = 6 // the simulator's time resolution is one microsecond
 )
 
-// Bits of the last field of an attempt.
+// Flags in the last field of an attempt.
 const (
 	attemptFlagJoinFill      = 1
 	attemptFlagCacheOnly     = 2
@@ -22,10 +22,10 @@
 	attemptFlagRevalidate    = 8
 )
 
-// actionWriter writes replies as lines. An error of the writer stays in the buffer and is returned by flush.
+// actionWriter writes replies as lines. A write error is stored by the buffered writer and returned by flush.
 type actionWriter struct {
 	out  *bufio.Writer
-	line []byte // being built; its memory is used again
+	line []byte // the current line; its memory is reused
 }
 
 func newActionWriter(out io.Writer) *actionWriter {
@@ -73,7 +73,7 @@
 	w.end()
 }
 
-// attemptFlags sums the bits of the options that are set.
+// attemptFlags returns the flags of the options that are set.
 func attemptFlags(action routing.StartAttempt) int {
 	flags := 0
 	if action.JoinFill {
@@ -91,14 +91,14 @@
 	return flags
 }
 
-// writePanic reports that a router's decision logic panicked.
+// writePanic reports a panic of a router's decision logic.
 func (w *actionWriter) writePanic(router int, text string) {
 	w.begin("BUG", router)
 	w.text(text)
 	w.end()
 }
 
-// writeEndOfReply ends the reply to a batch.
+// writeEndOfReply writes the end of the reply to a batch.
 func (w *actionWriter) writeEndOfReply(batch string) {
 	w.line = append(w.line[:0], "EOR"...)
 	w.text(batch)
--- a/simadapter/events.go
+++ b/simadapter/events.go
@@ -8,7 +8,7 @@
 	"cairnfront/routing"
 )
 
-// Words and codes of the simulator's wire.
+// Keywords and codes of the simulator's protocol.
 var (
 	updateKinds = map[string]routing.UpdateKind{
 		"INCREMENTAL": routing.Incremental,
@@ -37,11 +37,11 @@
 )
 
 const (
-	requestFlagWrite = 4   // in the flags of a request: its body is to be stored
-	wholeGroup       = "0" // in place of the object of a purge
+	requestFlagWrite = 4   // request flag: the body of the request is to be stored
+	wholeGroup       = "0" // value of the object field in a purge of an object group
 )
 
-// parseEvent reads the fields of an event. It returns nil for names that mean nothing to the routing module.
+// parseEvent parses the fields of an event. It returns nil for event names that the routing module does not handle.
 func (s *server) parseEvent(name string, f *fieldReader) routing.Event {
 	switch name {
 	case "ENDPOINTS":
@@ -126,8 +126,8 @@
 	return event
 }
 
-// readEndpointList reads the lines of a numbered list of endpoints. A list in use is not changed: the new one takes
-// its number.
+// readEndpointList reads a numbered list of endpoints. A list in use is not modified: the new list replaces it under
+// the same number.
 func (s *server) readEndpointList(f *fieldReader, line []byte) error {
 	list := f.integer()
 	count := f.integer()
@@ -169,7 +169,7 @@
 	return endpoint, nil
 }
 
-// settings reads the rest of the line as path=value pairs under the names of the routing module.
+// settings parses the remaining path=value pairs of the line into settings under the names of the routing module.
 func (f *fieldReader) settings() routing.Settings {
 	settings := routing.Settings{}
 	for pair := f.next(); len(pair) > 0; pair = f.next() {
@@ -196,7 +196,7 @@
 	return status
 }
 
-// loadReport reads name:value pairs set apart by commas. What is no pair is passed over.
+// loadReport parses name:value pairs separated by commas. Malformed pairs are skipped.
 func (f *fieldReader) loadReport() []routing.LoadMetric {
 	var metrics []routing.LoadMetric
 	for pair := range strings.SplitSeq(f.text(), ",") {
--- a/simadapter/lines.go
+++ b/simadapter/lines.go
@@ -12,22 +12,22 @@
 
 const (
 	readBufferBytes = 1 << 20
-	maxQuotedBytes  = 80 // of a line in an error text
+	maxQuotedBytes  = 80 // maximum length of a line quoted in an error
 )
 
 // lineReader reads lines of any length.
 type lineReader struct {
 	in     *bufio.Reader
-	long   []byte // a line that outgrew the reader's buffer
-	number int    // of the last line that was read
+	long   []byte // buffer for a line longer than the reader's buffer
+	number int    // number of the last line read
 }
 
 func newLineReader(in io.Reader) *lineReader {
 	return &lineReader{in: bufio.NewReaderSize(in, readBufferBytes)}
 }
 
-// next returns the next line without its end. The bytes are valid until the next call. It returns io.EOF at the end of
-// the input, and ErrTruncated where the last line has no end.
+// next returns the next line without its line ending. The bytes are valid until the next call. It returns io.EOF at the
+// end of the input, and ErrTruncated if the last line has no line ending.
 func (r *lineReader) next() ([]byte, error) {
 	r.long = r.long[:0]
 	for {
@@ -52,7 +52,7 @@
 	}
 }
 
-// nextInBatch is next where the input may not end.
+// nextInBatch returns the next line within a batch, where the end of the input is an error.
 func (r *lineReader) nextInBatch() ([]byte, error) {
 	line, err := r.next()
 	if errors.Is(err, io.EOF) {
@@ -61,11 +61,11 @@
 	return line, err
 }
 
-// clip shortens a line for an error text.
+// clip truncates a line for an error message.
 func clip(line []byte) string { return string(line[:min(len(line), maxQuotedBytes)]) }
 
-// fieldReader takes the values of a line one by one. An absent value, written as "-", is the zero value. The first
-// error stays; reading may go on after it.
+// fieldReader parses the fields of a line one by one. An absent value, written as "-", gives the zero value. The first
+// error is stored, and parsing may continue after it.
 type fieldReader struct {
 	rest []byte
 	err  error
@@ -77,7 +77,7 @@
 	}
 }
 
-// errorIn adds the line to the error.
+// errorIn returns the stored error with the line.
 func (f *fieldReader) errorIn(line []byte) error { return fmt.Errorf("%w in %q", f.err, clip(line)) }
 
 func (f *fieldReader) next() []byte {
@@ -91,7 +91,7 @@
 
 func (f *fieldReader) text() string { return string(f.next()) }
 
-// id is a text that has to be there.
+// id returns the next field as text, which must not be empty.
 func (f *fieldReader) id() string {
 	word := f.next()
 	if len(word) == 0 {
@@ -100,7 +100,7 @@
 	return string(word)
 }
 
-// router is the number of a router. The line has to go on after its name.
+// router returns the next field as a router number. The line must have a field after its name.
 func (f *fieldReader) router() int {
 	if f.rest == nil {
 		f.fail("missing router")
@@ -144,7 +144,7 @@
 	return value
 }
 
-// metricValue parses a value of a load report, which has to be a number.
+// metricValue parses the value of a load metric, which must be a number.
 func (f *fieldReader) metricValue(text string) float64 {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
--- a/simadapter/server.go
+++ b/simadapter/server.go
@@ -1,20 +1,20 @@
-// Package simadapter connects the routing module to the simulator: it reads batches of events from one stream, hands
-// them to the routers that it hosts, and writes their actions to another.
+// Package simadapter connects the routing module to the simulator: it reads batches of events from one stream, passes
+// them to the routers that it hosts, and writes their actions to another stream.
 //
-// It owns the syntax of the simulator's lines and the routers of the process. It makes no decision, keeps no time of
-// its own, and shares nothing between routers but the numbered endpoint lists that the simulator sends.
+// It owns the syntax of the simulator's lines and the routers of the process. It makes no decisions and has no clock.
+// Routers share nothing but the numbered endpoint lists that the simulator sends.
 //
-// The words of the lines are those of the users' wire and are used in this package alone. They stand for:
+// The keywords of the lines are those of the simulator's protocol and appear in this package only. Their meanings:
 //
-//	of the process    NEW_INSTANCE a router starts, DOWN it stops, BUG it panicked, BATCH and EOR begin of a batch and
-//	                  end of its reply, SNAPSHOT_ROWS and ROW a numbered list of endpoints and one of its endpoints
+//	of the process    NEW_INSTANCE starts a router, DOWN stops it, BUG reports its panic, BATCH begins a batch, EOR
+//	                  ends its reply, SNAPSHOT_ROWS begins a numbered endpoint list, ROW is an endpoint of the list
 //	events            ENDPOINTS EndpointUpdate, ACCEPT RequestArrived, REPLY AttemptEnded, STATUS_BACK ProbeResult,
 //	                  TIMED_OUT_CLIENT ClientDisconnected, BELL TimerFired, EXPIRED_NOW Purge
 //	actions           ANSWER_FROM StartAttempt, STOP_ATTEMPT CancelAttempt, DENY RejectRequest, LOSE AbortRequest,
 //	                  NOTIFY_ME SetTimer, CHECK Probe, KEEP_INFORMED SubscribeEndpoints, NOTE_DOWN LogNote
 //
-// Results of attempts are numbers as in HTTP, see attemptResults. Names of settings and of load metrics are translated
-// by package wirenames.
+// Results of attempts are HTTP-like status codes, see attemptResults. Package wirenames translates the names of
+// settings and of load metrics.
 package simadapter
 
 import (
@@ -27,21 +27,21 @@
 	"cairnfront/routing"
 )
 
-// NewRouterFunc makes a router's decision logic.
+// NewRouterFunc creates the decision logic of a router.
 type NewRouterFunc func(seed uint64, settings routing.Settings) routing.Decider
 
 var (
-	// ErrTruncated is returned where the input ends within a batch.
+	// ErrTruncated is returned if the input ends within a batch.
 	ErrTruncated = errors.New("the input ends within a batch")
 
-	// ErrSyntax is wrapped by the errors on lines that cannot be read.
+	// ErrSyntax is wrapped by errors about malformed lines.
 	ErrSyntax = errors.New("bad line")
 
-	// ErrUnknownRouter is wrapped by the error on an event for a router that is not started.
+	// ErrUnknownRouter is wrapped by errors about events for a router that is not started.
 	ErrUnknownRouter = errors.New("router is not started")
 )
 
-// reply holds what one router wants done after one event, or the text of its panic.
+// reply holds the actions of one router for one event, or the text of its panic.
 type reply struct {
 	router    int
 	actions   []routing.Action
@@ -53,14 +53,14 @@
 	actions       *actionWriter
 	newRouter     NewRouterFunc
 	routers       map[int]routing.Decider
-	endpointLists map[int][]routing.Endpoint // by the number that the simulator gave them
+	endpointLists map[int][]routing.Endpoint // by list number, as assigned by the simulator
 
-	now     float64 // the simulator's clock in seconds, from the batch
-	batch   string  // the batch's number
-	replies []reply // to the events of the batch
+	now     float64 // simulator time of the current batch, in seconds
+	batch   string  // number of the current batch
+	replies []reply // replies to the events of the current batch
 }
 
-// Serve answers batches until the input ends.
+// Serve processes batches until the input ends.
 func Serve(in io.Reader, out io.Writer, newRouter NewRouterFunc) error {
 	s := &server{
 		lines:         newLineReader(in),
@@ -80,7 +80,7 @@
 	}
 }
 
-// serveBatch reads one batch, hands out its events and writes the reply. It returns io.EOF where no batch follows.
+// serveBatch reads one batch, processes its events and writes the reply. It returns io.EOF at the end of the input.
 func (s *server) serveBatch() error {
 	if err := s.readBatchHeader(); err != nil {
 		return err
@@ -138,7 +138,7 @@
 	return s.actions.flush()
 }
 
-// handleLine reads one line of a batch and acts on it. Lines with unknown names are passed over.
+// handleLine processes one line of a batch. Lines with unknown names are skipped.
 func (s *server) handleLine(line []byte) error {
 	f := fieldReader{rest: line}
 	name := string(f.next())
@@ -154,7 +154,7 @@
 	}
 }
 
-// startRouter makes a router from its seed and settings. One of the same number is replaced.
+// startRouter creates a router from its seed and settings. It replaces a router of the same number.
 func (s *server) startRouter(f *fieldReader, line []byte) error {
 	router := f.router()
 	seed := f.unsigned()
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// stopRouter forgets a router and drops the actions that it wanted in this batch.
+// stopRouter removes a router and drops its pending actions of this batch.
 func (s *server) stopRouter(f *fieldReader, line []byte) error {
 	router := f.router()
 	if f.err != nil {
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// decide hands an event to its router.
+// decide passes an event to its router.
 func (s *server) decide(name string, f *fieldReader, line []byte) error {
 	router := f.router()
 	event := s.parseEvent(name, f)
@@ -202,8 +202,8 @@
 	return nil
 }
 
-// callRouter runs the routing module for one event and notes its reply. A panic is reported as that router's fault and
-// leaves the other routers running.
+// callRouter calls the routing module for one event and records its reply. A panic is reported as a fault of that
+// router, and the other routers continue.
 func (s *server) callRouter(router int, call func() []routing.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -211,7 +211,7 @@
 			s.replies = append(s.replies, reply{router: router, panicText: text})
 		}
 	}()
-	if actions := call(); len(actions) > 0 { // the module may use the slice again for its next event
+	if actions := call(); len(actions) > 0 { // the module may reuse the slice for its next event
 		s.replies = append(s.replies, reply{router: router, actions: slices.Clone(actions)})
 	}
 }
--- a/simadapter/server_test.go
+++ b/simadapter/server_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeRouter records the events that it is handed and returns the same actions to each.
+// fakeRouter records the events that it receives and returns the same actions for each.
 type fakeRouter struct {
 	events  *[]routing.Event
 	actions []routing.Action
@@ -35,11 +35,11 @@
 	return out.String(), events, err
 }
 
-// startBatch starts router 3.
+// startBatch is a batch that starts router 3.
 const startBatch = "BATCH 1 0\nNEW_INSTANCE 3 9 me=2\nEND\n"
 
-// The simulator reads each action by its position on the line. A field that is missing or misplaced would play another
-// decision than the module's. Every action must be written in the form of the protocol.
+// The simulator parses each action by position. A missing or misplaced field would execute another decision than the
+// module's. All actions must be written in the protocol's format.
 func TestActionsAreWritten(t *testing.T) {
 	attempt := routing.StartAttempt{
 		Request:       "ab",
@@ -73,8 +73,8 @@
 		"EOR 1\n", out)
 }
 
-// A field that is read into the wrong place makes the module decide on other events than the simulator's. Every line of
-// the protocol must become its event with every field.
+// A field parsed into the wrong place makes the module decide on events that the simulator did not send. Each line of
+// the protocol must become its event with all fields.
 func TestEventsAreParsed(t *testing.T) {
 	_, events, err := serve(startBatch + "BATCH 2 1\n" +
 		"SNAPSHOT_ROWS 0 1\nROW a:1 3 0 7 ready 1.5 6.1\nENDPOINTS 3 0 SAVED 1\n" +
@@ -116,8 +116,8 @@
 	}, events)
 }
 
-// The simulator stops a router within a batch and may start another one under its number. Actions of the stopped router
-// would be taken for those of the new one. They must be dropped.
+// The simulator stops a router within a batch and may start another one with the same number. Actions of the stopped
+// router would be attributed to the new one, so they must be dropped.
 func TestActionsOfAStoppedRouterAreDropped(t *testing.T) {
 	out, events, err := serve(startBatch+"BATCH 2 1\nBELL 3 1\nDOWN 3\nNEW_INSTANCE 3 8 me=2\nBELL 3 2\nEND\n"+
 		"BATCH 3 2\nEND\n", routing.SetTimer{AfterSeconds: 1, Token: 4})
@@ -126,16 +126,16 @@
 	assert.Equal(t, "EOR 0\nNOTIFY_ME 3 1.000000 4\nEOR 1\nEOR 2\n", out)
 }
 
-// A panic in the module would end the adapter, and the simulator could not say which router failed. It must be written
-// as a fault of that router, on one line, and the session must go on.
+// A panic in the module would end the adapter without reporting which router failed. It must be reported as a fault of
+// that router, on one line, and the session must continue.
 func TestPanicIsReportedAsTheRoutersFault(t *testing.T) {
 	out, _, err := serve(startBatch + "BATCH 2 1\nACCEPT 3 8b 0 0 " + panicObject + " 8 - - - -\nEND\n")
 	require.NoError(t, err)
 	assert.Equal(t, "EOR 0\nBUG 3 two lines\nEOR 1\n", out)
 }
 
-// A line that is passed over lets the simulation go on with a missing event. Input that is not of the protocol must end
-// the session with an error of its kind that says what is wrong.
+// Skipping a malformed line would continue the simulation with a missing event. Input that violates the protocol must
+// end the session with an error of its kind that describes the problem.
 func TestBadInputIsReported(t *testing.T) {
 	for _, c := range []struct {
 		in       string
@@ -160,8 +160,8 @@
 	}
 }
 
-// A line longer than a reader's buffer would be cut and read as two. Lists of many endpoints and batches of many events
-// must be read in full.
+// A line longer than the reader's buffer could be split into two. Lists of many endpoints and batches of many events
+// must be read completely.
 func TestLinesAndBatchesMayBeLong(t *testing.T) {
 	const events = 50000
 	var in strings.Builder
--- a/simadapter/session_test.go
+++ b/simadapter/session_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRecordedSessionGivesTheSameBytes feeds a recorded session of two routers, with every kind of event, to the real
-// decision module. The reply has to be equal to the recorded one byte for byte.
+// TestRecordedSessionGivesTheSameBytes replays a recorded session of two routers, with every kind of event, to the real
+// decision module. The reply must equal the recorded one byte for byte.
 func TestRecordedSessionGivesTheSameBytes(t *testing.T) {
 	in, err := os.Open("testdata/session.in")
 	require.NoError(t, err)
