--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -18,7 +18,7 @@
 	suspectAt     float64 // time of the first review as lost; +Inf once lost, which makes its slowness 0
 	endedAt       float64
 	result        AttemptResult
-	blame         blame
+	possibleFault possibleFault
 }
 
 // attemptState is the state of an attempt between its selection and its end. The table lists all transitions; only
@@ -95,36 +95,38 @@
 type fillPlan uint8
 
 const (
-	expectHit    fillPlan = iota // the target is known to have a copy; the source fills on a miss
-	expectFill                   // the source fills, or a target that is not an edge cache serves the chunk
-	fillFromPeer                 // a peer cache serves the chunk from its cache
-	targetOnly                   // the target serves the chunk from its cache only, without a fill
-	sourceOnly                   // the source, a parent cache, serves the chunk from its cache only
+	hitExpected     fillPlan = iota // the target is known to have a copy; the source fills on a miss
+	fillExpected                    // the source fills, or a target that is not an edge cache serves the chunk
+	fillFromPeer                    // a peer cache serves the chunk from its cache
+	targetCacheOnly                 // the target serves the chunk from its cache only, without a fill
+	sourceCacheOnly                 // the source, a parent cache, serves the chunk from its cache only
 )
 
 // expectsMiss reports whether the target is expected to have no copy, so that the source serves the chunk.
-func (f fillPlan) missExpected() bool { return f == expectFill || f == fillFromPeer || f == sourceOnly }
+func (f fillPlan) expectsMiss() bool {
+	return f == fillExpected || f == fillFromPeer || f == sourceCacheOnly
+}
 
 // cacheOnly reports whether an attempt must not fill past its target or its source, because the path behind is at its
 // limit.
-func (f fillPlan) cacheOnly() bool { return f == targetOnly || f == sourceOnly }
+func (f fillPlan) cacheOnly() bool { return f == targetCacheOnly || f == sourceCacheOnly }
 
 // possibleFault is the set of endpoints that may have caused an unexplained failure. The failure counts against them
 // once another attempt of the request completes.
-type blame uint8
+type possibleFault uint8
 
 const (
-	noBlame blame = iota
-	blameTarget
-	blameTargetAndSource
+	noFault possibleFault = iota
+	targetFault
+	targetAndSourceFault
 )
 
 // usedFunc reports whether an attempt has used an endpoint in a given role, as target or as source.
 type usedFunc func(*attempt, *endpoint) bool
 
-func wasTarget(a *attempt, e *endpoint) bool { return a.target == e && !a.fill.cacheOnly() }
+func usedAsTarget(a *attempt, e *endpoint) bool { return a.target == e && !a.fill.cacheOnly() }
 
-func wasSource(a *attempt, e *endpoint) bool {
+func usedAsSource(a *attempt, e *endpoint) bool {
 	return a.source == e && a.fill != fillFromPeer && !a.fill.cacheOnly()
 }
 
--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -14,7 +14,7 @@
 // Guards against transitions that refuse the end of an attempt in flight, which would occupy capacity of its endpoint
 // forever, and against an ended attempt that moves again, which would release its capacity twice. All states in flight
 // accept the end; the ended state accepts no transition.
-func TestAttemptInFlightMayAlwaysEndAndEndedStaysEnded(t *testing.T) {
+func TestAttemptInFlightCanAlwaysEndAndEndedIsFinal(t *testing.T) {
 	for from := range attemptStateCount {
 		a := &attempt{state: from}
 		assert.Equal(t, from.inFlight(), a.move(attemptEnded), "from state %d", from)
@@ -25,7 +25,7 @@
 }
 
 // Late events, such as a second cancel, a second end, or a stall after an attempt was given up, must have no effect.
-func TestAttemptMovesOnlyAsItsTableSays(t *testing.T) {
+func TestAttemptMovesOnlyAlongTransitionTable(t *testing.T) {
 	for from := range attemptStateCount {
 		for to := range attemptStateCount {
 			a := &attempt{state: from, suspectAt: 1}
@@ -43,7 +43,7 @@
 
 // Guards against a queue that disagrees with the request states: it would hold a request twice, or send one that has
 // ended. After each move, a request is in the queue exactly if its state is queued, and an ended request stays ended.
-func TestRequestIsInTheQueueWhileItsStateSaysSo(t *testing.T) {
+func TestRequestIsInQueueExactlyWhileQueued(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	req := addSentRequest(r, 0, true)
 	for _, step := range []struct {
@@ -65,7 +65,7 @@
 
 // Operators rely on the table of transitions in the comment during incidents: it must list exactly the transitions of
 // the code.
-func TestAttemptTransitionsAreThoseOfTheComment(t *testing.T) {
+func TestAttemptTransitionsMatchDocComment(t *testing.T) {
 	text, err := os.ReadFile("attempt.go")
 	require.NoError(t, err)
 	states := []string{"planned", "awaited", "stalled", "lost", "abandoned", "cancelled", "ended"}
--- a/routing/cachestate.go
+++ b/routing/cachestate.go
@@ -45,7 +45,7 @@
 }
 
 // clearCached clears the known contents of a cache.
-func (e *endpoint) forgetCached() {
+func (e *endpoint) clearCached() {
 	for c := range e.cached {
 		c.removeCache(e)
 	}
@@ -55,15 +55,15 @@
 
 // removeCached removes a chunk from the order of request gaps, and from the known contents of the cache if evicted is
 // set.
-func (e *endpoint) removeCached(c *chunk, forget bool) {
-	copied := e.cached[c]
-	if copied == nil {
+func (e *endpoint) removeCached(c *chunk, evicted bool) {
+	cachedCopy := e.cached[c]
+	if cachedCopy == nil {
 		return
 	}
-	if at, found := slices.BinarySearchFunc(e.byGap, copied, compareGapKeys); found {
+	if at, found := slices.BinarySearchFunc(e.byGap, cachedCopy, compareGapKeys); found {
 		e.byGap = slices.Delete(e.byGap, at, at+1)
 	}
-	if forget {
+	if evicted {
 		delete(e.cached, c)
 		c.removeCache(e)
 	}
@@ -83,9 +83,9 @@
 // addCopy adds a chunk to the known contents of a cache as of now.
 func (r *Router) addCopy(cache *endpoint, c *chunk) *cachedChunk {
 	r.sequence++
-	copied := &cachedChunk{chunk: c, sequence: r.sequence, filledAt: r.now}
-	cache.addCached(copied, c.gapKey())
-	return copied
+	cachedCopy := &cachedChunk{chunk: c, sequence: r.sequence, filledAt: r.now}
+	cache.addCached(cachedCopy, c.gapKey())
+	return cachedCopy
 }
 
 // dropCached removes all chunks of an object from the known contents of the caches.
--- a/routing/caching.go
+++ b/routing/caching.go
@@ -26,7 +26,7 @@
 
 // Expiry of idle objects.
 const (
-	forgetObjectSeconds  = 60.0   // idle time after which an object is dropped
+	idleObjectTTLSeconds = 60.0   // idle time after which an object is dropped
 	sweepIntervalSeconds = 5.0    // interval between sweeps for idle objects
 	maxObjects           = 131072 // bounds the memory for objects
 	objectsAfterSweep    = maxObjects / 2
@@ -53,7 +53,7 @@
 // of the object's cached chunks. If there are none, other routers may have requested the chunk with a gap of T; the
 // miss rate estimates how likely that is.
 func (r *Router) gapOf(req *request, cache *endpoint) float64 {
-	if !req.firstOfChunk {
+	if !req.firstForChunk {
 		return req.chunk.gap(r.now)
 	}
 	largest := 0.0
@@ -94,7 +94,7 @@
 		return false
 	}
 	horizon := r.horizon(cache)
-	r.forgetEvicted(cache, horizon)
+	r.dropEvicted(cache, horizon)
 	if cache.cached[req.chunk] != nil {
 		return true
 	}
@@ -113,7 +113,7 @@
 
 // dropEvicted removes the chunks with the largest gaps from the known contents of a cache if they were idle for more
 // than cachedIdleHorizons times the horizon, in seconds: the cache is presumed to have evicted them.
-func (r *Router) forgetEvicted(cache *endpoint, horizon float64) {
+func (r *Router) dropEvicted(cache *endpoint, horizon float64) {
 	for len(cache.byGap) > 0 && r.now-cache.byGap[0].lastUsedAt > cachedIdleHorizons*horizon {
 		cache.removeCached(cache.byGap[0].chunk, true)
 	}
@@ -126,28 +126,28 @@
 	if cache.role != edgeCache || r.uncacheable(req) {
 		return
 	}
-	copied := cache.cached[req.chunk]
-	if copied != nil && filled && r.class(req.Class).freshSeconds == 0 {
-		cache.idleSeconds = appendSample(cache.idleSeconds, max(a.sentAt-copied.lastUsedAt, 0), maxIdleSamples)
+	cachedCopy := cache.cached[req.chunk]
+	if cachedCopy != nil && filled && r.class(req.Class).freshSeconds == 0 {
+		cache.idleSeconds = appendSample(cache.idleSeconds, max(a.sentAt-cachedCopy.lastUsedAt, 0), maxIdleSamples)
 	}
 	if filled && a.retentionRank == 0 {
 		cache.removeCached(req.chunk, true)
 		return
 	}
-	if copied == nil {
-		copied = r.addCopy(cache, req.chunk)
+	if cachedCopy == nil {
+		cachedCopy = r.addCopy(cache, req.chunk)
 	}
 	if filled {
-		copied.filledAt = r.now
+		cachedCopy.filledAt = r.now
 	}
-	copied.sizeKB, copied.lastUsedAt = req.SizeKB, r.now
+	cachedCopy.sizeKB, cachedCopy.lastUsedAt = req.SizeKB, r.now
 }
 
 // maxCopyAge returns the maximum age of a served copy, 0 for the fresh time of the class.
 func (r *Router) maxCopyAge(req *request, a *attempt) float64 {
 	age, class := r.ageOfNewestPurge(req, a), r.class(req.Class)
 	switch {
-	case r.staleCopyWillDo(class, len(req.attempts)):
+	case r.staleCopyAllowed(class, len(req.attempts)):
 		return min(age, class.freshSeconds+class.staleSeconds)
 	case math.IsInf(age, 1) || (class.freshSeconds > 0 && age > class.freshSeconds):
 		return 0
@@ -162,8 +162,8 @@
 func (r *Router) ageOfNewestPurge(req *request, a *attempt) float64 {
 	purgedAt := max(r.purges[purgeKey{object: req.Object}], r.purges[purgeKey{group: req.ObjectGroup}])
 	for _, e := range [2]*endpoint{a.target, a.source} {
-		if e.StartedAt > r.purgesForgottenUntil {
-			purgedAt = max(purgedAt, r.purgesForgottenUntil)
+		if e.StartedAt > r.purgesDroppedUntil {
+			purgedAt = max(purgedAt, r.purgesDroppedUntil)
 		}
 	}
 	if purgedAt > 0 {
@@ -174,7 +174,7 @@
 
 // staleCopyAllowed reports whether a stale copy may answer a request of the class after a number of attempts: it must
 // be worth more than a late answer, and fills must be congested or have failed.
-func (r *Router) staleCopyWillDo(class *class, attempts int) bool {
+func (r *Router) staleCopyAllowed(class *class, attempts int) bool {
 	if class.staleSeconds <= 0 || class.stalePriorityShare <= class.latePriorityShare {
 		return false
 	}
@@ -184,12 +184,12 @@
 
 // evictIdleObjects drops objects that were idle for long, and drops them sooner if there are too many, so that memory
 // does not grow with the number of objects that clients request.
-func (r *Router) forgetIdleObjects() {
+func (r *Router) evictIdleObjects() {
 	if r.now < r.sweptAt+sweepIntervalSeconds && len(r.objects) < maxObjects {
 		return
 	}
 	r.sweptAt = r.now
-	for age := forgetObjectSeconds; age == forgetObjectSeconds || len(r.objects) > objectsAfterSweep; age /= 2 {
+	for age := idleObjectTTLSeconds; age == idleObjectTTLSeconds || len(r.objects) > objectsAfterSweep; age /= 2 {
 		for id, o := range r.objects {
 			if r.now-o.lastRequestAt >= age {
 				o.dropCached()
--- a/routing/caching_test.go
+++ b/routing/caching_test.go
@@ -41,7 +41,7 @@
 			c.addCached(&cachedChunk{chunk: p, sizeKB: 1}, p.gapKey())
 		}
 	}
-	unseen := &request{object: o, chunk: o.findOrAddChunk(9), firstOfChunk: true}
+	unseen := &request{object: o, chunk: o.findOrAddChunk(9), firstForChunk: true}
 	assert.InDelta(t, 9, r.gapOf(unseen, c), 1e-9)
 	assert.True(t, math.IsInf(r.gapOf(unseen, r.findOrAddEndpoint("c1")), 1))
 }
@@ -76,7 +76,7 @@
 
 // Storing a chunk that is requested once would evict popular chunks from a full cache, which are then fetched again.
 // The attempt must name a source, and have retention rank 0, which stores nothing.
-func TestPassedFillNamesItsSourceAndStoresNothing(t *testing.T) {
+func TestPassThroughNamesSourceAndStoresNothing(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	for _, c := range r.caches.endpoints { // caches are full of frequently requested chunks
 		p := &chunk{requested: true, lastRequestAt: 100, averageGapSeconds: 0.1}
@@ -90,7 +90,7 @@
 
 // The decision traces do not reach the maximum number of objects, so this test covers it. Above the maximum, the idle
 // time after which objects are dropped is halved until at most half of the maximum remains.
-func TestObjectsAreRememberedUpToTheirNumber(t *testing.T) {
+func TestObjectsAreLimitedToMaximumNumber(t *testing.T) {
 	const remembered = 131072
 	r := newTestRouter(Idempotent)
 	r.sweptAt = r.now // the next sweep for idle objects is not due
@@ -98,9 +98,9 @@
 		o := r.findOrAddObject(strconv.Itoa(i), 0)
 		o.lastRequestAt = r.now - 60*float64(i)/remembered
 	}
-	r.forgetIdleObjects()
+	r.evictIdleObjects()
 	assert.Len(t, r.objects, remembered-1)
 	r.findOrAddObject("one more", 0).lastRequestAt = r.now - 60
-	r.forgetIdleObjects()
+	r.evictIdleObjects()
 	assert.Len(t, r.objects, remembered/2)
 }
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -18,13 +18,13 @@
 	decreaseFactor          = 0.8  // factor applied to a limit after a late or refused attempt
 	decreaseIntervalSeconds = 0.25 // minimum time between decreases: attempts in flight report the same congestion
 	maxLateSamples          = 10   // recent answers sampled for lateness: few, to follow changes quickly
-	congestionShare         = 0.15 // share of late answers that indicates congestion: fewer are chance
+	congestionShare         = 0.15 // share of late answers in lateSamples that indicates congestion: fewer are chance
 )
 
 // Thresholds for answers that indicate congestion.
 const (
 	timelyShare        = 0.8 // share of the objective after which an answer is late: 1 leaves no time to react
-	lateFirstByteShare = 0.5 // share of that for a late first byte: the source is slow rather than the link
+	lateFirstByteShare = 0.5 // share of the late threshold for a late first byte: the source is slow, not the link
 )
 
 // limiter bounds the attempts that this router has in flight at an endpoint, on a link or on the path to the origin.
@@ -36,29 +36,29 @@
 // follows it; it also ends a ramp that has reached the minimum. Growth above the recovery threshold is slow and does
 // not raise the threshold.
 type limiter struct {
-	limit       float64
-	provenLimit float64 // initially this router's share, then the limit after the last decrease
-	minLimit    float64
-	growthStep  float64 // increase per round of timely answers above the recovery threshold
-	inFlight    float64
-	decreasedAt float64
-	pausedUntil float64   // end of the pause of a limit below one attempt
-	lateSamples []float64 // recent answers, 1 for a late one
+	limit             float64
+	recoveryThreshold float64 // initially this router's share, then the limit after the last decrease
+	minLimit          float64
+	growthStep        float64 // increase per round of timely answers above the recovery threshold
+	inFlight          float64
+	decreasedAt       float64
+	pausedUntil       float64   // end of the pause of a limit below one attempt
+	lateSamples       []float64 // recent answers, 1 for a late one
 }
 
 // hasCapacity reports whether a limiter admits one more attempt. A limit below one attempt is enforced by pauses:
 // hundreds of routers with one attempt each would overload an endpoint, visible as late answers while each router has
 // one attempt in flight. With pauses, each router sends no more than its share over time.
-func (l *limiter) hasRoom(now float64) bool { return l.inFlight < l.limit && now >= l.pausedUntil }
+func (l *limiter) hasCapacity(now float64) bool { return l.inFlight < l.limit && now >= l.pausedUntil }
 
 // admits reports whether a limiter admits an attempt of a read or a write. A read needs capacity. A write is also
 // admitted by a full or paused limiter, even right after a decrease, unless the limit is in its recovery ramp.
 func (l *limiter) admits(write bool, now float64) bool {
-	return l.hasRoom(now) || (write && l.atProvenLimit())
+	return l.hasCapacity(now) || (write && l.recovered())
 }
 
 // recovered reports whether a limit is not in its recovery ramp.
-func (l *limiter) atProvenLimit() bool { return l.limit >= l.provenLimit }
+func (l *limiter) recovered() bool { return l.limit >= l.recoveryThreshold }
 
 // release removes the load of an ended attempt that lasted some seconds. A limit below the load is paused, if used is
 // set: the attempt has reached this limiter's endpoint or path.
@@ -80,7 +80,7 @@
 func (l *limiter) setShare(limit, routers float64) {
 	l.limit = max(limit, minStartingLimit)
 	l.growthStep = growthPerRound / math.Sqrt(routers)
-	l.provenLimit, l.minLimit = l.limit, minLimitShare*l.limit
+	l.recoveryThreshold, l.minLimit = l.limit, minLimitShare*l.limit
 }
 
 // raiseMinimum raises the minimum of a limit on a path behind the caches; the fewer routers share the path, the higher
@@ -94,8 +94,8 @@
 // used.
 func (l *limiter) increase() {
 	l.lateSamples = appendSample(l.lateSamples, 0, maxLateSamples)
-	if l.limit < l.provenLimit {
-		l.limit = min(l.limit+recoveryStep, l.provenLimit)
+	if l.limit < l.recoveryThreshold {
+		l.limit = min(l.limit+recoveryStep, l.recoveryThreshold)
 	} else if l.limit < 1 || l.inFlight > usedLimitShare*l.limit {
 		l.limit += l.growthStep / max(l.limit, 1)
 	}
@@ -119,11 +119,11 @@
 // raising the limit to the minimum would send more attempts to a cold endpoint because it was overloaded.
 func (l *limiter) lower() {
 	if l.limit < l.minLimit {
-		l.provenLimit = max(l.provenLimit*decreaseFactor, l.minLimit)
+		l.recoveryThreshold = max(l.recoveryThreshold*decreaseFactor, l.minLimit)
 		return
 	}
 	l.limit = max(l.limit*decreaseFactor, l.minLimit)
-	l.provenLimit = l.limit
+	l.recoveryThreshold = l.limit
 }
 
 // setStartingLimit sets the recovery threshold to this router's share of an endpoint's capacity. The limit of an
@@ -139,7 +139,7 @@
 	if e.role == parentCache {
 		e.limiter.raiseMinimum(e.routersSharing)
 	}
-	e.limiter.limit = startingLimit(e.limiter.limit, r.warmShare(e))
+	e.limiter.limit = startingLimit(e.limiter.limit, r.capacityShare(e))
 }
 
 // setSharedLimits initializes the limits of the zone's link and of the origins, once caches are known. The weight of an
@@ -200,7 +200,7 @@
 		if !a.state.inFlightNotLost() || !isLate(elapsed, req.objectiveSeconds) {
 			continue
 		}
-		r.adjustLimits(req, a, AttemptEnded{ElapsedSeconds: elapsed, FirstByteSeconds: elapsed}, a.fill.missExpected())
+		r.adjustLimits(req, a, AttemptEnded{ElapsedSeconds: elapsed, FirstByteSeconds: elapsed}, a.fill.expectsMiss())
 		if a.originLimiter != nil && a.originLimiter != &a.source.limiter {
 			a.originLimiter.decrease(r.now, false)
 		}
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -11,23 +11,23 @@
 // overload the endpoint. After an attempt the limiter must pause for as long as its share requires, but not after an
 // attempt that never reached the endpoint.
 func TestLimiterBelowOnePausesBetweenAttempts(t *testing.T) {
-	l := limiter{limit: 0.25, provenLimit: 0.25, growthStep: 0.1}
-	require.True(t, l.hasRoom(100))
+	l := limiter{limit: 0.25, recoveryThreshold: 0.25, growthStep: 0.1}
+	require.True(t, l.hasCapacity(100))
 	l.inFlight++
-	assert.False(t, l.hasRoom(100))
+	assert.False(t, l.hasCapacity(100))
 	l.release(101, 1, 1, true) // in flight for 1 s: paused for 3 s more
-	assert.False(t, l.hasRoom(103.9))
-	assert.True(t, l.hasRoom(104))
+	assert.False(t, l.hasCapacity(103.9))
+	assert.True(t, l.hasCapacity(104))
 	l.pausedUntil = 0
 	l.release(105, 1, 1, false) // the endpoint was not reached
-	assert.True(t, l.hasRoom(105))
+	assert.True(t, l.hasCapacity(105))
 }
 
 // One late answer among many timely ones is chance, and must not lower the limit for long. One congestion delays all
 // attempts in flight, and decreasing the limit for each would take it to its minimum. A single late answer must have no
 // effect, a refusal must count immediately, and one congestion must count once.
 func TestLimiterIgnoresOneLateAnswerButNotRefusals(t *testing.T) {
-	l := limiter{limit: 10, provenLimit: 10, lateSamples: []float64{0, 0, 0, 0, 0, 0}}
+	l := limiter{limit: 10, recoveryThreshold: 10, lateSamples: []float64{0, 0, 0, 0, 0, 0}}
 	l.decrease(100, false)
 	assert.Equal(t, 10.0, l.limit) //nolint:testifylint // exact by intent
 	l.decrease(100, true)
@@ -62,7 +62,7 @@
 	r.settings[SettingResultDetails] = DetailsOfHits
 	req := addSentRequest(r, 0, true)
 	a := req.attempts[0]
-	a.source, a.fill, a.suspectAt = r.findOrAddEndpoint("p0"), expectFill, 100.2
+	a.source, a.fill, a.suspectAt = r.findOrAddEndpoint("p0"), fillExpected, 100.2
 	r.zoneLink.minLimit = 1
 	before := [2]float64{a.source.limiter.limit, r.zoneLink.limit}
 	r.adjustLimits(req, a, AttemptEnded{ElapsedSeconds: 0.6}, true)
@@ -74,8 +74,8 @@
 // lower the limits of their path.
 func TestUnansweredAttemptsLowerLimitsOfTheirPath(t *testing.T) {
 	for name, c := range map[string]struct {
-		change   func(*attempt)
-		narrower bool
+		change    func(*attempt)
+		decreases bool
 	}{
 		"in flight at the deadline":        {func(*attempt) {}, true},
 		"sent shortly before the deadline": {func(a *attempt) { a.sentAt = 104.8 }, false},
@@ -86,11 +86,11 @@
 		r.settings[SettingResultDetails] = DetailsOfHits
 		req := addSentRequest(r, 0, true)
 		a, o := req.attempts[0], r.findOrAddEndpoint("o")
-		a.source, a.fill, a.originLimiter, a.suspectAt = r.findOrAddEndpoint("p0"), expectFill, &o.limiter, 100.4
+		a.source, a.fill, a.originLimiter, a.suspectAt = r.findOrAddEndpoint("p0"), fillExpected, &o.limiter, 100.4
 		cache := a.target.limiter.limit
-		ways := []*limiter{&a.source.limiter, &r.zoneLink, &o.limiter}
+		limiters := []*limiter{&a.source.limiter, &r.zoneLink, &o.limiter}
 		var before []float64
-		for _, g := range ways {
+		for _, g := range limiters {
 			g.minLimit = 0.1
 			before = append(before, g.limit)
 		}
@@ -98,8 +98,8 @@
 		r.now = req.Deadline
 		r.plan(req)
 		assert.IsType(t, RejectRequest{}, finalAction(r), name)
-		for i, g := range ways {
-			assert.Equal(t, c.narrower, g.limit < before[i], "%s, path %d", name, i)
+		for i, g := range limiters {
+			assert.Equal(t, c.decreases, g.limit < before[i], "%s, path %d", name, i)
 		}
 		//nolint:testifylint // exact by intent
 		assert.Equal(t, cache, a.target.limiter.limit, "%s: the cache is not at fault for a fill", name)
@@ -109,14 +109,14 @@
 // A limit of a path that many routers share decreases with each congestion that any of them causes, until it admits
 // nothing. It must keep a minimum that depends on the number of routers.
 func TestSharedPathLimitsKeepAHigherMinimum(t *testing.T) {
-	for n, least := range map[float64]float64{1: 10, 4: 5, 400: 10 * minLimitShare} {
+	for n, minimum := range map[float64]float64{1: 10, 4: 5, 400: 10 * minLimitShare} {
 		l := limiter{}
 		l.setShare(10, n)
 		l.raiseMinimum(n)
 		for i := range 50 {
 			l.decrease(float64(i), true)
 		}
-		assert.InDelta(t, least, l.limit, 1e-9, "%v routers", n)
+		assert.InDelta(t, minimum, l.limit, 1e-9, "%v routers", n)
 	}
 }
 
@@ -129,13 +129,13 @@
 		l.setShare(20, 1)
 		l.limit = limit // as set by an ejection or a slow start; the minimum is 4
 		for now := range 10 {
-			limitBefore, provenBefore := l.limit, l.provenLimit
+			limitBefore, thresholdBefore := l.limit, l.recoveryThreshold
 			l.decrease(100+float64(now), true)
 			assert.LessOrEqual(t, l.limit, limitBefore)
-			assert.LessOrEqual(t, l.provenLimit, provenBefore)
-			assert.GreaterOrEqual(t, l.provenLimit, l.minLimit)
-			assert.Equal(t, limit >= l.minLimit, l.atProvenLimit(), "the ramp continues only below the minimum")
+			assert.LessOrEqual(t, l.recoveryThreshold, thresholdBefore)
+			assert.GreaterOrEqual(t, l.recoveryThreshold, l.minLimit)
+			assert.Equal(t, limit >= l.minLimit, l.recovered(), "the ramp continues only below the minimum")
 		}
-		assert.InDelta(t, l.minLimit, l.provenLimit, 1e-9)
+		assert.InDelta(t, l.minLimit, l.recoveryThreshold, 1e-9)
 	}
 }
--- a/routing/decide.go
+++ b/routing/decide.go
@@ -9,7 +9,7 @@
 	now         float64
 	actions     []Action
 
-	endpoints []*endpoint  // by id
+	endpoints []*endpoint  // sorted by ID
 	removed   []*endpoint  // members of endpoints that were removed from the list and have not expired
 	caches    endpointList // edge caches of this zone
 	parents   endpointList
@@ -21,10 +21,10 @@
 	queue           []*request // sorted by priority per KB, highest first
 	sequence        uint64
 
-	objects              map[string]*object
-	sweptAt              float64              // time of the last sweep for idle objects
-	purges               map[purgeKey]float64 // time of the latest purge of each key
-	purgesForgottenUntil float64
+	objects            map[string]*object
+	sweptAt            float64              // time of the last sweep for idle objects
+	purges             map[purgeKey]float64 // time of the latest purge of each key
+	purgesDroppedUntil float64
 
 	slownessSamples   []float64 // recent attempt durations relative to their suspicion time, see attempt.slowness
 	unansweredSamples []float64 // recent attempts slower than all slownessSamples, 1 for one without an answer
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -15,14 +15,14 @@
 	Endpoint
 	limiter              limiter
 	role                 role
-	listed               listing
+	listed               listEntry
 	zonesAway            float64 // number of parent zones between this zone and the endpoint
 	routersSharing       float64 // number of routers that send attempts to it
 	retryBudgetExhausted bool
 	removedAt            float64 // time of its removal from the list, 0 if listed
 
-	heardAt        []float64 // times of recent responses
-	recentFailures []float64 // recent results, 1 for a failure
+	respondedAt    []float64 // times of recent responses
+	failureSamples []float64 // recent results, 1 for a failure
 	ejections      int       // ejections since the last success outside of a recovery ramp
 	ejectedUntil   float64
 	suspectedUntil float64 // end of the suspicion reported by other routers
@@ -35,21 +35,21 @@
 
 // recordResponse records a response of an endpoint: its own answer, or an answer through a cache that used it as
 // source.
-func (e *endpoint) recordHeard(now float64) {
-	e.heardAt = appendSample(e.heardAt, now, maxHeardTimes)
+func (e *endpoint) recordResponse(now float64) {
+	e.respondedAt = appendSample(e.respondedAt, now, maxResponseSamples)
 }
 
 // lastResponseAt returns the time of the last response of an endpoint, 0 if there was none.
-func (e *endpoint) lastHeardAt() float64 {
-	if len(e.heardAt) == 0 {
+func (e *endpoint) lastResponseAt() float64 {
+	if len(e.respondedAt) == 0 {
 		return 0
 	}
-	return e.heardAt[len(e.heardAt)-1]
+	return e.respondedAt[len(e.respondedAt)-1]
 }
 
 // trafficPauseFactor is the ratio of an interval between responses to the mean of the others above which the interval
 // is a pause in the traffic.
-const quietFactor = 10.0
+const trafficPauseFactor = 10.0
 
 // responseIntervalSeconds returns the mean interval between the recent responses of an endpoint, 0 for fewer than two
 // responses. The longest interval is excluded if it is a pause in the traffic, which is determined once
@@ -57,16 +57,16 @@
 //
 // Excluding it guards against an endpoint that hangs soon after a pause in the traffic: with the pause included, the
 // endpoint would be found unresponsive only after several times the mean, and requests would wait for their deadlines.
-func (e *endpoint) heardIntervalSeconds() float64 {
-	if len(e.heardAt) < 2 {
+func (e *endpoint) responseIntervalSeconds() float64 {
+	if len(e.respondedAt) < 2 {
 		return 0
 	}
-	sum, longest, count := e.lastHeardAt()-e.heardAt[0], 0.0, float64(len(e.heardAt)-1)
-	for i, at := range e.heardAt[1:] {
-		longest = max(longest, at-e.heardAt[i])
+	sum, longest, count := e.lastResponseAt()-e.respondedAt[0], 0.0, float64(len(e.respondedAt)-1)
+	for i, at := range e.respondedAt[1:] {
+		longest = max(longest, at-e.respondedAt[i])
 	}
 	others := sum - longest
-	if len(e.heardAt) == maxHeardTimes && longest*(count-1) > quietFactor*others {
+	if len(e.respondedAt) == maxResponseSamples && longest*(count-1) > trafficPauseFactor*others {
 		return others / (count - 1)
 	}
 	return sum / count
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -8,7 +8,7 @@
 
 // removedEndpointTTLSeconds is the time after which a removed endpoint is dropped. Until then its state is restored if
 // it is listed again. The TTL bounds memory as endpoints come and go.
-const forgetEndpointSeconds = 60.0
+const removedEndpointTTLSeconds = 60.0
 
 // search returns the index of an endpoint in the list sorted by ID, and whether it is present.
 func (r *Router) search(id EndpointID) (int, bool) {
@@ -47,7 +47,7 @@
 	for _, listed := range update.Endpoints {
 		e := r.findOrAddEndpoint(listed.ID)
 		if e.cached == nil || listed.StartedAt > e.StartedAt {
-			e.forgetCached()
+			e.clearCached()
 			*e = endpoint{
 				Endpoint:   e.Endpoint,
 				listed:     e.listed,
@@ -66,21 +66,21 @@
 	if snapshot {
 		r.classifyEndpoints()
 	}
-	r.forgetRemoved()
+	r.expireRemovedEndpoints()
 	return started
 }
 
 // expireRemovedEndpoints drops endpoints that were removed more than removedEndpointTTLSeconds ago.
-func (r *Router) forgetRemoved() {
+func (r *Router) expireRemovedEndpoints() {
 	r.removed = slices.DeleteFunc(r.removed, func(e *endpoint) bool {
 		if e.Status != Removed {
 			e.removedAt = 0
 			return true
 		}
-		if r.now < e.removedAt+forgetEndpointSeconds {
+		if r.now < e.removedAt+removedEndpointTTLSeconds {
 			return false
 		}
-		e.forgetCached()
+		e.clearCached()
 		if at, found := r.search(e.ID); found {
 			r.endpoints = slices.Delete(r.endpoints, at, at+1)
 		}
@@ -113,7 +113,7 @@
 	if e.Status != Ready {
 		list = nil
 	}
-	e.list(list)
+	e.updateList(list)
 	if e.Status == Removed && e.removedAt == 0 {
 		e.removedAt = r.now
 		r.removed = append(r.removed, e)
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -8,10 +8,10 @@
 )
 
 // Endpoints are replaced all the time, so memory must not grow with those that were removed.
-func TestRemovedEndpointsAreForgotten(t *testing.T) {
+func TestRemovedEndpointsExpire(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	for i := range 20 {
-		now := 100 + float64(i)*forgetEndpointSeconds/2
+		now := 100 + float64(i)*removedEndpointTTLSeconds/2
 		added := Endpoint{ID: EndpointID("n" + strconv.Itoa(i)), Zone: 1, Weight: 4}
 		removed := Endpoint{ID: EndpointID("n" + strconv.Itoa(i-1)), Zone: 1, Status: Removed}
 		r.Decide(now, EndpointUpdate{Endpoints: []Endpoint{added, removed}})
@@ -22,7 +22,7 @@
 
 // For any configured number of routers, valid or not, a request is sent, and the shares of all routers add up to about
 // the capacity.
-func TestAnyCountOfRoutersGetsSharesOfTheCapacity(t *testing.T) {
+func TestRoutersShareCapacityForAnyRouterCount(t *testing.T) {
 	for _, count := range []string{"", "0", "-3", "0.5", "1", "400"} {
 		r := New(7, testSettings(WithIdempotencyKey))
 		r.settings[SettingRouters], r.settings[SettingRoutersByZone] = count, "0,"+count
@@ -39,7 +39,7 @@
 
 // A removed endpoint that is listed again before it expires keeps its state. The decision traces do not cover the
 // expiry time, so this test does.
-func TestRemovedEndpointIsRememberedForAMinute(t *testing.T) {
+func TestRemovedEndpointExpiresAfterOneMinute(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	removed := Endpoint{ID: "c0", Zone: 1, Weight: 4, Status: Removed}
 	r.Decide(100, EndpointUpdate{Endpoints: []Endpoint{removed}})
--- a/routing/hashorder.go
+++ b/routing/hashorder.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	storedCandidates = 4   // endpoints of its hash order stored per object: usually the first one is used
-	maxMoves         = 256 // list changes up to which a stored order is repaired; after more it is recomputed
+	storedCandidates   = 4   // endpoints of its hash order stored per object: usually the first one is used
+	maxRepairedChanges = 256 // list changes up to which a stored order is repaired; after more it is recomputed
 )
 
 // hashOrder is the prefix of the order in which an object prefers the endpoints of a list, highest score first. It
@@ -22,28 +22,28 @@
 type endpointList struct {
 	endpoints []*endpoint // sorted by ID
 	version   int         // number of changes so far
-	moves     []*endpoint // endpoints that were added, removed or had their score changed, most recent last
+	changes   []*endpoint // endpoints that were added, removed or had their score changed, most recent last
 }
 
 // listEntry is the list that an endpoint belongs to, and the values that its score in that list depends on.
-type listing struct {
+type listEntry struct {
 	list              *endpointList // nil if it is in no list
 	weight, zonesAway float64
 }
 
 // updateList moves an endpoint to the given list, or out of its list if nil, and records changes of its score.
-func (e *endpoint) list(list *endpointList) {
-	wanted := listing{list: list, weight: e.Weight, zonesAway: e.zonesAway}
+func (e *endpoint) updateList(list *endpointList) {
+	entry := listEntry{list: list, weight: e.Weight, zonesAway: e.zonesAway}
 	if list == nil {
-		wanted = listing{}
+		entry = listEntry{}
 	}
-	if e.listed == wanted {
+	if e.listed == entry {
 		return
 	}
 	if e.listed.list != nil {
 		e.listed.list.remove(e)
 	}
-	e.listed = wanted
+	e.listed = entry
 	if list != nil {
 		list.add(e)
 	}
@@ -55,45 +55,45 @@
 	if at, found := slices.BinarySearchFunc(l.endpoints, e.ID, compareIDs); !found {
 		l.endpoints = slices.Insert(l.endpoints, at, e)
 	}
-	l.noteMove(e)
+	l.recordChange(e)
 }
 
 func (l *endpointList) remove(e *endpoint) {
 	if at, found := slices.BinarySearchFunc(l.endpoints, e.ID, compareIDs); found {
 		l.endpoints = slices.Delete(l.endpoints, at, at+1)
 	}
-	l.noteMove(e)
+	l.recordChange(e)
 }
 
-func (l *endpointList) noteMove(e *endpoint) {
+func (l *endpointList) recordChange(e *endpoint) {
 	l.version++
-	if len(l.moves) >= 2*maxMoves {
-		l.moves = append(l.moves[:0], l.moves[len(l.moves)-maxMoves:]...)
+	if len(l.changes) >= 2*maxRepairedChanges {
+		l.changes = append(l.changes[:0], l.changes[len(l.changes)-maxRepairedChanges:]...)
 	}
-	l.moves = append(l.moves, e)
+	l.changes = append(l.changes, e)
 }
 
 // refresh updates the stored order of an object to the current version of the list. Only changed endpoints are
 // compared: unchanged ones keep their relative order, and a changed one is inserted if it ranks before the last of
 // these.
 func (l *endpointList) refresh(order *hashOrder, object string) {
-	missed := l.version - order.version
+	pending := l.version - order.version
 	order.version = l.version
-	if missed == 0 {
+	if pending == 0 {
 		return
 	}
-	if missed > len(l.moves) || missed > maxMoves {
+	if pending > len(l.changes) || pending > maxRepairedChanges {
 		order.best = nil
 		return
 	}
-	moved := l.moves[len(l.moves)-missed:]
-	order.best = slices.DeleteFunc(order.best, func(e *endpoint) bool { return slices.Contains(moved, e) })
+	changed := l.changes[len(l.changes)-pending:]
+	order.best = slices.DeleteFunc(order.best, func(e *endpoint) bool { return slices.Contains(changed, e) })
 	if len(order.best) == 0 {
 		return
 	}
 	prefix := newHashPrefix(object)
-	for i, e := range moved {
-		if e.listed.list == l && !slices.Contains(moved[:i], e) {
+	for i, e := range changed {
+		if e.listed.list == l && !slices.Contains(changed[:i], e) {
 			order.insert(prefix, e)
 		}
 	}
@@ -146,7 +146,7 @@
 }
 
 // trim discards the candidates after the first storedCandidates, which are stored with the object.
-func (c candidates) release() {
+func (c candidates) trim() {
 	if c.order != nil && len(c.order.best) > storedCandidates {
 		c.order.best = slices.Clone(c.order.best[:storedCandidates])
 	}
--- a/routing/hashorder_test.go
+++ b/routing/hashorder_test.go
@@ -38,10 +38,10 @@
 	return all
 }
 
-// TestOrdersFollowTheListLikeASort generates changes of the list: caches that are added, removed, drained and change
+// TestRepairedHashOrdersMatchFullSort generates changes of the list: caches that are added, removed, drained and change
 // their weight, many or few at a time. The repaired orders of several objects must equal those of sorting the complete
 // list.
-func TestOrdersFollowTheListLikeASort(t *testing.T) {
+func TestRepairedHashOrdersMatchFullSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := New(7, testSettings(Idempotent))
 		now := 100.0
@@ -81,7 +81,7 @@
 	if got := ranked(c); !slices.Equal(got, want) {
 		t.Fatalf("%d endpoints are not in the order of a sort", len(want))
 	}
-	c.release()
+	c.trim()
 	if len(c.order.best) > storedCandidates {
 		t.Fatalf("%d endpoints are stored", len(c.order.best))
 	}
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestChunksKnowWhichCachesHoldThem checks that the records of chunks and caches about each other agree across
+// TestChunkAndCacheRecordsAgree checks that the records of chunks and caches about each other agree across
 // restarts, purges and removals.
-func TestChunksKnowWhichCachesHoldThem(t *testing.T) {
+func TestChunkAndCacheRecordsAgree(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	check := func(want int) {
 		t.Helper()
@@ -143,7 +143,7 @@
 	onSecond := len(r.caches.endpoints[1].cached)
 	r.Decide(103, EndpointUpdate{Endpoints: []Endpoint{{ID: "c1", Zone: 1, Weight: 4, Status: Removed}}})
 	check(20 - onFirst)
-	r.Decide(103+forgetEndpointSeconds, EndpointUpdate{})
+	r.Decide(103+removedEndpointTTLSeconds, EndpointUpdate{})
 	check(20 - onFirst - onSecond)
 	assert.Nil(t, r.findEndpoint("c1"))
 }
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -18,7 +18,7 @@
 	for _, l := range a.fillLimiters {
 		l.release(r.now, a.expectedFills, end.ElapsedSeconds, !end.answeredFromCache())
 	}
-	r.learn(req, a, end)
+	r.processOutcome(req, a, end)
 	if end.RequestDone {
 		r.moveRequest(req, requestEnded)
 	}
@@ -29,17 +29,17 @@
 }
 
 // processOutcome updates the state of the attempt's target, its source and the paths between them from its outcome.
-func (r *Router) learn(req *request, a *attempt, end AttemptEnded) {
+func (r *Router) processOutcome(req *request, a *attempt, end AttemptEnded) {
 	slowness := a.slowness(end.ElapsedSeconds) // 0 for an attempt presumed lost
 	r.recordSlowest(slowness, end.Result)
 	if end.Result.isAnswer() {
-		a.target.recordHeard(r.now)
+		a.target.recordResponse(r.now)
 	}
 	switch end.Result {
 	case Completed:
-		r.learnFromSuccess(req, a, end, slowness)
+		r.processSuccess(req, a, end, slowness)
 	case ServerError, Overloaded:
-		r.learnFromFailure(req, a, end)
+		r.processFailure(req, a, end)
 	case CacheMiss:
 		if a.fill == fillFromPeer {
 			a.source.removeCached(req.chunk, true)
@@ -54,12 +54,12 @@
 // now: a request that cannot be served fails at every endpoint, and would eject one endpoint after another if each
 // failure counted immediately. The slowness of an attempt that was presumed lost is 0: its late answer is counted as a
 // sample but raises no maximum.
-func (r *Router) learnFromSuccess(req *request, a *attempt, end AttemptEnded, slowness float64) {
+func (r *Router) processSuccess(req *request, a *attempt, end AttemptEnded, slowness float64) {
 	for _, earlier := range req.attempts {
-		if earlier.blame != noBlame {
+		if earlier.possibleFault != noFault {
 			r.recordResult(earlier.target, true)
 		}
-		if earlier.blame == blameTargetAndSource {
+		if earlier.possibleFault == targetAndSourceFault {
 			r.recordResult(earlier.source, true)
 		}
 	}
@@ -67,24 +67,24 @@
 	r.slownessSamples = appendSample(r.slownessSamples, slowness, maxSlownessSamples)
 	filled := !end.answeredFromCache()
 	if filled && a.hasSource() {
-		a.source.recordHeard(r.now)
+		a.source.recordResponse(r.now)
 		r.recordResult(a.source, false)
 	}
 	req.chunk.filledByParent = req.chunk.filledByParent || filled && a.fill != fillFromPeer
-	if a.fill == expectFill && a.target.role == edgeCache {
+	if a.fill == fillExpected && a.target.role == edgeCache {
 		r.missSamples = appendSample(r.missSamples, indicator(filled), maxMissSamples)
 	}
 	r.recordCached(req, a, filled)
-	r.learnSendTime(req, end)
+	r.observeSendTime(req, end)
 	r.adjustLimits(req, a, end, filled)
 }
 
 // processFailure attributes a server error or a refusal to the endpoint or path at fault.
-func (r *Router) learnFromFailure(req *request, a *attempt, end AttemptEnded) {
+func (r *Router) processFailure(req *request, a *attempt, end AttemptEnded) {
 	switch end.Detail {
 	case SourceRefused, SourceUnreachable, OriginFailed:
 		if originFailed(a, end.Detail) {
-			a.source.recordHeard(r.now)
+			a.source.recordResponse(r.now)
 			r.originLimiter().decrease(r.now, true)
 			return
 		}
@@ -94,27 +94,27 @@
 		}
 		return
 	case SourceCacheMiss:
-		a.source.recordHeard(r.now)
+		a.source.recordResponse(r.now)
 		a.source.removeCached(req.chunk, true)
 		return
 	case NoDetail, CacheHit, Filled, FilledByOrigin, JoinedFill, StaleHit, FillSlotsExhausted:
 	}
-	r.learnFromUnexplained(a, end)
+	r.processUnexplainedFailure(a, end)
 }
 
 // originFailed reports whether a fill failed at the origin rather than at its source. A source that responded after the
 // attempt was sent is reachable, so an unreachable endpoint is the origin.
 func originFailed(a *attempt, detail ResultDetail) bool {
-	heardSince := a.originLimiter != nil && a.source.lastHeardAt() > a.sentAt
-	return detail == OriginFailed || (detail == SourceUnreachable && heardSince)
+	respondedSince := a.originLimiter != nil && a.source.lastResponseAt() > a.sentAt
+	return detail == OriginFailed || (detail == SourceUnreachable && respondedSince)
 }
 
 // processUnexplainedFailure handles a failure without details on the source, which may still be at fault. A refused
 // fill counts as a failure of the source: a source that is down behind a cache is visible only as refusals of that
 // cache.
-func (r *Router) learnFromUnexplained(a *attempt, end AttemptEnded) {
+func (r *Router) processUnexplainedFailure(a *attempt, end AttemptEnded) {
 	refused := end.Result == Overloaded
-	sourceMayBeAtFault := a.fill.missExpected() && a.hasSource() && !r.reportsAllDetails()
+	sourceMayBeAtFault := a.fill.expectsMiss() && a.hasSource() && !r.reportsAllDetails()
 	refusedFill := refused && sourceMayBeAtFault
 	switch {
 	case end.Detail == FillSlotsExhausted || refusedFill && end.ElapsedSeconds < localRefusalSeconds:
@@ -125,8 +125,8 @@
 	case refused:
 		a.target.limiter.decrease(r.now, true)
 	case sourceMayBeAtFault:
-		a.blame = blameTargetAndSource
+		a.possibleFault = targetAndSourceFault
 	default:
-		a.blame = blameTarget
+		a.possibleFault = targetFault
 	}
 }
--- a/routing/outcome_test.go
+++ b/routing/outcome_test.go
@@ -14,10 +14,10 @@
 	r := newTestRouter(Idempotent)
 	req := addSentRequest(r, 0, true)
 	p, o := r.findOrAddEndpoint("p0"), r.findOrAddEndpoint("o")
-	req.attempts[0].source, req.attempts[0].fill = p, expectFill
+	req.attempts[0].source, req.attempts[0].fill = p, fillExpected
 	o.limiter.limit, p.limiter.limit = 10, 10
 	for range 6 {
-		r.learn(req, req.attempts[0], AttemptEnded{Result: ServerError, Detail: OriginFailed})
+		r.processOutcome(req, req.attempts[0], AttemptEnded{Result: ServerError, Detail: OriginFailed})
 	}
 	assert.Less(t, o.limiter.limit, 10.0)
 	assert.Equal(t, 10.0, p.limiter.limit) //nolint:testifylint // exact by intent
@@ -32,10 +32,10 @@
 		r.settings[SettingResultDetails] = DetailsOfHits
 		req := addSentRequest(r, 0, true)
 		p := r.findOrAddEndpoint("p0")
-		req.attempts[0].source, req.attempts[0].fill = p, expectFill
+		req.attempts[0].source, req.attempts[0].fill = p, fillExpected
 		r.zoneLink.minLimit = 1 // path shared with other routers
 		before, source := r.zoneLink.limit, p.limiter.limit
-		r.learn(req, req.attempts[0], AttemptEnded{Result: Overloaded, ElapsedSeconds: took})
+		r.processOutcome(req, req.attempts[0], AttemptEnded{Result: Overloaded, ElapsedSeconds: took})
 		assert.Equal(t, link, r.zoneLink.limit < before)
 		assert.Equal(t, !link, p.limiter.limit < source)
 	}
@@ -49,8 +49,8 @@
 	for i := range ejectFailureCount {
 		assert.Zero(t, p.ejectedUntil, "after %d", i)
 		req := addSentRequest(r, 0, true)
-		req.attempts[0].source, req.attempts[0].fill = p, expectFill
-		r.learn(req, req.attempts[0], AttemptEnded{Result: Overloaded, ElapsedSeconds: 0.8})
+		req.attempts[0].source, req.attempts[0].fill = p, fillExpected
+		r.processOutcome(req, req.attempts[0], AttemptEnded{Result: Overloaded, ElapsedSeconds: 0.8})
 	}
 	assert.Greater(t, p.ejectedUntil, r.now)
 	assert.Zero(t, r.findOrAddEndpoint("c0").ejectedUntil)
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -8,26 +8,26 @@
 // Thresholds for suspecting an attempt and for presuming it lost.
 const (
 	suspectShare            = 0.5  // share of the unstretched objective after which an attempt is suspected
-	suspectSendTimes        = 1.3  // sending times added to that: a busy link stretches a transfer
+	suspectSendTimes        = 1.3  // sending times added to the suspicion time: a busy link stretches a transfer
 	suspectRecheckSeconds   = 0.1  // interval between reviews of a suspected attempt
 	minSilenceSeconds       = 0.35 // minimum time without a response of a target: above usual pauses
 	minSourceSilenceSeconds = 0.7  // minimum time without a response of a source: it responds through the target
 	silenceIntervals        = 4.0  // mean response intervals without a response after which an endpoint is unresponsive
-	maxHeardTimes           = 10   // recent responses sampled for the mean response interval
+	maxResponseSamples      = 10   // recent responses sampled for the mean response interval
 	lostSlownessFactor      = 1.3  // slowness of a lost attempt relative to recent answers: congestion slows all
 	maxSlownessSamples      = 64   // recent answered attempts sampled for slowness: durations vary widely
-	maxUnansweredSamples    = 10   // recent attempts slower than all of these: few, to follow changes quickly
-	minUnansweredSamples    = 4    // samples required before their share is used: fewer are chance
-	unansweredShare         = 0.5  // share without an answer above which such an attempt is presumed lost
+	maxUnansweredSamples    = 10   // recent attempts slower than all slownessSamples: few, to follow changes quickly
+	minUnansweredSamples    = 4    // unansweredSamples required before their share is used: fewer are chance
+	unansweredShare         = 0.5  // share of unansweredSamples above which such an attempt is presumed lost
 )
 
 // Thresholds and durations of outlier ejection.
 const (
 	maxResultSamples     = 10  // recent results of an endpoint that count: few, to follow changes quickly
-	ejectFailureCount    = 4   // minimum number of failures that eject: fewer are chance
-	ejectFailureShare    = 0.5 // minimum share of failures that ejects: below it, losing the cache costs more
+	ejectFailureCount    = 4   // failures among the recent results that eject: fewer are chance
+	ejectFailureShare    = 0.5 // share of failures among the recent results that ejects: below it, losing the cache costs more
 	firstEjectionSeconds = 1.0 // duration of the first ejection; it doubles with each further one
-	maxEjectionSeconds   = 4.0 // maximum duration: a recovered endpoint is used again soon
+	maxEjectionSeconds   = 4.0 // longest ejection: a recovered endpoint is used again soon
 	limitAfterEjection   = 1.0 // initial limit after an ejection, in attempts in flight, in a recovery ramp
 	suspicionThreshold   = 0.5 // suspicion above which one own failure ejects: reached by two honest routers
 	suspicionEjections   = 2.0 // earlier ejections that the suspicion of other routers counts as
@@ -54,12 +54,12 @@
 // that endpoint is then ejected or has its limit decreased. It is also lost if it is slower for its size than all
 // recent answers and such attempts mostly go unanswered.
 func (r *Router) reviewSuspected(a *attempt) bool {
-	if silent := r.silentEndpoint(a); silent != nil {
-		r.ejectOrDecreaseLimit(silent)
+	if unresponsive := r.unresponsiveEndpoint(a); unresponsive != nil {
+		r.ejectOrDecreaseLimit(unresponsive)
 		return true
 	}
 	slowness := a.slowness(r.now - a.sentAt)
-	if !r.slowestGoUnanswered() || slowness <= r.greatestSlowness() {
+	if !r.slowestGoUnanswered() || slowness <= r.maxSlowness() {
 		return false
 	}
 	raised := lostSlownessFactor * slowness // the next such attempt waits longer
@@ -75,30 +75,30 @@
 // router with few requests seldom gets a response. The time without a response therefore has to exceed several mean
 // response intervals, and the attempt has to be slower for its size than all recent ones. The check is harmful when all
 // attempts become slow at once.
-func (r *Router) silentEndpoint(a *attempt) *endpoint {
+func (r *Router) unresponsiveEndpoint(a *attempt) *endpoint {
 	switch {
-	case a.target.lastHeardAt() < a.sentAt:
-		if r.silentForTooLong(a, minSilenceSeconds, a.target.heardIntervalSeconds()) {
+	case a.target.lastResponseAt() < a.sentAt:
+		if r.isUnresponsive(a, minSilenceSeconds, a.target.responseIntervalSeconds()) {
 			return a.target
 		}
-	case a.fill.missExpected() && a.source.lastHeardAt() < a.sentAt:
-		if r.silentForTooLong(a, minSourceSilenceSeconds, a.source.heardIntervalSeconds()) {
+	case a.fill.expectsMiss() && a.source.lastResponseAt() < a.sentAt:
+		if r.isUnresponsive(a, minSourceSilenceSeconds, a.source.responseIntervalSeconds()) {
 			return a.source
 		}
 	}
 	return nil
 }
 
-// silentTooLong reports whether an endpoint that has not responded since an attempt was sent is unresponsive. The time
+// isUnresponsive reports whether an endpoint that has not responded since an attempt was sent is unresponsive. The time
 // without a response has to exceed both a minimum and a multiple of the endpoint's mean response interval, both in
 // seconds.
-func (r *Router) silentForTooLong(a *attempt, leastSeconds, usualIntervalSeconds float64) bool {
+func (r *Router) isUnresponsive(a *attempt, minSeconds, meanIntervalSeconds float64) bool {
 	inFlightSeconds := r.now - a.sentAt
-	if inFlightSeconds <= max(leastSeconds, silenceIntervals*usualIntervalSeconds) {
+	if inFlightSeconds <= max(minSeconds, silenceIntervals*meanIntervalSeconds) {
 		return false
 	}
-	answeredOfLate := a.slowness(inFlightSeconds) <= lostSlownessFactor*r.greatestSlowness()
-	return !answeredOfLate
+	withinRecentRange := a.slowness(inFlightSeconds) <= lostSlownessFactor*r.maxSlowness()
+	return !withinRecentRange
 }
 
 // slowestGoUnanswered reports whether most attempts that were slower than all recent answers got no answer. It guards
@@ -114,8 +114,8 @@
 	return inFlightSeconds / (a.suspectAt - a.sentAt)
 }
 
-// greatestSlowness returns the maximum slowness of the recent answered attempts, at least 1.
-func (r *Router) greatestSlowness() float64 {
+// maxSlowness returns the maximum slowness of the recent answered attempts, at least 1.
+func (r *Router) maxSlowness() float64 {
 	greatest := 1.0
 	for _, slowness := range r.slownessSamples {
 		greatest = max(greatest, slowness)
@@ -134,7 +134,7 @@
 
 // lostAttemptState returns the state of an attempt that becomes presumed lost. The attempt stays in flight if hedging
 // is allowed, or if the request is non-idempotent and a cancel would lose its only possible answer.
-func (r *Router) stateOfLost(req *request) attemptState {
+func (r *Router) lostAttemptState(req *request) attemptState {
 	if r.settings.Bool(SettingHedging) || r.class(req.Class).effect == NonIdempotent {
 		return attemptLost
 	}
@@ -158,7 +158,7 @@
 // excludedByEjection reports whether an endpoint is excluded at a fallback level because it is ejected. At the last
 // level it is used if all endpoints of its role are ejected, as requests would otherwise have no endpoint. Alternatives
 // that are merely at their limit do not allow it, because a burst would then be sent to the endpoint that failed.
-func (r *Router) barredByEjection(e *endpoint, level fallbackLevel) bool {
+func (r *Router) excludedByEjection(e *endpoint, level fallbackLevel) bool {
 	return e.ejectedUntil > r.now && (level < ejectedAllowed || r.hasAlternative(e))
 }
 
@@ -189,18 +189,18 @@
 	}
 	e.ejectedUntil = r.now + ejectionSeconds(e.ejections, r.now < e.suspectedUntil)
 	e.ejections++
-	e.recentFailures = nil
+	e.failureSamples = nil
 	e.limiter.limit = limitAfterEjection
 }
 
 // recordResult records a result of an endpoint as failure or success: errors, refused fills and broken connections, or
 // completed attempts.
 func (r *Router) recordResult(e *endpoint, failed bool) {
-	if !failed && e.limiter.atProvenLimit() {
+	if !failed && e.limiter.recovered() {
 		e.ejections = 0
 	}
-	e.recentFailures = appendSample(e.recentFailures, indicator(failed), maxResultSamples)
-	if failed && failuresEject(e.recentFailures, e.ejections > 0, r.now < e.suspectedUntil) {
+	e.failureSamples = appendSample(e.failureSamples, indicator(failed), maxResultSamples)
+	if failed && failuresEject(e.failureSamples, e.ejections > 0, r.now < e.suspectedUntil) {
 		r.ejectOrDecreaseLimit(e)
 	}
 }
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -11,7 +11,7 @@
 // A hung endpoint keeps its connections open and answers nothing. Its requests would wait until their deadlines, and it
 // would be sent more of them. It must be ejected, and the request must get a second attempt at another endpoint while
 // the first is in flight.
-func TestSilentEndpointIsEjectedAndAttemptHedged(t *testing.T) {
+func TestUnresponsiveEndpointIsEjectedAndAttemptHedged(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	req := addSentRequest(r, 0, true)
 	req.attempts[0].suspectAt = 100.25
@@ -25,17 +25,17 @@
 
 // A router with few requests to a cache gets no response during a long transfer. The attempt is lost only if it is
 // slower for its size, by a margin, than all recent ones.
-func TestLongTransferIsNotTakenForSilence(t *testing.T) {
+func TestLongTransferDoesNotMakeEndpointUnresponsive(t *testing.T) {
 	for _, slow := range [][]float64{nil, {0.7, 2, 0.9}} {
 		r := newTestRouter(Idempotent)
 		r.slownessSamples = slow
 		c, a := r.findOrAddEndpoint("c0"), addSentRequest(r, 0, true).attempts[0]
 		a.suspectAt = 102 // suspected after two seconds, because of its size
-		bar := 2 * lostSlownessFactor * r.greatestSlowness()
-		r.now = 100 + bar - 0.01
+		bound := 2 * lostSlownessFactor * r.maxSlowness()
+		r.now = 100 + bound - 0.01
 		assert.False(t, r.reviewSuspected(a))
 		assert.Zero(t, c.ejectedUntil)
-		r.now = 100 + bar + 0.01
+		r.now = 100 + bound + 0.01
 		assert.True(t, r.reviewSuspected(a))
 		assert.Greater(t, c.ejectedUntil, r.now)
 	}
@@ -43,10 +43,10 @@
 
 // An endpoint that answers other attempts while one is late must not be ejected: it works. A response since the attempt
 // was sent shows that.
-func TestHeardEndpointIsNotSilent(t *testing.T) {
+func TestRespondingEndpointIsNotUnresponsive(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	req := addSentRequest(r, 0, true)
-	r.findOrAddEndpoint("c0").recordHeard(100.1)
+	r.findOrAddEndpoint("c0").recordResponse(100.1)
 	r.now = 101
 	assert.False(t, r.reviewSuspected(req.attempts[0]))
 }
@@ -64,15 +64,15 @@
 // An endpoint without traffic for a minute answers once and hangs. Counting the minute as a response interval would
 // hide the hang, and requests would wait for their deadlines. The endpoint must be found unresponsive as soon as one
 // without the pause.
-func TestHangAfterAQuietTimeIsNoticed(t *testing.T) {
+func TestHangAfterTrafficPauseIsDetected(t *testing.T) {
 	for name, pause := range map[string]float64{"a minute": 60, "ten seconds": 10, "none": 0.1} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(Idempotent)
 			c, req := r.findOrAddEndpoint("c0"), addSentRequest(r, 0, true)
-			for n := range maxHeardTimes {
-				c.heardAt = append(c.heardAt, 99.9-pause-0.1*float64(maxHeardTimes-n))
+			for n := range maxResponseSamples {
+				c.respondedAt = append(c.respondedAt, 99.9-pause-0.1*float64(maxResponseSamples-n))
 			}
-			c.recordHeard(99.9)
+			c.recordResponse(99.9)
 			req.attempts[0].suspectAt = 100.25
 			for waited := 0.25; len(req.attempts) == 1 && waited < 5; waited += 0.01 {
 				r.now = 100 + waited
@@ -84,29 +84,29 @@
 	}
 }
 
-// Intervals between answers vary. One that is a few times as long as the others is no pause in the traffic: a
-// router that left it out would take the next such one for silence.
-func TestUsualIntervalsCountAllThatVaryAsUsual(t *testing.T) {
+// Response intervals vary. An interval a few times as long as the others is not a pause in the traffic; excluding it
+// would make a router find the endpoint unresponsive during the next such interval.
+func TestVaryingResponseIntervalsAreNotTrafficPauses(t *testing.T) {
 	e := &endpoint{}
 	at := 100.0
 	for _, interval := range []float64{1, 1, 1, 1, 1, 1, 1, 1, 9} {
-		e.recordHeard(at)
+		e.recordResponse(at)
 		at += interval
 	}
-	e.recordHeard(at)
-	assert.InDelta(t, 17.0/9, e.heardIntervalSeconds(), 1e-9)
-	e.recordHeard(at + 100)
-	assert.InDelta(t, 16.0/8, e.heardIntervalSeconds(), 1e-9, "a hundred seconds count as a pause")
-	e.heardAt = e.heardAt[maxHeardTimes-3:]
-	assert.InDelta(t, 109.0/2, e.heardIntervalSeconds(), 1e-9, "two intervals are too few to detect a pause")
+	e.recordResponse(at)
+	assert.InDelta(t, 17.0/9, e.responseIntervalSeconds(), 1e-9)
+	e.recordResponse(at + 100)
+	assert.InDelta(t, 16.0/8, e.responseIntervalSeconds(), 1e-9, "a hundred seconds count as a pause")
+	e.respondedAt = e.respondedAt[maxResponseSamples-3:]
+	assert.InDelta(t, 109.0/2, e.responseIntervalSeconds(), 1e-9, "two intervals are too few to detect a pause")
 }
 
 // An endpoint with little traffic responds seldom. A fixed bound would find it unresponsive during a usual pause, so
 // the bound must be a multiple of its mean response interval.
-func TestSilenceIsMeasuredInUsualSignIntervals(t *testing.T) {
+func TestUnresponsiveThresholdScalesWithResponseInterval(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	c, a := r.findOrAddEndpoint("c0"), addSentRequest(r, 0, true).attempts[0]
-	c.heardAt, a.suspectAt = []float64{96, 97, 98, 99}, 100.2
+	c.respondedAt, a.suspectAt = []float64{96, 97, 98, 99}, 100.2
 	for wait, want := range map[float64]bool{silenceIntervals - 0.1: false, silenceIntervals + 0.1: true} {
 		r.now, c.ejectedUntil = 100+wait, 0
 		assert.Equal(t, want, r.reviewSuspected(a), "after %v s", wait)
@@ -116,7 +116,7 @@
 
 // An attempt slower than all recent answers is retried at another endpoint once most such attempts got no answer. The
 // next such attempt waits longer.
-func TestAttemptThatNeverEndsIsLostThoughEndpointIsHeard(t *testing.T) {
+func TestUnansweredAttemptIsLostWhileEndpointResponds(t *testing.T) {
 	for _, lost := range []bool{true, false} {
 		r := newTestRouter(Idempotent)
 		for range maxSlownessSamples {
@@ -125,7 +125,7 @@
 		late := func() *request {
 			req := addSentRequest(r, 0, true)
 			req.attempts[0].suspectAt = 100.25
-			r.findOrAddEndpoint("c0").recordHeard(100.2)
+			r.findOrAddEndpoint("c0").recordResponse(100.2)
 			return req
 		}
 		for range ejectFailureCount {
@@ -133,7 +133,7 @@
 			if !lost {
 				code = ServerError // the late answer did arrive
 			}
-			r.learn(late(), r.requests["t"].attempts[0], AttemptEnded{Result: code, ElapsedSeconds: 0.75})
+			r.processOutcome(late(), r.requests["t"].attempts[0], AttemptEnded{Result: code, ElapsedSeconds: 0.75})
 		}
 		req := late()
 		r.Decide(100.5, TimerFired{1})
@@ -177,7 +177,7 @@
 
 // The maximum ejection time masks both the number of ejections that a suspicion counts as and the number of doublings.
 // The former is checked by the sum that equals the maximum, the latter by an endpoint that fails forever.
-func TestEjectionsDoubleUpToTheLongest(t *testing.T) {
+func TestEjectionDurationDoublesUpToMaximum(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	c := r.findOrAddEndpoint("c0")
 	for i, want := range []float64{1, 2, 4, 4, 4} {
--- a/routing/purge_test.go
+++ b/routing/purge_test.go
@@ -8,7 +8,7 @@
 )
 
 // A cache that was down during a purge may return with its disk, long after running caches have dropped their copies.
-func TestPurgeBoundsCopyAgeHoweverLongAgo(t *testing.T) {
+func TestPurgeLimitsCopyAgeIndefinitely(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	p := r.findOrAddObject("x", 3).findOrAddChunk(0)
 	r.findOrAddEndpoint("c0").addCached(&cachedChunk{chunk: p, sizeKB: 1}, 0)
@@ -28,7 +28,7 @@
 
 // Old purges are dropped to bound memory. An endpoint that started after the latest dropped one must not serve copies
 // from before it.
-func TestForgottenPurgesBoundCopyAgeOfEndpointsStartedSince(t *testing.T) {
+func TestDroppedPurgesLimitCopyAgeOfEndpointsStartedSince(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	for i := range maxPurges + 1 {
 		r.Decide(100+float64(i)/100, Purge{Object: string(rune(i + 1000))})
@@ -37,8 +37,8 @@
 	a := &attempt{target: r.findOrAddEndpoint("c0"), source: r.findOrAddEndpoint("p0")}
 	req := &request{RequestArrived: RequestArrived{Object: "never purged", ObjectGroup: 3}}
 	assert.Zero(t, r.maxCopyAge(req, a))
-	a.target.StartedAt = r.purgesForgottenUntil + 1
-	assert.InDelta(t, r.now-r.purgesForgottenUntil-purgeAgeMarginSeconds, r.maxCopyAge(req, a), 1e-9)
+	a.target.StartedAt = r.purgesDroppedUntil + 1
+	assert.InDelta(t, r.now-r.purgesDroppedUntil-purgeAgeMarginSeconds, r.maxCopyAge(req, a), 1e-9)
 	a.target, a.source = a.source, a.target
 	assert.Positive(t, r.maxCopyAge(req, a), "also as a source of fills")
 }
@@ -46,7 +46,7 @@
 // During congestion, a late answer is worth less than a timely stale copy, and requesting a fresh copy loads the link
 // further. The maximum copy age must grow by the stale time, but never past a purge, and not if a late answer is worth
 // more.
-func TestStaleCopyWillDoUnderCongestionUnlessPurged(t *testing.T) {
+func TestStaleCopyIsAllowedUnderCongestionUnlessPurged(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	r.settings[SettingFreshTime] = "5,0"
 	r.settings[SettingStaleTime] = "10,0"
@@ -63,7 +63,7 @@
 }
 
 // The number of purges that are remembered: decision traces cover it only through endpoints that start later.
-func TestPurgesAreRememberedUpToTheirNumber(t *testing.T) {
+func TestPurgesAreLimitedToMaximumNumber(t *testing.T) {
 	const remembered = 16384
 	r := newTestRouter(WithIdempotencyKey)
 	purge := func(i int) { r.Decide(100+float64(i)/100, Purge{Object: strconv.Itoa(i)}) }
@@ -71,8 +71,8 @@
 		purge(i)
 	}
 	assert.Len(t, r.purges, remembered)
-	assert.Zero(t, r.purgesForgottenUntil)
+	assert.Zero(t, r.purgesDroppedUntil)
 	purge(remembered)
 	assert.Len(t, r.purges, remembered-remembered/8, "an eighth is dropped at once")
-	assert.Equal(t, 100+float64(remembered/8)/100, r.purgesForgottenUntil) //nolint:testifylint // exact by intent
+	assert.Equal(t, 100+float64(remembered/8)/100, r.purgesDroppedUntil) //nolint:testifylint // exact by intent
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -8,19 +8,19 @@
 // request is an open request with its desired state.
 type request struct {
 	RequestArrived
-	token            uint64 // token of its timers
-	arrivedAt        float64
-	sendSeconds      float64 // expected sending time, from its size or the mean of its class
-	sendTimeLearned  bool    // size unknown: sendSeconds is estimated from earlier answers
-	priorityPerKB    float64
-	objectiveSeconds float64 // latency objective for its size
-	chunk            *chunk
-	object           *object
-	firstOfChunk     bool // first request for the chunk that this router has received
-	state            requestState
-	attempts         []*attempt
-	wakeAt           float64 // time of its next planning
-	timerAt          float64 // time of its pending timer, 0 if none
+	token             uint64 // token of its timers
+	arrivedAt         float64
+	sendSeconds       float64 // expected sending time, from its size or the mean of its class
+	sendTimeEstimated bool    // size unknown: sendSeconds is estimated from earlier answers
+	priorityPerKB     float64
+	objectiveSeconds  float64 // latency objective for its size
+	chunk             *chunk
+	object            *object
+	firstForChunk     bool // first request for the chunk that this router has received
+	state             requestState
+	attempts          []*attempt
+	wakeAt            float64 // time of its next planning
+	timerAt           float64 // time of its pending timer, 0 if none
 }
 
 // requestState is the state of a request between its arrival and its end. The table lists all transitions; only
@@ -68,7 +68,7 @@
 	req.object = r.findOrAddObject(req.Object, req.ObjectGroup)
 	req.object.lastRequestAt = r.now
 	req.chunk = req.object.findOrAddChunk(req.Chunk)
-	req.firstOfChunk = !req.chunk.requested
+	req.firstForChunk = !req.chunk.requested
 }
 
 // removeUnlessInFlight removes an ended request once all its attempts have ended.
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -10,7 +10,7 @@
 	sendMarginSeconds        = 0.05 // margin before the latest time of sending: time until the socket is written
 	endpointPauseSeconds     = 0.1  // delay after an attempt's end before its request uses that endpoint again
 	retryAfterMeanSeconds    = 1.5  // mean delay before a rejected client retries: congestion lasts seconds
-	retryAfterLeastShare     = 0.5  // minimum as a share of the mean; a random part of up to the mean is added
+	retryAfterMinShare       = 0.5  // minimum as a share of the mean; a random part of up to the mean is added
 )
 
 // provesNotRun reports whether the result proves that the request had no effect at the endpoint.
@@ -28,7 +28,7 @@
 func (r *Router) mayRetry(req *request) bool {
 	class := r.class(req.Class)
 	for _, a := range req.attempts {
-		if r.barsRetry(class, a) {
+		if r.preventsRetry(class, a) {
 			return false
 		}
 	}
@@ -43,7 +43,7 @@
 
 // preventsRetry reports whether an attempt rules out a retry: both may take effect, and no idempotency key that
 // endpoints still recognize deduplicates them.
-func (r *Router) barsRetry(class *class, a *attempt) bool {
+func (r *Router) preventsRetry(class *class, a *attempt) bool {
 	if class.effect == Idempotent || !a.mayHaveRun() {
 		return false
 	}
@@ -54,16 +54,16 @@
 // excludedByRetryBudget reports whether an endpoint is excluded for a request with earlier attempts because its retry
 // budget is exhausted. It guards against retry storms that prevent an overloaded endpoint from recovering: attempts
 // then grow while requests do not. First attempts are not excluded, so a recovered endpoint is detected.
-func barredByRetryBudget(e *endpoint, attempts int) bool {
+func excludedByRetryBudget(e *endpoint, attempts int) bool {
 	return e.retryBudgetExhausted && attempts > 0
 }
 
-// triedAlready reports whether a request has used an endpoint: ever, at the first fallback level, or within
+// alreadyTried reports whether a request has used an endpoint: ever, at the first fallback level, or within
 // endpointPauseSeconds, at the others. It guards against a request that uses up its attempts within milliseconds at an
 // endpoint that refuses immediately. The function used selects the role, target or source. At the other levels an
 // attempt in flight does not exclude its endpoint: a further attempt beside it means that it is presumed lost, and its
 // endpoint may be the only one.
-func triedAlready(req *request, e *endpoint, level fallbackLevel, now float64, used usedFunc) bool {
+func alreadyTried(req *request, e *endpoint, level fallbackLevel, now float64, used usedFunc) bool {
 	for _, a := range req.attempts {
 		if used(a, e) && (level == untriedOnly || now < a.endedAt+endpointPauseSeconds) {
 			return true
@@ -112,7 +112,7 @@
 // retryAfterSeconds returns the delay before a rejected client retries, 0 if unset. The delay is random, so that
 // clients that were rejected together do not retry together.
 func (r *Router) retryAfterSeconds() float64 {
-	drawn := retryAfterMeanSeconds * (retryAfterLeastShare + r.nextRandom())
+	drawn := retryAfterMeanSeconds * (retryAfterMinShare + r.nextRandom())
 	if !r.settings.Bool(SettingRetryAfterAllowed) {
 		drawn = 0 // after the draw, so that settings do not change the random sequence
 	}
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -12,9 +12,9 @@
 // the margin at its deadline.
 func TestGiveUpAtDeadlineRejectsUnlessRequestMayHaveRun(t *testing.T) {
 	for _, c := range []struct {
-		effect Effect
-		out    bool
-		want   any
+		effect   Effect
+		inFlight bool
+		want     any
 	}{
 		{Idempotent, true, RejectRequest{}},
 		{WithIdempotencyKey, true, RejectRequest{}},
@@ -22,7 +22,7 @@
 		{NonIdempotent, false, RejectRequest{}},
 	} {
 		r := newTestRouter(c.effect)
-		req := addSentRequest(r, Overloaded, c.out)
+		req := addSentRequest(r, Overloaded, c.inFlight)
 		r.now = 104.9
 		r.plan(req)
 		assert.Nil(t, finalAction(r), "before the deadline margin")
@@ -80,7 +80,7 @@
 
 // Cancelling the only attempt of a non-idempotent request discards its answer and allows no other attempt. Without
 // hedging, the router must wait for it, with neither a cancel nor a final action.
-func TestNonIdempotentAttemptIsNotCancelledWhenSilent(t *testing.T) {
+func TestNonIdempotentAttemptIsNotCancelledWhenUnresponsive(t *testing.T) {
 	r := newTestRouter(NonIdempotent)
 	r.settings[SettingHedging] = "false"
 	req := addSentRequest(r, 0, true)
@@ -94,24 +94,24 @@
 // only that endpoint.
 func TestExhaustedRetryBudgetStopsRetriesOnly(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
-	fresh, once := &request{}, &request{attempts: []*attempt{{state: attemptEnded, result: Overloaded}}}
+	unsent, retried := &request{}, &request{attempts: []*attempt{{state: attemptEnded, result: Overloaded}}}
 	r.settings[SettingMaxAttempts] = "6"
-	assert.True(t, r.mayRetry(once))
+	assert.True(t, r.mayRetry(retried))
 	r.Decide(100, RetryBudgetChanged{Class: 0})
-	assert.True(t, r.mayRetry(fresh))
-	assert.False(t, r.mayRetry(once))
+	assert.True(t, r.mayRetry(unsent))
+	assert.False(t, r.mayRetry(retried))
 	r.Decide(100, RetryBudgetChanged{Class: 0, Available: true})
-	assert.True(t, r.mayRetry(once))
+	assert.True(t, r.mayRetry(retried))
 	e := r.findOrAddEndpoint("c0")
 	e.limiter.limit = 5
-	once.attempts[0].target = r.findOrAddEndpoint("c1")
+	retried.attempts[0].target = r.findOrAddEndpoint("c1")
 	used := func(*attempt, *endpoint) bool { return false }
 	r.Decide(100, RetryBudgetChanged{Endpoint: "c0"})
-	assert.True(t, r.usable(fresh, e, 0, used))
-	assert.False(t, r.usable(once, e, 0, used))
+	assert.True(t, r.usable(unsent, e, 0, used))
+	assert.False(t, r.usable(retried, e, 0, used))
 	r.Decide(100, RetryBudgetChanged{Endpoint: "never heard of"})
 	r.Decide(100, RetryBudgetChanged{Endpoint: "c0", Available: true})
-	assert.True(t, r.usable(once, e, 0, used))
+	assert.True(t, r.usable(retried, e, 0, used))
 }
 
 // TestAttemptIsNotSentAfterGraceOrWindow checks the time until which the connection may send an attempt: drains and
--- a/routing/router.go
+++ b/routing/router.go
@@ -32,7 +32,7 @@
 	req := &request{RequestArrived: arrived, arrivedAt: r.now}
 	r.setSendTime(req, sizeKnown)
 	req.priorityPerKB = r.class(arrived.Class).priority / arrived.SizeKB
-	r.forgetIdleObjects()
+	r.evictIdleObjects()
 	r.addRequest(req)
 	r.plan(req)
 }
@@ -41,15 +41,15 @@
 func (r *Router) plan(req *request) {
 	var final Action
 	if req.state != requestEnded {
-		final = r.updateWanted(req)
+		final = r.updateDesiredState(req)
 	}
 	r.reconcile(req, final)
 }
 
 // updateDesiredState decides the next step of a request: it adds its next attempt, moves it into or out of the queue
 // and sets its wake time. It returns the final action of a request that is given up.
-func (r *Router) updateWanted(req *request) Action {
-	req.wakeAt = answerBy(req)
+func (r *Router) updateDesiredState(req *request) Action {
+	req.wakeAt = giveUpTime(req)
 	step, next := r.chooseNextStep(req)
 	switch step {
 	case awaitAttempts:
@@ -80,7 +80,7 @@
 // chooseNextStep returns the next step of a request, with the attempt to send for sendAttempt. A request is given up
 // when its deadline is reached, or when no attempt is in flight and no further attempt is allowed or could be in time.
 func (r *Router) chooseNextStep(req *request) (nextStep, *attempt) {
-	if r.now >= answerBy(req) {
+	if r.now >= giveUpTime(req) {
 		return giveUp, nil
 	}
 	inFlight, awaited := r.reviewAttempts(req)
@@ -103,7 +103,7 @@
 }
 
 // giveUpTime returns when a request is given up, so that its final action precedes the client's deadline.
-func answerBy(req *request) float64 { return req.Deadline - deadlineMarginSeconds }
+func giveUpTime(req *request) float64 { return req.Deadline - deadlineMarginSeconds }
 
 // queueUntil returns the latest time at which an attempt on paths at their limits can start and still be in time.
 func queueUntil(req *request) float64 {
@@ -168,7 +168,7 @@
 	for _, l := range a.fillLimiters {
 		l.inFlight += a.expectedFills
 	}
-	r.recordColdWork(req, a)
+	r.recordSlowStartWork(req, a)
 }
 
 // reviewAttempts reviews the attempts of a request. It reports whether any is in flight, and whether the request waits
@@ -193,6 +193,6 @@
 func (r *Router) reviewAttempt(req *request, a *attempt) {
 	suspected := a.state == attemptAwaited && r.now >= a.suspectAt
 	if a.state == attemptStalled || (suspected && r.reviewSuspected(a)) {
-		a.move(r.stateOfLost(req))
+		a.move(r.lostAttemptState(req))
 	}
 }
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -50,7 +50,7 @@
 	for kb, most := range map[float64]float64{20: queueShare*0.54 - 0.04, 100: queueShare*0.7 - 0.2, 4000: 0} {
 		r := newTestRouter(Idempotent)
 		for _, e := range r.endpoints {
-			e.limiter.limit, e.limiter.provenLimit = 0, 0
+			e.limiter.limit, e.limiter.recoveryThreshold = 0, 0
 		}
 		a := newArrival("t", "x")
 		a.SizeKB = kb // at 1000 KB/s, with an objective of half a second plus two sending times
@@ -71,7 +71,7 @@
 func TestQueueReleasesHighestPriorityPerKBFirst(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	for _, c := range r.caches.endpoints {
-		c.limiter.limit, c.limiter.provenLimit = 0, 0
+		c.limiter.limit, c.limiter.recoveryThreshold = 0, 0
 	}
 	big, small := newArrival("big", "x"), newArrival("small", "x")
 	big.SizeKB = 400
@@ -89,7 +89,7 @@
 
 // Missing settings, an empty list or endpoints without weight could cause divisions by zero or requests that are never
 // answered. Each request must get exactly one final action.
-func TestBareSettingsAndOddEndpointListsAreAnswered(t *testing.T) {
+func TestRequestsAreAnsweredWithMissingSettingsAndUnusualLists(t *testing.T) {
 	lists := map[string][]Endpoint{"empty": nil, "one cache": {{ID: "c"}}, "zero weight": {{ID: "c"}, {ID: "d"}}}
 	for name, rows := range lists {
 		r := New(1, Settings{
--- a/routing/samples.go
+++ b/routing/samples.go
@@ -1,17 +1,17 @@
 package routing
 
 // appendSample appends a sample and drops the oldest samples beyond the maximum number.
-func appendSample[S any](samples []S, sample S, most int) []S {
-	if len(samples) >= most {
-		samples = append(samples[:0], samples[len(samples)-most+1:]...)
+func appendSample[S any](samples []S, sample S, maxCount int) []S {
+	if len(samples) >= maxCount {
+		samples = append(samples[:0], samples[len(samples)-maxCount+1:]...)
 	}
 	return append(samples, sample)
 }
 
 // meanIfEnough returns the mean of at least a minimum number of samples, or the default value if there are fewer.
-func meanIfEnough(samples []float64, enough int, otherwise float64) float64 {
-	if len(samples) < enough {
-		return otherwise
+func meanIfEnough(samples []float64, minCount int, defaultValue float64) float64 {
+	if len(samples) < minCount {
+		return defaultValue
 	}
 	return mean(samples)
 }
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -11,8 +11,8 @@
 	maxCandidates        = 64   // candidates tried per selection: if all are at their limits, most others are
 	minCacheOnlyHitShare = 0.1  // minimum hit rate, where a miss is expected, for a cache-only attempt
 	maxMissSamples       = 64   // recent attempts sampled for the miss rate: it varies widely
-	minMissSamples       = 8    // samples required before their mean is used
-	unknownMissRate      = 1.0  // miss rate assumed with fewer samples
+	minMissSamples       = 8    // miss samples required before their mean is used
+	unknownMissRate      = 1.0  // miss rate assumed with fewer than minMissSamples
 	peerFreshShare       = 0.5  // share of the fresh time after which a peer's copy expires too soon
 )
 
@@ -31,8 +31,8 @@
 // capacity.
 func (r *Router) chooseAttempt(req *request) *attempt {
 	caches, parents := r.cacheCandidates(req.object), r.parentCandidates(req.object)
-	defer caches.release()
-	defer parents.release()
+	defer caches.trim()
+	defer parents.trim()
 	origins := candidates{list: &r.origins}
 	sources := [2]candidates{parents, origins}
 	if r.uncacheable(req) {
@@ -44,7 +44,7 @@
 	}
 	a := &attempt{target: target, source: target, expectedFills: 1}
 	if target.role != edgeCache {
-		a.fill = expectFill
+		a.fill = fillExpected
 		if r.uncacheable(req) && len(r.origins.endpoints) > 0 {
 			a.source = r.origins.endpoints[0]
 		}
@@ -72,12 +72,12 @@
 		lists := []candidates{caches}
 		if direct && uncacheable {
 			lists = []candidates{sources[0], sources[1], caches}
-		} else if direct && level > untriedOnly && r.zoneLink.hasRoom(r.now) {
+		} else if direct && level > untriedOnly && r.zoneLink.hasCapacity(r.now) {
 			lists = []candidates{caches, sources[0], sources[1]}
 		}
 		for _, list := range lists {
 			target := list.first(func(e *endpoint) bool {
-				return r.usable(req, e, level, wasTarget) && r.inDeduplicationScope(req, e)
+				return r.usable(req, e, level, usedAsTarget) && r.inDeduplicationScope(req, e)
 			})
 			if target != nil {
 				return target
@@ -92,7 +92,7 @@
 func (r *Router) chooseSource(req *request, target *endpoint, sources [2]candidates) *endpoint {
 	for level := untriedOnly; level < fallbackLevelCount; level++ {
 		for _, list := range sources {
-			source := list.first(func(e *endpoint) bool { return r.usable(req, e, level, wasSource) })
+			source := list.first(func(e *endpoint) bool { return r.usable(req, e, level, usedAsSource) })
 			if source != nil {
 				return source
 			}
@@ -104,11 +104,11 @@
 // usable reports whether a request may use an endpoint at a fallback level. The function used selects the role, target
 // or source, in which earlier attempts are checked.
 func (r *Router) usable(req *request, e *endpoint, level fallbackLevel, used usedFunc) bool {
-	return !r.barredByEjection(e, level) &&
+	return !r.excludedByEjection(e, level) &&
 		e.limiter.admits(req.Write, r.now) &&
-		!barredByRetryBudget(e, len(req.attempts)) &&
-		!triedAlready(req, e, level, r.now, used) &&
-		r.withinColdBudget(req, e)
+		!excludedByRetryBudget(e, len(req.attempts)) &&
+		!alreadyTried(req, e, level, r.now, used) &&
+		r.withinSlowStartBudget(req, e)
 }
 
 // limitFill applies the limits on the fill path to an attempt, and reports whether it may be sent. If a limit is
@@ -122,12 +122,12 @@
 	if a.fill.cacheOnly() && !r.mayTryCacheOnly(req, a) {
 		return false
 	}
-	if a.fill == targetOnly {
+	if a.fill == targetCacheOnly {
 		a.source = a.target
 		return true
 	}
 	a.fillLimiters = []*limiter{&a.source.limiter, &r.zoneLink}
-	if a.fill == sourceOnly {
+	if a.fill == sourceCacheOnly {
 		return true
 	}
 	a.originLimiter = origin
@@ -142,17 +142,17 @@
 // does not know all copies. A wrong guess costs one short attempt. Writes are exempt from these limits, because no
 // cached copy answers them.
 func (r *Router) fillWithinLimits(req *request, a *attempt, origin *limiter) fillPlan {
-	linkFull := !req.Write && !r.zoneLink.hasRoom(r.now)
-	originFull := !req.Write && origin != nil && !origin.hasRoom(r.now)
+	linkFull := !req.Write && !r.zoneLink.hasCapacity(r.now)
+	originFull := !req.Write && origin != nil && !origin.hasCapacity(r.now)
 	switch {
 	case !a.hasSource() || linkFull:
-		return targetOnly
+		return targetCacheOnly
 	case originFull && a.source.role == originServer:
-		return targetOnly
+		return targetCacheOnly
 	case originFull:
-		return sourceOnly
+		return sourceCacheOnly
 	}
-	return expectFill
+	return fillExpected
 }
 
 // mayTryCacheOnly allows one cache-only attempt per request, and one at the target alone only if hits are likely.
@@ -160,7 +160,7 @@
 	if r.uncacheable(req) || slices.ContainsFunc(req.attempts, isCacheOnly) {
 		return false
 	}
-	return a.fill == sourceOnly || r.missRate() <= 1-minCacheOnlyHitShare
+	return a.fill == sourceCacheOnly || r.missRate() <= 1-minCacheOnlyHitShare
 }
 
 // missRate returns the share of misses among recent attempts that expected one.
@@ -178,8 +178,8 @@
 	}
 	fresh := r.class(req.Class).freshSeconds
 	for _, e := range req.chunk.cachedBy {
-		copied := e.cached[req.chunk]
-		if e != target && r.mayFillPeers(req, e) && r.stillCached(copied, e, fresh) {
+		cachedCopy := e.cached[req.chunk]
+		if e != target && r.mayFillPeers(req, e) && r.stillCached(cachedCopy, e, fresh) {
 			return e
 		}
 	}
@@ -188,15 +188,15 @@
 
 // mayFillPeers reports whether a cache of the zone has capacity to serve the miss of a peer.
 func (r *Router) mayFillPeers(req *request, e *endpoint) bool {
-	return e.listed.list == &r.caches && e.ejectedUntil <= r.now && e.limiter.hasRoom(r.now) &&
-		r.withinColdBudget(req, e)
+	return e.listed.list == &r.caches && e.ejectedUntil <= r.now && e.limiter.hasCapacity(r.now) &&
+		r.withinSlowStartBudget(req, e)
 }
 
 // stillCached reports whether a copy was used within its cache's horizon and, for a class whose copies expire after
 // some seconds, remains fresh for long enough.
-func (r *Router) stillCached(copied *cachedChunk, cache *endpoint, freshSeconds float64) bool {
-	return r.now-copied.lastUsedAt < r.horizon(cache) &&
-		(freshSeconds == 0 || r.now-copied.filledAt < peerFreshShare*freshSeconds)
+func (r *Router) stillCached(cachedCopy *cachedChunk, cache *endpoint, freshSeconds float64) bool {
+	return r.now-cachedCopy.lastUsedAt < r.horizon(cache) &&
+		(freshSeconds == 0 || r.now-cachedCopy.filledAt < peerFreshShare*freshSeconds)
 }
 
 // hashScore returns the weighted rendezvous hashing score of an endpoint for a hash in the interval (0, 1). Nearer
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -83,7 +83,7 @@
 func TestMissRateScalesUnseenGapAndFillLoad(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	r.missSamples = []float64{1, 0, 0, 0, 1, 0, 0, 0}
-	req := &request{object: r.findOrAddObject("y", 0), chunk: &chunk{}, firstOfChunk: true}
+	req := &request{object: r.findOrAddObject("y", 0), chunk: &chunk{}, firstForChunk: true}
 	assert.InDelta(t, initialHorizonSeconds/0.75, r.gapOf(req, r.findOrAddEndpoint("c0")), 1e-9)
 	require.Len(t, actionsOf[StartAttempt](r.Decide(100, newArrival("t", "x"))), 1)
 	assert.InDelta(t, 0.25, r.zoneLink.inFlight, 1e-9)
@@ -105,7 +105,7 @@
 }
 
 // The decision traces do not cover these constants, so this test checks their values.
-func TestMissRateCountsFromEightSamples(t *testing.T) {
+func TestMissRateRequiresEightSamples(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	r.missSamples = []float64{0, 0, 0, 0, 0, 0, 0}
 	//nolint:testifylint // exact by intent
@@ -116,7 +116,7 @@
 
 // A weight of zero would divide by zero in the score. Such an endpoint must count with the minimum weight, and a weight
 // just above the minimum must be unchanged.
-func TestEndpointWithoutWeightCountsForALittleInTheHashOrder(t *testing.T) {
+func TestEndpointWithoutWeightHasMinimumHashWeight(t *testing.T) {
 	assert.InDelta(t, math.Log(0.5)*1000, hashScore(0.5, &endpoint{}), 1e-9)
 	assert.InDelta(t, math.Log(0.5)*1000, hashScore(0.5, &endpoint{Endpoint: Endpoint{Weight: 0.001}}), 1e-9)
 	assert.InDelta(t, math.Log(0.5)*500, hashScore(0.5, &endpoint{Endpoint: Endpoint{Weight: 0.002}}), 1e-9)
@@ -124,7 +124,7 @@
 
 // Without a bound, the work per request grows with the list of caches; with too low a bound, a request finds no
 // capacity although there is some. A selection must try exactly 64 candidates.
-func TestChoiceTriesSixtyFourCandidates(t *testing.T) {
+func TestSelectionTriesSixtyFourCandidates(t *testing.T) {
 	r := newBenchmarkRouter(100)
 	caches := r.cacheCandidates(r.findOrAddObject("x", 0))
 	for rank := range 64 {
--- a/routing/sendtime.go
+++ b/routing/sendtime.go
@@ -3,7 +3,7 @@
 // Sampling of sending times per class.
 const (
 	maxSendSamples = 64 // recent sending times sampled per class: they vary widely
-	minSendSamples = 8  // samples required before their mean is used
+	minSendSamples = 8  // sending times required before their mean is used
 )
 
 // setSendTime sets the expected sending time of a request and its latency objective, which depends on that. If its size
@@ -19,7 +19,7 @@
 		req.sendSeconds = req.SizeKB / pace
 		class.recordSendTime(req.sendSeconds)
 	} else {
-		req.sendTimeLearned = true
+		req.sendTimeEstimated = true
 		learned := meanIfEnough(class.sendSecondsSamples, minSendSamples, class.objectiveSeconds)
 		req.sendSeconds = min(learned, class.objectiveSeconds)
 	}
@@ -27,8 +27,8 @@
 }
 
 // observeSendTime records the duration of an answer from a cache as a sample if the size of its request is unknown.
-func (r *Router) learnSendTime(req *request, end AttemptEnded) {
-	if req.sendTimeLearned && end.answeredFromCache() {
+func (r *Router) observeSendTime(req *request, end AttemptEnded) {
+	if req.sendTimeEstimated && end.answeredFromCache() {
 		r.class(req.Class).recordSendTime(end.ElapsedSeconds)
 	}
 }
--- a/routing/settingnames.go
+++ b/routing/settingnames.go
@@ -60,8 +60,8 @@
 const (
 	SettingMaxAttempts              SettingName = "max_attempts"                // attempts of a request
 	SettingMaxAttemptsPerConnection SettingName = "max_attempts_per_connection" // attempts in flight
-	SettingMaxRetryAfter            SettingName = "max_retry_after_s"           // s
-	SettingConnectTimeout           SettingName = "connect_timeout_s"           // s
+	SettingMaxRetryAfter            SettingName = "max_retry_after_s"           // s, longest retry delay of a rejection
+	SettingConnectTimeout           SettingName = "connect_timeout_s"           // s, until a connect attempt fails
 	SettingIdleTimeout              SettingName = "idle_timeout_s"              // s, then unused connections are closed
 	SettingResponseGrace            SettingName = "response_grace_s"            // s after a deadline, answers count
 	SettingDrainGrace               SettingName = "drain_grace_s"               // s, draining endpoints accept attempts
@@ -73,10 +73,10 @@
 	SettingWarmUp               SettingName = "warm_up_s"                  // s from the start to full capacity
 	SettingColdCapacity         SettingName = "cold_capacity_share"        // initial share of the capacity
 	SettingOverloadFactor       SettingName = "overload_factor"            // load as a multiple of the capacity
-	SettingOverloadWindow       SettingName = "overload_window_s"          // s
-	SettingParentWarmUp         SettingName = "parent_warm_up_s"           // s, of a parent cache
-	SettingParentColdCapacity   SettingName = "parent_cold_capacity_share" // initial share, of a parent cache
-	SettingParentOverloadFactor SettingName = "parent_overload_factor"     // multiple, of a parent cache
+	SettingOverloadWindow       SettingName = "overload_window_s"          // s for which the overload lasts
+	SettingParentWarmUp         SettingName = "parent_warm_up_s"           // s from the start to full capacity, of a parent
+	SettingParentColdCapacity   SettingName = "parent_cold_capacity_share" // initial share of capacity, of a parent cache
+	SettingParentOverloadFactor SettingName = "parent_overload_factor"     // overload factor of a parent cache
 )
 
 // ClassField is the name of a setting of a request class; see ClassSetting.
@@ -86,7 +86,7 @@
 const (
 	ClassLatencyObjective   ClassField = "latency_objective_s"       // s, for a request without size
 	ClassObjectiveStretch   ClassField = "latency_objective_stretch" // sending times added to the latency objective
-	ClassDeadline           ClassField = "deadline_s"                // s
+	ClassDeadline           ClassField = "deadline_s"                // s until the client gives up
 	ClassPriority           ClassField = "priority_weight"           // weight of an answer within the objective
 	ClassLatePriority       ClassField = "late_priority_share"       // share of the priority weight for a later answer
 	ClassEffect             ClassField = "effect"                    // an Effect
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -10,11 +10,11 @@
 type Settings map[SettingName]string
 
 // Float returns a setting as a number, or the default value if it is missing or not a number.
-func (s Settings) Float(name SettingName, otherwise float64) float64 {
+func (s Settings) Float(name SettingName, defaultValue float64) float64 {
 	if number, err := strconv.ParseFloat(s[name], 64); err == nil {
 		return number
 	}
-	return otherwise
+	return defaultValue
 }
 
 // Bool reports whether a setting is true.
@@ -35,11 +35,11 @@
 }
 
 // FloatItem returns item i of a list as a number, or the default value if it is missing or not a number.
-func (s Settings) FloatItem(name SettingName, i int, otherwise float64) float64 {
+func (s Settings) FloatItem(name SettingName, i int, defaultValue float64) float64 {
 	if number, err := strconv.ParseFloat(s.ListItem(name, i), 64); err == nil {
 		return number
 	}
-	return otherwise
+	return defaultValue
 }
 
 // class holds the settings of a request class and its current state.
@@ -65,8 +65,8 @@
 		return known
 	}
 	s, item := r.settings, int(index)
-	number := func(field ClassField, otherwise float64) float64 {
-		return s.Float(ClassSetting(index, field), otherwise)
+	number := func(field ClassField, defaultValue float64) float64 {
+		return s.Float(ClassSetting(index, field), defaultValue)
 	}
 	read := &class{
 		objectiveSeconds:         number(ClassLatencyObjective, 1),
@@ -86,14 +86,14 @@
 }
 
 // number returns a setting as a number, or the default value if it is missing or not a number. It is parsed once.
-func (r *Router) number(name SettingName, otherwise float64) float64 {
+func (r *Router) number(name SettingName, defaultValue float64) float64 {
 	number, known := r.numbers[name]
 	if !known {
 		number = r.settings.Float(name, math.NaN())
 		r.numbers[name] = number
 	}
 	if math.IsNaN(number) {
-		return otherwise
+		return defaultValue
 	}
 	return number
 }
@@ -114,7 +114,7 @@
 
 // slowStartParameters returns the share of its capacity that an endpoint has when it starts, and the duration of its
 // warm-up.
-func (r *Router) coldCapacity(e *endpoint) (share, seconds float64) {
+func (r *Router) slowStartParameters(e *endpoint) (share, seconds float64) {
 	if e.role == parentCache {
 		return r.number(SettingParentColdCapacity, 1), r.number(SettingParentWarmUp, 0)
 	}
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	coldLimit       = 2.0 // initial limit of a starting endpoint, in attempts in flight, in a recovery ramp
-	coldBudgetShare = 1.0 // used share of the capacity during slow start: a multiple of it overloads the endpoint
+	slowStartLimit = 2.0 // initial limit of a starting endpoint, in attempts in flight, in a recovery ramp
+	slowStartShare = 1.0 // used share of the capacity during slow start: a multiple of it overloads the endpoint
 )
 
 // workSample is the work of one attempt sent to an endpoint in slow start, in seconds of sending.
@@ -12,20 +12,20 @@
 
 // startingLimit returns the initial limit of an endpoint with a current share of its capacity, given its limit at full
 // capacity. Both limits are numbers of attempts in flight.
-func startingLimit(warmLimit, warmShare float64) float64 {
-	if warmShare < 1 {
-		return coldLimit
+func startingLimit(fullLimit, capacityShare float64) float64 {
+	if capacityShare < 1 {
+		return slowStartLimit
 	}
-	return warmLimit
+	return fullLimit
 }
 
-// warmShare returns the share of its capacity that an endpoint is certain to have: it grows linearly from the initial
-// share to 1 during the warm-up.
-func (r *Router) warmShare(e *endpoint) float64 {
+// capacityShare returns the share of its capacity that an endpoint is certain to have: it grows linearly from the
+// initial share to 1 during the warm-up.
+func (r *Router) capacityShare(e *endpoint) float64 {
 	if e.StartedAt <= 0 || e.role == originServer {
 		return 1
 	}
-	floor, warmUp := r.coldCapacity(e)
+	floor, warmUp := r.slowStartParameters(e)
 	if warmUp <= 0 || r.now >= e.StartedAt+warmUp {
 		return 1
 	}
@@ -44,16 +44,16 @@
 }
 
 // recordSlowStartWork charges an attempt to its target, and a fill to a separate source, during their slow start.
-func (r *Router) recordColdWork(req *request, a *attempt) {
-	r.chargeWhileCold(req, a.target)
-	if a.hasSource() && a.fill.missExpected() {
-		r.chargeWhileCold(req, a.source)
+func (r *Router) recordSlowStartWork(req *request, a *attempt) {
+	r.chargeDuringSlowStart(req, a.target)
+	if a.hasSource() && a.fill.expectsMiss() {
+		r.chargeDuringSlowStart(req, a.source)
 	}
 }
 
 // chargeDuringSlowStart charges an attempt of a request to an endpoint that is in slow start.
-func (r *Router) chargeWhileCold(req *request, e *endpoint) {
-	if r.warmShare(e) < 1 {
+func (r *Router) chargeDuringSlowStart(req *request, e *endpoint) {
+	if r.capacityShare(e) < 1 {
 		e.recentWork = append(e.recentWork, workSample{at: r.now, seconds: r.workOf(req, e)})
 	}
 }
@@ -63,10 +63,10 @@
 // It guards against an endpoint that restarts, gets its usual load while its cache is cold and fails again, visible as
 // repeated restarts in the endpoint list. The shares of all routers add up to at most the capacity, so the shares of
 // idle routers are wasted.
-func (r *Router) withinColdBudget(req *request, e *endpoint) bool {
-	warm, window := r.warmShare(e), r.number(SettingOverloadWindow, 1)
+func (r *Router) withinSlowStartBudget(req *request, e *endpoint) bool {
+	warm, window := r.capacityShare(e), r.number(SettingOverloadWindow, 1)
 	return warm >= 1 ||
-		r.workOf(req, e)+e.workSince(r.now-window) <= coldBudgetShare*warm*e.Weight*window/e.routersSharing
+		r.workOf(req, e)+e.workSince(r.now-window) <= slowStartShare*warm*e.Weight*window/e.routersSharing
 }
 
 // workSince returns the sum of the work sent to an endpoint after a time, and drops older samples.
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -11,25 +11,25 @@
 // An endpoint in slow start fails if it gets more than its budget within an overload window. Counting the budget in
 // fixed windows would allow twice as much across a boundary. Work above the budget must be refused, counted over the
 // last window, and allowed again once that has passed.
-func TestColdBudgetHoldsOverAnyWindow(t *testing.T) {
+func TestSlowStartBudgetAppliesToAnyWindow(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	c := r.findOrAddEndpoint("c0")
 	c.StartedAt = 100
 	req := &request{RequestArrived: RequestArrived{SizeKB: 100}, sendSeconds: 0.1}
 	r.class(0).sendSecondsSamples = []float64{.1, .1, .1, .1, .1, .1, .1, .1}
-	budget := coldBudgetShare * 0.25 * 4 * 2 // capacity share, capacity and window, for a single router
+	budget := slowStartShare * 0.25 * 4 * 2 // capacity share, capacity and window, for a single router
 	c.recentWork = []workSample{{100, budget - 0.1}}
 	r.now = 100
-	assert.True(t, r.withinColdBudget(req, c))
+	assert.True(t, r.withinSlowStartBudget(req, c))
 	c.recentWork = []workSample{{100, budget - 0.09}}
-	assert.False(t, r.withinColdBudget(req, c))
+	assert.False(t, r.withinSlowStartBudget(req, c))
 	r.now = 102.01 // the window has passed
-	assert.True(t, r.withinColdBudget(req, c))
+	assert.True(t, r.withinSlowStartBudget(req, c))
 }
 
 // A parent in slow start gets its load as fills through caches. If only direct attempts counted, the fills of all
 // routers would overload it. Fills must be charged to it, and its budget must be divided by the routers that share it.
-func TestColdParentIsChargedForFillsAndSharedByAllRouters(t *testing.T) {
+func TestSlowStartParentIsChargedForFillsOfAllRouters(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	for _, id := range []string{"p0", "p1"} {
 		r.findOrAddEndpoint(EndpointID(id)).StartedAt = 100
@@ -42,12 +42,12 @@
 		total += s.seconds
 	}
 	assert.Positive(t, total)
-	assert.LessOrEqual(t, total, 2*coldBudgetShare*0.1*20*2/2)
+	assert.LessOrEqual(t, total, 2*slowStartShare*0.1*20*2/2)
 }
 
 // All caches and a parent restart at once, and the routers send their usual load. In every window, the work that
 // arrives at each must stay below its overload threshold, and each must be used.
-func TestColdZoneIsNotOverloadedWhenItReturns(t *testing.T) {
+func TestRestartedZoneIsNotOverloaded(t *testing.T) {
 	const routersSharing = 6
 	arrivals := arrivalTimes{}
 	for seed := range uint64(routersSharing) {
@@ -138,21 +138,21 @@
 // A restarted cache has lost its copies. A router that relies on them, or on the previous limit, sends the cache its
 // usual load during slow start. The known contents of the cache must be cleared, and its limit must start at the
 // slow-start limit.
-func TestRestartedEndpointIsEmptyAndStartsAtColdLimit(t *testing.T) {
+func TestRestartedEndpointIsEmptyAndStartsAtSlowStartLimit(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	c, p := r.findOrAddEndpoint("c0"), &chunk{}
 	c.addCached(&cachedChunk{chunk: p}, 0)
 	restarted := Endpoint{ID: "c0", Zone: 1, Weight: 4, StartedAt: 99}
 	r.Decide(100, EndpointUpdate{Kind: Incremental, Endpoints: []Endpoint{restarted}})
 	assert.Empty(t, c.cached)
-	assert.Equal(t, coldLimit, c.limiter.limit) //nolint:testifylint // exact by intent
+	assert.Equal(t, slowStartLimit, c.limiter.limit) //nolint:testifylint // exact by intent
 	c.limiter.increase()
-	assert.Equal(t, coldLimit+1, c.limiter.limit) //nolint:testifylint // exact by intent
+	assert.Equal(t, slowStartLimit+1, c.limiter.limit) //nolint:testifylint // exact by intent
 }
 
 // If neither sizes nor rates are known, the work of an attempt is an estimate. An estimate of zero would admit any load
 // to an endpoint in slow start. The budget must still apply, and requests must still be sent.
-func TestColdBudgetHoldsWithoutSizesOrLinks(t *testing.T) {
+func TestSlowStartBudgetAppliesWithoutSizesOrLinks(t *testing.T) {
 	r := New(7, testSettings(WithIdempotencyKey))
 	r.settings[SettingZoneLinkRate], r.settings[SettingTransferRate] = "", ""
 	r.Decide(100, EndpointUpdate{Kind: Snapshot, Endpoints: []Endpoint{
@@ -164,7 +164,7 @@
 		r.Decide(100, RequestArrived{Request: RequestID(strconv.Itoa(i)), Object: fmt.Sprint("x", i), Deadline: 105})
 	}
 	for _, e := range r.endpoints {
-		assert.LessOrEqual(t, e.workSince(98), coldBudgetShare*r.warmShare(e)*e.Weight*2/e.routersSharing, e.ID)
+		assert.LessOrEqual(t, e.workSince(98), slowStartShare*r.capacityShare(e)*e.Weight*2/e.routersSharing, e.ID)
 	}
 	assert.Positive(t, r.findOrAddEndpoint("c").limiter.inFlight)
 }
@@ -172,7 +172,7 @@
 // Reproduces a deployment with unknown sizes and weights, where 21 routers sent a cache 5.3 times its capacity 1.5 s
 // after its start, because each attempt counted as a tenth of a millisecond of work. Routers that have learned how long
 // their classes take, and those that have just started, must together stay within the capacity of the cache.
-func TestColdCacheIsNotOverloadedWhereSizesAreUnknown(t *testing.T) {
+func TestColdCacheIsNotOverloadedWithUnknownSizes(t *testing.T) {
 	const (
 		routersSharing  = 21
 		sendSeconds     = 0.43 // mean of an attempt
@@ -238,21 +238,21 @@
 // A direct attempt to a parent in slow start has the parent as both target and source. Charging both would count the
 // attempt twice and leave half of the endpoint's budget unused. It must count once, while a fill through a cold cache
 // from a cold parent counts at both.
-func TestColdWorkIsChargedOnceToEachEndpoint(t *testing.T) {
+func TestSlowStartWorkIsChargedOncePerEndpoint(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	cache, parent := r.findOrAddEndpoint("c0"), r.findOrAddEndpoint("p0")
 	cache.StartedAt, parent.StartedAt = 100, 100
 	req := &request{sendSeconds: 0.1}
-	r.recordColdWork(req, &attempt{target: parent, source: parent, fill: expectFill})
+	r.recordSlowStartWork(req, &attempt{target: parent, source: parent, fill: fillExpected})
 	assert.Len(t, parent.recentWork, 1)
-	r.recordColdWork(req, &attempt{target: cache, source: parent, fill: expectFill})
+	r.recordSlowStartWork(req, &attempt{target: cache, source: parent, fill: fillExpected})
 	assert.Equal(t, []int{1, 2}, []int{len(cache.recentWork), len(parent.recentWork)})
-	r.recordColdWork(req, &attempt{target: cache, source: parent, fill: expectHit})
+	r.recordSlowStartWork(req, &attempt{target: cache, source: parent, fill: hitExpected})
 	assert.Equal(t, []int{2, 2}, []int{len(cache.recentWork), len(parent.recentWork)})
 }
 
 // Checks the minimum number of samples, separately from that of the miss rate, which has the same value.
-func TestWorkIsTheMeanSendingTimeFromEightSamples(t *testing.T) {
+func TestWorkIsMeanSendingTimeWithEightSamples(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	req, cache := &request{sendSeconds: 0.3}, r.findOrAddEndpoint("c0")
 	r.class(0).sendSecondsSamples = []float64{.1, .1, .1, .1, .1, .1, .1}
--- a/routing/trace_test.go
+++ b/routing/trace_test.go
@@ -27,7 +27,7 @@
 	var got bytes.Buffer
 	for _, scenario := range scenarios() {
 		for _, seed := range scenario.seeds {
-			trace := playScenario(scenario, seed)
+			trace := runScenario(scenario, seed)
 			fmt.Fprintf(&got, "%s seed=%d events=%d actions=%d sha256=%x\n",
 				scenario.name, seed, trace.events, trace.actions, trace.hash.Sum(nil))
 		}
@@ -41,14 +41,14 @@
 	assert.Equal(t, string(want), got.String())
 }
 
-// TestDecisionTraceTellsDecisionsApart checks that the trace detects changes: another seed of the module must change
-// the hash.
-func TestDecisionTraceTellsDecisionsApart(t *testing.T) {
+// TestDecisionTraceDetectsChangedDecisions checks that the trace detects changes: another seed of the module must
+// change the hash.
+func TestDecisionTraceDetectsChangedDecisions(t *testing.T) {
 	scenario := scenarios()[0]
-	first := playScenario(scenario, 1).hash.Sum(nil)
-	assert.Equal(t, first, playScenario(scenario, 1).hash.Sum(nil))
+	first := runScenario(scenario, 1).hash.Sum(nil)
+	assert.Equal(t, first, runScenario(scenario, 1).hash.Sum(nil))
 	scenario.moduleSeedOffset = 1
-	assert.NotEqual(t, first, playScenario(scenario, 1).hash.Sum(nil))
+	assert.NotEqual(t, first, runScenario(scenario, 1).hash.Sum(nil))
 }
 
 // decisionTrace is a running hash of the actions as text. The text contains no names of types or fields of the module,
@@ -71,7 +71,7 @@
 	_, _ = d.write([]byte(line))
 }
 
-// formatExact formats a number so that parsing it gives the same number.
+// exact formats a number so that parsing it gives the same number.
 func exact(number float64) string { return strconv.FormatFloat(number, 'g', -1, 64) }
 
 func encodeAction(action routing.Action) string {
--- a/routing/tracedisturb_test.go
+++ b/routing/tracedisturb_test.go
@@ -7,14 +7,14 @@
 )
 
 // changeCondition makes one endpoint misbehave; most endpoints recover soon.
-func (w *traceWorld) changeCondition() {
+func (w *simulation) changeCondition() {
 	e := w.endpoints[w.random.IntN(len(w.endpoints))]
 	e.condition = condition(w.random.IntN(int(conditionCount)))
 	w.after(w.scenario.conditionSeconds+0.5+4*w.random.Float64(), func() { e.condition = healthy })
 }
 
 // disturb sends one random event that does not concern a request.
-func (w *traceWorld) disturb() {
+func (w *simulation) disturb() {
 	e := w.endpoints[w.random.IntN(len(w.endpoints))]
 	switch w.random.IntN(12) {
 	case 0, 1:
@@ -28,7 +28,7 @@
 	case 5, 6:
 		w.observeHealth(e)
 	case 7, 8:
-		w.spendBudget(e)
+		w.exhaustRetryBudget(e)
 	case 9:
 		w.decide(routing.Purge{AgeSeconds: w.random.Float64(), ObjectGroup: w.random.IntN(traceGroups)})
 	case 10:
@@ -40,9 +40,9 @@
 }
 
 // observe sends a health observation of a random endpoint.
-func (w *traceWorld) observe() { w.observeHealth(w.endpoints[w.random.IntN(len(w.endpoints))]) }
+func (w *simulation) observe() { w.observeHealth(w.endpoints[w.random.IntN(len(w.endpoints))]) }
 
-func (w *traceWorld) observeHealth(e *traceEndpoint) {
+func (w *simulation) observeHealth(e *traceEndpoint) {
 	w.decide(routing.HealthObservation{
 		Endpoint:     e.ID,
 		Suspicion:    w.random.Float64(),
@@ -50,14 +50,14 @@
 	})
 }
 
-func (w *traceWorld) restart(e *traceEndpoint) {
+func (w *simulation) restart(e *traceEndpoint) {
 	e.Status = routing.Ready
 	e.StartedAt = w.now - 0.5*w.random.Float64()
 	e.cached, e.order = map[string]bool{}, nil
 	w.decide(routing.EndpointUpdate{Endpoints: []routing.Endpoint{e.Endpoint}})
 }
 
-func (w *traceWorld) drain(e *traceEndpoint) {
+func (w *simulation) drain(e *traceEndpoint) {
 	e.Status = routing.Draining
 	w.decide(routing.EndpointUpdate{Endpoints: []routing.Endpoint{e.Endpoint}})
 	w.after(1, func() {
@@ -67,7 +67,7 @@
 	w.after(2+2*w.random.Float64(), func() { w.restart(e) })
 }
 
-func (w *traceWorld) spendBudget(e *traceEndpoint) {
+func (w *simulation) exhaustRetryBudget(e *traceEndpoint) {
 	change := routing.RetryBudgetChanged{Class: routing.ClassIndex(w.random.IntN(traceClasses))}
 	if w.random.IntN(2) == 0 {
 		change.Endpoint = e.ID
@@ -78,7 +78,7 @@
 }
 
 // strayEvents sends events for requests, attempts and endpoints that the router does not know or ignores.
-func (w *traceWorld) strayEvents(e *traceEndpoint) {
+func (w *simulation) strayEvents(e *traceEndpoint) {
 	w.decide(routing.ProbeResult{Endpoint: e.ID, Result: routing.Completed})
 	w.decide(routing.AttemptEnded{Request: "unknown", Endpoint: e.ID})
 	w.decide(routing.AttemptStalled{Request: "unknown"})
@@ -88,7 +88,7 @@
 }
 
 // purgeMany sends more purges than the router remembers.
-func (w *traceWorld) purgeMany() {
+func (w *simulation) purgeMany() {
 	for i := range w.scenario.purges {
 		age := 2 - 2*float64(i)/float64(w.scenario.purges)
 		w.decide(routing.Purge{AgeSeconds: age, Object: fmt.Sprint("purged-", i)})
--- a/routing/traceworld_test.go
+++ b/routing/traceworld_test.go
@@ -71,8 +71,8 @@
 	return next
 }
 
-// traceSimulation sends one router the events of a simulated deployment and carries out its actions.
-type traceWorld struct {
+// simulation sends one router the events of a simulated deployment and carries out its actions.
+type simulation struct {
 	scenario  traceScenario
 	random    *rand.Rand
 	router    routing.Decider
@@ -86,8 +86,8 @@
 	arrived   int
 }
 
-func playScenario(scenario traceScenario, seed uint64) *decisionTrace {
-	w := &traceWorld{
+func runScenario(scenario traceScenario, seed uint64) *decisionTrace {
+	w := &simulation{
 		scenario: scenario,
 		random:   rand.New(rand.NewPCG(seed, 0x7ace)),
 		router:   routing.New(seed+scenario.moduleSeedOffset, scenario.settings),
@@ -107,7 +107,7 @@
 	return w.trace
 }
 
-func (w *traceWorld) addEndpoints() {
+func (w *simulation) addEndpoints() {
 	add := func(id string, zone, kind, cell int, weight float64) {
 		e := &traceEndpoint{cached: map[string]bool{}}
 		e.Endpoint = routing.Endpoint{ID: routing.EndpointID(id), Zone: zone, Kind: kind, Cell: cell, Weight: weight}
@@ -130,7 +130,7 @@
 	}
 }
 
-func (w *traceWorld) listed() []routing.Endpoint {
+func (w *simulation) listed() []routing.Endpoint {
 	var all []routing.Endpoint
 	for _, e := range w.endpoints {
 		all = append(all, e.Endpoint)
@@ -138,15 +138,15 @@
 	return all
 }
 
-func (w *traceWorld) at(at float64, run func()) {
+func (w *simulation) at(at float64, run func()) {
 	w.order++
 	heap.Push(&w.queue, scheduled{at: at, order: w.order, run: run})
 }
 
-func (w *traceWorld) after(seconds float64, run func()) { w.at(w.now+seconds, run) }
+func (w *simulation) after(seconds float64, run func()) { w.at(w.now+seconds, run) }
 
 // scheduleAll schedules the requests and the events of endpoints.
-func (w *traceWorld) scheduleAll() {
+func (w *simulation) scheduleAll() {
 	end := traceStart + w.scenario.seconds
 	for at := traceStart; at < end; at += w.random.ExpFloat64() / w.scenario.requestsPerS {
 		w.at(at, w.arrive)
@@ -171,7 +171,7 @@
 }
 
 // decide sends an event to the router, records its actions and carries them out.
-func (w *traceWorld) decide(event routing.Event) {
+func (w *simulation) decide(event routing.Event) {
 	w.trace.events++
 	number := w.trace.events
 	actions := append([]routing.Action(nil), w.router.Decide(w.now, event)...)
@@ -183,7 +183,7 @@
 	}
 }
 
-func (w *traceWorld) carryOut(action routing.Action) {
+func (w *simulation) carryOut(action routing.Action) {
 	switch a := action.(type) {
 	case routing.StartAttempt:
 		w.start(a)
@@ -199,7 +199,7 @@
 }
 
 // arrive sends a request for a random chunk; objects of low numbers are requested more often.
-func (w *traceWorld) arrive() {
+func (w *simulation) arrive() {
 	w.arrived++
 	id := routing.RequestID(fmt.Sprint("r", w.arrived))
 	class := routing.ClassIndex(0)
@@ -237,7 +237,7 @@
 	}
 }
 
-func (w *traceWorld) disconnect(id routing.RequestID) {
+func (w *simulation) disconnect(id routing.RequestID) {
 	if request := w.requests[id]; !request.done {
 		request.done = true
 		w.decide(routing.ClientDisconnected{Request: id})
@@ -245,7 +245,7 @@
 }
 
 // start simulates an attempt: its result and duration depend on the endpoint, its source and chance.
-func (w *traceWorld) start(action routing.StartAttempt) {
+func (w *simulation) start(action routing.StartAttempt) {
 	request := w.requests[action.Request]
 	attempt := &traceAttempt{
 		StartAttempt: action,
@@ -256,7 +256,7 @@
 	number := len(request.attempts)
 	request.attempts = append(request.attempts, attempt)
 	attempt.endpoint.inFlight++
-	result, detail, took := w.play(request, attempt)
+	result, detail, took := w.simulateAttempt(request, attempt)
 	if result == routing.TimedOut || w.now+took > action.Deadline {
 		result, detail, took = routing.TimedOut, routing.NoDetail, action.Deadline-w.now
 		if w.random.IntN(2) == 0 {
@@ -266,19 +266,19 @@
 	w.after(took, func() { w.end(action.Request, number, result, detail) })
 }
 
-func (w *traceWorld) stall(id routing.RequestID, number int, attempt *traceAttempt) {
+func (w *simulation) stall(id routing.RequestID, number int, attempt *traceAttempt) {
 	if !attempt.ended {
 		w.decide(routing.AttemptStalled{Request: id, Attempt: number})
 	}
 }
 
-func (w *traceWorld) cancel(action routing.CancelAttempt) {
+func (w *simulation) cancel(action routing.CancelAttempt) {
 	if w.random.IntN(4) > 0 { // otherwise it is answered before the cancel takes effect
 		w.after(cancelDelay, func() { w.end(action.Request, action.Attempt, routing.Cancelled, routing.NoDetail) })
 	}
 }
 
-func (w *traceWorld) end(id routing.RequestID, number int, result routing.AttemptResult, detail routing.ResultDetail) {
+func (w *simulation) end(id routing.RequestID, number int, result routing.AttemptResult, detail routing.ResultDetail) {
 	request := w.requests[id]
 	attempt := request.attempts[number]
 	if attempt.ended {
--- a/simadapter/events.go
+++ b/simadapter/events.go
@@ -38,7 +38,7 @@
 
 const (
 	requestFlagWrite = 4   // request flag: the body of the request is to be stored
-	wholeGroup       = "0" // value of the object field in a purge of an object group
+	groupPurgeObject = "0" // value of the object field in a purge of an object group
 )
 
 // parseEvent parses the fields of an event. It returns nil for event names that the routing module does not handle.
@@ -120,7 +120,7 @@
 	var event routing.Purge
 	event.AgeSeconds = f.float()
 	event.ObjectGroup = f.integer()
-	if object := f.text(); object != wholeGroup {
+	if object := f.text(); object != groupPurgeObject {
 		event.Object = object
 	}
 	return event
--- a/simadapter/lines.go
+++ b/simadapter/lines.go
@@ -17,9 +17,9 @@
 
 // lineReader reads lines of any length.
 type lineReader struct {
-	in     *bufio.Reader
-	long   []byte // buffer for a line longer than the reader's buffer
-	number int    // number of the last line read
+	in       *bufio.Reader
+	longLine []byte // buffer for a line longer than the reader's buffer
+	number   int    // number of the last line read
 }
 
 func newLineReader(in io.Reader) *lineReader {
@@ -29,14 +29,14 @@
 // next returns the next line without its line ending. The bytes are valid until the next call. It returns io.EOF at the
 // end of the input, and ErrTruncated if the last line has no line ending.
 func (r *lineReader) next() ([]byte, error) {
-	r.long = r.long[:0]
+	r.longLine = r.longLine[:0]
 	for {
 		part, err := r.in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			r.long = append(r.long, part...)
+			r.longLine = append(r.longLine, part...)
 			continue
 		}
-		if errors.Is(err, io.EOF) && len(part)+len(r.long) > 0 {
+		if errors.Is(err, io.EOF) && len(part)+len(r.longLine) > 0 {
 			return nil, ErrTruncated
 		}
 		if err != nil {
@@ -44,9 +44,9 @@
 		}
 		r.number++
 		line := part
-		if len(r.long) > 0 {
-			r.long = append(r.long, part...)
-			line = r.long
+		if len(r.longLine) > 0 {
+			r.longLine = append(r.longLine, part...)
+			line = r.longLine
 		}
 		return bytes.TrimRight(line, "\r\n"), nil
 	}
--- a/simadapter/server_test.go
+++ b/simadapter/server_test.go
@@ -118,7 +118,7 @@
 
 // The simulator stops a router within a batch and may start another one with the same number. Actions of the stopped
 // router would be attributed to the new one, so they must be dropped.
-func TestActionsOfAStoppedRouterAreDropped(t *testing.T) {
+func TestActionsOfStoppedRouterAreDropped(t *testing.T) {
 	out, events, err := serve(startBatch+"BATCH 2 1\nBELL 3 1\nDOWN 3\nNEW_INSTANCE 3 8 me=2\nBELL 3 2\nEND\n"+
 		"BATCH 3 2\nEND\n", routing.SetTimer{AfterSeconds: 1, Token: 4})
 	require.NoError(t, err)
@@ -169,7 +169,7 @@
 	for range events {
 		in.WriteString("BELL 3 1\n")
 	}
-	_, heard, err := serve(in.String() + "END\n")
+	_, received, err := serve(in.String() + "END\n")
 	require.NoError(t, err)
-	assert.Len(t, heard, events)
+	assert.Len(t, received, events)
 }
