--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -6,7 +6,7 @@
 type attempt struct {
 	target        *endpoint
 	source        *endpoint  // endpoint that fills a cache miss; equal to target if there is none, see hasSource
-	fillLimiters  []*limiter // limiters of the source and of the links on the fill path
+	fillLimiters  []*limiter // limiters of the fill path behind the target
 	originLimiter *limiter   // limiter of the origin, set if the fill probably reaches it
 	expectedFills float64    // load at the fill limiters: the probability of a fill
 	fill          fillPlan
@@ -15,7 +15,7 @@
 	maxAgeSeconds float64
 	sentAt        float64
 	sendBefore    float64 // the attempt must not be sent at or after this time
-	suspectAt     float64 // time of the first review as lost; +Inf once lost, which makes its slowness 0
+	suspectAt     float64 // when the attempt becomes suspected; +Inf once lost, which makes its slowness 0
 	endedAt       float64
 	result        AttemptResult
 	possibleFault possibleFault
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -84,8 +84,9 @@
 }
 
 // raiseMinimum raises the minimum of a limit on a path behind the caches; the fewer routers share the path, the higher
-// the minimum. Without it, a lost parent, which makes the answers of the other one late, decreases that one's limit to
-// a fifth where few routers see most of the late answers, and requests are rejected while the path has capacity.
+// the minimum. It guards against the loss of one parent: answers of the other become late, and few routers see most of
+// these. Their limits would fall to a fifth (minLimitShare), and they would reject requests while the path has
+// capacity.
 func (l *limiter) raiseMinimum(routers float64) {
 	l.minLimit = max(minLimitShare, 1/math.Sqrt(routers)) * l.limit
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -14,22 +14,22 @@
 	minSourceSilenceSeconds = 0.7  // minimum time without a response of a source: it responds through the target
 	silenceIntervals        = 4.0  // mean response intervals without a response after which an endpoint is unresponsive
 	maxResponseSamples      = 10   // recent responses sampled for the mean response interval
-	lostSlownessFactor      = 1.3  // slowness of a lost attempt relative to recent answers: congestion slows all
+	lostSlownessFactor      = 1.3  // slowness of a lost attempt over the slowest recent answer: congestion slows all
 	maxSlownessSamples      = 64   // recent answered attempts sampled for slowness: durations vary widely
 	maxUnansweredSamples    = 10   // recent attempts slower than all slownessSamples: few, to follow changes quickly
 	minUnansweredSamples    = 4    // unansweredSamples required before their share is used: fewer are chance
-	unansweredShare         = 0.5  // share of unansweredSamples above which such an attempt is presumed lost
+	unansweredShare         = 0.5  // share of unansweredSamples from which such an attempt is presumed lost
 )
 
 // Thresholds and durations of outlier ejection.
 const (
 	maxResultSamples     = 10  // recent results of an endpoint that count: few, to follow changes quickly
 	ejectFailureCount    = 4   // failures among the recent results that eject: fewer are chance
-	ejectFailureShare    = 0.5 // share of failures among the recent results that ejects: below it, losing the cache costs more
+	ejectFailureShare    = 0.5 // share of failures that ejects: below it, losing the cache costs more
 	firstEjectionSeconds = 1.0 // duration of the first ejection; it doubles with each further one
 	maxEjectionSeconds   = 4.0 // longest ejection: a recovered endpoint is used again soon
 	limitAfterEjection   = 1.0 // initial limit after an ejection, in attempts in flight, in a recovery ramp
-	suspicionThreshold   = 0.5 // suspicion above which one own failure ejects: reached by two honest routers
+	suspicionThreshold   = 0.5 // suspicion (0 to 1) from which one own failure ejects: two honest routers reach it
 	suspicionEjections   = 2.0 // earlier ejections that the suspicion of other routers counts as
 )
 
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	zoneDistanceFactor   = 2.0  // reduction of first ranks in hash order per zone of distance: fills cost more
+	zoneDistanceFactor   = 2.0  // factor per zone of distance that lowers an endpoint's hash rank: fills cost more
 	minHashWeight        = 1e-3 // minimum weight in the hash order, in transfers
 	maxCandidates        = 64   // candidates tried per selection: if all are at their limits, most others are
 	minCacheOnlyHitShare = 0.1  // minimum hit rate, where a miss is expected, for a cache-only attempt
@@ -22,7 +22,7 @@
 
 const (
 	untriedOnly    fallbackLevel = iota // endpoints not used by this request and not ejected
-	triedAllowed                        // not ejected, and no attempt of this request ended there just now
+	triedAllowed                        // not ejected, and no attempt ended there within endpointPauseSeconds
 	ejectedAllowed                      // as triedAllowed, and ejected endpoints if there are no others
 	fallbackLevelCount
 )
--- a/routing/settingnames.go
+++ b/routing/settingnames.go
@@ -74,8 +74,8 @@
 	SettingColdCapacity         SettingName = "cold_capacity_share"        // initial share of the capacity
 	SettingOverloadFactor       SettingName = "overload_factor"            // load as a multiple of the capacity
 	SettingOverloadWindow       SettingName = "overload_window_s"          // s for which the overload lasts
-	SettingParentWarmUp         SettingName = "parent_warm_up_s"           // s from the start to full capacity, of a parent
-	SettingParentColdCapacity   SettingName = "parent_cold_capacity_share" // initial share of capacity, of a parent cache
+	SettingParentWarmUp         SettingName = "parent_warm_up_s"           // s until full capacity, of a parent cache
+	SettingParentColdCapacity   SettingName = "parent_cold_capacity_share" // initial share, of a parent's capacity
 	SettingParentOverloadFactor SettingName = "parent_overload_factor"     // overload factor of a parent cache
 )
 
