--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -131,11 +131,11 @@
 // endpoint in slow start begins below it, in a recovery ramp.
 func (r *Router) setStartingLimit(e *endpoint) {
 	share := limitPerCapacity * e.Weight / e.routersSharing
-	burstRoots := 0.0 // none at parents and origins: in a burst all routers would use theirs at once
+	burstFactor := 0.0 // none at parents and origins: in a burst all routers would use theirs at once
 	if e.role == edgeCache {
-		burstRoots = burstAllowance
+		burstFactor = burstAllowance
 	}
-	burst := burstRoots * math.Sqrt(share*(1-1/e.routersSharing))
+	burst := burstFactor * math.Sqrt(share*(1-1/e.routersSharing))
 	e.limiter.setShare(share+burst, e.routersSharing)
 	if e.role == parentCache {
 		e.limiter.raiseMinimum(e.routersSharing)
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -174,14 +174,14 @@
 // their classes take, and those that have just started, must together stay within the capacity of the cache.
 func TestColdCacheIsNotOverloadedWithUnknownSizes(t *testing.T) {
 	const (
-		routersSharing  = 21
-		sendSeconds     = 0.43 // mean of an attempt
-		transfers       = 4    // concurrent transfers of a warm cache; its weight is unknown
-		coldShare       = 0.3
-		warmUpSeconds   = 12
-		overloadFactor  = 3 // over a window of one second
-		startedSeconds  = 1.3
-		requestsASecond = 10 // per router
+		routersSharing    = 21
+		sendSeconds       = 0.43 // mean of an attempt
+		transfers         = 4    // concurrent transfers of a warm cache; its weight is unknown
+		coldShare         = 0.3
+		warmUpSeconds     = 12
+		overloadFactor    = 3 // over a window of one second
+		startedSeconds    = 1.3
+		requestsPerSecond = 10 // per router
 	)
 	for name, answersBefore := range map[string]int{"learned": 20, "just started": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -191,8 +191,8 @@
 				answerRequests(r, answersBefore, sendSeconds)
 				started := Endpoint{ID: "c0", Zone: 1, Weight: 1, StartedAt: 200 - startedSeconds}
 				r.Decide(200, EndpointUpdate{Kind: Incremental, Endpoints: []Endpoint{started}})
-				for n := range requestsASecond {
-					now := 200 + float64(n)/requestsASecond
+				for n := range requestsPerSecond {
+					now := 200 + float64(n)/requestsPerSecond
 					id := RequestID(fmt.Sprint("cold", n))
 					arrived := RequestArrived{Request: id, Object: string(id), Deadline: now + 5}
 					for _, start := range actionsOf[StartAttempt](r.Decide(now, arrived)) {
--- a/routing/tracedisturb_test.go
+++ b/routing/tracedisturb_test.go
@@ -13,8 +13,8 @@
 	w.after(w.scenario.conditionSeconds+0.5+4*w.random.Float64(), func() { e.condition = healthy })
 }
 
-// disturb sends one random event that does not concern a request.
-func (w *simulation) disturb() {
+// sendRandomEvent sends one random event that does not concern a request.
+func (w *simulation) sendRandomEvent() {
 	e := w.endpoints[w.random.IntN(len(w.endpoints))]
 	switch w.random.IntN(12) {
 	case 0, 1:
@@ -35,12 +35,14 @@
 		object := fmt.Sprint("object-", w.random.IntN(traceObjects/8))
 		w.decide(routing.Purge{AgeSeconds: w.random.Float64(), Object: object})
 	case 11:
-		w.strayEvents(e)
+		w.sendUnknownEvents(e)
 	}
 }
 
-// observe sends a health observation of a random endpoint.
-func (w *simulation) observe() { w.observeHealth(w.endpoints[w.random.IntN(len(w.endpoints))]) }
+// sendHealthObservation sends a health observation of a random endpoint.
+func (w *simulation) sendHealthObservation() {
+	w.observeHealth(w.endpoints[w.random.IntN(len(w.endpoints))])
+}
 
 func (w *simulation) observeHealth(e *traceEndpoint) {
 	w.decide(routing.HealthObservation{
@@ -77,8 +79,8 @@
 	w.after(2*w.random.Float64(), func() { w.decide(change) })
 }
 
-// strayEvents sends events for requests, attempts and endpoints that the router does not know or ignores.
-func (w *simulation) strayEvents(e *traceEndpoint) {
+// sendUnknownEvents sends events for requests, attempts and endpoints that the router does not know or ignores.
+func (w *simulation) sendUnknownEvents(e *traceEndpoint) {
 	w.decide(routing.ProbeResult{Endpoint: e.ID, Result: routing.Completed})
 	w.decide(routing.AttemptEnded{Request: "unknown", Endpoint: e.ID})
 	w.decide(routing.AttemptStalled{Request: "unknown"})
--- a/routing/tracescenarios_test.go
+++ b/routing/tracescenarios_test.go
@@ -19,7 +19,7 @@
 	purges           int // sent at once, before the last third
 
 	conditionSeconds       float64 // added to the duration of misbehavior
-	observationsPerS       float64 // rate of health observations in addition to those of disturb
+	observationsPerS       float64 // rate of health observations in addition to those of sendRandomEvent
 	purgesBeforeRequests   bool    // some requests follow a purge of their object immediately
 	endpointsWithoutWeight bool    // the second half of the caches has no weight
 }
--- a/routing/traceworld_test.go
+++ b/routing/traceworld_test.go
@@ -155,11 +155,11 @@
 		w.at(at, w.changeCondition)
 	}
 	for at := traceStart + 1; at < end; at += 0.4 + w.random.Float64() {
-		w.at(at, w.disturb)
+		w.at(at, w.sendRandomEvent)
 	}
 	if perSecond := w.scenario.observationsPerS; perSecond > 0 {
 		for at := traceStart + 1; at < end; at += w.random.ExpFloat64() / perSecond {
-			w.at(at, w.observe)
+			w.at(at, w.sendHealthObservation)
 		}
 	}
 	if w.scenario.purges > 0 {
