--- a/routing/hashorder_test.go
+++ b/routing/hashorder_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// referenceOrder sorts a list by the score of weighted rendezvous hashing, all of it.
+// referenceOrder sorts a complete list by the score of weighted rendezvous hashing.
 func referenceOrder(object string, list []*endpoint) []*endpoint {
 	score := func(e *endpoint) float64 {
 		hash := fnv.New64a()
@@ -29,7 +29,7 @@
 	return sorted
 }
 
-// ranked lists what candidates yield.
+// ranked returns all candidates in their order.
 func ranked(c candidates) []*endpoint {
 	var all []*endpoint
 	for rank, e := 0, c.at(0); e != nil; rank, e = rank+1, c.at(rank+1) {
@@ -38,9 +38,10 @@
 	return all
 }
 
-// TestOrdersFollowTheListLikeASort draws changes of the list: caches that come, go, drain and change their weight, many
-// at once or few. The repaired orders of several objects have to be those that a sort of the full list gives.
-func TestOrdersFollowTheListLikeASort(t *testing.T) {
+// TestRepairedHashOrdersMatchFullSort generates changes of the list: caches that are added, removed, drained and change
+// their weight, many or few at a time. The repaired orders of several objects must equal those of sorting the complete
+// list.
+func TestRepairedHashOrdersMatchFullSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := New(7, testSettings(Idempotent))
 		now := 100.0
@@ -80,7 +81,7 @@
 	if got := ranked(c); !slices.Equal(got, want) {
 		t.Fatalf("%d endpoints are not in the order of a sort", len(want))
 	}
-	c.release()
+	c.trim()
 	if len(c.order.best) > storedCandidates {
 		t.Fatalf("%d endpoints are stored", len(c.order.best))
 	}
@@ -101,9 +102,9 @@
 	}
 }
 
-// TestChunksKnowWhichCachesHoldThem compares what chunks and caches know of one another, across restarts, purges and
-// removals.
-func TestChunksKnowWhichCachesHoldThem(t *testing.T) {
+// TestChunkAndCacheRecordsAgree checks that the records of chunks and caches about each other agree across
+// restarts, purges and removals.
+func TestChunkAndCacheRecordsAgree(t *testing.T) {
 	r := newTestRouter(Idempotent)
 	check := func(want int) {
 		t.Helper()
@@ -142,7 +143,7 @@
 	onSecond := len(r.caches.endpoints[1].cached)
 	r.Decide(103, EndpointUpdate{Endpoints: []Endpoint{{ID: "c1", Zone: 1, Weight: 4, Status: Removed}}})
 	check(20 - onFirst)
-	r.Decide(103+forgetEndpointSeconds, EndpointUpdate{})
+	r.Decide(103+removedEndpointTTLSeconds, EndpointUpdate{})
 	check(20 - onFirst - onSecond)
 	assert.Nil(t, r.findEndpoint("c1"))
 }
--- a/routing/purge_test.go
+++ b/routing/purge_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A cache that was down during a purge may return with its disk, long after running caches dropped their copies.
-func TestPurgeBoundsCopyAgeHoweverLongAgo(t *testing.T) {
+// A cache that was down during a purge may return with its disk, long after running caches have dropped their copies.
+func TestPurgeLimitsCopyAgeIndefinitely(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	p := r.findOrAddObject("x", 3).findOrAddChunk(0)
 	r.findOrAddEndpoint("c0").addCached(&cachedChunk{chunk: p, sizeKB: 1}, 0)
@@ -23,11 +23,12 @@
 	assert.InDelta(t, 3600.2-purgeAgeMarginSeconds, r.maxCopyAge(req, a), 1e-9)
 	r.Decide(3710, Purge{ObjectGroup: 3})
 	//nolint:testifylint // exact by intent
-	assert.Equal(t, minCopyAgeSeconds, r.maxCopyAge(other, a), "never 0, which means any")
+	assert.Equal(t, minCopyAgeSeconds, r.maxCopyAge(other, a), "never 0, which allows any age")
 }
 
-// Purges are forgotten in the end. An endpoint that started since may serve nothing from before them.
-func TestForgottenPurgesBoundCopyAgeOfEndpointsStartedSince(t *testing.T) {
+// Old purges are dropped to bound memory. An endpoint that started after the latest dropped one must not serve copies
+// from before it.
+func TestDroppedPurgesLimitCopyAgeOfEndpointsStartedSince(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	for i := range maxPurges + 1 {
 		r.Decide(100+float64(i)/100, Purge{Object: string(rune(i + 1000))})
@@ -36,16 +37,16 @@
 	a := &attempt{target: r.findOrAddEndpoint("c0"), source: r.findOrAddEndpoint("p0")}
 	req := &request{RequestArrived: RequestArrived{Object: "never purged", ObjectGroup: 3}}
 	assert.Zero(t, r.maxCopyAge(req, a))
-	a.target.StartedAt = r.purgesForgottenUntil + 1
-	assert.InDelta(t, r.now-r.purgesForgottenUntil-purgeAgeMarginSeconds, r.maxCopyAge(req, a), 1e-9)
+	a.target.StartedAt = r.purgesDroppedUntil + 1
+	assert.InDelta(t, r.now-r.purgesDroppedUntil-purgeAgeMarginSeconds, r.maxCopyAge(req, a), 1e-9)
 	a.target, a.source = a.source, a.target
-	assert.Positive(t, r.maxCopyAge(req, a), "as a source of fills too")
+	assert.Positive(t, r.maxCopyAge(req, a), "also as a source of fills")
 }
 
-// Under congestion a late answer earns less than a stale copy in time. Asking for a fresh copy then fills the link
-// further. The allowed age must grow by the stale time, but never past a purge, and not where a late answer is worth
+// During congestion, a late answer is worth less than a timely stale copy, and requesting a fresh copy loads the link
+// further. The maximum copy age must grow by the stale time, but never past a purge, and not if a late answer is worth
 // more.
-func TestStaleCopyWillDoUnderCongestionUnlessPurged(t *testing.T) {
+func TestStaleCopyIsAllowedUnderCongestionUnlessPurged(t *testing.T) {
 	r := newTestRouter(WithIdempotencyKey)
 	r.settings[SettingFreshTime] = "5,0"
 	r.settings[SettingStaleTime] = "10,0"
@@ -61,8 +62,8 @@
 	assert.Zero(t, r.maxCopyAge(req, a), "a late answer is worth more")
 }
 
-// The number of purges that are remembered; a trace notices it only through endpoints that start later.
-func TestPurgesAreRememberedUpToTheirNumber(t *testing.T) {
+// The number of purges that are remembered: decision traces cover it only through endpoints that start later.
+func TestPurgesAreLimitedToMaximumNumber(t *testing.T) {
 	const remembered = 16384
 	r := newTestRouter(WithIdempotencyKey)
 	purge := func(i int) { r.Decide(100+float64(i)/100, Purge{Object: strconv.Itoa(i)}) }
@@ -70,8 +71,8 @@
 		purge(i)
 	}
 	assert.Len(t, r.purges, remembered)
-	assert.Zero(t, r.purgesForgottenUntil)
+	assert.Zero(t, r.purgesDroppedUntil)
 	purge(remembered)
-	assert.Len(t, r.purges, remembered-remembered/8, "an eighth is forgotten at once")
-	assert.Equal(t, 100+float64(remembered/8)/100, r.purgesForgottenUntil) //nolint:testifylint // exact by intent
+	assert.Len(t, r.purges, remembered-remembered/8, "an eighth is dropped at once")
+	assert.Equal(t, 100+float64(remembered/8)/100, r.purgesDroppedUntil) //nolint:testifylint // exact by intent
 }
--- a/routing/tracedisturb_test.go
+++ b/routing/tracedisturb_test.go
@@ -6,15 +6,15 @@
 	"cairnfront/routing"
 )
 
-// changeCondition lets one endpoint misbehave; most recover soon.
-func (w *traceWorld) changeCondition() {
+// changeCondition makes one endpoint misbehave; most endpoints recover soon.
+func (w *simulation) changeCondition() {
 	e := w.endpoints[w.random.IntN(len(w.endpoints))]
 	e.condition = condition(w.random.IntN(int(conditionCount)))
 	w.after(w.scenario.conditionSeconds+0.5+4*w.random.Float64(), func() { e.condition = healthy })
 }
 
-// disturb brings one event that is of no request.
-func (w *traceWorld) disturb() {
+// sendRandomEvent sends one random event that does not concern a request.
+func (w *simulation) sendRandomEvent() {
 	e := w.endpoints[w.random.IntN(len(w.endpoints))]
 	switch w.random.IntN(12) {
 	case 0, 1:
@@ -28,21 +28,23 @@
 	case 5, 6:
 		w.observeHealth(e)
 	case 7, 8:
-		w.spendBudget(e)
+		w.exhaustRetryBudget(e)
 	case 9:
 		w.decide(routing.Purge{AgeSeconds: w.random.Float64(), ObjectGroup: w.random.IntN(traceGroups)})
 	case 10:
 		object := fmt.Sprint("object-", w.random.IntN(traceObjects/8))
 		w.decide(routing.Purge{AgeSeconds: w.random.Float64(), Object: object})
 	case 11:
-		w.strayEvents(e)
+		w.sendUnknownEvents(e)
 	}
 }
 
-// observe brings a health observation of any endpoint.
-func (w *traceWorld) observe() { w.observeHealth(w.endpoints[w.random.IntN(len(w.endpoints))]) }
+// sendHealthObservation sends a health observation of a random endpoint.
+func (w *simulation) sendHealthObservation() {
+	w.observeHealth(w.endpoints[w.random.IntN(len(w.endpoints))])
+}
 
-func (w *traceWorld) observeHealth(e *traceEndpoint) {
+func (w *simulation) observeHealth(e *traceEndpoint) {
 	w.decide(routing.HealthObservation{
 		Endpoint:     e.ID,
 		Suspicion:    w.random.Float64(),
@@ -50,14 +52,14 @@
 	})
 }
 
-func (w *traceWorld) restart(e *traceEndpoint) {
+func (w *simulation) restart(e *traceEndpoint) {
 	e.Status = routing.Ready
 	e.StartedAt = w.now - 0.5*w.random.Float64()
 	e.cached, e.order = map[string]bool{}, nil
 	w.decide(routing.EndpointUpdate{Endpoints: []routing.Endpoint{e.Endpoint}})
 }
 
-func (w *traceWorld) drain(e *traceEndpoint) {
+func (w *simulation) drain(e *traceEndpoint) {
 	e.Status = routing.Draining
 	w.decide(routing.EndpointUpdate{Endpoints: []routing.Endpoint{e.Endpoint}})
 	w.after(1, func() {
@@ -67,7 +69,7 @@
 	w.after(2+2*w.random.Float64(), func() { w.restart(e) })
 }
 
-func (w *traceWorld) spendBudget(e *traceEndpoint) {
+func (w *simulation) exhaustRetryBudget(e *traceEndpoint) {
 	change := routing.RetryBudgetChanged{Class: routing.ClassIndex(w.random.IntN(traceClasses))}
 	if w.random.IntN(2) == 0 {
 		change.Endpoint = e.ID
@@ -77,8 +79,8 @@
 	w.after(2*w.random.Float64(), func() { w.decide(change) })
 }
 
-// strayEvents are about requests, attempts and endpoints that the router does not know or has no use for.
-func (w *traceWorld) strayEvents(e *traceEndpoint) {
+// sendUnknownEvents sends events for requests, attempts and endpoints that the router does not know or ignores.
+func (w *simulation) sendUnknownEvents(e *traceEndpoint) {
 	w.decide(routing.ProbeResult{Endpoint: e.ID, Result: routing.Completed})
 	w.decide(routing.AttemptEnded{Request: "unknown", Endpoint: e.ID})
 	w.decide(routing.AttemptStalled{Request: "unknown"})
@@ -88,7 +90,7 @@
 }
 
 // purgeMany sends more purges than the router remembers.
-func (w *traceWorld) purgeMany() {
+func (w *simulation) purgeMany() {
 	for i := range w.scenario.purges {
 		age := 2 - 2*float64(i)/float64(w.scenario.purges)
 		w.decide(routing.Purge{AgeSeconds: age, Object: fmt.Sprint("purged-", i)})
