--- a/internal/admission/connections.go
+++ b/internal/admission/connections.go
@@ -1,16 +1,17 @@
 package admission
 
-// ClientDecision says what is done with an accepted connection of a client.
+// ClientDecision is the decision on an accepted client connection.
 type ClientDecision uint8
 
-// The decisions on a client's connection.
+// The decisions on a client connection.
 const (
-	ClientAdmitted ClientDecision = iota // it is served
-	ClientRefused                        // it gets an error that too many are open, and is closed
-	ClientDropped                        // it is closed at once
+	ClientAdmitted ClientDecision = iota // the connection is served
+	ClientRefused                        // the client receives an error, and the connection is closed
+	ClientDropped                        // the connection is closed immediately
 )
 
-// AdmitClient decides on an accepted connection of a client. One that is admitted or refused counts until ClientDone.
+// AdmitClient decides on an accepted client connection. A connection that is admitted or refused counts as open until
+// ClientDone is called for it.
 func (c *Controller) AdmitClient() ClientDecision {
 	decision := c.limits.decideClient(c.clients.Add(1))
 	if decision == ClientDropped {
@@ -19,11 +20,11 @@
 	return decision
 }
 
-// decideClient decides on a client's connection with which so many are open.
+// decideClient decides on a client connection, given the number of open ones including it.
 //
-// It guards against a process without descriptors, which could neither reach an endpoint nor hear of a drain; that
-// shows as failing accepts and dials. Refused clients are few, since each takes a descriptor until it is closed, and
-// the rest is dropped before it costs a goroutine.
+// It guards against a process without free descriptors, which could neither connect to an endpoint nor be notified of a
+// drain; that shows as failing accepts and dials. The number of refused clients is limited, since each uses a
+// descriptor until it is closed. Further connections are dropped before a goroutine is started for them.
 func (l limits) decideClient(open int64) ClientDecision {
 	switch {
 	case open <= l.clients:
@@ -34,14 +35,15 @@
 	return ClientDropped
 }
 
-// OpenClients returns how many clients' connections are admitted or refused and have not ended.
+// OpenClients returns the number of client connections that were admitted or refused and have not ended.
 func (c *Controller) OpenClients() int64 { return c.clients.Load() }
 
-// ClientDone gives the place of a client's connection back.
+// ClientDone records that a client connection has ended.
 func (c *Controller) ClientDone() { c.clients.Add(-1) }
 
-// AdmitEndpointConn reports whether a connection to an endpoint may be opened, and counts it until EndpointConnDone.
-// One that is not required, as the attempt could share another, is admitted only while there is plenty of room.
+// AdmitEndpointConn reports whether a connection to an endpoint may be opened, and counts it as open until
+// EndpointConnDone. A connection is not required if the attempt could share an existing one; it is then admitted only
+// up to a lower limit.
 func (c *Controller) AdmitEndpointConn(required bool) bool {
 	if c.endpointConns.Add(1) > c.limits.endpointConnLimit(required) {
 		c.endpointConns.Add(-1)
@@ -50,10 +52,11 @@
 	return true
 }
 
-// endpointConnLimit returns up to how many connections to endpoints another one may be opened.
+// endpointConnLimit returns the limit on open connections to endpoints, including the one to be opened.
 //
-// It guards against an endpoint that no attempt can reach because connections to others hold all descriptors, as in a
-// burst. One that an attempt can do without stops at a lower limit, so some are left for endpoints without any.
+// It guards against an endpoint that no attempt can reach because connections to other endpoints use all descriptors,
+// as in a burst of requests. Connections that are not required have a lower limit, which leaves descriptors for
+// endpoints without any connection.
 func (l limits) endpointConnLimit(required bool) int64 {
 	if required {
 		return l.endpointConns
@@ -61,8 +64,8 @@
 	return l.optionalConns
 }
 
-// EndpointConnDone gives the place of a connection to an endpoint back.
+// EndpointConnDone records that a connection to an endpoint has ended.
 func (c *Controller) EndpointConnDone() { c.endpointConns.Add(-1) }
 
-// MaxConnsPerEndpoint returns how many connections to one endpoint with several addresses may be open.
+// MaxConnsPerEndpoint returns the limit on open connections to one endpoint with several addresses.
 func (c *Controller) MaxConnsPerEndpoint() int { return c.limits.connsPerEndpoint }
--- a/internal/admission/connections_test.go
+++ b/internal/admission/connections_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Further connections to busy endpoints can take every descriptor. An endpoint without a connection would then be
-// unreachable until one ends. The last descriptors go to such endpoints only.
-func TestLastEndpointConnsAreForEndpointsWithoutOne(t *testing.T) {
+// Guards against an endpoint that cannot be reached because additional connections to busy endpoints use every
+// descriptor. The last descriptors must be reserved for endpoints without a connection.
+func TestLastEndpointConnsAreReservedForEndpointsWithoutOne(t *testing.T) {
 	c := New(192, 1024)
 	c.limits.endpointConns = 1
 	c.limits.optionalConns = 0
@@ -19,9 +19,9 @@
 	assert.True(t, c.AdmitEndpointConn(true))
 }
 
-// Clients come faster than they leave until the descriptors run out, and then endpoints are not reached either. Over
-// the limit a client is refused with an answer. Past a second limit its connection is dropped, and each place that
-// becomes free counts.
+// Guards against running out of descriptors, which would also prevent connections to endpoints, when clients connect
+// faster than they disconnect. Over the first limit a client must be refused with a response; over the second one its
+// connection must be dropped. Each connection that ends must make room for another one.
 func TestClientsOverTheLimitAreRefusedThenDropped(t *testing.T) {
 	c := New(192, 1024)
 	c.limits.clients = 1
@@ -32,11 +32,11 @@
 	assert.Equal(t, ClientDropped, c.AdmitClient())
 	assert.Equal(t, c.limits.refusedClients+1, c.OpenClients())
 	c.ClientDone()
-	assert.Equal(t, ClientRefused, c.AdmitClient(), "its place is free again")
+	assert.Equal(t, ClientRefused, c.AdmitClient(), "the connection that ended makes room for another")
 }
 
-// A limit that is off by one refuses a client for which there is a place, or drops one that should get an answer. The
-// last client within each limit and the first one past it are decided as stated.
+// Guards against limits that are off by one: a client would be refused although there is room, or dropped although it
+// should receive a response. The last client within each limit and the first one over it are checked.
 func TestClientDecisionsAtTheLimits(t *testing.T) {
 	l := limits{clients: 3, refusedClients: 2}
 	for open, decision := range map[int64]ClientDecision{
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,8 +1,9 @@
-// Package admission bounds what the process holds: the bytes of bodies, open requests, and the connections of clients
-// and to endpoints. It also knows whether the process is ready or draining.
+// Package admission limits the resources of the process: the bytes of bodies, open requests, and the connections to
+// clients and endpoints. It also tracks whether the process is ready or draining.
 //
-// The package owns the counts of these, derives their limits from the memory and the descriptors of the process, and
-// answers whether one more fits. It closes no connection and sends no response: a caller that is refused does that.
+// The package owns the counts of these resources, derives their limits from the memory and the descriptors of the
+// process, and decides whether one more may be used. It closes no connection and sends no response: the caller does
+// that when it is refused.
 package admission
 
 import (
@@ -12,9 +13,9 @@
 	"cairnfront/internal/request"
 )
 
-// Controller admits what fits the limits. Its methods may be called by any goroutine.
+// Controller admits requests and connections within the limits. Its methods are safe for concurrent use.
 type Controller struct {
-	// Bodies is the budget of all bodies.
+	// Bodies is the budget for the bytes of all bodies.
 	Bodies *request.BodyBudget
 
 	limits limits
@@ -22,13 +23,13 @@
 	openRequests  atomic.Int64
 	clients       atomic.Int64
 	endpointConns atomic.Int64
-	phase         atomic.Int32 // a phase; changed by enter alone
+	phase         atomic.Int32 // holds a phase; only enter changes it
 
 	mu      sync.Mutex
-	drained chan struct{} // closed once no request is open; nil while nobody waits for that
+	drained chan struct{} // closed when no request is open; nil if nothing waits for that
 }
 
-// New returns a controller for a process that may use memoryMB and so many descriptors.
+// New returns a controller for a process that may use memoryMB of memory and the given number of descriptors.
 func New(memoryMB, descriptors int) *Controller {
 	derived := newLimits(memoryMB, descriptors)
 	return &Controller{
@@ -40,9 +41,9 @@
 // BodiesNearlyFull reports whether the body budget is nearly used up.
 func (c *Controller) BodiesNearlyFull() bool { return c.limits.bodiesNearlyFull(c.Bodies.UsedBytes()) }
 
-// AdmitRequest counts a request as open and returns ReasonNone, or returns why it is rejected. bodyBytes is what the
-// request's own body takes of the budget already. It does not count here, so that requests are admitted alike whatever
-// their size. RequestDone ends each admitted request.
+// AdmitRequest counts a request as open and returns ReasonNone, or returns the reason for which it is rejected.
+// bodyBytes is what the request's own body already uses of the budget. It is subtracted, so that requests are admitted
+// regardless of their size. RequestDone must be called for each admitted request.
 func (c *Controller) AdmitRequest(bodyBytes int) request.Reason {
 	if c.Ending() {
 		return request.ReasonShutdown
@@ -57,15 +58,16 @@
 	return request.ReasonNone
 }
 
-// CountRequest counts a request as open whatever the limits are, for one that is answered at once. RequestDone ends it.
+// CountRequest counts a request that is answered immediately as open, regardless of the limits. RequestDone must be
+// called for it.
 func (c *Controller) CountRequest() { c.openRequests.Add(1) }
 
-// RequestDone ends a request: its response is written, or nobody waits for one.
+// RequestDone records the end of a request: its response is written, or no client waits for one.
 func (c *Controller) RequestDone() {
 	if c.openRequests.Add(-1) == 0 {
 		c.signalDrained()
 	}
 }
 
-// OpenRequests returns how many requests are open.
+// OpenRequests returns the number of open requests.
 func (c *Controller) OpenRequests() int64 { return c.openRequests.Load() }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLimitsFollowMemoryAndDescriptors holds the limits of some sizes of a process.
+// TestLimitsFollowMemoryAndDescriptors checks the limits for processes of several sizes.
 func TestLimitsFollowMemoryAndDescriptors(t *testing.T) {
 	for _, test := range []struct {
 		memoryMB    int
@@ -40,19 +40,19 @@
 	}
 }
 
-// Limits whose sum exceeds the memory or the descriptors end the process, or leave no descriptor for its files. The
-// limits of one size together stay below both.
-func TestLimitsLeaveRoom(t *testing.T) {
+// Guards against limits whose sum exceeds the memory, which ends the process, or the descriptors, which leaves none for
+// its files. For one size of process, the sums must stay below both.
+func TestSumOfLimitsStaysBelowResources(t *testing.T) {
 	c := New(192, 1024)
 	heapBytes := float64(HeapLimitBytes(192))
 	assert.Less(t, float64(c.limits.nearlyFullBytes)+heapBytes*(requestsShare+heapShare-1), float64(192*bytesPerMB))
-	assert.GreaterOrEqual(t, c.limits.clients, int64(1024/3), "clients need a third at most")
+	assert.GreaterOrEqual(t, c.limits.clients, int64(1024/3), "clients need at most a third")
 	assert.Less(t, c.limits.clients+c.limits.endpointConns+c.limits.refusedClients, int64(1024-32))
 }
 
-// More requests come than memory allows. Without a limit the process grows until the system ends it. A request over the
-// number, or while memory is nearly full, is not admitted, and the reason says which; a wait for memory ends with its
-// context.
+// Guards against a process that grows until the operating system ends it, because it accepts more requests than its
+// memory allows. A request over the maximum number, or while memory is nearly used up, must be rejected with the right
+// reason, and a wait for memory must end with its context.
 func TestRequestsOverTheLimitsAreNotAdmitted(t *testing.T) {
 	c := New(192, 1024)
 	c.limits.requests = 2
@@ -71,9 +71,9 @@
 	body.Free()
 }
 
-// A large body makes memory nearly full, and its own request would be rejected for that. Large requests would never be
-// served. A request is admitted whatever the size of its own body.
-func TestOwnBodyDoesNotCount(t *testing.T) {
+// Guards against large requests that are never served because the request's own body makes memory nearly full. A
+// request must be admitted regardless of the size of its own body.
+func TestAdmissionIgnoresOwnBody(t *testing.T) {
 	c := New(192, 1024)
 	own := c.Bodies.TryAllocate(int(c.limits.nearlyFullBytes) + 1)
 	assert.True(t, c.BodiesNearlyFull())
--- a/internal/admission/readiness.go
+++ b/internal/admission/readiness.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// phase is where the process is between its start and its end. It only goes forward; Controller.enter makes all
+// phase is the phase of the process between its start and its end. It only advances; Controller.enter makes all
 // transitions:
 //
 //	from       to         when
-//	starting   ready      the endpoints are known and the listener is up
-//	starting   draining   a signal asks for the end before that
-//	ready      draining   a signal asks for the end
-//	draining   ending     the time of the drain is up
+//	starting   ready      the endpoints are known and the listener is open
+//	starting   draining   a signal requests the shutdown before that
+//	ready      draining   a signal requests the shutdown
+//	draining   ending     the drain has timed out
 type phase int32
 
 const (
-	phaseStarting phase = iota // requests are served, and clients that ask get the answer that the process is not ready
-	phaseReady                 // the process wants requests
-	phaseDraining              // clients are notified to bring no new request; those that come are served
+	phaseStarting phase = iota // requests are served, but readiness queries are answered with "not ready"
+	phaseReady                 // the process accepts requests
+	phaseDraining              // clients are asked to send no new requests; those that arrive are served
 	phaseEnding                // requests are rejected
 )
 
-// enter takes the process to a phase. One that lies before the present phase is not entered again.
+// enter advances the process to a phase. It does nothing if that phase is not later than the current one.
 func (c *Controller) enter(next phase) {
 	for {
 		present := c.phase.Load()
@@ -32,26 +32,27 @@
 	}
 }
 
-// Ready reports whether the process wants requests: SetReady was called, and StartDraining was not.
+// Ready reports whether the process accepts requests: SetReady was called, and StartDraining was not.
 func (c *Controller) Ready() bool { return phase(c.phase.Load()) == phaseReady }
 
-// SetReady says that the endpoints are known and the listener is up.
+// SetReady records that the endpoints are known and the listener is open.
 func (c *Controller) SetReady() { c.enter(phaseReady) }
 
-// StartDraining says that the process is about to end.
+// StartDraining records that the process is about to end.
 func (c *Controller) StartDraining() { c.enter(phaseDraining) }
 
 // Draining reports whether the process is about to end.
 func (c *Controller) Draining() bool { return phase(c.phase.Load()) >= phaseDraining }
 
-// StartEnding says that the time of the drain is up: no request is admitted any more. It follows StartDraining.
+// StartEnding records that the drain has timed out: no further request is admitted. It must be called after
+// StartDraining.
 func (c *Controller) StartEnding() { c.enter(phaseEnding) }
 
-// Ending reports whether the time of the drain is up.
+// Ending reports whether the drain has timed out.
 func (c *Controller) Ending() bool { return phase(c.phase.Load()) == phaseEnding }
 
 // WaitDrained waits for at least minWait, and then until no request is open. It returns after maxWait at the latest, or
-// with the context.
+// when the context is done.
 func (c *Controller) WaitDrained(ctx context.Context, minWait, maxWait time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
@@ -70,8 +71,8 @@
 	}
 }
 
-// drainedSignal returns a channel that is closed once no request is open. One that was returned before and is not
-// closed yet is never closed.
+// drainedSignal returns a channel that is closed when no request is open. A channel from an earlier call that is not
+// closed by now is never closed.
 func (c *Controller) drainedSignal() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,7 +80,7 @@
 	return c.drained
 }
 
-// signalDrained wakes who waits for the end of all requests.
+// signalDrained wakes up the waiter in WaitDrained, if any.
 func (c *Controller) signalDrained() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/admission/readiness_test.go
+++ b/internal/admission/readiness_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A router that calls itself ready before it can serve, or while it drains, gets requests that it has to reject. It is
-// ready only between the two.
+// Guards against a router that receives requests which it must reject, because it reports to be ready before it can
+// serve or while it drains. It must be ready only between the two.
 func TestReadyUntilDraining(t *testing.T) {
 	c := New(192, 1024)
 	assert.False(t, c.Ready())
@@ -19,8 +19,8 @@
 	assert.True(t, c.Draining())
 }
 
-// A process that ends while a request is open loses its answer, and one that waits without bound never ends. The wait
-// lasts until the last request is done, or until its time is over.
+// Guards against a process that ends while a request is open, whose response is lost, and against one that waits
+// forever. The wait must last until the last request is done, at most until its timeout.
 func TestWaitDrainedWaitsForOpenRequests(t *testing.T) {
 	c := New(192, 1024)
 	c.WaitDrained(t.Context(), 0, time.Hour)
@@ -42,9 +42,9 @@
 	assert.EqualValues(t, 1, c.OpenRequests())
 }
 
-// The start ends late, while the router drains already. It would call itself ready again, and clients would come to a
-// process that ends. A phase is never undone by what comes late.
-func TestPhaseOnlyGoesForward(t *testing.T) {
+// Guards against a router that reports to be ready again, and attracts clients, while it drains: the startup completes
+// only after the drain has begun. A late event must not revert a phase.
+func TestPhaseOnlyAdvances(t *testing.T) {
 	c := New(192, 1024)
 	for _, step := range []struct {
 		enter                   func()
--- a/internal/request/attempt.go
+++ b/internal/request/attempt.go
@@ -2,8 +2,8 @@
 
 import "cairnfront/routing"
 
-// AttemptEnd is how an attempt ended, as seen on the connection to the endpoint. The fields after LoadReport describe
-// the copy that was served; they are zero where the endpoint did not tell them.
+// AttemptEnd is the outcome of an attempt, as observed on the connection to the endpoint. The fields after LoadReport
+// describe the copy that was served; they are zero if the endpoint did not send them.
 type AttemptEnd struct {
 	Result            routing.AttemptResult
 	Detail            routing.ResultDetail
@@ -11,6 +11,6 @@
 	ETag              string
 	OriginUnixMillis  int64 // Unix time in milliseconds at which the origin served the copy
 	PurgeGroupPlusOne int   // number of the object's purge group plus one
-	NotModified       bool  // the copy that the client has is current
-	Body              *Body // nil for none
+	NotModified       bool  // the client's copy is current
+	Body              *Body // nil if there is none
 }
--- a/internal/request/body.go
+++ b/internal/request/body.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// BodyBudget bounds the bytes of all bodies that are held in memory. Its methods may be called by any goroutine.
+// BodyBudget limits the bytes of all bodies in memory. Its methods are safe for concurrent use.
 type BodyBudget struct {
 	sem  *semaphore.Weighted
 	used atomic.Int64
@@ -18,10 +18,10 @@
 	return &BodyBudget{sem: semaphore.NewWeighted(sizeBytes)}
 }
 
-// UsedBytes returns how many bytes are taken.
+// UsedBytes returns the number of allocated bytes.
 func (b *BodyBudget) UsedBytes() int64 { return b.used.Load() }
 
-// TryAllocate returns a body of n bytes, or nil where the budget has no room for it now.
+// TryAllocate returns a body of n bytes, or nil if the budget currently has no room for it.
 func (b *BodyBudget) TryAllocate(n int) *Body {
 	if !b.sem.TryAcquire(int64(n)) {
 		return nil
@@ -29,10 +29,11 @@
 	return b.newBody(n)
 }
 
-// Allocate returns a body of n bytes as soon as the budget has room for it. The error is that of the context.
+// Allocate waits until the budget has room and returns a body of n bytes. It fails only if the context is done, with
+// the context's error.
 //
-// It guards against a large body that waits while smaller ones take each byte that becomes free; that would show as
-// large requests alone that time out. Callers are served in their order, TryAllocate included.
+// It guards against starvation of large bodies by smaller ones that take each byte that becomes free; that would show
+// as timeouts of large requests only. Callers are served in order, and TryAllocate fails while one is waiting.
 func (b *BodyBudget) Allocate(ctx context.Context, n int) (*Body, error) {
 	if err := b.sem.Acquire(ctx, int64(n)); err != nil {
 		return nil, err
@@ -40,7 +41,7 @@
 	return b.newBody(n), nil
 }
 
-// newBody makes a body whose bytes the semaphore has granted.
+// newBody returns a body whose bytes the semaphore has granted.
 func (b *BodyBudget) newBody(n int) *Body {
 	b.used.Add(int64(n))
 	return &Body{
@@ -50,8 +51,8 @@
 	}
 }
 
-// Body is the body of a request or response. One made by a BodyBudget counts there until Free, whatever Bytes is set
-// to; one made as a literal counts nowhere.
+// Body is the body of a request or response. A body from a BodyBudget counts against it until Free, even if Bytes is
+// changed; a body made as a literal counts against no budget.
 type Body struct {
 	Bytes []byte
 
@@ -60,7 +61,7 @@
 	freed     atomic.Bool
 }
 
-// Free gives the bytes back to the budget. Further calls have no effect, nor has a call on nil.
+// Free returns the bytes to the budget. Further calls have no effect, nor has a call on nil.
 func (b *Body) Free() {
 	if b == nil || b.budget == nil || !b.freed.CompareAndSwap(false, true) {
 		return
@@ -69,7 +70,7 @@
 	b.budget.sem.Release(b.sizeBytes)
 }
 
-// Len returns the number of bytes, 0 for nil.
+// Len returns the length of the body, or 0 for nil.
 func (b *Body) Len() int {
 	if b == nil {
 		return 0
@@ -77,7 +78,7 @@
 	return len(b.Bytes)
 }
 
-// AllocatedBytes returns how many bytes the body takes of its budget, 0 for nil.
+// AllocatedBytes returns how many bytes the body uses of its budget, or 0 for nil.
 func (b *Body) AllocatedBytes() int {
 	if b == nil {
 		return 0
--- a/internal/request/labels.go
+++ b/internal/request/labels.go
@@ -2,7 +2,7 @@
 
 import "cairnfront/routing"
 
-// ResultLabel is the result of an attempt as a label of counters.
+// ResultLabel is the result of an attempt as a counter label.
 type ResultLabel routing.AttemptResult
 
 var resultLabels = [...]string{
@@ -20,10 +20,10 @@
 // String returns the label's value.
 func (r ResultLabel) String() string { return resultLabels[r] }
 
-// DetailLabel is the detail of a cache's response as a label of counters: how the copy was found.
+// DetailLabel is the detail of a cache's response as a counter label: how the copy was found.
 type DetailLabel routing.ResultDetail
 
-// noDetailLabel stands for details that caches do not send. The simulator alone has those.
+// noDetailLabel is the label of details that caches do not send and only the simulator uses.
 const noDetailLabel = "none"
 
 var detailLabels = map[DetailLabel]string{
--- a/internal/request/labels_test.go
+++ b/internal/request/labels_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestResultsAndDetailsAreThePublishedLabels holds the texts that operators read in the dump of the counters.
+// TestResultsAndDetailsAreThePublishedLabels checks the label texts that operators read in the counter dump.
 func TestResultsAndDetailsAreThePublishedLabels(t *testing.T) {
 	results := []string{
 		"completed", "server_error", "overloaded", "timed_out", "connect_failed", "connection_broken", "cancelled",
--- a/internal/request/request_test.go
+++ b/internal/request/request_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReasonTextsAreThePublishedLabels holds the texts that operators read in the dump of the counters.
+// TestReasonTextsAreThePublishedLabels checks the label texts that operators read in the counter dump.
 func TestReasonTextsAreThePublishedLabels(t *testing.T) {
 	reasons := []string{
 		"", "attempt_completed", "routing_decision", "duplicate_request_id", "deadline_exceeded", "malformed_request",
@@ -27,17 +27,18 @@
 	}
 }
 
-// A client disconnects while its request is queued or being sent. Whoever looks at the request from then on sees that
-// it was cancelled.
-func TestCancelIsSeenByAllHolders(t *testing.T) {
+// A client disconnects while its request is queued or being sent. The cancellation must be visible to every goroutine
+// with a reference to the request.
+func TestCancelIsVisibleToAllGoroutines(t *testing.T) {
 	r := &Request{}
 	assert.False(t, r.Cancelled())
 	r.Cancel()
 	assert.True(t, r.Cancelled())
 }
 
-// Bodies take more memory than the process may use, or one that is freed twice makes the budget count too little. Bytes
-// are bounded, given back once and in full, and a wait for them ends with its context.
+// Guards against bodies that use more memory than the process may use, and against a body that is freed twice, after
+// which the budget counts too little. Allocated bytes must be limited and returned once and in full, and a wait for
+// them must end with its context.
 func TestBodyBudgetBoundsBytesUntilFree(t *testing.T) {
 	budget := NewBodyBudget(100)
 	body := budget.TryAllocate(60)
@@ -48,7 +49,7 @@
 	body.Bytes = body.Bytes[:10]
 	body.Free()
 	body.Free()
-	assert.Zero(t, budget.UsedBytes(), "all of the body is given back, and once")
+	assert.Zero(t, budget.UsedBytes(), "all bytes of the body are returned, and only once")
 	assert.NotNil(t, budget.TryAllocate(100))
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -56,7 +57,8 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-// A body is needed while the memory for bodies is taken. A caller that may wait gets its memory once a body is freed.
+// A body is needed while the memory for bodies is used up. A caller that may wait must receive memory once another body
+// is freed.
 func TestAllocateWaitsForRoom(t *testing.T) {
 	budget := NewBodyBudget(100)
 	first := budget.TryAllocate(100)
@@ -70,8 +72,8 @@
 	assert.Equal(t, 50, (<-allocated).Len())
 }
 
-// A request has no body, or one that no budget counts. Freeing it must do nothing.
-func TestBodyOfNilAndOfALiteral(t *testing.T) {
+// A request has no body, or one that counts against no budget. Freeing it must do nothing.
+func TestFreeOfNilAndOfBodyWithoutBudget(t *testing.T) {
 	var none *Body
 	none.Free()
 	assert.Zero(t, none.Len())
--- a/internal/request/response.go
+++ b/internal/request/response.go
@@ -1,13 +1,13 @@
 package request
 
-// Result is the kind of a final response.
+// Result is the outcome of a request in its final response.
 type Result int
 
-// The kinds of a final response.
+// The outcomes of a request.
 const (
 	Completed Result = iota
-	Rejected         // not done; the client may safely try again
-	Aborted          // not done or not known to be done
+	Rejected         // not processed; the client may safely retry
+	Aborted          // not processed, or not known to be processed
 )
 
 var resultTexts = [...]string{
@@ -16,27 +16,27 @@
 	Aborted:   "aborted",
 }
 
-// String returns the result's text in labels of counters.
+// String returns the result's text in counter labels.
 func (r Result) String() string { return resultTexts[r] }
 
-// Reason says why a request got its final response.
+// Reason is the reason for a final response.
 type Reason uint8
 
-// The reasons of a final response. ReasonNone stands for no reason: where a function returns why it rejects a request,
-// ReasonNone means that it does not.
+// The reasons for a final response. ReasonNone means that there is none: a function that returns the reason for
+// rejecting a request returns ReasonNone if it does not reject it.
 const (
 	ReasonNone             Reason = iota
 	ReasonAttemptCompleted        // an attempt completed
-	ReasonDecided                 // the routing decisions rejected or aborted it
+	ReasonDecided                 // a routing decision rejected or aborted the request
 	ReasonDuplicateID             // a request with the same ID is open
-	ReasonDeadlineExceeded        // the routing decisions did not end it until after its deadline
-	ReasonMalformed               // it can't be decoded, or its class is unknown
+	ReasonDeadlineExceeded        // no routing decision ended the request before its deadline
+	ReasonMalformed               // the request cannot be decoded, or its class is unknown
 	ReasonMemoryShort             // the body budget is used up
 	ReasonTooManyRequests         // too many requests are open in the process
 	ReasonTooManyStreams          // too many requests are open on the client's connection
 	ReasonQueueFull               // the event loop's queue is full
-	ReasonPanic                   // a panic ended it; the stack is in the log
-	ReasonShutdown                // the process ends
+	ReasonPanic                   // a panic aborted the request; the stack is in the log
+	ReasonShutdown                // the process is shutting down
 )
 
 var reasonTexts = [...]string{
@@ -54,13 +54,13 @@
 	ReasonShutdown:         "shutdown",
 }
 
-// String returns the reason's text in labels of counters.
+// String returns the reason's text in counter labels.
 func (r Reason) String() string { return reasonTexts[r] }
 
-// CancelReason says why a request was cancelled before it had a response.
+// CancelReason is the reason for which a request was cancelled before it had a response.
 type CancelReason uint8
 
-// The reasons of a cancellation.
+// The reasons for a cancellation.
 const (
 	CancelledByClient CancelReason = iota // the client sent a cancel frame
 	ConnectionEnded                       // the client's connection ended
@@ -71,16 +71,16 @@
 	ConnectionEnded:   "connection_closed",
 }
 
-// String returns the reason's text in labels of counters.
+// String returns the reason's text in counter labels.
 func (r CancelReason) String() string { return cancelReasonTexts[r] }
 
 // Response is the final response to a request.
 type Response struct {
 	Result            Result
-	Reason            Reason  // for the counters; the client does not see it
-	ErrorText         string  // sent to the client where the request was at fault
-	RetryAfterSeconds float64 // how long the client should wait before it tries again, 0 for no advice
+	Reason            Reason  // for the counters; not sent to the client
+	ErrorText         string  // sent to the client if its request was invalid
+	RetryAfterSeconds float64 // delay before the client should retry; 0 for no recommendation
 	ETag              string
 	NotModified       bool  // the client's copy is current
-	Body              *Body // nil for none
+	Body              *Body // nil if there is none
 }
--- a/internal/ringbuffer/buffer.go
+++ b/internal/ringbuffer/buffer.go
@@ -1,23 +1,23 @@
-// Package ringbuffer is a first-in first-out byte buffer of fixed size: what one direction of a connection holds
-// between the socket and the codec. It allocates once, never grows, and is not safe for more than one goroutine.
+// Package ringbuffer implements a fixed-size first-in first-out byte buffer. It buffers one direction of a connection
+// between the socket and the codec. It allocates once, never grows, and is not safe for concurrent use.
 package ringbuffer
 
 import "io"
 
-// Buffer holds up to its size in bytes.
+// Buffer is a ring buffer of bytes.
 type Buffer struct {
 	data  []byte
 	start int // index of the oldest byte
-	used  int // bytes held
+	used  int // number of buffered bytes
 }
 
-// New returns an empty buffer of so many bytes.
+// New returns an empty buffer of sizeBytes.
 func New(sizeBytes int) *Buffer { return &Buffer{data: make([]byte, sizeBytes)} }
 
-// Len returns how many bytes are held.
+// Len returns the number of buffered bytes.
 func (b *Buffer) Len() int { return b.used }
 
-// Free returns how many more bytes would fit.
+// Free returns the number of free bytes.
 func (b *Buffer) Free() int { return len(b.data) - b.used }
 
 // freeSpan returns the contiguous free bytes that follow the newest byte.
@@ -29,14 +29,14 @@
 	return b.data[end:]
 }
 
-// usedSpan returns the contiguous held bytes from the oldest one.
+// usedSpan returns the contiguous buffered bytes that begin with the oldest one.
 func (b *Buffer) usedSpan() []byte { return b.data[b.start:min(b.start+b.used, len(b.data))] }
 
-// ReadOnceFrom does one read from src into the free bytes. On a full buffer it reads nothing and returns
+// ReadOnceFrom does one read from src into the free bytes. If the buffer is full, it reads nothing and returns
 // io.ErrShortBuffer.
 func (b *Buffer) ReadOnceFrom(src io.Reader) (int, error) {
 	if b.used == 0 {
-		b.start = 0 // one read may then fill all of the buffer
+		b.start = 0 // so that one read can fill the entire buffer
 	}
 	if b.Free() == 0 {
 		return 0, io.ErrShortBuffer
@@ -46,14 +46,14 @@
 	return n, err
 }
 
-// WriteOnceTo does one write of held bytes to dst and drops what was written.
+// WriteOnceTo does one write of buffered bytes to dst and removes the bytes that were written.
 func (b *Buffer) WriteOnceTo(dst io.Writer) (int, error) {
 	n, err := dst.Write(b.usedSpan())
 	b.Discard(n)
 	return n, err
 }
 
-// Write takes in as much of p as fits and returns how many bytes that was.
+// Write appends as much of p as fits and returns the number of bytes appended.
 func (b *Buffer) Write(p []byte) int {
 	done := 0
 	for done < len(p) && b.Free() > 0 {
@@ -64,7 +64,7 @@
 	return done
 }
 
-// Read moves held bytes into p and returns how many.
+// Read moves buffered bytes into p and returns their number.
 func (b *Buffer) Read(p []byte) int {
 	done := 0
 	for done < len(p) && b.used > 0 {
@@ -75,7 +75,7 @@
 	return done
 }
 
-// Discard drops up to n held bytes and returns how many.
+// Discard removes up to n buffered bytes and returns the number of bytes removed.
 func (b *Buffer) Discard(n int) int {
 	n = min(n, b.used)
 	b.start = (b.start + n) % len(b.data)
@@ -83,8 +83,8 @@
 	return n
 }
 
-// IndexByte returns the position of the first byte equal to wanted at or after from, counted from the oldest byte, or
-// -1 where there is none.
+// IndexByte returns the position, counted from the oldest byte, of the first byte equal to wanted at or after position
+// from. It returns -1 if there is none.
 func (b *Buffer) IndexByte(wanted byte, from int) int {
 	for i := from; i < b.used; i++ {
 		if b.data[(b.start+i)%len(b.data)] == wanted {
--- a/internal/ringbuffer/buffer_test.go
+++ b/internal/ringbuffer/buffer_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzBuffer plays steps on a buffer and on plain bytes. Each byte is a step and its size.
+// FuzzBuffer applies the same operations to a buffer and to a byte slice and compares the two. Each input byte encodes
+// an operation and its size.
 func FuzzBuffer(f *testing.F) {
 	f.Add([]byte{0x03, 0x41, 0x82, 0xc1, 0x0f, 0x47, 0x0f, 0x8f, 0xcf})
 	f.Fuzz(func(t *testing.T, steps []byte) {
@@ -46,8 +47,8 @@
 	})
 }
 
-// A read into a full buffer has no room. If it returned as if the peer had ended, a connection would be closed for a
-// slow consumer. It must read nothing and lose nothing.
+// Guards against closing a connection because its consumer is slow: a read into a full buffer has no room, and must not
+// look as if the peer had closed. It must read nothing, report the full buffer, and lose no bytes.
 func TestFullBufferReadsNothing(t *testing.T) {
 	b := New(2)
 	assert.Equal(t, 2, b.Write([]byte("abc")))
