--- a/internal/cacheproto/attempt.go
+++ b/internal/cacheproto/attempt.go
@@ -7,15 +7,15 @@
 	"cairnfront/routing"
 )
 
-// Attempt is an attempt of a request as a router sends it to an endpoint.
+// Attempt is an attempt of a request, as a router sends it to an endpoint.
 type Attempt struct {
 	Request        *request.Request
 	TimeoutSeconds float64
-	FillSource     string // ID of the endpoint that fills a miss; empty for no fill
+	FillSource     string // ID of the endpoint that a miss is filled from; empty for no fill
 	StartAttempt   routing.StartAttempt
 }
 
-// AppendAttempt appends the line of an attempt. The body and LineEnd have to follow.
+// AppendAttempt appends the line of an attempt. The caller must append the body and LineEnd.
 func AppendAttempt(b []byte, attempt Attempt) []byte {
 	r := attempt.Request
 	b = append(b, wordAttempt...)
@@ -36,7 +36,7 @@
 	if attempt.StartAttempt.RetentionRank > 0 {
 		w.integer(fieldRetentionRank, int64(attempt.StartAttempt.RetentionRank))
 	}
-	if attempt.StartAttempt.MaxAgeSeconds > 0 { // rounded down, as a younger copy will do as well
+	if attempt.StartAttempt.MaxAgeSeconds > 0 { // rounded down: a younger copy is acceptable too
 		w.integer(fieldMaxAge, floorMillis(attempt.StartAttempt.MaxAgeSeconds))
 	}
 	w.options(attempt.StartAttempt)
@@ -46,7 +46,7 @@
 	return w.end(r.Body.Len())
 }
 
-// floorMillis converts to whole milliseconds, at least 1: on the wire, 0 means no limit.
+// floorMillis converts seconds to milliseconds, rounded down but at least 1, as 0 means no limit on the wire.
 func floorMillis(seconds float64) int64 {
 	return max(int64(math.Floor(seconds*millisInSecond)), 1)
 }
@@ -70,12 +70,12 @@
 	add(attempt.Revalidate, optionRevalidate)
 }
 
-// AppendCancel appends the line that cancels an attempt. It has no response.
+// AppendCancel appends the line that cancels an attempt. A cancel has no response.
 func AppendCancel(b []byte, id string) []byte {
 	return appendShortCommand(b, wordCancel, id)
 }
 
-// AppendProbe appends a probe, which asks for the load report if withLoad is set.
+// AppendProbe appends the line of a probe. If withLoad is set, the probe requests a load report.
 func AppendProbe(b []byte, id string, withLoad bool) []byte {
 	if withLoad {
 		return appendShortCommand(b, wordProbeLoad, id)
--- a/internal/cacheproto/command.go
+++ b/internal/cacheproto/command.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// CommandKind says what a command asks for.
+// CommandKind is the kind of a command.
 type CommandKind int
 
-// The commands of routers.
+// The commands that routers send.
 const (
 	CommandAttempt CommandKind = iota
 	CommandCancel
@@ -17,29 +17,29 @@
 	CommandProbeLoad
 )
 
-// Command is a command as a cache reads it. Only an attempt has more than Kind and ID.
+// Command is a command as parsed by a cache. Fields other than Kind and ID are set only for an attempt.
 type Command struct {
 	Kind           CommandKind
 	ID             string
 	ClassName      string
 	Object         string // 16 hex digits
-	ObjectID       uint64 // the number that Object is
+	ObjectID       uint64 // Object as a number
 	Part           string
-	PartNumber     uint32 // the number that Part is
+	PartNumber     uint32 // Part as a number
 	TimeoutSeconds float64
 	IdempotencyKey string
-	FillSource     string  // ID of the endpoint that fills a miss; empty for no fill
-	ETag           string  // of the copy that the client has
-	RetentionRank  int     // 0 to 3; 0 keeps no copy
-	MaxAgeSeconds  float64 // oldest copy that will do; 0 for the fresh time of the class
-	JoinFill       bool    // wait for a fill that runs already
-	CacheOnly      bool    // the source gives only what it holds
-	ParentNoStore  bool    // the parent keeps no copy
-	Revalidate     bool    // an ageing copy is served and fetched anew
-	BodyBytes      int     // of the body, which follows with LineEnd
-}
-
-// Sizes and bounds of the parts of a command.
+	FillSource     string  // ID of the endpoint that a miss is filled from; empty for no fill
+	ETag           string  // ETag of the client's copy
+	RetentionRank  int     // 0 to 3; 0 stores no copy
+	MaxAgeSeconds  float64 // maximum age of an acceptable copy; 0 for the fresh time of the class
+	JoinFill       bool    // join a fill that is in progress
+	CacheOnly      bool    // the source serves only what it has cached
+	ParentNoStore  bool    // the parent stores no copy
+	Revalidate     bool    // serve an ageing copy and fetch the object again
+	BodyBytes      int     // size of the body, which follows the line and is ended by LineEnd
+}
+
+// Sizes and limits of the parts of a command.
 const (
 	shortCommandWords = 2
 	attemptWords      = 4
@@ -57,8 +57,8 @@
 	wordProbeLoad: CommandProbeLoad,
 }
 
-// commandFields has a parser for each field of an attempt. It stores the value and reports whether that is usable.
-// Other fields are passed over.
+// commandFields has a parser for each field of an attempt. The parser stores the value and reports whether it is valid.
+// Unknown fields are ignored.
 var commandFields = map[string]func(c *Command, value string) bool{
 	fieldClass:          parseClass,
 	fieldObject:         parseObject,
@@ -74,7 +74,7 @@
 
 var requiredCommandFields = [...]string{fieldClass, fieldObject, fieldPart, fieldTimeout}
 
-// ParseCommand reads a line, without its end, as a cache receives it. Its errors wrap ErrMalformed.
+// ParseCommand parses a line, without its line ending, as received by a cache. Its errors wrap ErrMalformed.
 func ParseCommand(line []byte) (Command, error) {
 	words := strings.Split(string(line), " ")
 	kind, ok := commandKinds[words[0]]
@@ -117,7 +117,7 @@
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, hasValue := strings.Cut(pair, "=")
 		if seen[name] {
-			return fmt.Errorf("%w: field %.40q stands twice", ErrMalformed, name)
+			return fmt.Errorf("%w: field %.40q occurs twice", ErrMalformed, name)
 		}
 		seen[name] = true
 		parse := commandFields[name]
--- a/internal/cacheproto/command_test.go
+++ b/internal/cacheproto/command_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testRequest has every field that a command carries.
+// testRequest returns a request with every field that is sent in a command.
 func testRequest() *request.Request {
 	return &request.Request{
 		ID:             "9b1f03aa5c7e2d41",
@@ -23,7 +23,7 @@
 	}
 }
 
-// testOptions has every option that a command carries.
+// testOptions has every option that is sent in a command.
 var testOptions = routing.StartAttempt{
 	RetentionRank: 2,
 	MaxAgeSeconds: 0.012,
@@ -33,8 +33,8 @@
 	Revalidate:    true,
 }
 
-// A field that is left out of a command takes its default at the cache: another age, another retention rank. Every
-// field of an attempt must be written.
+// Guards against a field that is missing from a command: the cache would use its default, such as another maximum age
+// or retention rank. Every field of an attempt must be written.
 func TestAttemptIsWrittenInFull(t *testing.T) {
 	r := testRequest()
 	options := testOptions
@@ -47,7 +47,7 @@
 	r.ETag = ""
 	shortest := Attempt{Request: r, TimeoutSeconds: 1e-5, StartAttempt: routing.StartAttempt{MaxAgeSeconds: 2e-6}}
 	assert.Equal(t, "do 9b1f03aa5c7e2d41 profile=page,thing=7f3a9c21e0b4d655,nth=3,max=1,accept=1 0\r\n",
-		string(AppendAttempt(nil, shortest)), "no time and no age becomes 0")
+		string(AppendAttempt(nil, shortest)), "a positive timeout or age is never written as 0")
 
 	b := AppendCancel(nil, "ab")
 	b = AppendProbe(b, "c1", false)
@@ -55,8 +55,8 @@
 	assert.Equal(t, "undo ab\r\nping c1\r\ntop c2\r\n", string(b))
 }
 
-// The writer and the parser of commands are two pieces of code. Where they disagree, the edge cache acts on another
-// command than the router's. What was written must be parsed to the same value.
+// Guards against differences between the writer and the parser of commands, which are separate code: the edge cache
+// would run another command than the router sent. A written command must be parsed to the same values.
 func TestWrittenAttemptIsParsedTheSame(t *testing.T) {
 	r := testRequest()
 	attempt := Attempt{Request: r, TimeoutSeconds: 1.5, FillSource: "s-1", StartAttempt: testOptions}
@@ -84,8 +84,8 @@
 	}, got)
 }
 
-// After a malformed line the boundaries of the next ones are lost, and a body could be taken for a command. Each must
-// be reported as malformed with its reason.
+// Guards against taking a body for a command: after a malformed line the boundaries of the following lines are unknown.
+// Each malformed line must be reported with its reason.
 func TestMalformedCommandsAreReported(t *testing.T) {
 	const valid = "do a profile=p,thing=7f3a9c21e0b4d655,nth=1"
 	for line, wantText := range map[string]string{
@@ -106,7 +106,8 @@
 	}
 }
 
-// FuzzParseCommand holds that no line panics, and that what is accepted has an ID and lengths within their bounds.
+// FuzzParseCommand checks that no line causes a panic, and that an accepted command has an ID and lengths within their
+// limits.
 func FuzzParseCommand(f *testing.F) {
 	f.Add([]byte("do 9b profile=page,thing=7f3a9c21e0b4d655,nth=3,max=1500,hints=ride+update,accept=9 2"))
 	f.Add([]byte("undo 9b"))
--- a/internal/cacheproto/golden_test.go
+++ b/internal/cacheproto/golden_test.go
@@ -16,7 +16,7 @@
 	goldenPlainAttempt = "do 9b1f03aa5c7e2d41 profile=page,thing=7f3a9c21e0b4d655,nth=0,max=250 0\r\n"
 )
 
-// goldenResults holds each form of an attempt's result as it stands on the wire, and what it is decoded to.
+// goldenResults lists each form of the result of an attempt, as encoded on the wire and as decoded.
 var goldenResults = []struct {
 	line     string
 	encoded  AttemptReply
@@ -85,9 +85,10 @@
 	},
 }
 
-// Caches in service read what earlier versions wrote. Every command must be encoded to the same bytes.
+// Guards against an incompatible change for deployed caches. Every command must be encoded to the same bytes as by
+// earlier versions.
 func TestCommandsAreEncodedToTheGoldenBytes(t *testing.T) {
-	whole := testRequest()
+	full := testRequest()
 	plain := &request.Request{ID: "9b1f03aa5c7e2d41", ClassName: "page", Object: "7f3a9c21e0b4d655", Part: "0"}
 	action := routing.StartAttempt{
 		RetentionRank: 2,
@@ -97,7 +98,7 @@
 		ParentNoStore: true,
 		Revalidate:    true,
 	}
-	attempt := Attempt{Request: whole, TimeoutSeconds: 1.5, FillSource: "s-1", StartAttempt: action}
+	attempt := Attempt{Request: full, TimeoutSeconds: 1.5, FillSource: "s-1", StartAttempt: action}
 	for want, got := range map[string][]byte{
 		goldenAttempt:      AppendAttempt(nil, attempt),
 		goldenPlainAttempt: AppendAttempt(nil, Attempt{Request: plain, TimeoutSeconds: 0.25}),
@@ -109,7 +110,8 @@
 	}
 }
 
-// Routers in service write what earlier versions read. Every command of theirs must be decoded to the same values.
+// Guards against an incompatible change for deployed routers. Every command that they send must be decoded to the same
+// values as by earlier versions.
 func TestGoldenCommandsAreDecoded(t *testing.T) {
 	for line, want := range map[string]Command{
 		goldenAttempt: {
@@ -149,8 +151,8 @@
 	}
 }
 
-// The results of attempts pass between programs of different versions. Every result must be written to the same bytes
-// and read back from them.
+// Programs of different versions exchange the results of attempts. Every result must be encoded to the same bytes and
+// decoded from them.
 func TestResultsMatchTheGoldenBytes(t *testing.T) {
 	for _, c := range goldenResults {
 		c.encoded.BodyBytes = c.bytes
@@ -161,8 +163,8 @@
 	}
 }
 
-// The replies to probes pass between programs of different versions. Every reply must be written to the same bytes and
-// read back from them.
+// Programs of different versions exchange replies to probes. Every reply must be encoded to the same bytes and decoded
+// from them.
 func TestProbeRepliesMatchTheGoldenBytes(t *testing.T) {
 	const load = "inflight:7;util:0.61"
 	assert.Equal(t, "c1 green report=inflight:7;util:0.61 0\r\n", string(AppendProbeReply(nil, "c1", true, load)))
--- a/internal/cacheproto/response.go
+++ b/internal/cacheproto/response.go
@@ -11,8 +11,8 @@
 	"cairnfront/routing"
 )
 
-// Response is a cache's line as a router reads it: the end of an attempt or the reply to a probe. The body of BodyBytes
-// and LineEnd follow it.
+// Response is a line from a cache as parsed by a router: the end of an attempt or the reply to a probe. A body of
+// BodyBytes and LineEnd follow it.
 type Response struct {
 	ID           string
 	IsProbeReply bool
@@ -22,7 +22,7 @@
 
 const responseWords = 4
 
-// ParseResponse reads a line, without its end, as a router receives it. Its errors wrap ErrMalformed.
+// ParseResponse parses a line, without its line ending, as received by a router. Its errors wrap ErrMalformed.
 func ParseResponse(line []byte) (Response, error) {
 	words := strings.Split(string(line), " ")
 	if len(words) != responseWords || words[0] == "" {
@@ -48,8 +48,8 @@
 	return response, nil
 }
 
-// parseFields reads the known fields and leaves out those that are unusable. None is required: the response to a write
-// has neither ETag nor time.
+// parseFields parses the known fields and ignores invalid ones. None is required: the response to a write has neither
+// ETag nor origin time.
 func (r *Response) parseFields(text string) {
 	if text == noFields {
 		return
@@ -60,7 +60,7 @@
 		case fieldETag:
 			r.ETag = value
 		case fieldOriginTime:
-			// An unusable time does not make the response unusable.
+			// An invalid time does not make the response invalid.
 			r.OriginUnixMillis, _ = strconv.ParseInt(value, 10, 64)
 		case fieldPurgeGroup:
 			if group, err := strconv.ParseUint(value, 10, 16); err == nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// parseLoadReport reads name:value pairs set apart by semicolons. What is no number is left out.
+// parseLoadReport parses name:value pairs separated by semicolons. Pairs whose value is no finite number are ignored.
 func parseLoadReport(text string) []routing.LoadMetric {
 	var metrics []routing.LoadMetric
 	for pair := range strings.SplitSeq(text, ";") {
@@ -88,18 +88,18 @@
 	return metrics
 }
 
-// AttemptReply is the end of an attempt as a cache tells it.
+// AttemptReply is the end of an attempt as sent by a cache.
 type AttemptReply struct {
 	Result           routing.AttemptResult
 	Detail           routing.ResultDetail
 	NotModified      bool
 	ETag             string
-	OriginUnixMillis int64 // Unix time in milliseconds at which the origin served the copy, 0 for none
-	PurgeGroup       int   // UnknownPurgeGroup for none
+	OriginUnixMillis int64 // Unix time in milliseconds at which the origin served the copy; 0 if unknown
+	PurgeGroup       int   // UnknownPurgeGroup if not known
 	BodyBytes        int
 }
 
-// AppendAttemptReply appends the line of a reply. Its body and LineEnd have to follow.
+// AppendAttemptReply appends the line of a reply. The caller must append its body and LineEnd.
 func AppendAttemptReply(b []byte, id string, reply AttemptReply) []byte {
 	word := resultWords[reply.Result]
 	if reply.NotModified {
@@ -116,7 +116,7 @@
 	return w.end(reply.BodyBytes)
 }
 
-// copyFields writes what a reply tells of the copy that it was made from.
+// copyFields writes the fields that describe the copy from which the reply was served.
 func (w *fieldWriter) copyFields(reply AttemptReply) {
 	if reply.ETag != "" {
 		w.text(fieldETag, reply.ETag)
@@ -132,20 +132,20 @@
 	}
 }
 
-// LoadReport is the text of a load report: pairs of name and value, or nothing.
+// LoadReport is the text of a load report: name:value pairs, or empty.
 type LoadReport string
 
-// utilizationDecimals is how many decimals a load report has of the utilization.
+// utilizationDecimals is the number of decimals of the utilization in a load report.
 const utilizationDecimals = 3
 
-// NewLoadReport returns the report of a cache with so many requests in progress, whose cores are busy for a share of
-// the time, from 0 to 1.
+// NewLoadReport returns the report of a cache with inFlight requests in progress. The utilization of its cores is
+// between 0 and 1.
 func NewLoadReport(inFlight int, utilization float64) LoadReport {
 	return LoadReport(string(wirenames.LoadInFlight) + ":" + strconv.Itoa(inFlight) + ";" +
 		string(wirenames.LoadUtilization) + ":" + strconv.FormatFloat(utilization, 'f', utilizationDecimals, 64))
 }
 
-// AppendProbeReply appends the reply to a probe, with the load report if that is not empty.
+// AppendProbeReply appends the reply to a probe, with the load report unless it is empty.
 func AppendProbeReply(b []byte, id string, healthy bool, loadReport LoadReport) []byte {
 	word := wordUnhealthy
 	if healthy {
--- a/internal/cacheproto/response_test.go
+++ b/internal/cacheproto/response_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A result that is read as another one decides whether a request may run again. Every word of the protocol must be
-// parsed to its result and detail.
+// Guards against a result that is taken for another one, as the result decides whether a request may run again. Every
+// word of the protocol must be parsed to its result and detail.
 func TestResponsesAreParsed(t *testing.T) {
 	for _, c := range []struct {
 		line string
@@ -67,8 +67,8 @@
 	}
 }
 
-// After a malformed line the boundaries of the next ones are lost, and another request could get the body. Each must be
-// reported as malformed.
+// Guards against assigning a body to the wrong request: after a malformed line the boundaries of the following lines
+// are unknown. Each malformed line must be reported.
 func TestMalformedResponsesAreReported(t *testing.T) {
 	for _, line := range []string{
 		"",
@@ -86,8 +86,8 @@
 	}
 }
 
-// The writer and the parser of replies are two pieces of code. Where they disagree, the router learns another load than
-// the cache's. What was written must be parsed to the same value.
+// Guards against differences between the writer and the parser of replies, which are separate code: the router would
+// use another load than the cache reported. A written reply must be parsed to the same values.
 func TestWrittenRepliesAreParsedTheSame(t *testing.T) {
 	for _, reply := range []AttemptReply{
 		{
@@ -124,7 +124,8 @@
 	}
 }
 
-// FuzzParseResponse holds that no line panics, and that what is accepted has an ID and a body within the bound.
+// FuzzParseResponse checks that no line causes a panic, and that an accepted response has an ID and a body within the
+// limit.
 func FuzzParseResponse(f *testing.F) {
 	f.Add([]byte("ab served digest=d1,dated=176,remark=f,report=util:0.5;x 7"))
 	f.Fuzz(func(t *testing.T, line []byte) {
--- a/internal/cacheproto/words.go
+++ b/internal/cacheproto/words.go
@@ -1,10 +1,10 @@
 // Package cacheproto is the codec of the text lines between routers and caches.
 //
-// It owns the words of the protocol and the checks of their values, for both sides: routers write commands and read
-// responses, caches the other way round. It does no I/O and keeps no state; bodies, which follow the lines, are their
-// callers' business.
+// It owns the words of the protocol and the validation of their values, for both sides: routers write commands and
+// parse responses, and caches parse commands and write responses. It does no I/O and has no state. The caller reads and
+// writes the bodies, which follow the lines.
 //
-// The words are those of the users' protocol and are used in this package alone. They stand for:
+// The words are those of the caches' protocol and are used in this package only. Their meanings:
 //
 //	commands    do attempt, undo cancel, ping probe, top probe with a load report
 //	fields      profile class, thing object, nth chunk, max timeout in ms, replay idempotency key,
@@ -24,21 +24,21 @@
 )
 
 const (
-	// LineEnd ends each line and each body.
+	// LineEnd is written after each line and each body.
 	LineEnd = "\r\n"
 
-	// MaxObjectBytes is the size of the largest body of a response.
+	// MaxObjectBytes is the maximum size of the body of a response.
 	MaxObjectBytes = 240000
 
-	// MaxRequestBodyBytes is the size of the largest body of an attempt.
+	// MaxRequestBodyBytes is the maximum size of the body of an attempt.
 	MaxRequestBodyBytes = 48000
 
-	// UnknownPurgeGroup is the purge group of a copy whose group is not known.
+	// UnknownPurgeGroup is the purge group of a copy whose purge group is not known.
 	UnknownPurgeGroup = 0xffff
 )
 
-// Prefixes of the ids of probes, which are numbered behind them. They tell probes of the endpoint's health from those
-// of one of its addresses.
+// Prefixes of probe IDs, each followed by a number. They distinguish health checks of an endpoint from probes of one of
+// its addresses.
 const (
 	HealthCheckIDPrefix  = "check"
 	AddressProbeIDPrefix = "look"
@@ -46,10 +46,11 @@
 
 const (
 	millisInSecond = 1000
-	noFields       = "-" // stands for an empty list of fields
+	noFields       = "-" // an empty list of fields
 )
 
-// ErrMalformed is wrapped by the errors on lines that break the protocol. The connection is then out of step.
+// ErrMalformed is wrapped by the errors for lines that violate the protocol. The line boundaries of the connection are
+// then unknown.
 var ErrMalformed = errors.New("malformed line")
 
 // Commands.
@@ -102,12 +103,12 @@
 	fieldDetail     = "remark"
 	fieldLoadReport = "report"
 
-	// fieldPurgeGroup is written by this project's caches alone: a cache learns the purge group of an object from its
-	// source, since routers do not name it. Others pass the field over.
+	// fieldPurgeGroup is written only by this project's caches: a cache learns the purge group of an object from the
+	// source of its copy, since routers do not send it. Other programs ignore the field.
 	fieldPurgeGroup = "bucket"
 )
 
-// results has the result that each word of a response stands for.
+// results maps each word of a response to its result.
 var results = map[string]routing.AttemptResult{
 	wordCompleted:   routing.Completed,
 	wordNotModified: routing.Completed,
@@ -119,7 +120,7 @@
 	wordUnhealthy:   routing.ServerError,
 }
 
-// resultWords has the word for each result that a cache gives an attempt.
+// resultWords maps each result that a cache reports for an attempt to its word.
 var resultWords = map[routing.AttemptResult]string{
 	routing.Completed:   wordCompleted,
 	routing.CacheMiss:   wordCacheMiss,
@@ -128,7 +129,7 @@
 	routing.NotSent:     wordNotSent,
 }
 
-// details has the detail that each mark of a response stands for.
+// details maps each mark in a response to its detail.
 var details = map[string]routing.ResultDetail{
 	"h": routing.CacheHit,
 	"f": routing.Filled,
@@ -145,7 +146,7 @@
 	return marks
 }()
 
-// fieldWriter appends name=value pairs set apart by commas.
+// fieldWriter appends name=value pairs separated by commas.
 type fieldWriter struct {
 	line  []byte
 	start int // length of the line before the first field
@@ -169,7 +170,7 @@
 	w.line = append(w.line, '=')
 }
 
-// end appends the length of the body and the line's end.
+// end appends the length of the body and the line ending.
 func (w *fieldWriter) end(bodyBytes int) []byte {
 	if len(w.line) == w.start {
 		w.line = append(w.line, noFields...)
--- a/internal/clientproto/errortexts.go
+++ b/internal/clientproto/errortexts.go
@@ -1,7 +1,7 @@
 package clientproto
 
-// Texts of faults that a client is sent. They are part of the protocol and keep its words: a txn is a request, a remap
-// rule a request class.
+// Texts of errors that are sent to clients. They are part of the protocol and use its terms: a txn is a request, a
+// remap rule is a request class.
 const (
 	TextStreamZero      = "a txn on stream 0"
 	TextStreamUsed      = "stream %d is not new"
--- a/internal/clientproto/fields.go
+++ b/internal/clientproto/fields.go
@@ -5,23 +5,23 @@
 	"errors"
 )
 
-// ErrFieldsTruncated is returned where the fields run past the end of the payload. Its text is sent to the client.
+// ErrFieldsTruncated is returned if the fields extend past the end of the payload. Its text is sent to the client.
 var ErrFieldsTruncated = errors.New("fields overrun the frame")
 
-// Sizes of the parts of a field list.
+// Sizes in bytes of the parts of a field list.
 const (
 	fieldCountSize  = 1
 	nameLengthSize  = 1
 	valueLengthSize = 2
 )
 
-// Field is a name with its value.
+// Field is a field of a frame: a name with its value.
 type Field struct {
 	Name  string
 	Value string
 }
 
-// ParseFields reads the list of fields at the start of a payload and returns what follows them.
+// ParseFields parses the list of fields at the start of a payload and returns the remaining bytes in rest.
 func ParseFields(b []byte) (fields []Field, rest []byte, err error) {
 	if len(b) < fieldCountSize {
 		return nil, nil, ErrFieldsTruncated
@@ -59,7 +59,7 @@
 	return field, b[valueEnd:], nil
 }
 
-// AppendFields appends a list of fields.
+// AppendFields appends the encoding of a list of fields.
 func AppendFields(b []byte, fields ...Field) []byte {
 	b = append(b, byte(len(fields)))
 	for _, field := range fields {
--- a/internal/clientproto/frame_test.go
+++ b/internal/clientproto/frame_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A length from the wire decides how much memory is taken. One above the bound would let a client take any amount.
-// Lengths up to the bound must be accepted and others refused.
-func TestFrameLengthsHaveBounds(t *testing.T) {
+// Guards against a client that makes the router allocate any amount of memory by the length in a frame header. Lengths
+// up to the limit must be accepted and others rejected.
+func TestFrameLengthIsLimited(t *testing.T) {
 	header, err := ParseHeader(AppendHeader(nil, TypeRequest, 7, 100))
 	require.NoError(t, err)
 	assert.Equal(t, Header{Type: TypeRequest, StreamID: 7, PayloadBytes: 100}, header)
--- a/internal/clientproto/golden_test.go
+++ b/internal/clientproto/golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenFrames holds one frame of each kind as it stands on the wire.
+// goldenFrames lists the encoding on the wire of one frame of each type.
 var goldenFrames = map[string]string{
 	"request": "\x00\x00\x00\xa8\x64\x00\x00\x01\x02" + goldenFields + "body",
 	"response completed": "\x00\x00\x00\x25\x65\x00\x00\x01\x02\x01\x01\x04etag\x00\x104be0c1927d55a6f3" +
@@ -37,8 +37,8 @@
 	"\x04heap\x00\x05412.5" +
 	"\x04etag\x00\x104be0c1927d55a6f3"
 
-// Clients in service read what earlier versions wrote. A byte that moves breaks them all. Every frame must be encoded
-// to the same bytes.
+// Guards against an incompatible change of the encoding, which breaks all deployed clients. Every frame must be encoded
+// to the same bytes as by earlier versions.
 func TestFramesAreEncodedToTheGoldenBytes(t *testing.T) {
 	const streamID = 258
 	requestPayload := append(AppendFields(nil,
@@ -74,7 +74,8 @@
 	}
 }
 
-// Clients in service write what earlier versions read. Every frame of theirs must be decoded to the same values.
+// Guards against an incompatible change of the decoding, which breaks all deployed clients. Every frame that they send
+// must be decoded to the same values as by earlier versions.
 func TestGoldenBytesAreDecoded(t *testing.T) {
 	for name, want := range map[string]Header{
 		"request":                {TypeRequest, 258, 163},
--- a/internal/clientproto/request.go
+++ b/internal/clientproto/request.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// MaxBodyBytes is the size of the largest body of a request.
+	// MaxBodyBytes is the maximum size of the body of a request.
 	MaxBodyBytes = 48000
 
-	maxFieldsBytes = 8192 // a request's fields take some hundred bytes
+	maxFieldsBytes = 8192 // the fields of a request typically use a few hundred bytes
 
-	// MaxRequestBytes is the size of the largest payload of a request.
+	// MaxRequestBytes is the maximum size of the payload of a request.
 	MaxRequestBytes = MaxBodyBytes + maxFieldsBytes
 )
 
-// Bounds of the values of fields.
+// Limits of field values.
 const (
-	idLength       = 16 // hex digits of a request's and an object's ID
+	idLength       = 16 // number of hex digits of a request ID and an object ID
 	maxTokenLength = 256
 	maxPartNumber  = math.MaxInt32
 	maxPurgeGroup  = 255
@@ -30,7 +30,7 @@
 	millisInSecond = 1000
 )
 
-// Names of the fields of a request and a response.
+// Field names of requests and responses.
 const (
 	fieldClass          = "op"
 	fieldID             = "call"
@@ -46,14 +46,14 @@
 	fieldError          = "error"
 )
 
-// Request is a request as it came. The index of its class is not yet looked up.
+// Request is a request as parsed from a frame. The index of its class is not set yet.
 type Request struct {
 	request.Request
 	TimeoutSeconds float64
-	RawBody        []byte // part of the parsed payload
+	RawBody        []byte // slice of the parsed payload
 }
 
-// FieldError reports a field of a request that is missing, has an unusable value, or stands twice. Its text is sent to
+// FieldError reports a field of a request that is missing, has an invalid value, or occurs twice. Its text is sent to
 // the client.
 type FieldError struct{ Name string }
 
@@ -68,14 +68,14 @@
 	return fmt.Sprintf("body of %d bytes is over %d", e.Bytes, MaxBodyBytes)
 }
 
-// requestField says how a field of a request is read. parse stores the value and reports whether it is usable.
+// requestField describes how a field of a request is parsed. parse stores the value and reports whether it is valid.
 type requestField struct {
 	name     string
 	required bool
 	parse    func(r *Request, value string) bool
 }
 
-// requestFields are the fields that are read, required ones first. Others are passed over.
+// requestFields lists the known fields of a request, required ones first. Unknown fields are ignored.
 var requestFields = [...]requestField{
 	{fieldClass, true, parseClass},
 	{fieldID, true, parseID},
@@ -88,8 +88,8 @@
 	{fieldETag, false, parseETag},
 }
 
-// ParseRequest reads the payload of a request. With an error, the request holds what could be read, and the error is
-// about the first fault: ErrFieldsTruncated, a FieldError or a BodySizeError.
+// ParseRequest parses the payload of a request. If it returns an error, the request contains the values that could be
+// parsed, and the error describes the first fault: ErrFieldsTruncated, a FieldError or a BodySizeError.
 func ParseRequest(payload []byte) (Request, error) {
 	var parsed Request
 	fields, body, err := ParseFields(payload)
@@ -106,7 +106,7 @@
 	return parsed, nil
 }
 
-// parseFields reads all fields, also those after a fault, and returns the first fault.
+// parseFields parses all fields, including those after a fault, and returns the first fault.
 func (r *Request) parseFields(fields []Field) (firstFault error) {
 	fault := func(name string) {
 		if firstFault == nil {
@@ -208,7 +208,7 @@
 	return true
 }
 
-// isToken reports whether a value can stand in the lines of the caches' protocol.
+// isToken reports whether a value may appear in the lines of the caches' protocol.
 func isToken(text string) bool {
 	for _, c := range []byte(text) {
 		if c <= ' ' || c == ',' || c == '=' || c >= 0x7f {
--- a/internal/clientproto/request_test.go
+++ b/internal/clientproto/request_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// validFields is a request's list of fields, with one at its end that the router does not know.
+// validFields is the field list of a valid request. Its last field is unknown to the router.
 var validFields = []Field{
 	{"op", "page"},
 	{"call", "9b1f03aa5c7e2d41"},
@@ -32,8 +32,8 @@
 	return i
 }
 
-// A field that is read into the wrong place makes the router ask for another object, or answer by another deadline.
-// Every field of a request must have its value.
+// Guards against a field whose value is stored in the wrong place: the router would request another object, or respond
+// by another deadline. Every field of a request must have its value.
 func TestRequestIsParsed(t *testing.T) {
 	got, err := ParseRequest(append(AppendFields(nil, validFields...), "body"...))
 	require.NoError(t, err)
@@ -55,8 +55,8 @@
 	assert.Equal(t, want, got)
 }
 
-// A client that sends an unusable value can mend it only if it knows which one. The error must name the field.
-func TestUnusableValuesAreNamed(t *testing.T) {
+// A client can correct an invalid value only if it knows which field has it. The error must name the field.
+func TestInvalidFieldsAreNamed(t *testing.T) {
 	for name, values := range map[string][]string{
 		"op":     {""},
 		"call":   {"", "12", "9b1f03aa5c7e2d4x"},
@@ -79,7 +79,7 @@
 	}
 }
 
-// A request without one of its fields must not be guessed at. The error must name the field that is missing.
+// A request that lacks a required field must be rejected, and the error must name that field.
 func TestMissingFieldsAreNamed(t *testing.T) {
 	for _, name := range []string{"op", "call", "ttl", "row", "seg"} {
 		i := indexOfField(t, name)
@@ -90,47 +90,49 @@
 	}
 }
 
-// Of two values for a field the router and an endpoint may take different ones. A field that stands twice must be
-// refused by name.
-func TestFieldThatStandsTwiceIsNamed(t *testing.T) {
+// Guards against the router and an endpoint using different values of a field that occurs twice. Such a request must be
+// rejected, and the error must name the field.
+func TestDuplicateFieldIsNamed(t *testing.T) {
 	_, err := ParseRequest(AppendFields(nil, append(slices.Clone(validFields), validFields[0])...))
 	assert.Equal(t, FieldError{Name: "op"}, err)
 }
 
-// Newer clients send fields that this version does not know. A refusal would cut them off. An unknown field must be
-// passed over, whatever its length.
-func TestUnknownFieldWithTheLongestNameIsPassedOver(t *testing.T) {
+// Guards against rejecting newer clients, which send fields that this version does not know. An unknown field must be
+// ignored, regardless of its length.
+func TestUnknownFieldWithTheLongestNameIsIgnored(t *testing.T) {
 	fields := append(slices.Clone(validFields), Field{strings.Repeat("n", 255), "x"})
 	_, err := ParseRequest(AppendFields(nil, fields...))
 	assert.NoError(t, err)
 }
 
-// The body of a request is held in memory. Without a bound a client could take any amount. A body one byte above the
-// bound must be refused with its size.
-func TestBodyHasABound(t *testing.T) {
+// Guards against a client that uses any amount of memory for the body of a request. A body one byte over the limit must
+// be rejected with its size.
+func TestBodySizeIsLimited(t *testing.T) {
 	_, err := ParseRequest(append(AppendFields(nil, validFields...), make([]byte, MaxBodyBytes+1)...))
 	assert.Equal(t, BodySizeError{Bytes: MaxBodyBytes + 1}, err)
 	assert.ErrorContains(t, err, "body")
 }
 
-// A length of a field that points past the frame would read another request's bytes. Every such frame must be refused.
+// Guards against reading bytes of another request because the length of a field points past the end of its frame. Every
+// such frame must be rejected.
 func TestTruncatedFieldsAreRejected(t *testing.T) {
-	whole := AppendFields(nil, validFields...)
-	for n := range whole {
-		_, err := ParseRequest(whole[:n])
+	complete := AppendFields(nil, validFields...)
+	for n := range complete {
+		_, err := ParseRequest(complete[:n])
 		assert.ErrorIs(t, err, ErrFieldsTruncated, "cut at %d", n)
 	}
 }
 
-// TestFaultTextsStayTheSame: the texts are sent to the client.
-func TestFaultTextsStayTheSame(t *testing.T) {
+// TestErrorTextsStayTheSame checks the error texts that are sent to clients.
+func TestErrorTextsStayTheSame(t *testing.T) {
 	require.EqualError(t, FieldError{Name: "op"}, "field op is missing or can't be used")
 	require.EqualError(t, BodySizeError{Bytes: 48001}, "body of 48001 bytes is over 48000")
 	require.EqualError(t, FrameLengthError{Length: 4}, "frame length 4 is out of bounds")
 	assert.EqualError(t, ErrFieldsTruncated, "fields overrun the frame")
 }
 
-// FuzzParseRequest holds that no payload panics, and that what is accepted is within the bounds of the protocol.
+// FuzzParseRequest checks that no payload causes a panic, and that accepted values are within the limits of the
+// protocol.
 func FuzzParseRequest(f *testing.F) {
 	f.Add(append(AppendFields(nil, validFields...), "body"...))
 	f.Fuzz(func(t *testing.T, payload []byte) {
--- a/internal/clientproto/response.go
+++ b/internal/clientproto/response.go
@@ -7,20 +7,20 @@
 	"cairnfront/internal/request"
 )
 
-// resultCodes has the code on the wire of each result.
+// resultCodes maps each result to its code on the wire.
 var resultCodes = [...]byte{
 	request.Completed: 1,
 	request.Rejected:  0,
 	request.Aborted:   9,
 }
 
-// Codes of a readiness reply.
+// Codes in a readiness reply.
 const (
 	codeNotReady = 0
 	codeReady    = 1
 )
 
-// AppendResponse appends a response without its body, which has to follow.
+// AppendResponse appends a response without its body. The caller must append the body.
 func AppendResponse(b []byte, streamID uint32, response request.Response) []byte {
 	payload := AppendFields([]byte{resultCodes[response.Result]}, responseFields(response)...)
 	b = AppendHeader(b, TypeResponse, streamID, len(payload)+response.Body.Len())
@@ -45,7 +45,7 @@
 	return fields
 }
 
-// AppendReadinessReply appends the answer to a readiness query. It has no fields.
+// AppendReadinessReply appends the reply to a readiness query. The reply has no fields.
 func AppendReadinessReply(b []byte, streamID uint32, ready bool) []byte {
 	code := byte(codeNotReady)
 	if ready {
--- a/internal/clientproto/response_test.go
+++ b/internal/clientproto/response_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A client tells completed, rejected and aborted apart by one code. A wrong code lets it repeat what must not run
-// twice. Each response must be encoded with its code and fields.
+// Guards against a wrong result code: clients distinguish completed, rejected and aborted requests by it, and would
+// retry a request that must not run twice. Each response must be encoded with its code and fields.
 func TestResponsesAreEncoded(t *testing.T) {
 	body := &request.Body{Bytes: []byte("abc")}
 	const header = "\x65\x00\x00\x00\x07"
@@ -27,12 +27,13 @@
 		header, err := ParseHeader(got)
 		require.NoError(t, err)
 		withBody := len(got) + response.Body.Len()
-		assert.Equal(t, withBody-HeaderSize, header.PayloadBytes, "the length counts the body that follows")
+		assert.Equal(t, withBody-HeaderSize, header.PayloadBytes, "the length includes the body that follows")
 		assert.Equal(t, want[4:], string(got[4:]))
 	}
 }
 
-// The deployment sends traffic by the readiness reply. Both replies must be encoded as the protocol says.
+// The deployment routes traffic according to the readiness reply. Both replies must be encoded as the protocol
+// specifies.
 func TestReadinessRepliesAreEncoded(t *testing.T) {
 	assert.Equal(t, "\x00\x00\x00\x07\x6f\x00\x00\x00\x03\x01\x00", string(AppendReadinessReply(nil, 3, true)))
 	assert.Equal(t, "\x00\x00\x00\x07\x6f\x00\x00\x00\x03\x00\x00", string(AppendReadinessReply(nil, 3, false)))
