--- a/cmd/cairnfront/listen.go
+++ b/cmd/cairnfront/listen.go
@@ -46,6 +46,6 @@
 
 // mayListenAgain says whether listening is tried again after an error, by how long it has been tried.
 func mayListenAgain(err error, waited time.Duration) bool {
-	temporary := errors.Is(err, syscall.EADDRINUSE) || netconn.IsLocalShortage(err)
+	temporary := errors.Is(err, syscall.EADDRINUSE) || netconn.IsLocalError(err)
 	return temporary && waited <= portInUseTimeout
 }
--- a/internal/netconn/close.go
+++ b/internal/netconn/close.go
@@ -93,7 +93,7 @@
 	if !ok {
 		return
 	}
-	if err := sender.CloseWrite(); err != nil && !IsLocalShortage(err) {
+	if err := sender.CloseWrite(); err != nil && !IsLocalError(err) {
 		return
 	}
 	c.OnCloseRequest = nil
--- a/internal/netconn/errors.go
+++ b/internal/netconn/errors.go
@@ -25,12 +25,12 @@
 	syscall.EACCES,
 }
 
-// IsLocalShortage reports whether a call failed for a cause on this machine. Such an error says nothing about the peer,
+// IsLocalError reports whether a call failed for a cause on this machine. Such an error says nothing about the peer,
 // and the call may succeed shortly afterwards.
 //
 // It guards against ejecting endpoints, and closing connections, because of a shortage on this machine. That would show
 // as simultaneous ejections of many endpoints.
-func IsLocalShortage(err error) bool {
+func IsLocalError(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
 		return false
--- a/internal/netconn/read.go
+++ b/internal/netconn/read.go
@@ -132,7 +132,7 @@
 			c.countRead(n)
 			return nil
 		}
-		if IsLocalShortage(readErr) && c.waitAfterLocalError(&failingSince, deadline) {
+		if IsLocalError(readErr) && c.waitAfterLocalError(&failingSince, deadline) {
 			continue
 		}
 		if !errors.Is(readErr, os.ErrDeadlineExceeded) {
--- a/internal/netconn/write.go
+++ b/internal/netconn/write.go
@@ -78,7 +78,7 @@
 		case hasPassed(deadline), c.IsClosed():
 			return err
 		case waited: // writeProgressInterval has passed; try again
-		case IsLocalShortage(err):
+		case IsLocalError(err):
 			time.Sleep(localErrorRetryDelay)
 		default:
 			return err
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -180,7 +180,7 @@
 	switch {
 	case err == nil:
 		return address.DialSucceeded
-	case errors.Is(err, context.Canceled), netconn.IsLocalShortage(err):
+	case errors.Is(err, context.Canceled), netconn.IsLocalError(err):
 		return address.DialInconclusive
 	case errors.Is(err, context.DeadlineExceeded):
 		return address.DialTimedOut
--- a/internal/upstream/lifecycle.go
+++ b/internal/upstream/lifecycle.go
@@ -85,7 +85,7 @@
 	switch {
 	case ctx.Err() != nil:
 		code = netconn.Shutdown
-	case netconn.IsLocalShortage(cause):
+	case netconn.IsLocalError(cause):
 		code, result = netconn.ResourceLimit, routing.NotSent
 	}
 	conn := netconn.New(noSocket{}, 0, 0)
--- a/internal/upstream/stopwriting.go
+++ b/internal/upstream/stopwriting.go
@@ -15,7 +15,7 @@
 // stopsWriting says whether an error of a write leaves the other direction as it is: the endpoint reads too slowly, or
 // this machine lacks what the write needs.
 func stopsWriting(err error) bool {
-	return errors.Is(err, os.ErrDeadlineExceeded) || netconn.IsLocalShortage(err)
+	return errors.Is(err, os.ErrDeadlineExceeded) || netconn.IsLocalError(err)
 }
 
 // stopWriting ends the writing side of a connection for an error, and says whether the connection goes on for the
@@ -162,7 +162,7 @@
 // unsentResult returns how attempts end of which nothing is known to have been sent, by the error that ended their
 // connection. A shortage of this machine is no fault of the endpoint.
 func unsentResult(cause error) routing.AttemptResult {
-	if netconn.IsLocalShortage(cause) {
+	if netconn.IsLocalError(cause) {
 		return routing.NotSent
 	}
 	return routing.ConnectFailed
--- a/internal/upstream/writer.go
+++ b/internal/upstream/writer.go
@@ -104,7 +104,7 @@
 		w.stalledSince = 0
 		return nil
 	}
-	temporary := errors.Is(err, os.ErrDeadlineExceeded) || netconn.IsLocalShortage(err)
+	temporary := errors.Is(err, os.ErrDeadlineExceeded) || netconn.IsLocalError(err)
 	if !temporary || w.conn.BytesWritten() > before || w.stalledTooLong(a) {
 		return err
 	}
