--- a/internal/netconn/conn.go
+++ b/internal/netconn/conn.go
@@ -114,6 +114,6 @@
 // BytesWritten returns how many bytes the socket has accepted.
 func (c *Conn) BytesWritten() int64 { return c.bytesWritten.Load() }
 
-// BytesBuffered returns how many bytes Write has accepted so far, including those already written to the socket: the
+// OutputOffset returns how many bytes Write has accepted so far, including those already written to the socket: the
 // offset of the next byte in the output. It must be called from the writing goroutine.
-func (c *Conn) BytesBuffered() int64 { return c.outputOffset }
+func (c *Conn) OutputOffset() int64 { return c.outputOffset }
--- a/internal/netconn/conn_test.go
+++ b/internal/netconn/conn_test.go
@@ -68,7 +68,7 @@
 	require.NoError(t, c.Write([]byte("0123456789")))
 	assert.Equal(t, "01234567", <-got)
 	require.Error(t, c.Flush())
-	assert.Equal(t, []int64{10, 8}, []int64{c.BytesBuffered(), c.BytesWritten()})
+	assert.Equal(t, []int64{10, 8}, []int64{c.OutputOffset(), c.BytesWritten()})
 }
 
 // Guards against a writer that blocks forever on a peer that reads nothing, or too little. A stalled write, and one
--- a/internal/upstream/writer.go
+++ b/internal/upstream/writer.go
@@ -197,7 +197,7 @@
 	a.writtenAt = now
 	a.inputOffset = conn.BytesRead()
 	c.noteWrittenLocked(now, conn)
-	a.endOffset = conn.BytesBuffered() + int64(a.wireBytes())
+	a.endOffset = conn.OutputOffset() + int64(a.wireBytes())
 	return next, false, true
 }
 
