--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -83,7 +83,7 @@
 	f.arrive(f.request)
 	f.setTime(101)
 	f.runDueTimers()
-	want := request.Response{Result: request.Rejected, Reason: request.ReasonDecided, RetryAfterSeconds: 2}
+	want := request.Response{Result: request.Rejected, Reason: request.ReasonRoutingDecision, RetryAfterSeconds: 2}
 	assert.Equal(t, []request.Response{want}, f.recorder.responses, "one response and no more")
 	assert.Equal(t, []routing.Event{
 		routing.TimerFired{Token: 7},
--- a/internal/dispatch/decisions.go
+++ b/internal/dispatch/decisions.go
@@ -48,13 +48,13 @@
 		if o := d.requests[action.Request]; o != nil {
 			d.respond(o, request.Response{
 				Result:            request.Rejected,
-				Reason:            request.ReasonDecided,
+				Reason:            request.ReasonRoutingDecision,
 				RetryAfterSeconds: action.RetryAfterSeconds,
 			})
 		}
 	case routing.AbortRequest:
 		if o := d.requests[action.Request]; o != nil {
-			d.respond(o, request.Response{Result: request.Aborted, Reason: request.ReasonDecided})
+			d.respond(o, request.Response{Result: request.Aborted, Reason: request.ReasonRoutingDecision})
 		}
 	case routing.SetTimer:
 		d.schedule(d.now+action.AfterSeconds, decisionTimer{action.Token})
--- a/internal/request/response.go
+++ b/internal/request/response.go
@@ -27,7 +27,7 @@
 const (
 	ReasonNone             Reason = iota
 	ReasonAttemptCompleted        // an attempt completed
-	ReasonDecided                 // a routing decision rejected or aborted the request
+	ReasonRoutingDecision         // a routing decision rejected or aborted the request
 	ReasonDuplicateID             // a request with the same ID is open
 	ReasonDeadlineExceeded        // no routing decision ended the request before its deadline
 	ReasonMalformed               // the request cannot be decoded, or its class is unknown
@@ -42,7 +42,7 @@
 var reasonTexts = [...]string{
 	ReasonNone:             "",
 	ReasonAttemptCompleted: "attempt_completed",
-	ReasonDecided:          "routing_decision",
+	ReasonRoutingDecision:  "routing_decision",
 	ReasonDuplicateID:      "duplicate_request_id",
 	ReasonDeadlineExceeded: "deadline_exceeded",
 	ReasonMalformed:        "malformed_request",
