--- a/internal/frontend/connstate.go
+++ b/internal/frontend/connstate.go
@@ -8,12 +8,12 @@
 //	from           to             when
 //	idle           partial frame  the first bytes of a frame were received
 //	partial frame  active         the frame is complete and was a request
-//	partial frame  idle           the frame is complete and no request, and the reply to it, if any, is written
-//	idle           active         output is queued: a GOAWAY
+//	partial frame  idle           the frame is complete, is no request, and any reply to it is written
+//	idle           active         a GOAWAY is queued
 //	active         partial frame  the last output is written, and a frame has begun meanwhile
 //	active         idle           the last output is written
 //	idle           closed         the reader confirmed a close (timeouts, eviction, drain), or the client closed
-//	partial frame  closed         as from idle; the timeouts are partialFrameTimeout and firstFrameTimeout
+//	partial frame  closed         the reader confirmed a close (its timeouts, drain), or the client closed
 //	active         closed         the client disconnected or reads no output, the socket failed, or the process ends
 type connState uint8
 
--- a/internal/frontend/crossing_test.go
+++ b/internal/frontend/crossing_test.go
@@ -78,7 +78,7 @@
 				require.NoError(t, err, "the connection must end without a reset")
 				require.NoError(t, <-written)
 				assert.Eventually(t, func() bool {
-					return c.socket.readAfterEnd.Load() >= int64(len(frame))
+					return c.socket.readAfterHalfClose.Load() >= int64(len(frame))
 				}, time.Second, time.Millisecond, "the request was not read before the close")
 				_ = c.Close()
 				<-c.done
--- a/internal/frontend/framereader_test.go
+++ b/internal/frontend/framereader_test.go
@@ -125,7 +125,7 @@
 
 // Guards against a reader that waits for room in the full queue of the event loop, and notices neither a cancel nor a
 // disconnect. The request must be rejected immediately, and the reader must continue.
-func TestFullQueueRejectsAtOnce(t *testing.T) {
+func TestFullQueueRejectsImmediately(t *testing.T) {
 	c := newTestConn(t, true)
 	c.sink.accept = func() bool { return false }
 	_, _ = c.Write(requestFrame(1, "aa", clientproto.Field{Name: "heap", Value: "1"}))
--- a/internal/frontend/helpers_test.go
+++ b/internal/frontend/helpers_test.go
@@ -169,13 +169,13 @@
 	onReaderWoken, onClose func()
 	halfClosed             atomic.Bool
 	lingerNanos            atomic.Int64 // longest time in ns for which input is read after the half-close
-	readAfterEnd           atomic.Int64 // bytes read after the half-close
+	readAfterHalfClose     atomic.Int64 // bytes read after the half-close
 }
 
 func (e *observedSocket) Read(p []byte) (int, error) {
 	n, err := e.TCPConn.Read(p)
 	if e.halfClosed.Load() {
-		e.readAfterEnd.Add(int64(n))
+		e.readAfterHalfClose.Add(int64(n))
 	}
 	return n, err
 }
--- a/internal/frontend/responsewriter_test.go
+++ b/internal/frontend/responsewriter_test.go
@@ -104,7 +104,7 @@
 
 // Guards against attempts that are sent although no client waits: the event loop handles a cancellation only after the
 // events queued before it. Every reference to the request must show the cancellation immediately.
-func TestCancellationTakesEffectAtOnce(t *testing.T) {
+func TestCancellationTakesEffectImmediately(t *testing.T) {
 	w, r := newTestWriter(t)
 	assert.False(t, r.Cancelled())
 	w.cancel(1, request.ConnectionEnded)
--- a/internal/netconn/close.go
+++ b/internal/netconn/close.go
@@ -15,7 +15,7 @@
 //	open             close requested  any goroutine calls RequestClose
 //	close requested  open             the reading goroutine declines: OnCloseRequest returned nil
 //	close requested  half-closed      OnCloseRequest returned an error, and the reader calls CloseGracefully
-//	half-closed      closed           the peer closed its side, or the limit of lingerTimeout or lingerBytes is reached
+//	half-closed      closed           the peer closed its side, or lingerTimeout or lingerBytes is reached
 //	any              closed           the socket failed, the peer does not read, or the process ends (Close)
 //
 // The end code is set once, by the first of these methods that has one (SetEndCode).
--- a/internal/netconn/conn_test.go
+++ b/internal/netconn/conn_test.go
@@ -367,7 +367,7 @@
 	}
 	require.ErrorIs(t, <-ended, os.ErrDeadlineExceeded)
 	assert.Less(t, time.Since(startedAt), 150*time.Millisecond, "the frame deadline was extended")
-	c.AwaitReader(time.Minute) // returns at once
+	c.AwaitReader(time.Minute) // returns immediately, as the connection is closed
 }
 
 // Guards against attempts that end late by the timeout of AwaitReader: the connection closes while a writer waits for
@@ -386,7 +386,7 @@
 func TestResetDropsUnsentOutput(t *testing.T) {
 	near, far := tcpPair(t)
 	c := New(near, 1<<10, 50*time.Millisecond)
-	for c.Write(make([]byte, 1<<10)) == nil { // until the system takes no more
+	for c.Write(make([]byte, 1<<10)) == nil { // until the kernel accepts no more
 	}
 	c.Reset(Unresponsive, nil)
 	n, err := io.Copy(io.Discard, far)
