--- a/internal/upstream/stopwriting.go
+++ b/internal/upstream/stopwriting.go
@@ -15,7 +15,7 @@
 // affectsOnlyWriting reports whether a write error leaves the reading side of the connection usable: the endpoint reads
 // too slowly, or this machine lacks resources for the write.
 func affectsOnlyWriting(err error) bool {
-	return errors.Is(err, os.ErrDeadlineExceeded) || netconn.IsLocalShortage(err)
+	return errors.Is(err, os.ErrDeadlineExceeded) || netconn.IsLocalError(err)
 }
 
 // stopWriting ends the writing side of a connection after an error. It reports whether the connection stays open for
@@ -164,7 +164,7 @@
 // unsentResult returns the result of attempts that are not known to have been sent, given the error that ended their
 // connection. A resource shortage on this machine is not a failure of the endpoint.
 func unsentResult(cause error) routing.AttemptResult {
-	if netconn.IsLocalShortage(cause) {
+	if netconn.IsLocalError(cause) {
 		return routing.NotSent
 	}
 	return routing.ConnectFailed
--- a/internal/upstream/writer.go
+++ b/internal/upstream/writer.go
@@ -107,7 +107,7 @@
 		w.stalledSince = 0
 		return nil
 	}
-	temporary := errors.Is(err, os.ErrDeadlineExceeded) || netconn.IsLocalShortage(err)
+	temporary := errors.Is(err, os.ErrDeadlineExceeded) || netconn.IsLocalError(err)
 	if !temporary || w.conn.BytesWritten() > before || w.stalledTooLong(a) {
 		return err
 	}
@@ -202,7 +202,7 @@
 	a.writtenAt = now
 	a.inputOffset = conn.BytesRead()
 	c.recordWriteLocked(now, conn)
-	a.endOffset = conn.BytesBuffered() + int64(a.wireBytes())
+	a.endOffset = conn.OutputOffset() + int64(a.wireBytes())
 	return next, false, true
 }
 
