--- a/internal/replication/history/history.go
+++ b/internal/replication/history/history.go
@@ -1,8 +1,8 @@
-// Package history checks the answers that clients of a shard got against those that a shard without
-// faults could have given.
+// Package history checks whether the answers that clients of a shard got are linearizable, that is,
+// possible for a shard without faults.
 //
-// Its model is a register a key: the first group that reserves the key keeps it, and reads tell
-// that group. It is for tests and simulations; it plays nothing itself.
+// Its model is one register per key: the first group that reserves a key is recorded, and reads
+// return that group. The package is for tests and simulations, and runs no operations itself.
 package history
 
 import (
@@ -12,29 +12,30 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Input is what a client asked: to read a key, or to reserve it for a group.
+// Input is a client's operation: reading a key, or reserving it for a group.
 type Input struct {
 	Read       bool
 	Key, Group string
 }
 
-// Output is the answer that the client got.
+// Output is the answer that the client received.
 type Output struct {
-	Answered bool // false where no answer came: the request may have been carried out or not
+	Answered bool // false if no answer arrived: the operation may or may not have been applied
 	Granted  bool
 	Group    string
 }
 
-// Unanswered is the return time of an operation without an answer, after all others.
+// Unanswered is the return time of an operation without an answer. It is after all other times.
 const Unanswered = 1 << 60
 
-// Linearizable says whether a history is linearizable. It is false too where that was not found out
-// within the timeout.
+// Linearizable reports whether a history is linearizable. It also returns false if the check does
+// not finish within the timeout.
 func Linearizable(operations []porcupine.Operation, timeout time.Duration) bool {
 	return porcupine.CheckOperationsTimeout(model.ToModel(), operations, timeout) == porcupine.Ok
 }
 
-// model is the register of one key. Its state is the group that reserved the key, "" for none.
+// model is the register of one key. Its state is the group that reserved the key, or "" if none
+// did.
 var model = porcupine.NondeterministicModel{
 	Partition: partitionByKey,
 	Init:      func() []any { return []any{""} },
@@ -57,8 +58,8 @@
 	return partitions
 }
 
-// valueAs is a value that porcupine keeps as any. It panics at another type: a caller that recorded one has a history
-// that says nothing.
+// valueAs converts a value that porcupine passes as any. It panics if the type differs, because the
+// history was recorded incorrectly and cannot be checked.
 func valueAs[T any](value any) T {
 	typed, ok := value.(T)
 	if !ok {
@@ -67,8 +68,8 @@
 	return typed
 }
 
-// nextStates are the states in which an operation can leave the register, none where its output was
-// not possible.
+// nextStates returns the possible states of the register after an operation, or none if the
+// operation's output is impossible.
 func nextStates(reserved string, in Input, out Output) []any {
 	if !out.Answered {
 		if in.Read || reserved != "" {
--- a/internal/replication/history/history_test.go
+++ b/internal/replication/history/history_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// sequence is operations one after the other.
+// sequence arranges operations one after the other.
 func sequence(operations ...porcupine.Operation) []porcupine.Operation {
 	for i := range operations {
 		operations[i].Call = int64(2 * i)
@@ -37,22 +37,23 @@
 	return porcupine.Operation{Input: Input{Key: "k", Group: group}, Output: Output{}, Return: Unanswered}
 }
 
-// TestLinearizable holds the checker itself to histories that are known to be right or wrong. A checker that takes a
-// lost grant, or a key granted to two groups, for right would pass every other test of replication.
+// TestLinearizable runs the checker on histories that are known to be linearizable or not. If the
+// checker accepted a lost grant, or a key granted to two groups, every other test of replication
+// would pass with these faults.
 func TestLinearizable(t *testing.T) {
 	for name, test := range map[string]struct {
 		history []porcupine.Operation
 		want    bool
 	}{
-		"first group keeps the key": {
+		"first group reserves the key": {
 			sequence(reserve("a", true, "a"), reserve("b", false, "a"), read(true, "a")), true,
 		},
-		"same group is granted again":     {sequence(reserve("a", true, "a"), reserve("a", true, "a")), true},
-		"unanswered one was carried out":  {sequence(unanswered("a"), reserve("b", false, "a")), true},
-		"unanswered one was not":          {sequence(unanswered("a"), reserve("b", true, "b")), true},
-		"key granted to two groups":       {sequence(reserve("a", true, "a"), reserve("b", true, "b")), false},
-		"grant lost":                      {sequence(reserve("a", true, "a"), read(false, "")), false},
-		"read of a group that never held": {sequence(read(true, "a")), false},
+		"same group is granted again":         {sequence(reserve("a", true, "a"), reserve("a", true, "a")), true},
+		"unanswered reservation applied":      {sequence(unanswered("a"), reserve("b", false, "a")), true},
+		"unanswered reservation not applied":  {sequence(unanswered("a"), reserve("b", true, "b")), true},
+		"key granted to two groups":           {sequence(reserve("a", true, "a"), reserve("b", true, "b")), false},
+		"grant lost":                          {sequence(reserve("a", true, "a"), read(false, "")), false},
+		"read of a group that never reserved": {sequence(read(true, "a")), false},
 		"stale read after a later one": {
 			sequence(unanswered("a"), read(true, "a"), read(false, "")), false,
 		},
--- a/internal/replication/statemachine/command.go
+++ b/internal/replication/statemachine/command.go
@@ -14,53 +14,54 @@
 	ErrNewerVersion = errors.New("snapshot was written by a newer version")
 )
 
-// Op is what a command does. Its numbers are part of the format on disk and on the wire.
+// Op is the operation of a command. The numbers are part of the format on disk and on the wire.
 type Op uint8
 
 // The operations.
 const (
-	OpReserve     Op = iota + 1 // records an attempt location, unless there is one in another group
-	OpSettle                    // records how a reserved request ended
-	OpPut                       // writes a reservation of any other kind over an older one
-	OpAdvanceTime               // moves the state's time on, nothing else
+	OpReserve     Op = iota + 1 // records an attempt location, unless the key is reserved for another group
+	OpSettle                    // records the outcome of a reserved request
+	OpPut                       // writes a reservation of another kind, replacing an existing one
+	OpAdvanceTime               // advances the state's time and does nothing else
 )
 
-// maxLifetimeSeconds bounds a command's lifetime.
+// maxLifetimeSeconds is the maximum lifetime in a command.
 const maxLifetimeSeconds = 1e9
 
-// Command is one entry of a shard's log.
+// Command is an entry of a shard's log.
 type Command struct {
 	Op              Op      `cbor:"1,keyasint"`
-	Now             float64 `cbor:"2,keyasint"` // the leader's Unix time in seconds
+	Now             float64 `cbor:"2,keyasint"` // Unix time in seconds, set by the leader
 	Kind            Kind    `cbor:"3,keyasint,omitempty"`
 	Key             string  `cbor:"4,keyasint,omitempty"`
 	Group           string  `cbor:"5,keyasint,omitempty"`
-	LifetimeSeconds float64 `cbor:"6,keyasint,omitempty"` // from Now
+	LifetimeSeconds float64 `cbor:"6,keyasint,omitempty"` // counted from Now
 	Status          Status  `cbor:"7,keyasint,omitempty"`
 	Value           []byte  `cbor:"8,keyasint,omitempty"`
-	Requester       string  `cbor:"9,keyasint,omitempty"`  // the router's name
-	RequestNumber   uint64  `cbor:"10,keyasint,omitempty"` // by which the requester finds the result
+	Requester       string  `cbor:"9,keyasint,omitempty"`  // name of the router
+	RequestNumber   uint64  `cbor:"10,keyasint,omitempty"` // matches the result to the request
 }
 
-// grant identifies the reservation that a command makes or settles. A repeated command has the same
-// grant.
+// grant returns an identifier of the reservation that a command makes or settles. Repetitions of a
+// command have the same grant.
 func (c Command) grant() uint64 {
 	h := fnv.New64a()
-	_, _ = fmt.Fprintf(h, "%s/%d", c.Requester, c.RequestNumber) // a hash takes all
+	_, _ = fmt.Fprintf(h, "%s/%d", c.Requester, c.RequestNumber) // writes to a hash never fail
 	return h.Sum64()
 }
 
-// Result is what became of a command, or what a read found. The keys on the wire are those of the
-// first version: Promise is the reservation, Left its remaining time.
+// Result is the result of a command or read. Its keys on the wire keep the names of the first
+// version: Promise is the reservation, Left its remaining time.
 type Result struct {
-	Granted     bool        `cbor:"Granted"` // the reservation was written, or was found by a read
-	Reservation Reservation `cbor:"Promise"` // as it stands now
-	// RemainingSeconds is what is left of the reservation's lifetime by the leader's clock. The
-	// span needs no other clock.
+	Granted     bool        `cbor:"Granted"` // the reservation was written, or a read found it
+	Reservation Reservation `cbor:"Promise"` // current state of the reservation
+	// RemainingSeconds is the rest of the reservation's lifetime by the leader's clock. As a
+	// duration it does not depend on the receiver's clock.
 	RemainingSeconds float64 `cbor:"Left"`
 }
 
-// Validate says what is wrong with a command before it is proposed.
+// Validate returns an error if a command is invalid. It must be called before the command is
+// proposed.
 func (c Command) Validate() error {
 	switch {
 	case c.Op == 0 || c.Op > OpAdvanceTime:
@@ -75,7 +76,7 @@
 		return fmt.Errorf("%w: group of %d bytes, %d are allowed", ErrInvalid, len(c.Group), MaxKeyBytes)
 	case c.Op == OpPut && (c.Kind <= KindAttemptLocation || c.Kind >= kindEnd):
 		return fmt.Errorf("%w: put of kind %s", ErrInvalid, c.Kind)
-	case !(c.LifetimeSeconds >= 0 && c.LifetimeSeconds <= maxLifetimeSeconds): // also refuses NaN
+	case !(c.LifetimeSeconds >= 0 && c.LifetimeSeconds <= maxLifetimeSeconds): // also rejects NaN
 		return fmt.Errorf("%w: lifetime of %g s", ErrInvalid, c.LifetimeSeconds)
 	case c.Op == OpSettle && c.Status != StatusCompleted && c.Status != StatusNotExecuted:
 		return fmt.Errorf("%w: settle with status %d", ErrInvalid, c.Status)
@@ -83,12 +84,12 @@
 	return nil
 }
 
-// maxEntries is how many reservations a snapshot may hold.
+// maxEntries is the maximum number of reservations in a snapshot.
 const maxEntries = 1 << 24
 
 var encoding, decoding = cborcodec.NewModes(maxEntries)
 
-// Encode validates a command and writes it.
+// Encode validates and encodes a command.
 func (c Command) Encode() ([]byte, error) {
 	if err := c.Validate(); err != nil {
 		return nil, err
@@ -96,7 +97,7 @@
 	return encoding.Marshal(c)
 }
 
-// Decode reads and validates a command. Fields of later versions are skipped.
+// Decode decodes and validates a command. Fields of later versions are skipped.
 func Decode(encoded []byte) (Command, error) {
 	var c Command
 	if err := decoding.Unmarshal(encoded, &c); err != nil {
--- a/internal/replication/statemachine/golden_test.go
+++ b/internal/replication/statemachine/golden_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestGoldenCommandBytes holds the encoding of each operation and of a snapshot to the bytes of an
-// earlier version.
+// TestGoldenCommandBytes compares the encoding of each operation and of a snapshot with the bytes
+// of an earlier version.
 func TestGoldenCommandBytes(t *testing.T) {
 	reserveCommand := Command{
 		Op:              OpReserve,
--- a/internal/replication/statemachine/reservation.go
+++ b/internal/replication/statemachine/reservation.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// Kind is what a reservation is about.
+// Kind is the type of a reservation.
 type Kind uint8
 
 // The kinds of reservations. Their numbers are part of the format on disk and on the wire.
 const (
-	KindAttemptLocation Kind = iota + 1 // where attempts of an idempotency-keyed request may have run
-	KindRequestOutcome                  // how a caller's request ended
+	KindAttemptLocation Kind = iota + 1 // the group in which attempts of an idempotency-keyed request may have run
+	KindRequestOutcome                  // outcome of a caller's request
 	KindPurge                           // a purge that was acknowledged to an operator
 	KindDrain                           // a drain that was acknowledged to an operator
-	KindReturnTime                      // a time to retry after that a client was given, with capacity reserved for it
-	KindOperatorOrder                   // an operator's order to all routers
+	KindReturnTime                      // a Retry-After time given to a client, with capacity reserved for its retry
+	KindOperatorOrder                   // an operator's command to all routers
 	kindEnd
 )
 
@@ -25,7 +25,7 @@
 	KindOperatorOrder:   "operator-order",
 }
 
-// String names the kind in error texts.
+// String returns the kind's name for error messages.
 func (k Kind) String() string {
 	if k == 0 || k >= kindEnd {
 		return fmt.Sprintf("kind-%d", uint8(k))
@@ -33,57 +33,60 @@
 	return kindNames[k]
 }
 
-// Status is what is known of a keyed request's attempts.
+// Status is the state of a keyed request's attempts.
 type Status uint8
 
 // The statuses of an attempt location. Their numbers are part of the format on disk and on the wire.
 const (
 	StatusOpen        Status = iota // an attempt may have run
-	StatusCompleted                 // an attempt ran, and its answer was given
-	StatusNotExecuted               // no attempt ran: another group may be reserved
+	StatusCompleted                 // an attempt ran and was answered
+	StatusNotExecuted               // no attempt ran: the key may be reserved for another group
 )
 
 const (
-	// ClockSkewSeconds is how far two routers' clocks may be apart. A reservation lasts that much
-	// longer than it says, by the clock of whoever leads. Clocks are held to half of it, so that
-	// two of them may be off in either direction.
+	// ClockSkewSeconds is the maximum difference between two routers' clocks. A reservation lasts
+	// that much longer than its expiry time, by the clock of the current leader. Each clock is held
+	// to half of it, because two clocks may be off in opposite directions.
 	ClockSkewSeconds = 4.0
-	// RetentionSeconds is for how long an attempt location stays after its window. A client that
-	// retries then must not have its request run a second time, though its group no longer drops
-	// repeats. Clients give up a keyed request long before.
+	// RetentionSeconds is how long an attempt location is retained after its window. If a client
+	// retries in that time, its request must not run a second time, although the group no longer
+	// drops repeats. Clients stop retrying a keyed request long before the end of that time.
 	RetentionSeconds = 60.0
-	// WindowMarginSeconds is the end of a window in which nothing more is let into its group. It
-	// covers the way to an endpoint and the difference in the clocks' rates.
+	// WindowMarginSeconds is the last part of a window, in which no further attempt is granted for
+	// its group. It covers the time to reach an endpoint and the difference in the clocks' rates.
 	WindowMarginSeconds = 0.5
-	// MaxValueBytes bounds a reservation's value.
+	// MaxValueBytes is the maximum size of a reservation's value.
 	MaxValueBytes = 1024
-	// MaxKeyBytes bounds a key and a group's name. A client's idempotency key has 32 bytes.
+	// MaxKeyBytes is the maximum size of a key and of a group's name. A client's idempotency key has
+	// 32 bytes.
 	MaxKeyBytes = 128
-	// maxGrants is how many grants of one key are distinguished: retries of a client at several routers.
+	// maxGrants is the maximum number of grants of one key that are tracked individually. Several
+	// grants result from retries of a client at several routers.
 	maxGrants = 8
 )
 
-// Reservation is one entry of the state. It takes about 200 bytes with its place in the tree.
+// Reservation is an entry of the state. It takes about 200 bytes including its node in the B-tree.
 type Reservation struct {
 	Kind Kind   `cbor:"1,keyasint"`
 	Key  string `cbor:"2,keyasint"`
-	// Group of an attempt location is the group of endpoints where an attempt may have run.
+	// Group is the group of endpoints in which an attempt may have run, for an attempt location.
 	Group string `cbor:"3,keyasint,omitempty"`
-	// CreatedAt is in Unix seconds by the leader's clock. The window of an attempt location starts here.
+	// CreatedAt is the creation time in Unix seconds by the leader's clock. The window of an attempt
+	// location starts at this time.
 	CreatedAt float64 `cbor:"4,keyasint,omitempty"`
-	ExpiresAt float64 `cbor:"5,keyasint"` // Unix seconds
+	ExpiresAt float64 `cbor:"5,keyasint"` // in Unix seconds
 	Status    Status  `cbor:"6,keyasint,omitempty"`
 	Value     []byte  `cbor:"7,keyasint,omitempty"`
-	Revision  uint64  `cbor:"8,keyasint"` // of the command that wrote it
-	// Grants are the requests for an open attempt location on which an attempt may have run, by a
-	// hash of requester and number. Only when each was settled as not executed is the location so.
-	// Beyond maxGrants they are not distinguished, GrantsOverflowed is set, and the location stays
-	// open until it expires.
+	Revision  uint64  `cbor:"8,keyasint"` // log index of the command that wrote it
+	// Grants identifies the requests with a grant for an open attempt location, whose attempt may
+	// have run, by a hash of requester and number. The location becomes not executed only when each
+	// of them was settled as not executed. Above maxGrants they are not tracked individually:
+	// GrantsOverflowed is set, and the location stays open until it expires.
 	Grants           []uint64 `cbor:"9,keyasint,omitempty"`
 	GrantsOverflowed bool     `cbor:"10,keyasint,omitempty"`
 }
 
-// removeAt is the Unix time in seconds after which the reservation is removed.
+// removeAt returns the Unix time in seconds after which the reservation is removed.
 func (r *Reservation) removeAt() float64 {
 	if r.Kind == KindAttemptLocation {
 		return r.ExpiresAt + RetentionSeconds
@@ -91,7 +94,8 @@
 	return r.ExpiresAt + ClockSkewSeconds
 }
 
-// blocks says that an attempt location keeps a group from being reserved at a time.
+// blocks reports whether an attempt location prevents its key from being reserved for a group at a
+// given time.
 func (r *Reservation) blocks(group string, now float64) bool {
 	switch r.Status {
 	case StatusCompleted:
--- a/internal/replication/statemachine/snapshot.go
+++ b/internal/replication/statemachine/snapshot.go
@@ -9,8 +9,9 @@
 	"slices"
 )
 
-// A snapshot is a line that names the format, the encoded state, and a CRC32C of both in big-endian
-// order. The line is part of the format on disk: "ledger slice" is a shard of this package.
+// A snapshot consists of a line that identifies the format, the encoded state, and a CRC32C of both
+// in big-endian order. The line is part of the format on disk: "ledger slice" means a shard of this
+// package.
 const (
 	snapshotMagic   = "cairnfront ledger slice\n"
 	snapshotVersion = 1
@@ -26,7 +27,7 @@
 	Reservations []Reservation `cbor:"4,keyasint"`
 }
 
-// Snapshot writes the state. Two replicas with the same commands write the same bytes.
+// Snapshot encodes the state. Replicas that applied the same commands return the same bytes.
 func (s *State) Snapshot() ([]byte, error) {
 	state := encodedState{
 		Version:      snapshotVersion,
@@ -46,8 +47,8 @@
 	return binary.BigEndian.AppendUint32(snapshot, crc32.Checksum(snapshot, castagnoli)), nil
 }
 
-// Restore reads a snapshot. It refuses one of a newer version with ErrNewerVersion; unknown fields
-// of this version are skipped.
+// Restore decodes a snapshot. It rejects a newer version with ErrNewerVersion; unknown fields of
+// the current version are skipped.
 func Restore(snapshot []byte) (*State, error) {
 	if len(snapshot) < len(snapshotMagic)+checksumBytes || !bytes.HasPrefix(snapshot, []byte(snapshotMagic)) {
 		return nil, fmt.Errorf("%w: not a snapshot of a shard", ErrInvalid)
--- a/internal/replication/statemachine/state.go
+++ b/internal/replication/statemachine/state.go
@@ -1,10 +1,10 @@
-// Package statemachine is the replicated state of a shard: reservations that expire, and the
-// commands that change them.
+// Package statemachine implements the replicated state of a shard: reservations with an expiry
+// time, and the commands that change them.
 //
-// The same commands in the same order give the same state on each replica, byte for byte. The
-// package owns the encoding of commands and snapshots. It does no I/O and has no clock: the time
-// that counts is that of the commands, which the shard's leader sets, and it never goes back.
-// Agreement on the commands is the job of package shard.
+// It is deterministic: the same commands in the same order give the same state on each replica,
+// byte for byte. The package owns the encoding of commands and snapshots. It does no I/O and has no
+// clock: it uses the time in the commands, which the shard's leader sets and which never goes back.
+// Consensus on the commands is the job of package shard.
 package statemachine
 
 import (
@@ -14,22 +14,22 @@
 )
 
 const (
-	// maxRemovedPerCommand bounds the expired reservations that one command removes, so that none
-	// takes longer than some ms.
+	// maxRemovedPerCommand bounds the expired reservations that one command removes, so that no
+	// command takes longer than a few milliseconds.
 	maxRemovedPerCommand = 256
-	// treeDegree is the degree of the B-tree of expiry times.
+	// treeDegree is the degree of the B-tree ordered by expiry time.
 	treeDegree = 32
 )
 
-// State holds a shard's reservations. It belongs to one goroutine.
+// State holds a shard's reservations. It is not safe for concurrent use.
 type State struct {
-	now      float64 // Unix seconds of the latest command
+	now      float64 // Unix time in seconds of the latest command
 	revision uint64
 	byKey    map[string]*Reservation
 	byExpiry *btree.BTreeG[*Reservation]
 }
 
-// New makes an empty state.
+// New returns an empty state.
 func New() *State {
 	return &State{
 		byKey:    map[string]*Reservation{},
@@ -46,16 +46,16 @@
 
 func mapKey(kind Kind, key string) string { return string(rune(kind)) + key }
 
-// Now is the state's time in Unix seconds.
+// Now returns the state's time in Unix seconds.
 func (s *State) Now() float64 { return s.now }
 
-// Revision is the index of the last command.
+// Revision returns the log index of the last command.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Len is the number of reservations, expired ones that were not removed yet among them.
+// Len returns the number of reservations, including expired ones that are not yet removed.
 func (s *State) Len() int { return len(s.byKey) }
 
-// Get finds a reservation that is not due for removal.
+// Get returns a reservation that is not yet due for removal.
 func (s *State) Get(kind Kind, key string) (Reservation, bool) {
 	r := s.byKey[mapKey(kind, key)]
 	if r == nil || s.now > r.removeAt() {
@@ -64,7 +64,7 @@
 	return *r, true
 }
 
-// FirstToExpire is the reservation that is removed next.
+// FirstToExpire returns the reservation that will be removed next.
 func (s *State) FirstToExpire() (Reservation, bool) {
 	if r, ok := s.byExpiry.Min(); ok {
 		return *r, true
@@ -72,7 +72,7 @@
 	return Reservation{}, false
 }
 
-// Ascend visits the reservations in the order of their removal until the callback returns false.
+// Ascend calls visit for the reservations in the order of their removal, until visit returns false.
 func (s *State) Ascend(visit func(Reservation) bool) {
 	s.byExpiry.Ascend(func(r *Reservation) bool { return visit(*r) })
 }
@@ -86,7 +86,7 @@
 	s.byExpiry.ReplaceOrInsert(&r)
 }
 
-// Apply carries out a command at its log index.
+// Apply applies a command. revision is its log index.
 func (s *State) Apply(revision uint64, c Command) Result {
 	s.revision = revision
 	s.now = max(s.now, c.Now)
@@ -103,7 +103,7 @@
 	return Result{}
 }
 
-// WithRemaining fills in what is left of the lifetime of a result's reservation.
+// WithRemaining sets the remaining lifetime of the reservation in a result.
 func (s *State) WithRemaining(result Result) Result {
 	if result.Reservation.Key != "" {
 		result.RemainingSeconds = result.Reservation.ExpiresAt - s.now
@@ -111,8 +111,8 @@
 	return result
 }
 
-// reserve grants an attempt location unless an earlier one blocks it. A grant for the group of an
-// earlier one keeps that one's window, as the group drops repeats from the first attempt on.
+// reserve grants an attempt location unless an existing one blocks it. A further grant for the same
+// group does not extend the window, because the group drops repeats from the first attempt on.
 func (s *State) reserve(revision uint64, c Command) Result {
 	r, found := s.Get(KindAttemptLocation, c.Key)
 	if found && r.blocks(c.Group, s.now) {
@@ -138,7 +138,7 @@
 	return Result{Granted: true, Reservation: r}
 }
 
-// settle records that a reserved request completed, or takes off the grant of one that was not
+// settle records that a reserved request completed, or removes the grant of one that was not
 // executed.
 func (s *State) settle(revision uint64, c Command) Result {
 	r, found := s.Get(KindAttemptLocation, c.Key)
@@ -180,7 +180,8 @@
 	return Result{Granted: true, Reservation: r}
 }
 
-// removeExpired removes what is due, a bounded number at a time.
+// removeExpired removes reservations that are due for removal, at most maxRemovedPerCommand at a
+// time.
 func (s *State) removeExpired() {
 	for range maxRemovedPerCommand {
 		r, ok := s.byExpiry.Min()
--- a/internal/replication/statemachine/state_test.go
+++ b/internal/replication/statemachine/state_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestRetryIsGrantedForTheReservedGroupOnly reserves a key again in the same and in another group. A retry that
-// reaches a group which does not know the key runs a second time. Only the reserved group may be granted, until the
-// client cannot retry any more.
+// TestRetryIsGrantedForTheReservedGroupOnly reserves a key again for the same and for another
+// group. A retry that reaches a group which does not know the key would run a second time. Only the
+// reserved group may be granted, until the client can no longer retry.
 func TestRetryIsGrantedForTheReservedGroupOnly(t *testing.T) {
 	s := New()
 	assert.True(t, s.Apply(1, reserve(100, "k", "g1", "a", 1)).Granted)
@@ -53,31 +53,33 @@
 	r = s.Apply(5, reserve(104, "k", "g1", "c", 1))
 	assert.False(t, r.Granted)
 	assert.Equal(t, StatusCompleted, r.Reservation.Status)
-	assert.False(t, s.Apply(6, reserve(106+RetentionSeconds, "k", "g2", "c", 2)).Granted, "its client may still retry")
+	assert.False(t, s.Apply(6, reserve(106+RetentionSeconds, "k", "g2", "c", 2)).Granted, "the client may still retry")
 	assert.True(t, s.Apply(7, reserve(106.1+RetentionSeconds, "k", "g2", "c", 3)).Granted)
 }
 
-// TestNothingIsGrantedNearTheEndOfTheWindow reserves a key shortly before its window ends. The attempt would arrive
-// after the group has forgotten the key, and run a second time. It must be refused.
+// TestNothingIsGrantedNearTheEndOfTheWindow reserves a key shortly before its window ends. The
+// attempt could arrive after the group has forgotten the key, and run a second time. The
+// reservation must be denied.
 func TestNothingIsGrantedNearTheEndOfTheWindow(t *testing.T) {
 	s := New()
 	s.Apply(1, reserve(100, "k", "g1", "a", 1))
 	assert.True(t, s.Apply(2, reserve(106-WindowMarginSeconds, "k", "g1", "b", 1)).Granted)
 	r := s.Apply(3, reserve(106.1, "k", "g1", "b", 2))
-	assert.False(t, r.Granted, "it would run a second time")
+	assert.False(t, r.Granted, "the request could run a second time")
 	assert.InDelta(t, -0.1, r.RemainingSeconds, 1e-9)
 }
 
-// TestKeyIsFreeOnceEachGrantWasNotExecuted settles grants as not executed, some of them twice. Were a repeated
-// settlement counted for another grant, a key would be free though an attempt may have run. Each grant must be
-// settled by itself, and beyond the grants that are distinguished the key must stay reserved.
+// TestKeyIsFreeOnceEachGrantWasNotExecuted settles grants as not executed, some of them twice. If a
+// repeated settlement counted for another grant, the key would become free although an attempt may
+// have run. Each grant must be settled individually, and with more than maxGrants grants the key
+// must stay reserved.
 func TestKeyIsFreeOnceEachGrantWasNotExecuted(t *testing.T) {
 	s := New()
 	s.Apply(1, reserve(100, "k", "g1", "a", 1))
-	s.Apply(2, reserve(100, "k", "g1", "a", 1)) // repeated: the same grant
+	s.Apply(2, reserve(100, "k", "g1", "a", 1)) // a repeated command has the same grant
 	s.Apply(3, reserve(100, "k", "g1", "b", 7))
 	s.Apply(4, settle(101, "g1", "b", 7, StatusNotExecuted))
-	s.Apply(5, settle(101, "g1", "b", 7, StatusNotExecuted)) // repeated: it must not count for the grant of a
+	s.Apply(5, settle(101, "g1", "b", 7, StatusNotExecuted)) // a repeated settlement must not count for the grant of a
 	assert.False(t, s.Apply(6, reserve(101, "k", "g2", "c", 1)).Granted, "the attempt of a may have run")
 	s.Apply(7, settle(101, "g1", "a", 1, StatusNotExecuted))
 	assert.True(t, s.Apply(8, reserve(101, "k", "g2", "c", 1)).Granted)
@@ -88,20 +90,21 @@
 	for i := range maxGrants + 2 {
 		s.Apply(uint64(100+i), settle(100, "g", "a", uint64(i), StatusNotExecuted))
 	}
-	assert.False(t, s.Apply(200, reserve(100, "k", "other", "b", 1)).Granted, "more grants than are distinguished")
+	assert.False(t, s.Apply(200, reserve(100, "k", "other", "b", 1)).Granted, "more grants than are tracked")
 }
 
-// TestTimeNeverGoesBack applies a command of a leader whose clock is behind. Time that goes back would make expired
-// reservations valid again, and differently on each replica. It must stay.
+// TestTimeNeverGoesBack applies a command of a leader whose clock is behind. If time went back,
+// expired reservations would become valid again, differently on each replica. The state's time must
+// not change.
 func TestTimeNeverGoesBack(t *testing.T) {
 	s := New()
 	s.Apply(1, reserve(1000, "k", "g1", "a", 1))
-	r := s.Apply(2, reserve(100, "x", "g1", "a", 2)) // a leader whose clock is behind
+	r := s.Apply(2, reserve(100, "x", "g1", "a", 2)) // from a leader whose clock is behind
 	assert.Equal(t, 1000.0, r.Reservation.CreatedAt) //nolint:testifylint // exact by intent
 	assert.Equal(t, 1000.0, s.Now())                 //nolint:testifylint // exact by intent
 }
 
-// drawCommand draws any valid command.
+// drawCommand draws a random valid command.
 func drawCommand(t *rapid.T, now float64) Command {
 	return Command{
 		Op:              Op(rapid.IntRange(1, 4).Draw(t, "op")),
@@ -136,10 +139,10 @@
 	return snapshot
 }
 
-// unsettledGrants are the grants on which an attempt may have run, by key.
+// unsettledGrants has the reservations on which an attempt may have run, by key.
 type unsettledGrants map[string]Reservation
 
-// check fails if a key was granted to a second group, or near the end of its window.
+// check fails the test if a key was granted to a second group, or near the end of its window.
 func (u unsettledGrants) check(t *rapid.T, now float64, c Command, result Result) {
 	if c.Op == OpReserve && result.Granted {
 		earlier, ok := u[c.Key]
@@ -155,9 +158,9 @@
 	}
 }
 
-// TestReplicasWithTheSameCommandsAreEqual: two replicas with the same commands, one of them
-// restored from a snapshot at any point, have the same bytes; no key is granted to two groups
-// while an attempt on an earlier grant may have run.
+// TestReplicasWithTheSameCommandsAreEqual applies the same commands to two replicas, one of which
+// is restored from a snapshot at random points. Both must encode to the same bytes, and no key may
+// be granted to two groups while an attempt on an earlier grant may have run.
 func TestReplicasWithTheSameCommandsAreEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
@@ -186,8 +189,9 @@
 	})
 }
 
-// TestExpiredReservationsAreRemoved lets ten thousand reservations expire. What is never removed fills the memory of
-// all replicas. Commands that only move the time on must remove them.
+// TestExpiredReservationsAreRemoved lets ten thousand reservations expire. If they were never
+// removed, they would fill the memory of all replicas. Commands that only advance the time must
+// remove them.
 func TestExpiredReservationsAreRemoved(t *testing.T) {
 	s := New()
 	for i := range 10_000 {
@@ -202,10 +206,10 @@
 	assert.False(t, ok)
 }
 
-// TestInvalidCommandsAndSnapshotsAreRefused encodes commands that break one rule each, and restores snapshots with
-// one wrong bit or cut off. A replica that applies what others refuse differs from them for good. Each must be
-// refused.
-func TestInvalidCommandsAndSnapshotsAreRefused(t *testing.T) {
+// TestInvalidCommandsAndSnapshotsAreRejected encodes commands that violate one rule each, and
+// restores snapshots with one flipped bit or a missing end. A replica that applied what others
+// reject would differ from them permanently. Each must be rejected.
+func TestInvalidCommandsAndSnapshotsAreRejected(t *testing.T) {
 	for _, c := range []Command{
 		{},
 		{Op: 9, Key: "k"},
@@ -238,7 +242,8 @@
 	}
 }
 
-// FuzzRestore restores any bytes as a snapshot, and decodes them as a command. Neither may end the process.
+// FuzzRestore restores arbitrary bytes as a snapshot and decodes them as a command. Neither may
+// crash the process.
 func FuzzRestore(f *testing.F) {
 	s := New()
 	s.Apply(1, reserve(100, "k", "g", "a", 1))
