--- a/internal/replication/placement/placement.go
+++ b/internal/replication/placement/placement.go
@@ -1,9 +1,10 @@
-// Package placement says which routers hold which shard, and which replica is replaced next.
+// Package placement decides which routers replicate which shard, and which replica is replaced
+// next.
 //
-// Shards are placed by rendezvous hashing and spread over zones, so that one router more or less
-// moves few shards, and the loss of a zone leaves each shard a majority of its replicas where that
-// can be. The package owns no state but the times of a rebalancer's changes, and does no I/O.
-// Carrying a change out is the job of the shard's leader.
+// Shards are placed by rendezvous hashing and spread over zones, so that adding or removing a
+// router moves few shards, and the loss of a zone leaves each shard a majority of its replicas
+// where possible. The only state of the package is the times of a rebalancer's changes, and it does
+// no I/O. The leader of a shard carries out its changes.
 package placement
 
 import (
@@ -13,29 +14,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ShardCount is the fixed number of shards that keys fall into. It is part of the format on disk.
-// With 64 a router of 300 holds under one shard in five, and the heartbeats of all shards are fewer
-// than the membership's probes.
+// ShardCount is the fixed number of shards to which keys are assigned. It is part of the format on
+// disk. With 64 shards, a router of 300 has a replica of fewer than one shard in five, and the
+// heartbeats of all shards are fewer than the probes of the membership protocol.
 const ShardCount = 64
 
-// Node is a router that may hold shards.
+// Node is a router on which replicas may be placed.
 type Node struct {
 	Name string
 	Zone string
 }
 
-// ShardOf is the shard of a key.
+// ShardOf returns the shard of a key.
 func ShardOf(key string) int { return int(xxhash.Sum64String(key) % ShardCount) }
 
-// weight is a node's preference for a shard; the highest come first.
+// weight returns a node's rendezvous weight for a shard; nodes with the highest weights are
+// preferred.
 func weight(shard int, name string) uint64 {
-	digest := xxhash.New() // takes all that is written
+	digest := xxhash.New() // its writes never fail
 	_, _ = digest.Write([]byte{byte(shard), byte(shard >> 8)})
 	_, _ = digest.WriteString(name)
 	return digest.Sum64()
 }
 
-// byWeight gives the nodes in the order of their weight for a shard.
+// byWeight sorts the nodes by descending weight for a shard.
 func byWeight(shard int, nodes []Node) []Node {
 	type weightedNode struct {
 		Node
@@ -55,8 +57,8 @@
 	return ordered
 }
 
-// PreferredNodes are the nodes that should hold a shard's replicas, best first. No zone has more of
-// them than its even share, rounded up, as long as other zones have nodes left.
+// PreferredNodes returns the nodes that should replicate a shard, best first. No zone gets more
+// than its even share of the replicas, rounded up, as long as other zones have nodes left.
 func PreferredNodes(shard int, nodes []Node, replicas int) []string {
 	ordered := byWeight(shard, nodes)
 	replicas = min(replicas, len(ordered))
@@ -75,9 +77,9 @@
 	return preferred
 }
 
-// FaultTolerance says how many of the present nodes, and how many of their zones, may be lost so
-// that a majority of all replicas is still present. Both are -1 where there is no majority now. The
-// largest zones are taken to be lost first.
+// FaultTolerance returns how many of the present nodes, and how many of their zones, may be lost
+// while a majority of all replicas remains present. Both are -1 if there is no majority now. Zones
+// are assumed to be lost in descending order of size.
 func FaultTolerance(replicas int, present []Node) (nodes, zones int) {
 	majority := replicas/2 + 1
 	nodes = len(present) - majority
--- a/internal/replication/placement/placement_test.go
+++ b/internal/replication/placement/placement_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// nodesInZones makes nodes spread evenly over zones.
+// nodesInZones returns nodes spread evenly over zones.
 func nodesInZones(count, zones int) []Node {
 	var nodes []Node
 	for i := range count {
@@ -22,8 +22,9 @@
 	return nodes[slices.IndexFunc(nodes, func(node Node) bool { return node.Name == name })].Zone
 }
 
-// TestReplicasAreSpreadOverZones places the replicas of each shard for several sizes of cluster. With two of three
-// replicas in one zone its loss stops the shard. No zone may have more than the placement needs.
+// TestReplicasAreSpreadOverZones places the replicas of each shard for several cluster sizes. If
+// two of three replicas were in one zone, the loss of that zone would stop the shard. No zone may
+// have more replicas than an even spread requires.
 func TestReplicasAreSpreadOverZones(t *testing.T) {
 	for _, test := range []struct{ nodes, zones, replicas, maxPerZone int }{
 		{9, 3, 3, 1},
@@ -48,8 +49,9 @@
 	}
 }
 
-// TestRemovedNodeMovesOnlyItsOwnShards removes one of twenty routers. A placement that moves other replicas as well
-// would copy most of the data for each router that goes. Only shards of that router may move.
+// TestRemovedNodeMovesOnlyItsOwnShards removes one of twenty routers. A placement that also moved
+// other replicas would copy most of the data whenever a router is removed. Only shards of that
+// router may move.
 func TestRemovedNodeMovesOnlyItsOwnShards(t *testing.T) {
 	nodes := nodesInZones(20, 4)
 	fewer := slices.Delete(slices.Clone(nodes), 7, 8)
@@ -63,11 +65,12 @@
 			}
 		}
 	}
-	assert.Less(t, moved, 2*ShardCount*3/20+8, "about its share")
+	assert.Less(t, moved, 2*ShardCount*3/20+8, "more than the share of the removed node moved")
 }
 
-// TestShardsAndKeysAreSpreadEvenly counts shards a router and keys a shard. A router with many times its share would
-// be the first to fill up. Both must stay near the mean.
+// TestShardsAndKeysAreSpreadEvenly counts the shards per router and the keys per shard. A router
+// with many times its share would be the first to run out of capacity. Both counts must be near the
+// mean.
 func TestShardsAndKeysAreSpreadEvenly(t *testing.T) {
 	nodes := nodesInZones(20, 4)
 	shardsPerNode := map[string]int{}
@@ -89,11 +92,12 @@
 	}
 }
 
-// TestFaultTolerance holds how many routers and zones a set of replicas can lose. Operators decide by this figure
-// whether a machine may be taken away. It must be exact, and below zero where the majority is lost already.
+// TestFaultTolerance checks how many routers and zones a set of replicas can lose. Operators use
+// this number to decide whether a machine may be removed. It must be exact, and -1 if the majority
+// is already lost.
 func TestFaultTolerance(t *testing.T) {
 	for _, test := range []struct {
-		zonesPresent           string // a letter a node
+		zonesPresent           string // one letter per node
 		replicas, nodes, zones int
 	}{
 		{"abc", 3, 1, 1},
--- a/internal/replication/placement/rebalancer.go
+++ b/internal/replication/placement/rebalancer.go
@@ -8,23 +8,23 @@
 
 const (
 	// maxConcurrentChanges bounds the changes that one router proposes at a time, so that copying
-	// leaves the network to reservations.
+	// replicas leaves network capacity for reservations.
 	maxConcurrentChanges = 4
-	// changeIntervalSeconds is the time between two proposals for a shard. Whether a learner has
-	// caught up is checked this often.
+	// changeIntervalSeconds is the minimum time between two proposals for a shard. It is also how
+	// often the rebalancer checks whether a learner has caught up.
 	changeIntervalSeconds = 0.5
 )
 
-// ReplicaStatus is a replica as a router sees it now.
+// ReplicaStatus is the current status of a replica from one router's point of view.
 type ReplicaStatus struct {
-	ID       uint64 // of its disk
+	ID       uint64 // identifies the replica's disk
 	Node     string
 	Zone     string
 	Up       bool
-	LastSeen float64 // when it was last up, in seconds of the caller's clock
+	LastSeen float64 // when it was last up, in seconds on the caller's clock
 }
 
-// SortedByID gives the statuses in the order of their IDs.
+// SortedByID returns the statuses sorted by ID.
 func SortedByID(statuses map[uint64]ReplicaStatus) []ReplicaStatus {
 	return slices.SortedFunc(maps.Values(statuses), func(a, b ReplicaStatus) int { return cmp.Compare(a.ID, b.ID) })
 }
@@ -36,22 +36,23 @@
 	Learners []uint64
 }
 
-// ConfChange is one change of a shard's members: either Add or Remove is set. A replica is added as
-// a learner first, then as a voter.
+// ConfChange is one change of a shard's members: either Add or Remove is set. A replica is first
+// added as a learner, then as a voter.
 type ConfChange struct {
 	Shard       int
 	Add, Remove uint64
 }
 
-// Rebalancer decides which replicas are replaced. It belongs to one goroutine and has no clock.
+// Rebalancer decides which replicas are replaced. It has no clock and is not safe for concurrent
+// use.
 type Rebalancer struct {
 	replicaCount        int
 	replaceAfterSeconds float64
-	lastChange          map[int]float64 // by shard, in seconds of the caller's clock
+	lastChange          map[int]float64 // by shard, in seconds on the caller's clock
 }
 
-// NewRebalancer makes one that keeps a number of replicas of each shard, and replaces those that
-// were away for a time.
+// NewRebalancer returns a rebalancer that maintains replicaCount replicas of each shard, and
+// replaces a replica that has been down for replaceAfterSeconds.
 func NewRebalancer(replicaCount int, replaceAfterSeconds float64) *Rebalancer {
 	return &Rebalancer{
 		replicaCount:        replicaCount,
@@ -60,8 +61,8 @@
 	}
 }
 
-// Changes says what to change now in the shards that are led here, those with the fewest voters up
-// first.
+// Changes returns the changes to propose now for the shards that this router leads. Shards with the
+// fewest voters up come first.
 func (r *Rebalancer) Changes(now float64, statuses []ReplicaStatus, led []LedShard) []ConfChange {
 	view := r.newView(now, statuses)
 	type candidate struct {
@@ -88,15 +89,15 @@
 	return changes
 }
 
-// view is the replicas as the rebalancer takes them at one time.
+// view is the rebalancer's view of the replicas at one time.
 type view struct {
 	byID    map[uint64]ReplicaStatus
-	current map[string]uint64 // by node, its replica that counts
-	nodes   []Node            // that may hold shards
+	current map[string]uint64 // replica ID that counts for each node
+	nodes   []Node            // nodes on which replicas may be placed
 }
 
-// newView finds the nodes that are up or were so lately. Of two replicas under one node's name the
-// one that is up counts, else the one that was seen last.
+// newView selects the nodes that are up or were up recently. If two replicas have the same node
+// name, the one that is up counts; if none is up, the one that was seen last.
 func (r *Rebalancer) newView(now float64, statuses []ReplicaStatus) *view {
 	v := &view{byID: map[uint64]ReplicaStatus{}, current: map[string]uint64{}}
 	for _, status := range statuses {
@@ -117,13 +118,13 @@
 	return v
 }
 
-// isLost says that a replica was away for so long that others take its place. Replacing it sooner would copy all its
-// shards at each restart of a router.
+// isLost reports whether a replica has been down so long that it is replaced. Replacing it sooner
+// would copy all its shards at each restart of a router.
 func isLost(now float64, status ReplicaStatus, replaceAfterSeconds float64) bool {
 	return !status.Up && now-status.LastSeen >= replaceAfterSeconds
 }
 
-// isUp says that a replica is up and counts for its node.
+// isUp reports whether a replica is up and is the one that counts for its node.
 func (v *view) isUp(id uint64) bool {
 	status := v.byID[id]
 	return status.Up && v.current[status.Node] == id
@@ -139,7 +140,7 @@
 	return up
 }
 
-// preferredReplicas are the replicas that should hold a shard, best first.
+// preferredReplicas returns the replicas that should replicate a shard, best first.
 func (v *view) preferredReplicas(shard, count int) []uint64 {
 	preferred := make([]uint64, 0, count)
 	for _, name := range PreferredNodes(shard, v.nodes, count) {
@@ -148,10 +149,11 @@
 	return preferred
 }
 
-// nextChange is the next change of one shard's members, if there is one. A replica is added before
-// another is removed, so that the shard bears as many losses meanwhile as before.
+// nextChange returns the next membership change of one shard, and false if none is needed.
+// A replica is added before another one is removed, so that the shard tolerates as many losses in
+// between as before.
 func nextChange(shard LedShard, preferred []uint64, v *view) (ConfChange, bool) {
-	if len(shard.Learners) > 0 { // the first is made a voter or removed before anything else changes
+	if len(shard.Learners) > 0 { // the first learner is promoted or removed before any other change
 		learner := shard.Learners[0]
 		if slices.Contains(preferred, learner) && v.isUp(learner) {
 			return ConfChange{Shard: shard.Shard, Add: learner}, true
@@ -170,8 +172,8 @@
 	return ConfChange{Shard: shard.Shard, Remove: surplus}, surplus != 0
 }
 
-// surplusVoter is the voter to remove: one that is not preferred, and of those one that is not up.
-// It is 0 where there is none.
+// surplusVoter returns the voter to remove: one that is not preferred, with priority for one that
+// is down. It returns 0 if there is none.
 func surplusVoter(voters, preferred []uint64, v *view) uint64 {
 	var surplus uint64
 	for _, voter := range voters {
--- a/internal/replication/placement/rebalancer_test.go
+++ b/internal/replication/placement/rebalancer_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// applyChanges carries changes out as the shards would.
+// applyChanges applies changes as the shards would.
 func applyChanges(led []LedShard, changes []ConfChange) {
 	without := func(ids []uint64, removed uint64) []uint64 {
 		return slices.DeleteFunc(slices.Clone(ids), func(id uint64) bool { return id == removed })
@@ -28,7 +28,7 @@
 	}
 }
 
-// statusesOf makes each node's replica, with IDs from 1.
+// statusesOf returns the status of one replica per node, with IDs from 1.
 func statusesOf(nodes []Node) []ReplicaStatus {
 	var statuses []ReplicaStatus
 	for i, node := range nodes {
@@ -37,7 +37,7 @@
 	return statuses
 }
 
-// allLed leads each shard, with its preferred replicas as voters.
+// allLed returns all shards as led shards, with their preferred replicas as voters.
 func allLed(nodes []Node) []LedShard {
 	var led []LedShard
 	for number := range ShardCount {
@@ -51,18 +51,18 @@
 	return led
 }
 
-// TestLostNodeIsReplacedShardByShard: for a stated time nothing is done; then each shard gets
-// another replica before the lost one is removed, few at a time, and in the end all are placed as
-// they should be.
+// TestLostNodeIsReplacedShardByShard loses a node. For replaceAfterSeconds nothing may change. Then
+// each shard must get another replica before the lost one is removed, a few shards at a time, and
+// in the end all replicas must be on their preferred nodes.
 func TestLostNodeIsReplacedShardByShard(t *testing.T) {
 	nodes := nodesInZones(9, 3)
 	statuses := statusesOf(nodes)
 	led := allLed(nodes)
 	rebalancer := NewRebalancer(3, 30)
-	assert.Empty(t, rebalancer.Changes(100, statuses, led), "all are up")
+	assert.Empty(t, rebalancer.Changes(100, statuses, led), "all replicas are up")
 	statuses[4].Up = false
 	statuses[4].LastSeen = 100
-	assert.Empty(t, rebalancer.Changes(120, statuses, led), "it may come back")
+	assert.Empty(t, rebalancer.Changes(120, statuses, led), "the lost node may still return")
 	now, changeCount := 131.0, 0
 	for ; ; now++ {
 		changes := rebalancer.Changes(now, statuses, led)
@@ -83,8 +83,8 @@
 	}
 	t.Logf("%d changes in %.0f s", changeCount, now-131)
 
-	// It comes back with an empty disk: another replica under the old name, which takes its place
-	// again.
+	// The node returns with an empty disk: a new replica with the old name, which must become a
+	// member again.
 	statuses = append(statuses, ReplicaStatus{ID: 50, Node: "n4", Zone: statuses[4].Zone, Up: true, LastSeen: now})
 	for ; now < 800; now++ {
 		applyChanges(led, rebalancer.Changes(now, statuses, led))
@@ -99,9 +99,9 @@
 	assert.Positive(t, held)
 }
 
-// TestLearnerThatIsLostIsRemoved loses a router while its replica is still a learner. A learner that never catches
-// up would block each further change of the shard. It must be removed.
-func TestLearnerThatIsLostIsRemoved(t *testing.T) {
+// TestLostLearnerIsRemoved loses a router while its replica is still a learner. A learner that
+// never catches up would block every further change of the shard, so it must be removed.
+func TestLostLearnerIsRemoved(t *testing.T) {
 	statuses := statusesOf(nodesInZones(4, 1))
 	statuses[3].Up = false
 	statuses[3].LastSeen = 0
--- a/internal/replication/transport/frame.go
+++ b/internal/replication/transport/frame.go
@@ -11,59 +11,61 @@
 )
 
 const (
-	// MaxFrameBytes bounds a frame: a snapshot of a shard with 40,000 reservations.
+	// MaxFrameBytes is the maximum size of a frame. It is enough for the snapshot of a shard with
+	// 40,000 reservations.
 	MaxFrameBytes = 8 << 20
-	// lengthBytes is the size of a frame's length, which goes before it in big-endian order.
+	// lengthBytes is the size of the big-endian length that precedes a frame.
 	lengthBytes = 4
-	// maxFrameItems bounds the lists and maps of a frame.
+	// maxFrameItems is the maximum number of items in a list or map of a frame.
 	maxFrameItems = 1 << 16
 )
 
-// FrameKind is what a frame is for. Its numbers are part of the wire format.
+// FrameKind is the type of a frame. The numbers are part of the wire format.
 type FrameKind uint8
 
 // The kinds of frames.
 const (
-	KindHello     FrameKind = iota + 1 // introduces the sender's replica and the shards that it holds
-	KindRaft                           // a message of raft
+	KindHello     FrameKind = iota + 1 // announces the sender's replica and its shards
+	KindRaft                           // a raft message
 	KindPropose                        // a command for a shard
 	KindRead                           // a read of a shard
 	KindResult                         // the result of a command or read
-	KindNotLeader                      // names the replica that leads
+	KindNotLeader                      // the ID of the leader, in response to a command or read
 	KindHeartbeat                      // keeps an idle connection open
 )
 
-// Frame is what goes between two routers. Which fields are set depends on its kind. Fields that a
-// version does not know are skipped.
+// Frame is a message between two routers. Its kind determines which fields are set. Unknown fields
+// are skipped.
 type Frame struct {
 	Kind  FrameKind `cbor:"1,keyasint"`
 	Shard int       `cbor:"2,keyasint,omitempty"`
-	// Payload is the message of a KindRaft and the command of a KindPropose.
+	// Payload is the raft message of KindRaft, or the command of KindPropose.
 	Payload []byte `cbor:"3,keyasint,omitempty"`
-	// Number names a proposal or read and comes back with its result.
+	// Number identifies a command or read, and is returned with its result.
 	Number uint64 `cbor:"4,keyasint,omitempty"`
-	// Key and ReservationKind say what a KindRead reads.
+	// Key and ReservationKind select the reservation of KindRead.
 	Key             string               `cbor:"5,keyasint,omitempty"`
 	ReservationKind statemachine.Kind    `cbor:"6,keyasint,omitempty"`
-	Result          *statemachine.Result `cbor:"7,keyasint,omitempty"` // of a KindResult
-	// Replica is the sender's of a KindHello, 0 while its disk takes no writes, and the leader's of a KindNotLeader,
-	// 0 if unknown.
+	Result          *statemachine.Result `cbor:"7,keyasint,omitempty"` // set for KindResult
+	// Replica is the sender's replica ID for KindHello, 0 while its disk accepts no writes. For
+	// KindNotLeader it is the leader's replica ID, 0 if unknown.
 	Replica uint64 `cbor:"8,keyasint,omitempty"`
-	// StartCount of a KindHello is how often the sender's disk was opened.
+	// StartCount is the number of times the sender's log was opened, for KindHello.
 	StartCount uint32 `cbor:"9,keyasint,omitempty"`
-	Zone       string `cbor:"10,keyasint,omitempty"` // the sender's of a KindHello
-	// ShardVoters of a KindHello are the shards that the sender holds, with their voters.
+	Zone       string `cbor:"10,keyasint,omitempty"` // zone of the sender, for KindHello
+	// ShardVoters lists the shards that the sender replicates, with their voters, for KindHello.
 	ShardVoters map[int][]uint64 `cbor:"11,keyasint,omitempty"`
-	// SeenStartCounts of a KindHello is how often the sender saw each replica's disk be opened.
+	// SeenStartCounts has the highest start count that the sender has seen of each replica, for
+	// KindHello.
 	SeenStartCounts map[uint64]uint32 `cbor:"12,keyasint,omitempty"`
 }
 
-// errFrameTooLong tells a frame over the bound from a connection that failed.
+// errFrameTooLong distinguishes an oversized frame from a failed connection.
 var errFrameTooLong = errors.New("frame is too long")
 
 var encoding, decoding = cborcodec.NewModes(maxFrameItems)
 
-// encodeFrame writes a frame with its length before it.
+// encodeFrame encodes a frame, preceded by its length.
 func encodeFrame(frame Frame) ([]byte, error) {
 	body, err := encoding.Marshal(frame)
 	if err != nil {
@@ -76,7 +78,7 @@
 	return append(encoded, body...), nil
 }
 
-// readFrame reads a frame with its length before it.
+// readFrame reads a frame that is preceded by its length.
 func readFrame(r io.Reader) (Frame, error) {
 	var frame Frame
 	length := make([]byte, lengthBytes)
--- a/internal/replication/transport/golden_test.go
+++ b/internal/replication/transport/golden_test.go
@@ -12,7 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestGoldenFrameBytes holds the encoding of each kind of frame to the bytes of an earlier version, and decodes them.
+// TestGoldenFrameBytes compares the encoding of each kind of frame with the bytes of an earlier
+// version, and decodes them.
 func TestGoldenFrameBytes(t *testing.T) {
 	result := &statemachine.Result{
 		Granted:          true,
--- a/internal/replication/transport/queue.go
+++ b/internal/replication/transport/queue.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Bounds of the frames that wait for a peer. A frame beyond them is dropped.
+// Limits of the frames queued for a peer. Frames above a limit are dropped.
 const (
 	maxQueuedFrames = 4096
 	maxQueuedBytes  = 16 << 20
 )
 
-// queue is the frames that wait for one peer. It outlives the peer's connections.
+// queue holds the frames to send to one peer. It persists across the peer's connections.
 type queue struct {
-	frameTimeout time.Duration // for the peer to take one frame
+	frameTimeout time.Duration // time for the peer to accept one frame
 
 	mu     sync.Mutex
 	frames [][]byte
 	bytes  int
-	wake   chan struct{} // holds one token after a push
+	wake   chan struct{} // receives a token after a push, buffers one
 }
 
 func newQueue() *queue {
 	return &queue{frameTimeout: idleTimeout, wake: make(chan struct{}, 1)}
 }
 
-// push adds a frame, or says false where there is no room.
+// push appends a frame, or returns false if the queue is full.
 func (q *queue) push(frame []byte) bool {
 	q.mu.Lock()
 	ok := len(q.frames) < maxQueuedFrames && q.bytes+len(frame) <= maxQueuedBytes
@@ -40,7 +40,7 @@
 	return ok
 }
 
-// notify wakes the writer.
+// notify wakes the writing goroutine.
 func (q *queue) notify() {
 	select {
 	case q.wake <- struct{}{}:
@@ -57,11 +57,12 @@
 	return frames
 }
 
-// writeTo writes what waits, and a heartbeat at intervals, until the connection fails or the
-// context ends. Frames taken off the queue by a write that fails are lost.
+// writeTo writes the queued frames, and a heartbeat at intervals, until the connection fails or the
+// context ends. Frames that were already removed from the queue are lost if their write fails.
 //
-// The peer has the frame timeout for each frame, not for all that wait. It guards against ending the connection of a
-// peer that reads slowly and steadily, which shows as connections to it that are made again and again.
+// The frame timeout applies to each frame and not to all queued frames together. A common timeout
+// would close the connection of a peer that reads slowly but steadily, and the peer would be
+// reconnected again and again.
 func (q *queue) writeTo(ctx context.Context, conn net.Conn) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -71,7 +72,7 @@
 	}
 	for {
 		for _, frame := range q.takeAll() {
-			_ = conn.SetWriteDeadline(time.Now().Add(q.frameTimeout)) // a closed connection fails at the write
+			_ = conn.SetWriteDeadline(time.Now().Add(q.frameTimeout)) // if the connection is closed, Write fails
 			if _, err := conn.Write(frame); err != nil {
 				return
 			}
@@ -81,7 +82,7 @@
 			return
 		case <-q.wake:
 		case <-ticker.C:
-			_ = conn.SetWriteDeadline(time.Now().Add(q.frameTimeout)) // as above
+			_ = conn.SetWriteDeadline(time.Now().Add(q.frameTimeout)) // if the connection is closed, Write fails
 			if _, err := conn.Write(heartbeat); err != nil {
 				return
 			}
--- a/internal/replication/transport/tls.go
+++ b/internal/replication/transport/tls.go
@@ -11,21 +11,23 @@
 	"time"
 )
 
-// protocolName is agreed on in the handshake, so that another version is refused before a frame is
-// read. It is part of the wire format.
+// protocolName is negotiated in the TLS handshake (ALPN), so that another version is rejected
+// before any frame is read. It is part of the wire format.
 const protocolName = "cairnfront-ledger/1"
 
-// certificateEnd is after the end of any router's certificate's use, in Unix seconds.
+// certificateEnd is the expiry of the certificates in Unix seconds, later than any certificate is
+// used.
 const certificateEnd = 1 << 33
 
-// Errors of a peer's identity.
+// Errors in identifying a peer.
 var (
 	errOtherProtocol = errors.New("peer speaks another protocol")
 	errNoPublicKey   = errors.New("peer has no public key")
 	errUnknownPeer   = errors.New("public key is not in the list of peers")
 )
 
-// certificate is signed by this router itself. Peers compare its public key with their list.
+// certificate returns a certificate that this router signs itself. Peers compare its public key
+// with their list of peers.
 func (t *Transport) certificate() (tls.Certificate, error) {
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1),
@@ -50,12 +52,12 @@
 		MinVersion:             tls.VersionTLS13,
 		NextProtos:             []string{protocolName},
 		ClientAuth:             tls.RequireAnyClientCert,
-		InsecureSkipVerify:     true, // no authority signs the certificates; identify compares the public key
+		InsecureSkipVerify:     true, // certificates are self-signed; identify compares the public key
 		SessionTicketsDisabled: true,
 	}, nil
 }
 
-// identify finds the peer at the other end by its public key.
+// identify returns the name of the peer that has the connection's public key.
 func (t *Transport) identify(conn *tls.Conn) (string, error) {
 	state := conn.ConnectionState()
 	if state.NegotiatedProtocol != protocolName {
--- a/internal/replication/transport/transport.go
+++ b/internal/replication/transport/transport.go
@@ -1,9 +1,10 @@
-// Package transport carries frames between the routers that replicate shards: one TLS connection a
-// pair of routers, each side known by its public key in the list of peers.
+// Package transport exchanges frames between the routers that replicate shards. Each pair of
+// routers has one TLS connection, and each side is authenticated by its public key in the list of
+// peers.
 //
-// It owns the connections and the bounded queue of frames a peer. A frame that finds no room is
-// dropped, as is one on a connection that fails: whatever goes by frames is asked or sent again by
-// its sender. It decides nothing about what the frames say.
+// The package owns the connections and a bounded queue of frames per peer. A frame is dropped if
+// the queue is full or its connection fails: the sender of every kind of frame repeats it or asks
+// again. The package does not interpret the content of frames.
 package transport
 
 import (
@@ -17,38 +18,39 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Times of connections.
+// Timeouts and intervals of connections.
 const (
-	dialInterval      = 200 * time.Millisecond // before the second attempt; it doubles
+	dialInterval      = 200 * time.Millisecond // delay before the second dial attempt; doubles after each one
 	maxDialInterval   = 2 * time.Second
 	handshakeTimeout  = 2 * time.Second
 	idleTimeout       = 10 * time.Second
 	heartbeatInterval = time.Second
 )
 
-// Peer is another router.
+// Peer is another router of the cluster.
 type Peer struct {
 	Name      string
 	PublicKey ed25519.PublicKey
 	Address   string
 }
 
-// Transport is one router's connections. Its exported fields are set before Run. Both callbacks
-// must return soon; they are called from the connections' goroutines.
+// Transport manages the connections of one router. Its exported fields must be set before Run. Both
+// callbacks must return quickly; they are called from the connections' goroutines.
 type Transport struct {
 	Name        string
 	PrivateKey  ed25519.PrivateKey
 	Peers       []Peer
 	OnFrame     func(from string, frame Frame)
-	OnPeerState func(name string, connected bool) // nil for nobody
+	OnPeerState func(name string, connected bool) // called if not nil
 
 	mu       sync.Mutex
 	queues   map[string]*queue  // by peer
 	sessions map[string]session // by peer
 }
 
-// Run serves connections until the context ends. Of two routers the one whose name sorts first dials. Run owns the
-// goroutines that accept, dial and serve, and returns when they have ended.
+// Run serves connections until the context ends. Of two routers, the one whose name sorts first
+// dials. Run owns the goroutines that accept, dial and serve, and returns after all of them have
+// ended.
 func (t *Transport) Run(ctx context.Context, listener net.Listener) error {
 	config, err := t.tlsConfig()
 	if err != nil {
@@ -63,7 +65,7 @@
 		for ctx.Err() == nil {
 			conn, err := listener.Accept()
 			if err != nil {
-				continue // the context ended and closed the listener, or this one connection failed
+				continue // the context ended and closed the listener, or only this connection failed
 			}
 			group.Go(func() error {
 				t.serve(ctx, tls.Server(conn, config), "")
@@ -83,7 +85,7 @@
 	return group.Wait()
 }
 
-// dial keeps a connection to a peer until the context ends.
+// dial maintains a connection to a peer until the context ends.
 func (t *Transport) dial(ctx context.Context, peer Peer, config *tls.Config) {
 	interval := dialInterval
 	for ctx.Err() == nil {
@@ -104,20 +106,21 @@
 	}
 }
 
-// session is a peer's newest connection.
+// session is the latest connection of a peer.
 type session struct {
 	conn  *tls.Conn
-	ended chan struct{} // closed once nothing of it goes on
+	ended chan struct{} // closed when the connection's goroutines have ended
 }
 
-// serve carries one connection until it ends. The peer's name is known before where this side dialed. It owns the
-// goroutine that writes and waits for it. A peer's earlier connection is ended first.
+// serve handles one connection until it ends. The expected name is empty unless this side dialed.
+// serve owns the goroutine that writes, and waits for it. It first ends an earlier connection of
+// the same peer.
 //
-// It guards against a peer that restarts and is back before the end of its earlier connection is noticed: that end
-// would count as the peer's own, and the earlier connection's writer would take what waits for the new one. It shows as
-// a peer that is connected and never heard of.
+// Otherwise, if a peer restarts and reconnects before the end of its earlier connection is noticed,
+// that end would be attributed to the new connection, and the writer of the earlier connection
+// would take frames from the queue. The peer would be connected but never receive a frame.
 func (t *Transport) serve(ctx context.Context, conn *tls.Conn, expected string) {
-	defer func() { _ = conn.Close() }() // both ends close it
+	defer func() { _ = conn.Close() }() // closed by whichever goroutine ends first
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	name, err := t.handshake(ctx, conn)
@@ -142,32 +145,33 @@
 		t.OnPeerState(name, true)
 		defer t.OnPeerState(name, false)
 	}
-	written := make(chan struct{})
+	writerDone := make(chan struct{})
 	go func() {
-		defer close(written)
+		defer close(writerDone)
 		defer func() { _ = conn.Close() }()
 		queue.writeTo(ctx, conn)
 	}()
 	t.readFrames(name, conn)
-	_ = conn.Close() // the writer may have closed it
-	queue.notify()   // the writer finds the connection closed
-	<-written
+	_ = conn.Close() // the writer may have closed it already
+	queue.notify()   // wakes the writer, whose next write fails
+	<-writerDone
 }
 
-// handshake finds out who the peer is.
+// handshake completes the TLS handshake and identifies the peer.
 func (t *Transport) handshake(ctx context.Context, conn *tls.Conn) (string, error) {
-	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // a closed connection fails at the handshake
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // if the connection is closed, the handshake fails
 	if err := conn.HandshakeContext(ctx); err != nil {
 		return "", err
 	}
-	_ = conn.SetDeadline(time.Time{}) // a closed connection fails at the next read
+	_ = conn.SetDeadline(time.Time{}) // if the connection is closed, the next read fails
 	return t.identify(conn)
 }
 
-// readFrames hands on a peer's frames until the connection fails or sends one that is invalid.
+// readFrames passes a peer's frames to OnFrame until the connection fails or an invalid frame
+// arrives.
 func (t *Transport) readFrames(name string, conn net.Conn) {
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout)) // a closed connection fails at the read
+		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout)) // if the connection is closed, readFrame fails
 		frame, err := readFrame(conn)
 		if err != nil {
 			return
@@ -178,7 +182,7 @@
 	}
 }
 
-// queue is the frames that wait for a peer.
+// queue returns the queue of a peer.
 func (t *Transport) queue(name string) *queue {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -191,8 +195,8 @@
 	return t.queues[name]
 }
 
-// Send queues a frame for a peer. It says false where the frame was dropped, as it is invalid or
-// there is no room.
+// Send queues a frame for a peer. It returns false if the frame was dropped, because it cannot be
+// encoded or the queue is full.
 func (t *Transport) Send(to string, frame Frame) bool {
 	encoded, err := encodeFrame(frame)
 	if err != nil {
--- a/internal/replication/transport/transport_test.go
+++ b/internal/replication/transport/transport_test.go
@@ -28,8 +28,8 @@
 	return public
 }
 
-// startTransport runs a router's connections until the test ends. What it receives comes out of the
-// channels.
+// startTransport runs a router's transport until the test ends. Received frames and peer states are
+// sent to the channels.
 func startTransport(
 	t *testing.T, name string, privateKey ed25519.PrivateKey, listener net.Listener, peers []Peer,
 ) (transport *Transport, frames chan Frame, connected chan bool) {
@@ -62,9 +62,10 @@
 	return listener
 }
 
-// TestFramesAreTakenFromListedPeersOnly connects two routers, and then one that uses a listed name with a key of its
-// own. A forged frame could grant a key twice. Frames of the listed peer must arrive, and none of the forger.
-func TestFramesAreTakenFromListedPeersOnly(t *testing.T) {
+// TestFramesAreAcceptedFromListedPeersOnly connects two routers, and then a third one that uses a
+// listed name with its own key. A forged frame could cause a key to be granted twice. Frames of the
+// listed peer must arrive, and none of the forger.
+func TestFramesAreAcceptedFromListedPeersOnly(t *testing.T) {
 	listenerA, listenerB := listen(t), listen(t)
 	peers := []Peer{
 		{"a", publicKey(t, "a"), listenerA.Addr().String()},
@@ -87,22 +88,23 @@
 		t.Fatal("no frame arrived")
 	}
 
-	// Another router under the name of a, with a key of its own.
+	// Another router uses the name of a, with its own key.
 	forgedPeers := []Peer{{"a", publicKey(t, "x"), ""}, peers[1]}
 	forger, _, connected := startTransport(t, "a", key("x"), listen(t), forgedPeers)
 	forger.Send("b", Frame{Kind: KindRead, Key: "forged"})
 	select {
-	case <-connected: // with TLS 1.3 a client takes the handshake for complete until it reads
+	case <-connected: // with TLS 1.3 a client considers the handshake complete until it reads
 	case <-time.After(time.Second):
 	}
 	select {
 	case frame := <-framesB:
-		t.Fatalf("a forged frame was taken: %+v", frame)
+		t.Fatalf("a forged frame was accepted: %+v", frame)
 	case <-time.After(300 * time.Millisecond):
 	}
 }
 
-// countSent sends frames of a size to a peer that is not connected and counts those that were queued.
+// countSent sends frames of a given size to a peer that is not connected, and counts those that
+// were queued.
 func countSent(frames, payloadBytes int) int {
 	transport := &Transport{Name: "a", PrivateKey: key("a")}
 	sent := 0
@@ -114,9 +116,9 @@
 	return sent
 }
 
-// TestQueueIsBounded sends to a peer that is not connected. Frames that wait without a bound would use up the memory
-// while a peer is away. Frames over the count, the bytes or the size of one frame must be dropped, and the last must
-// say why.
+// TestQueueIsBounded sends to a peer that is not connected. An unbounded queue would exhaust the
+// memory while a peer is away. Frames above the limit of count, bytes or frame size must be
+// dropped, and for the last one the error must name the reason.
 func TestQueueIsBounded(t *testing.T) {
 	assert.Equal(t, maxQueuedFrames, countSent(2*maxQueuedFrames, 10))
 	assert.Zero(t, countSent(1, MaxFrameBytes+1))
@@ -127,9 +129,10 @@
 	require.ErrorIs(t, err, errFrameTooLong)
 }
 
-// Many frames wait for a peer that reads slowly and steadily. A limit for all of them together would end its
-// connection, with the frames that are left. Each frame has its own.
-func TestSteadyPeerTakesAllFramesThatWait(t *testing.T) {
+// TestSlowPeerReceivesAllQueuedFrames queues many frames for a peer that reads slowly but steadily.
+// A common timeout for all of them would end the connection and lose the remaining frames. Each
+// frame has its own timeout.
+func TestSlowPeerReceivesAllQueuedFrames(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	q := newQueue()
