--- a/internal/replication/wal/file.go
+++ b/internal/replication/wal/file.go
@@ -7,13 +7,13 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// readFile reads all of a file.
+// readFile returns the content of a file.
 func readFile(fs vfs.FS, name string) ([]byte, error) {
 	file, err := fs.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // nothing was written
+	defer func() { _ = file.Close() }() // opened for reading only
 	size, err := file.Size()
 	if err != nil {
 		return nil, err
@@ -27,7 +27,7 @@
 	return content, nil
 }
 
-// replaceFile writes all of a file or nothing. The new content outlasts a loss of power.
+// replaceFile replaces a file atomically. The new content survives a power loss.
 func replaceFile(fs vfs.FS, name string, content []byte) error {
 	if err := writeTemporary(fs, name+temporarySuffix, content); err != nil {
 		return fmt.Errorf("write %s: %w", name, err)
--- a/internal/replication/wal/golden_test.go
+++ b/internal/replication/wal/golden_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// describe prints what a folder holds, shard by shard.
+// describe formats the content of a folder, one shard after the other.
 func describe(id Identity, saved map[int]shard.PersistentState) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "owner %s id %d starts %d\n", id.Owner, id.ID, id.StartCount)
@@ -39,8 +39,8 @@
 	return b.String()
 }
 
-// TestGoldenFoldersAreRead reads folders that an earlier version wrote: several shards, snapshots,
-// an overwritten entry, a removed shard and an unsynced tail.
+// TestGoldenFoldersAreRead reads folders that an earlier version wrote. They contain several
+// shards, snapshots, an overwritten entry, a removed shard and an unsynced tail.
 func TestGoldenFoldersAreRead(t *testing.T) {
 	for _, owner := range []string{"r1", "r2"} {
 		folder := "folder-" + owner
@@ -53,7 +53,7 @@
 		require.NoError(t, os.CopyFS(writable, os.DirFS(stored)))
 		opened, reopened, err := Open(vfs.Dir(writable), owner, drawID)
 		require.NoError(t, err)
-		id.StartCount++ // opening counts a start, inspecting does not
+		id.StartCount++ // opening a folder increments the start count; inspecting it does not
 		assert.Equal(t, id, opened.Identity())
 		assert.Equal(t, describe(id, saved), describe(opened.Identity(), reopened))
 		opened.Close()
--- a/internal/replication/wal/identity.go
+++ b/internal/replication/wal/identity.go
@@ -8,11 +8,11 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// Identity says whose folder it is.
+// Identity identifies the owner of a folder.
 type Identity struct {
-	ID         uint64 // of the replica; drawn when the folder was filled
-	Owner      string // the router's name
-	StartCount uint32 // times that it was opened; one restored from an old copy has fewer than its peers have seen
+	ID         uint64 // replica ID, drawn when the folder was created
+	Owner      string // name of the router
+	StartCount uint32 // times the folder was opened; an old copy has fewer than its peers have seen
 }
 
 // Offsets in the identity file: version (1), ID (8), start count (4), owner, checksum (4).
@@ -22,12 +22,12 @@
 	identityOwnerOffset      = 13
 )
 
-// openIdentity reads the identity, or makes it, and counts this opening.
+// openIdentity reads or creates the identity, and increments its start count.
 func (w *WAL) openIdentity(owner string, drawID func() uint64) error {
 	content, err := readFile(w.fs, identityFile)
 	switch {
 	case errors.Is(err, vfs.ErrNotExist):
-		w.identity = Identity{ID: drawID() | 1, Owner: owner} // never 0, which raft takes for none
+		w.identity = Identity{ID: drawID() | 1, Owner: owner} // never 0, which raft reserves for no node
 	case err != nil:
 		return fmt.Errorf("read identity of write-ahead log: %w", err)
 	default:
--- a/internal/replication/wal/inspect.go
+++ b/internal/replication/wal/inspect.go
@@ -7,7 +7,7 @@
 	"cairnfront/internal/replication/shard"
 )
 
-// Inspect reads a stopped router's folder and changes nothing in it.
+// Inspect reads a stopped router's folder without changing it.
 func Inspect(fs vfs.FS) (Identity, map[int]shard.PersistentState, error) {
 	content, err := readFile(fs, identityFile)
 	if err != nil {
--- a/internal/replication/wal/powerloss_test.go
+++ b/internal/replication/wal/powerloss_test.go
@@ -14,19 +14,19 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// powerLossRun writes a long history drawn from a seed, until it ends or the power is lost.
+// powerLossRun writes a long history drawn from a seed, until it ends or the power fails.
 type powerLossRun struct {
 	rnd       *rand.Rand
 	lastIndex uint64
 
-	written       map[uint64]string // entries handed to the log
-	term          uint64            // handed to the log
-	synced        map[uint64]string // entries whose sync was acknowledged
+	written       map[uint64]string // entries passed to the log, by index
+	term          uint64            // last term passed to the log
+	synced        map[uint64]string // entries whose sync was acknowledged, by index
 	syncedTerm    uint64
-	snapshotIndex uint64 // acknowledged
+	snapshotIndex uint64 // index of the last acknowledged snapshot
 }
 
-// run says whether the history ended before the power was lost.
+// run reports whether the history ended before the power failed.
 func (p *powerLossRun) run(fs *vfs.FaultFS) bool {
 	w, _, err := Open(fs, "r1", drawID)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// check holds what is on disk after the power came back against what was acknowledged.
+// check compares the state on disk after the power loss with what was acknowledged before it.
 func (p *powerLossRun) check(t *testing.T, state shard.PersistentState, where string) {
 	t.Helper()
 	found := map[uint64]string{}
@@ -89,9 +89,9 @@
 	require.GreaterOrEqual(t, snapshotIndex, p.snapshotIndex)
 }
 
-// TestPowerLossKeepsAcknowledgedState loses the power at each operation of a long history, in many
-// ways. After it the hard state and the entries of each batch that was synced are there, and
-// nothing else than what was written.
+// TestPowerLossKeepsAcknowledgedState cuts the power at each operation of many long histories.
+// Afterwards the hard state and the entries of each synced batch must be on disk, and nothing that
+// was never written.
 func TestPowerLossKeepsAcknowledgedState(t *testing.T) {
 	losses := 0
 	for seed := range uint64(25) {
@@ -114,6 +114,6 @@
 			losses++
 		}
 	}
-	t.Logf("%d losses of power", losses)
+	t.Logf("%d power losses", losses)
 	assert.Greater(t, losses, 1500)
 }
--- a/internal/replication/wal/record.go
+++ b/internal/replication/wal/record.go
@@ -5,22 +5,22 @@
 	"hash/crc32"
 )
 
-// recordKind is what a record of a log file holds. Its numbers are part of the format.
+// recordKind is the type of a record in a log file. The numbers are part of the format.
 type recordKind byte
 
 // The kinds of records.
 const (
 	kindHardState   recordKind = 1
 	kindEntry       recordKind = 2
-	kindSnapshot    recordKind = 3 // names the index of the shard's snapshot
-	kindRemoveShard recordKind = 4 // the shard is no longer held
-	kindFileHeader  recordKind = 5 // first of a file: version, and the bytes of what the file begins with
-	kindBatchHeader recordKind = 6 // before each batch: up to where the file was synced
-	kindTruncate    recordKind = 7 // entries after an index no longer count
+	kindSnapshot    recordKind = 3 // index of the shard's current snapshot
+	kindRemoveShard recordKind = 4 // the shard has no replica here any more
+	kindFileHeader  recordKind = 5 // first record of a file: version, and length of its checkpoint
+	kindBatchHeader recordKind = 6 // precedes each batch: length of the file that was synced before it
+	kindTruncate    recordKind = 7 // discards the entries after an index
 )
 
-// A record is its payload's length (4), the checksum of all that follows it (4), kind (1), shard
-// (1), two unused bytes and the payload.
+// A record consists of its payload's length (4 bytes), the checksum of everything after it (4),
+// kind (1), shard (1), two unused bytes and the payload.
 const (
 	recordChecksumOffset  = 4
 	recordKindOffset      = 8
@@ -30,20 +30,20 @@
 )
 
 const (
-	indexBytes      = 8                 // of a snapshot's index, and of a place in a file
-	fileHeaderBytes = 1 + indexBytes    // payload of kindFileHeader: version and base
+	indexBytes      = 8                 // snapshot index, or offset in a file
+	fileHeaderBytes = 1 + indexBytes    // payload of kindFileHeader: version and checkpoint length
 	checksumBytes   = crc32.Size        // at the end of the identity file and of snapshot files
-	minTrailerBytes = 1 + checksumBytes // a file with a checksum has its version at least
+	minTrailerBytes = 1 + checksumBytes // smallest file with a checksum: the version and the checksum
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// record is one of a log file.
+// record is a parsed record of a log file.
 type record struct {
 	kind    recordKind
 	shard   int
 	payload []byte
-	size    int // bytes with its header
+	size    int // in bytes, including the header
 }
 
 func appendRecord(b []byte, kind recordKind, shard int, payload []byte) []byte {
@@ -56,8 +56,8 @@
 	return b
 }
 
-// parseRecord reads the record that b begins with; ok is false where none begins, or its checksum
-// does not match.
+// parseRecord parses the record at the start of b. ok is false if the record is incomplete or its
+// checksum does not match.
 func parseRecord(b []byte) (r record, ok bool) {
 	if len(b) < recordHeaderBytes {
 		return record{}, false
@@ -78,13 +78,13 @@
 	}, true
 }
 
-// fileHeader is the first record of a file that begins with a number of bytes, this record's among
-// them.
-func fileHeader(base int) []byte {
-	return appendRecord(nil, kindFileHeader, 0, binary.BigEndian.AppendUint64([]byte{formatVersion}, uint64(base)))
+// fileHeader returns the first record of a file whose checkpoint, including this record, has the
+// given number of bytes.
+func fileHeader(length int) []byte {
+	return appendRecord(nil, kindFileHeader, 0, binary.BigEndian.AppendUint64([]byte{formatVersion}, uint64(length)))
 }
 
-// batchHeader is the first record of a batch.
+// batchHeader returns the first record of a batch.
 func batchHeader(synced int64) []byte {
 	return appendRecord(nil, kindBatchHeader, 0, binary.BigEndian.AppendUint64(nil, uint64(synced)))
 }
@@ -93,7 +93,7 @@
 	return binary.BigEndian.AppendUint32(content, crc32.Checksum(content, castagnoli))
 }
 
-// cutChecksum takes the checksum off a file's content, and says whether it matches.
+// cutChecksum removes the checksum from a file's content, and reports whether it matches.
 func cutChecksum(content []byte) (body []byte, ok bool) {
 	if len(content) < minTrailerBytes {
 		return nil, false
--- a/internal/replication/wal/replay.go
+++ b/internal/replication/wal/replay.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// replay reads a log file's records. A torn end is left out.
+// replay applies the records of a log file. It ignores a torn tail.
 func (w *WAL) replay(name string) error {
 	content, err := readFile(w.fs, name)
 	if err != nil {
@@ -22,21 +22,22 @@
 		return err
 	}
 	if end < len(content) {
-		return checkTornEnd(name, content, end)
+		return checkTornTail(name, content, end)
 	}
 	return nil
 }
 
-// replayRecords takes the records up to the first that does not hold, and says where that is.
+// replayRecords applies the records up to the first invalid one, and returns the offset of that
+// one.
 func (w *WAL) replayRecords(name string, content []byte) (end int, err error) {
-	base := 0
+	checkpointBytes := 0
 	for end < len(content) {
 		r, ok := parseRecord(content[end:])
 		if !ok {
 			break
 		}
 		if end == 0 {
-			base, err = parseFileHeader(name, r)
+			checkpointBytes, err = parseFileHeader(name, r)
 		} else if err = w.apply(r); err != nil {
 			err = fmt.Errorf("%s at byte %d: %w", name, end, err)
 		}
@@ -45,14 +46,14 @@
 		}
 		end += r.size
 	}
-	if end < base || end == 0 {
-		return end, fmt.Errorf("%w: %s at byte %d, the first %d were synced", ErrCorrupt, name, end, base)
+	if end < checkpointBytes || end == 0 {
+		return end, fmt.Errorf("%w: %s at byte %d, the first %d were synced", ErrCorrupt, name, end, checkpointBytes)
 	}
 	return end, nil
 }
 
-// parseFileHeader reads the bytes of what a file begins with.
-func parseFileHeader(name string, r record) (base int, err error) {
+// parseFileHeader returns the length of the checkpoint at the start of a file.
+func parseFileHeader(name string, r record) (checkpointBytes int, err error) {
 	if r.kind != kindFileHeader || len(r.payload) < fileHeaderBytes {
 		return 0, fmt.Errorf("%w: %s has no file header", ErrCorrupt, name)
 	}
@@ -63,8 +64,9 @@
 	return int(binary.BigEndian.Uint64(r.payload[1:])), nil
 }
 
-// checkTornEnd refuses a file where a later batch says that what does not hold was synced.
-func checkTornEnd(name string, content []byte, end int) error {
+// checkTornTail returns an error if the invalid data at end had been synced, according to the
+// header of a later batch.
+func checkTornTail(name string, content []byte, end int) error {
 	for i := end + 1; i+recordHeaderBytes <= len(content); i++ {
 		r, ok := parseRecord(content[i:])
 		if !ok || r.kind != kindBatchHeader || len(r.payload) != indexBytes {
@@ -77,7 +79,7 @@
 	return nil
 }
 
-// apply takes one record. Batch headers and kinds of later versions change nothing.
+// apply applies one record. Batch headers and record kinds of later versions have no effect.
 func (w *WAL) apply(r record) error {
 	switch r.kind {
 	case kindRemoveShard:
@@ -93,7 +95,7 @@
 		if err := proto.Unmarshal(r.payload, entry); err != nil {
 			return fmt.Errorf("%w: entry: %w", ErrCorrupt, err)
 		}
-		w.shardLog(r.shard).put(entry)
+		w.shardLog(r.shard).putEntry(entry)
 	case kindSnapshot:
 		if len(r.payload) != indexBytes {
 			return fmt.Errorf("%w: snapshot index of %d bytes", ErrCorrupt, len(r.payload))
--- a/internal/replication/wal/rotate.go
+++ b/internal/replication/wal/rotate.go
@@ -13,7 +13,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// rotate begins the next log file with all that counts, and removes the older one once that is on disk.
+// rotate starts the next log file with a checkpoint of the current state, and removes the previous
+// file once the checkpoint is on disk.
 func (w *WAL) rotate() error {
 	number := w.number + 1
 	name := fmt.Sprintf(logNameFormat, number)
@@ -21,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	content, err := w.encodeAll()
+	content, err := w.encodeCheckpoint()
 	if err != nil {
 		return err
 	}
@@ -32,7 +33,7 @@
 		return errors.Join(err, file.Close())
 	}
 	if w.file != nil {
-		_ = w.file.Close() // its content no longer counts
+		_ = w.file.Close() // superseded by the new file
 		if err := w.fs.Remove(fmt.Sprintf(logNameFormat, w.number)); err != nil {
 			return err
 		}
@@ -45,7 +46,8 @@
 	return nil
 }
 
-// publish gives a file its name once its content is on disk, each step only after the one before has succeeded.
+// publish syncs a file, renames it to its final name and syncs the directory. Each step runs only
+// if the previous one succeeded.
 func (w *WAL) publish(file vfs.File, name string) error {
 	if err := file.Sync(); err != nil {
 		return err
@@ -56,9 +58,9 @@
 	return w.fs.SyncDir()
 }
 
-// encodeAll writes all that counts, as a file begins with it.
-func (w *WAL) encodeAll() ([]byte, error) {
-	content := make([]byte, len(fileHeader(0))) // the header is filled in once the size is known
+// encodeCheckpoint encodes the checkpoint of the current state, with which a log file starts.
+func (w *WAL) encodeCheckpoint() ([]byte, error) {
+	content := make([]byte, len(fileHeader(0))) // the header is written once the size is known
 	for _, number := range slices.Sorted(maps.Keys(w.shards)) {
 		log := w.shards[number]
 		if log.snapshotIndex > 0 {
@@ -84,7 +86,7 @@
 	return content, nil
 }
 
-// removeObsolete removes the files that no longer count and those that a loss of power left unfinished.
+// removeObsolete removes superseded files, and unfinished files that a power loss left behind.
 func (w *WAL) removeObsolete(names []string) error {
 	keep := map[string]bool{
 		identityFile:                         true,
--- a/internal/replication/wal/shardlog.go
+++ b/internal/replication/wal/shardlog.go
@@ -6,22 +6,22 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// shardLog is what of a shard counts.
+// shardLog is the current raft log and hard state of one shard.
 type shardLog struct {
 	hardState     *pb.HardState
 	entries       []*pb.Entry
-	snapshotIndex uint64 // 0 for none
+	snapshotIndex uint64 // 0 if there is none
 }
 
-// put puts an entry in its place. Entries at its index and after it no longer count.
-func (l *shardLog) put(entry *pb.Entry) {
+// putEntry adds an entry at its index, and discards the entries at that index and after it.
+func (l *shardLog) putEntry(entry *pb.Entry) {
 	for len(l.entries) > 0 && l.entries[len(l.entries)-1].GetIndex() >= entry.GetIndex() {
 		l.entries = l.entries[:len(l.entries)-1]
 	}
 	l.entries = append(l.entries, entry)
 }
 
-// setSnapshot names the shard's snapshot. Entries up to its index no longer count.
+// setSnapshot sets the index of the shard's snapshot, and discards the entries up to it.
 func (l *shardLog) setSnapshot(index uint64) {
 	l.snapshotIndex = index
 	l.entries = slices.DeleteFunc(slices.Clone(l.entries), func(entry *pb.Entry) bool {
@@ -29,7 +29,7 @@
 	})
 }
 
-// truncate drops the entries after an index.
+// truncate discards the entries after an index.
 func (l *shardLog) truncate(index uint64) {
 	for len(l.entries) > 0 && l.entries[len(l.entries)-1].GetIndex() > index {
 		l.entries = l.entries[:len(l.entries)-1]
--- a/internal/replication/wal/snapshot.go
+++ b/internal/replication/wal/snapshot.go
@@ -11,7 +11,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// SaveSnapshot stores a snapshot that a replica made of itself. Entries up to its index no longer count.
+// SaveSnapshot stores a snapshot that a local replica created, and discards the entries up to its
+// index.
 func (w *WAL) SaveSnapshot(shard int, snapshot *pb.Snapshot) error {
 	if w.failure != nil {
 		return w.failure
@@ -27,8 +28,8 @@
 	return nil
 }
 
-// writeSnapshot writes a snapshot's file, and then names it in the batch. An older snapshot is
-// removed once the log that names the new one is synced.
+// writeSnapshot writes a snapshot file and adds its index to the batch. The previous snapshot is
+// removed once the log record with the index of the new one is synced.
 func (w *WAL) writeSnapshot(number int, snapshot *pb.Snapshot) error {
 	body, err := proto.Marshal(snapshot)
 	if err != nil {
--- a/internal/replication/wal/wal.go
+++ b/internal/replication/wal/wal.go
@@ -1,14 +1,16 @@
-// Package wal is the write-ahead log of a router: the raft logs and hard states of all its replicas
-// in one file, so that one sync serves them all, and a snapshot file a shard.
+// Package wal implements the write-ahead log of a router. It stores the raft logs and hard states
+// of all replicas in one file, so that a single sync covers all of them, and one snapshot file per
+// shard.
 //
-// It owns the files of one folder, which belongs to one router for good. The format is in
-// docs/replication-log-format.md. It uses the file layer of the disk cache (package vfs) and has no
-// goroutine.
+// It owns the files of one folder, which belongs permanently to one router. The format is in
+// docs/replication-log-format.md. It uses the file layer of the disk cache (package vfs) and starts
+// no goroutine.
 //
-// What was synced is believed only if its checksums match. A torn end, as a loss of power leaves
-// it, is cut off, since nothing of it was acknowledged. Damage to what was synced is refused: a
-// replica that forgot a vote could vote twice. Each batch says up to where the file was synced
-// before it, which shows which of the two it is; only damage to the very last batch looks like a torn end.
+// Records are accepted only if their checksums match. A torn tail, which a power loss leaves, is
+// discarded, because nothing in it was acknowledged. Corruption of synced data is an error: a
+// replica that lost its vote could vote twice. The header of each batch has the length of the file
+// that was synced before it, which distinguishes the two cases; only corruption of the very last
+// batch is taken for a torn tail.
 package wal
 
 import (
@@ -20,20 +22,20 @@
 	"cairnfront/internal/replication/shard"
 )
 
-// Files of the folder. Their names are part of the format: the file "holder" has the identity of the
-// replica, a file "slice-..." the snapshot of a shard.
+// Files of the folder. Their names are part of the format: the file "holder" contains the identity
+// of the replica, a file "slice-..." the snapshot of a shard.
 const (
 	formatVersion      = 1
 	identityFile       = "holder"
 	lockFile           = "lock"
 	logPrefix          = "log-"
-	logNameFormat      = logPrefix + "%08x" // number of the file
+	logNameFormat      = logPrefix + "%08x" // file number
 	snapshotPrefix     = "slice-"
-	snapshotNameFormat = snapshotPrefix + "%02x-%016x" // shard, index
+	snapshotNameFormat = snapshotPrefix + "%02x-%016x" // shard number, snapshot index
 	temporarySuffix    = ".new"
 )
 
-// Errors that a caller may test for.
+// Errors that callers may test for.
 var (
 	ErrCorrupt      = errors.New("write-ahead log is damaged")
 	ErrNewerVersion = errors.New("write-ahead log was written by a newer version")
@@ -41,29 +43,29 @@
 	ErrWriteFailed  = errors.New("write to write-ahead log failed")
 )
 
-// WAL is an open log. It belongs to one goroutine.
+// WAL is an open write-ahead log. It is not safe for concurrent use.
 type WAL struct {
 	fs       vfs.FS
 	identity Identity
-	release  func() // of the folder's lock
+	release  func() // releases the folder's lock
 	shards   map[int]*shardLog
 
 	file   vfs.File
-	number uint32 // of the file
-	size   int64  // bytes written to the file
-	synced int64  // bytes of it that were synced
-	buffer []byte // records of the batch that is being written
+	number uint32 // number of the log file
+	size   int64  // bytes written to the log file
+	synced int64  // bytes of the log file that are synced
+	buffer []byte // records of the current batch
 
-	// failure is the first write or sync that failed. Nothing is written after it, as the content
-	// of the disk is not known.
+	// failure is the first failed write or sync. Nothing is written after it, because the content of
+	// the disk is then unknown.
 	failure error
 
 	// Counters for operators.
 	SyncCount, BytesWritten int64
 }
 
-// Open opens a router's folder, or fills an empty one, and gives what it holds by shard. The ID of
-// a new folder is drawn.
+// Open opens a router's folder, or creates its files if it is empty, and returns the stored state
+// by shard. drawID returns the ID for a new folder.
 func Open(fs vfs.FS, owner string, drawID func() uint64) (*WAL, map[int]shard.PersistentState, error) {
 	release, err := fs.Lock(lockFile)
 	if err != nil {
@@ -92,10 +94,12 @@
 	return w.persistentStates()
 }
 
-// openLog reads the newest log file, begins the next one with all of it that counts, and removes what no longer counts.
+// openLog reads the newest log file, writes a checkpoint of its state to the next one, and removes
+// superseded files.
 //
-// It guards against what a failed sync left behind: the system still reads it, so it would be believed, but it is not
-// on the disk, and no later sync of that file brings it there.
+// The new file is needed because of failed syncs: the operating system still returns the data of a
+// failed sync from its cache, so the data appears valid, but it is not on the disk and no later
+// sync of that file writes it.
 func (w *WAL) openLog(names []string) error {
 	if name := newestLog(names); name != "" {
 		if err := w.replay(name); err != nil {
@@ -108,8 +112,8 @@
 	return w.removeObsolete(names)
 }
 
-// newestLog is the log file with the highest number, "" for none. It begins with all that counted
-// in the older ones.
+// newestLog returns the name of the log file with the highest number, or "" if there is none. Its
+// checkpoint replaces all older log files.
 func newestLog(names []string) string {
 	newest := ""
 	for _, name := range names {
@@ -120,10 +124,10 @@
 	return newest
 }
 
-// Identity says whose folder it is.
+// Identity returns the identity of the folder.
 func (w *WAL) Identity() Identity { return w.identity }
 
-// persistentStates is what counts of each shard.
+// persistentStates returns the current state of each shard.
 func (w *WAL) persistentStates() (map[int]shard.PersistentState, error) {
 	states := map[int]shard.PersistentState{}
 	for number, log := range w.shards {
@@ -143,7 +147,7 @@
 // Close closes the files and unlocks the folder.
 func (w *WAL) Close() {
 	if w.file != nil {
-		_ = w.file.Close() // what has to be on disk was synced before
+		_ = w.file.Close() // required data was synced before
 	}
 	if w.release != nil {
 		w.release()
--- a/internal/replication/wal/wal_test.go
+++ b/internal/replication/wal/wal_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// RemoveShard writes the record of a shard that this router no longer holds. The format has it and replay reads it;
-// no program writes it.
+// RemoveShard writes the record of a shard that this router no longer replicates. The record is
+// part of the format and replay reads it, but no program writes it.
 func (w *WAL) RemoveShard(number int) error {
 	if w.failure != nil {
 		return w.failure
@@ -61,10 +61,10 @@
 	return nil
 }
 
-// TestWrittenStateIsReadAfterReopening writes, rotates, saves a snapshot and reopens. A router that starts with less
-// than it acknowledged can vote twice. All that was written must be there, the folder must be locked while it is
-// open, and another router must be refused.
-func TestWrittenStateIsReadAfterReopening(t *testing.T) {
+// TestWrittenStateSurvivesReopening writes, rotates, saves a snapshot and reopens the log. A router
+// that starts with less than it acknowledged could vote twice. Everything that was written must be
+// read back, the folder must be locked while it is open, and another router must be rejected.
+func TestWrittenStateSurvivesReopening(t *testing.T) {
 	fs, err := vfs.MakeDir(t.TempDir())
 	require.NoError(t, err)
 	w, saved := open(t, fs)
@@ -76,7 +76,7 @@
 		{Shard: 9, Entries: []*pb.Entry{entry(1, 1, "x")}},
 	}))
 	require.NoError(t, w.Write([]shard.Ready{{Shard: 4, Entries: []*pb.Entry{entry(2, 2, "c")}, MustSync: true}}))
-	assert.EqualValues(t, 2, w.SyncCount, "one for all shards")
+	assert.EqualValues(t, 2, w.SyncCount, "one sync per batch for all shards")
 	w.Close()
 	w, saved = open(t, fs)
 	assert.EqualValues(t, 2, w.Identity().StartCount)
@@ -103,10 +103,10 @@
 	assert.ErrorIs(t, err, ErrForeignOwner)
 }
 
-// TestDamageIsRefusedAndTornEndIsCutOff flips bits in what was synced, and then in what was not. A replica that
-// drops synced records forgets a vote; one that refuses a torn end never starts after a loss of power. The first
-// must be refused, the second cut off.
-func TestDamageIsRefusedAndTornEndIsCutOff(t *testing.T) {
+// TestCorruptionIsRejectedAndTornTailIsDiscarded flips bits in synced and then in unsynced data. A
+// replica that discards synced records forgets a vote; one that rejects a torn tail never starts
+// after a power loss. Corruption of synced data must be rejected, and a torn tail discarded.
+func TestCorruptionIsRejectedAndTornTailIsDiscarded(t *testing.T) {
 	fs := vfs.NewFaultFS(3)
 	w, _ := open(t, fs)
 	for i := range uint64(20) {
@@ -125,7 +125,7 @@
 	}
 	w, _ = open(t, fs)
 	require.NoError(t, w.Write([]shard.Ready{{Shard: 1, Entries: []*pb.Entry{entry(21, 1, "unsynced")}}}))
-	name = fmt.Sprintf(logNameFormat, w.number) // each opening begins a file
+	name = fmt.Sprintf(logNameFormat, w.number) // each Open starts a new file
 	w.Close()
 	fs.FlipBit(name, w.synced+30, 1)
 	w, saved := open(t, fs)
@@ -136,10 +136,10 @@
 	assert.ErrorIs(t, err, ErrCorrupt)
 }
 
-// TestNothingIsWrittenAfterAFailure fills the disk during a write. After a failed write the content of the file is
-// not known, and a later one could leave a hole. All further writes must fail with the same error until the log is
-// opened anew.
-func TestNothingIsWrittenAfterAFailure(t *testing.T) {
+// TestWritesFailAfterWriteFailure fills the disk during a write. After a failed write the content
+// of the file is unknown, and a later write could leave a gap. All further writes must fail with
+// the same error until the log is reopened.
+func TestWritesFailAfterWriteFailure(t *testing.T) {
 	fs := vfs.NewFaultFS(3)
 	w, _ := open(t, fs)
 	fs.CapacityBytes = 1
@@ -147,7 +147,7 @@
 	require.ErrorIs(t, err, vfs.ErrNoSpace)
 	fs.CapacityBytes = 0
 	second := w.Write([]shard.Ready{{Shard: 1, HardState: hardState(1, 1), MustSync: true}})
-	assert.Equal(t, err, second, "the content of the disk is not known")
+	assert.Equal(t, err, second, "writes fail until the log is reopened")
 	w.Close()
 	w, saved := open(t, fs)
 	assert.Empty(t, saved[1].Entries)
@@ -155,9 +155,10 @@
 	w.Close()
 }
 
-// TestNewerVersionIsRefused opens a folder of the next version. Read as if it were of this version, records would be
-// dropped without a word. It must be refused with both versions in the message.
-func TestNewerVersionIsRefused(t *testing.T) {
+// TestNewerVersionIsRejected opens a folder written by the next version. If it were read as the
+// current version, records would be discarded silently. It must be rejected with both versions in
+// the error.
+func TestNewerVersionIsRejected(t *testing.T) {
 	fs := vfs.NewFaultFS(4)
 	w, _ := open(t, fs)
 	w.Close()
@@ -173,7 +174,8 @@
 	assert.ErrorContains(t, err, "2, this program reads 1")
 }
 
-// FuzzRead opens log files of any content. A damaged file must be refused or read, and never end the process.
+// FuzzRead opens log files with arbitrary content. A corrupt file must be rejected or read, and
+// must never crash the process.
 func FuzzRead(f *testing.F) {
 	f.Add(appendRecord(appendRecord(nil, kindFileHeader, 0, make([]byte, fileHeaderBytes)), kindEntry, 1, []byte{8, 1}))
 	f.Add(appendRecord(nil, kindHardState, 1, []byte("x")))
@@ -191,10 +193,10 @@
 	})
 }
 
-// TestLeadersSnapshotEndsLaterEntriesOnDisk takes a snapshot that a leader sent over entries of an older term.
-// Entries behind it that stayed on the disk would come back after a restart. The snapshot must replace all entries,
-// also after a reopening.
-func TestLeadersSnapshotEndsLaterEntriesOnDisk(t *testing.T) {
+// TestSnapshotFromLeaderReplacesAllEntries writes a snapshot from a leader over entries of an older
+// term. Entries after its index that stayed on disk would reappear after a restart. The snapshot
+// must replace all entries, also after the log is reopened.
+func TestSnapshotFromLeaderReplacesAllEntries(t *testing.T) {
 	fs := vfs.NewFaultFS(5)
 	w, _ := open(t, fs)
 	entries := []*pb.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c"), entry(4, 1, "d"), entry(5, 1, "e")}
@@ -213,9 +215,10 @@
 	w.Close()
 }
 
-// A sync fails, the log is opened anew by the same system, and the power is lost later. The system still reads what the
-// failed sync lost; a log that goes on behind it acknowledges entries that a loss of power takes with it.
-func TestLogOpenedAfterAFailedSyncKeepsWhatItAcknowledges(t *testing.T) {
+// TestReopenedLogSurvivesPowerLossAfterFailedSync fails a sync, reopens the log on the same system,
+// and loses the power later. The system still returns the data of the failed sync. If the log
+// continued in the same file, it would acknowledge entries that a power loss destroys.
+func TestReopenedLogSurvivesPowerLossAfterFailedSync(t *testing.T) {
 	for seed := range uint64(20) {
 		fs := vfs.NewFaultFS(seed)
 		w, _ := open(t, fs)
@@ -226,7 +229,7 @@
 		fs.FailSync = nil
 		w.Close()
 		w, saved := open(t, fs)
-		require.Len(t, saved[1].Entries, 1, "the system still reads it")
+		require.Len(t, saved[1].Entries, 1, "the system still returns the unsynced entry")
 		require.NoError(t, w.Write([]shard.Ready{{Shard: 1, Entries: []*pb.Entry{entry(2, 1, "b")}, MustSync: true}}))
 		w.Close()
 		fs.Restart()
@@ -237,39 +240,40 @@
 	}
 }
 
-// syncFailure is a folder whose files can't be synced. It counts renames.
-type syncFailure struct {
+// syncFailingFS is a folder whose files cannot be synced while failing is set. It counts renames.
+type syncFailingFS struct {
 	vfs.FS
 	failing bool
 	renamed int
 }
 
-func (f *syncFailure) Create(name string) (vfs.File, error) {
+func (f *syncFailingFS) Create(name string) (vfs.File, error) {
 	file, err := f.FS.Create(name)
-	return unsyncedFile{file, f}, err
+	return syncFailingFile{file, f}, err
 }
 
-func (f *syncFailure) Rename(from, to string) error {
+func (f *syncFailingFS) Rename(from, to string) error {
 	f.renamed++
 	return f.FS.Rename(from, to)
 }
 
-type unsyncedFile struct {
+type syncFailingFile struct {
 	vfs.File
-	folder *syncFailure
+	folder *syncFailingFS
 }
 
-func (f unsyncedFile) Sync() error {
+func (f syncFailingFile) Sync() error {
 	if f.folder.failing {
 		return syscall.EIO
 	}
 	return f.File.Sync()
 }
 
-// TestLogFileIsNotUsedUnlessItIsOnDisk fails the sync of a rotation. A file that is renamed before it is on the disk
-// may be empty after a loss of power, while the older one is removed. The older file must stay the newest.
-func TestLogFileIsNotUsedUnlessItIsOnDisk(t *testing.T) {
-	fs := &syncFailure{FS: vfs.NewFaultFS(6)}
+// TestLogFileIsRenamedOnlyAfterSync fails the sync of a rotation. A file that is renamed before it
+// is on disk may be empty after a power loss, although the previous file is already removed. The
+// previous file must remain the newest.
+func TestLogFileIsRenamedOnlyAfterSync(t *testing.T) {
+	fs := &syncFailingFS{FS: vfs.NewFaultFS(6)}
 	w, _ := open(t, fs)
 	require.NoError(t, w.Write([]shard.Ready{{Shard: 1, HardState: hardState(1, 0), MustSync: true}}))
 	fs.failing, fs.renamed = true, 0
--- a/internal/replication/wal/write.go
+++ b/internal/replication/wal/write.go
@@ -9,11 +9,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-const rotateBytes = 16 << 20 // of a log file, after which the next one begins with what still counts
+const rotateBytes = 16 << 20 // size of a log file above which the next one is started with a checkpoint
 
-// Write puts a batch on disk, with one sync if any part of it has to outlast a loss of power. After
-// an error nothing of the batch may be sent or believed, and the log takes nothing more until it is
-// opened anew.
+// Write writes a batch to disk, with one sync if any part of it must survive a power loss. After an
+// error nothing of the batch may be sent or relied on, and all further writes fail until the log is
+// reopened.
 func (w *WAL) Write(batch []shard.Ready) error {
 	if w.failure != nil {
 		return w.failure
@@ -37,10 +37,10 @@
 	return nil
 }
 
-// appendReady adds the records of one shard to the batch. A snapshot's file is written at once.
+// appendReady adds the records of one shard to the batch. A snapshot's file is written immediately.
 func (w *WAL) appendReady(ready shard.Ready) error {
 	log := w.shardLog(ready.Shard)
-	if ready.Snapshot != nil { // of a leader: it replaces all entries
+	if ready.Snapshot != nil { // sent by a leader: it replaces all entries
 		index := binary.BigEndian.AppendUint64(nil, ready.Snapshot.GetMetadata().GetIndex())
 		w.buffer = appendRecord(w.buffer, kindTruncate, ready.Shard, index)
 		if err := w.writeSnapshot(ready.Shard, ready.Snapshot); err != nil {
@@ -55,7 +55,7 @@
 		}
 	}
 	for _, entry := range ready.Entries {
-		log.put(entry)
+		log.putEntry(entry)
 		if err := w.appendMessage(kindEntry, ready.Shard, entry); err != nil {
 			return err
 		}
@@ -72,13 +72,13 @@
 	return nil
 }
 
-// fail ends the writing until the log is opened anew.
+// fail makes all further writes fail until the log is reopened.
 func (w *WAL) fail(err error) error {
 	w.failure = fmt.Errorf("%w: %w", ErrWriteFailed, err)
 	return w.failure
 }
 
-// flush writes the batch after a header, and syncs the file.
+// flush writes a batch header and the buffered records, and syncs the file if sync is set.
 func (w *WAL) flush(sync bool) error {
 	if len(w.buffer) > 0 {
 		batch := append(batchHeader(w.synced), w.buffer...)
