--- a/internal/replication/shard/cluster_test.go
+++ b/internal/replication/shard/cluster_test.go
@@ -17,8 +17,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// seededReader makes raft's election timeouts the same in each run. Raft draws them from
-// crypto/rand's reader.
+// seededReader makes raft's election timeouts reproducible. Raft draws them from the reader of
+// crypto/rand.
 type seededReader struct{ *rand.Rand }
 
 func (s seededReader) Read(p []byte) (int, error) {
@@ -33,23 +33,23 @@
 	os.Exit(m.Run())
 }
 
-// testReplica is a replica with its disk, which outlasts it.
+// testReplica is a replica together with its disk, which remains when the replica is stopped.
 type testReplica struct {
 	id      uint64
-	replica *Replica // nil while it is stopped
+	replica *Replica // nil while the replica is stopped
 	disk    PersistentState
-	synced  PersistentState // what a loss of power leaves of the disk
+	synced  PersistentState // content of the disk that survives a power loss
 }
 
-// defect is code that is wrong on purpose. The checks of histories have to find it.
+// defect selects deliberately injected bugs, which the linearizability checks must detect.
 type defect struct {
-	keepsIDOfEmptyDisk bool
-	readsWithoutQuorum bool
-	sendsBeforeSync    bool
+	reusesIDAfterDiskLoss bool
+	readsWithoutQuorum    bool
+	sendsBeforeSync       bool
 }
 
-// cluster is replicas on a network that loses, delays and cuts, and clients whose requests are
-// recorded.
+// cluster runs replicas on a simulated network that drops, delays and partitions, and clients whose
+// requests are recorded.
 type cluster struct {
 	t           *testing.T
 	rnd         *rand.Rand
@@ -57,24 +57,24 @@
 	replicas    map[uint64]*testReplica
 	ids         []uint64
 	network     []*pb.Message
-	cut         map[uint64]bool // replicas on the smaller side
-	paused      uint64          // a replica whose process stands still, 0 for none
+	partitioned map[uint64]bool // replicas on the minority side of a partition
+	paused      uint64          // replica whose process is paused, 0 if none
 	step        int64
 	history     []porcupine.Operation
-	unanswered  map[uint64]int // index in the history by request number
+	unanswered  map[uint64]int // index in history, by request number
 	lastRequest uint64
-	trace       func(id uint64, ready Ready, responses []Response) // hears each step of a replica; nil for nobody
+	trace       func(id uint64, ready Ready, responses []Response) // called after each step of a replica, if not nil
 }
 
 func newCluster(t *testing.T, seed uint64, size int, defect defect) *cluster {
 	t.Helper()
 	c := &cluster{
-		t:          t,
-		rnd:        rand.New(rand.NewPCG(seed, 2)),
-		defect:     defect,
-		replicas:   map[uint64]*testReplica{},
-		cut:        map[uint64]bool{},
-		unanswered: map[uint64]int{},
+		t:           t,
+		rnd:         rand.New(rand.NewPCG(seed, 2)),
+		defect:      defect,
+		replicas:    map[uint64]*testReplica{},
+		partitioned: map[uint64]bool{},
+		unanswered:  map[uint64]int{},
 	}
 	for i := range size {
 		c.ids = append(c.ids, uint64(i+1))
@@ -96,7 +96,7 @@
 	c.replicas[r.id] = r
 }
 
-// running is a replica that is neither stopped nor paused, or nil.
+// running returns a replica, or nil if it is stopped or paused.
 func (c *cluster) running(id uint64) *testReplica {
 	r := c.replicas[id]
 	if r == nil || r.replica == nil || id == c.paused {
@@ -105,7 +105,7 @@
 	return r
 }
 
-// save puts a Ready on a disk.
+// save writes a Ready to a disk.
 func save(disk *PersistentState, ready Ready) {
 	if ready.Snapshot != nil {
 		disk.Snapshot = ready.Snapshot
@@ -122,7 +122,7 @@
 	}
 }
 
-// process lets a replica write, send and answer.
+// process writes a replica's pending state, sends its messages and records its responses.
 func (c *cluster) process(r *testReplica) {
 	for range 10 {
 		ready, ok := r.replica.Ready()
@@ -159,7 +159,7 @@
 	c.history[i].Return = c.step
 }
 
-// request asks a replica, which answers if it takes itself for the leader.
+// request sends a request to a random replica, which accepts it if it believes it is the leader.
 func (c *cluster) request() { c.requestAt(c.ids[c.rnd.IntN(len(c.ids))], c.rnd.IntN(3) == 0) }
 
 func (c *cluster) requestAt(id uint64, read bool) {
@@ -225,12 +225,12 @@
 	}
 }
 
-// deliver takes a message off the network and hands it over, or loses it.
+// deliver removes a message from the network and delivers or drops it.
 func (c *cluster) deliver(i int) {
 	message := c.network[i]
 	c.network = slices.Delete(c.network, i, i+1)
 	to := c.running(message.GetTo())
-	lost := to == nil || c.cut[message.GetFrom()] != c.cut[message.GetTo()] || c.rnd.IntN(40) == 0
+	lost := to == nil || c.partitioned[message.GetFrom()] != c.partitioned[message.GetTo()] || c.rnd.IntN(40) == 0
 	from := c.replicas[message.GetFrom()]
 	if message.GetType() == pb.MessageType_MsgSnap && from != nil && from.replica != nil {
 		from.replica.ReportSnapshot(message.GetTo(), !lost)
@@ -242,8 +242,8 @@
 	c.process(to)
 }
 
-// injectFault plays a loss of power, a router lost with its disk, a cut, or a leader's process that
-// stands still.
+// injectFault causes a random fault: a power loss, the loss of a router with its disk, a network
+// partition, or a pause of the leader's process.
 func (c *cluster) injectFault() {
 	id := c.ids[c.rnd.IntN(len(c.ids))]
 	switch c.rnd.IntN(4) {
@@ -252,12 +252,12 @@
 	case 1:
 		c.loseDisk(c.replicas[id])
 	case 2:
-		clear(c.cut)
+		clear(c.partitioned)
 		for _, other := range c.ids[:c.rnd.IntN(len(c.ids)/2+1)] {
-			c.cut[other] = true
+			c.partitioned[other] = true
 		}
 		c.run(60)
-		clear(c.cut)
+		clear(c.partitioned)
 	case 3:
 		c.pauseLeader(id)
 	}
@@ -270,11 +270,11 @@
 	c.start(r, nil)
 }
 
-// loseDisk stops a replica for good. A new one with an empty disk takes its place.
+// loseDisk stops a replica permanently. A new replica with an empty disk replaces it.
 func (c *cluster) loseDisk(r *testReplica) {
 	r.replica = nil
 	c.run(30)
-	if c.defect.keepsIDOfEmptyDisk {
+	if c.defect.reusesIDAfterDiskLoss {
 		c.start(&testReplica{id: r.id}, slices.Clone(c.ids))
 		return
 	}
@@ -285,8 +285,8 @@
 	c.replaceMember(r.id, added)
 }
 
-// pauseLeader pauses who leads, or the given replica where none does, and reads from it as soon as
-// it continues.
+// pauseLeader pauses the leader, or the given replica if there is no leader, and reads from it as
+// soon as it resumes.
 func (c *cluster) pauseLeader(id uint64) {
 	for _, other := range c.ids {
 		r := c.replicas[other]
@@ -305,7 +305,7 @@
 	}
 }
 
-// replaceMember adds a member and removes another, as a rebalancer at the leader would.
+// replaceMember adds one member and removes another, as the rebalancer of the leader does.
 func (c *cluster) replaceMember(removed, added uint64) {
 	for range 4000 {
 		c.run(1)
@@ -318,8 +318,8 @@
 	c.t.Fatal("the new member was not added")
 }
 
-// advanceReplacement proposes the next change of members where a replica leads, and says whether
-// none is left.
+// advanceReplacement proposes the next membership change if the replica leads, and reports whether
+// the replacement is complete.
 func (c *cluster) advanceReplacement(id, removed, added uint64) bool {
 	r := c.replicas[id]
 	if r == nil || r.replica == nil {
--- a/internal/replication/shard/proposal.go
+++ b/internal/replication/shard/proposal.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Propose appends a command to the shard's log. Its response comes from Advance once a majority of
-// the voters has it on disk.
+// Propose appends a command to the shard's log. Advance returns its response once a majority of the
+// voters has the command on disk.
 func (r *Replica) Propose(command statemachine.Command) error {
 	if !r.isLeader {
 		return ErrNotLeader
@@ -32,19 +32,20 @@
 	return nil
 }
 
-// pendingRead waits until the state is as new as it was when the read began.
+// pendingRead is a linearizable read that waits until the applied state has reached the commit
+// index at the start of the read.
 type pendingRead struct {
-	context       string // names the read to raft
-	index         uint64 // that has to be applied first, 0 until the leadership is confirmed
+	context       string // identifies the read in raft's ReadIndex
+	index         uint64 // read index that must be applied first; 0 until the leadership is confirmed
 	kind          statemachine.Kind
 	key           string
 	requester     string
 	requestNumber uint64
 }
 
-// Read asks for a reservation as it stands now. The response comes from Advance once a majority has
-// confirmed that this replica still leads, so that one that was stopped and still takes itself for
-// the leader answers nothing stale.
+// Read requests the current state of a reservation. Advance returns the response once a majority of
+// the voters has confirmed that this replica is still the leader. A former leader that was paused
+// and still believes it leads therefore returns no stale answer.
 func (r *Replica) Read(kind statemachine.Kind, key, requester string, requestNumber uint64) error {
 	if !r.isLeader {
 		return ErrNotLeader
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// confirmReads notes the index that each read has to wait for, now that the leadership is confirmed.
+// confirmReads records the read index of each read whose leadership check succeeded.
 func (r *Replica) confirmReads(confirmed []raft.ReadState) {
 	for _, c := range confirmed {
 		for i := range r.pendingReads {
@@ -73,7 +74,7 @@
 	}
 }
 
-// answerReads answers the confirmed reads whose index is applied.
+// answerReads answers the confirmed reads whose read index is applied.
 func (r *Replica) answerReads() {
 	r.pendingReads = slices.DeleteFunc(r.pendingReads, func(read pendingRead) bool {
 		if read.index == 0 || r.applied < read.index {
@@ -86,13 +87,13 @@
 	})
 }
 
-// Members are the replicas that have a vote, and the learners that are still catching up.
+// Members returns the voters, and the learners that are still catching up.
 func (r *Replica) Members() (voters, learners []uint64) {
 	return slices.Clone(r.members.GetVoters()), slices.Clone(r.members.GetLearners())
 }
 
-// ProposeConfChange adds a member, as a learner first and as a voter once it has caught up, or
-// where add is 0 removes one. One change is under way at a time.
+// ProposeConfChange adds a member, first as a learner and then, once it has caught up, as a voter.
+// If add is 0, it removes a member. Only one change may be in progress at a time.
 func (r *Replica) ProposeConfChange(add, remove uint64) error {
 	if !r.isLeader {
 		return ErrNotLeader
@@ -124,20 +125,21 @@
 	return ok && learnerHasCaughtUp(progress.Match, r.applied)
 }
 
-// learnerHasCaughtUp says whether a learner has nearly all that the leader has applied. With a vote before that, the
-// shard could need it for a majority and wait until it has the rest.
+// learnerHasCaughtUp reports whether a learner has nearly all entries that the leader has applied.
+// If it became a voter earlier, the shard could need its vote for a majority and block until it has
+// the rest.
 func learnerHasCaughtUp(match, applied uint64) bool {
 	return match > 0 && match+maxLearnerLag >= applied
 }
 
-// Lag is how many entries each member lacks as the leader knows it; empty where this replica does
-// not lead.
+// Lag returns the number of entries that each member lacks, as known to the leader. It is empty
+// unless this replica leads.
 func (r *Replica) Lag() map[uint64]uint64 {
 	lag := map[uint64]uint64{}
 	if !r.isLeader {
 		return lag
 	}
-	last, _ := r.storage.LastIndex() // of a memory storage, which does not fail
+	last, _ := r.storage.LastIndex() // MemoryStorage never returns an error here
 	for id, progress := range r.node.Status().Progress {
 		lag[id] = last - min(progress.Match, last)
 	}
--- a/internal/replication/shard/ready.go
+++ b/internal/replication/shard/ready.go
@@ -11,20 +11,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Ready is what has to be on disk before its messages are sent and its responses are given out.
+// Ready is the state that must be on disk before its messages are sent and its responses are
+// delivered.
 type Ready struct {
 	Shard     int
 	HardState *pb.HardState
 	Entries   []*pb.Entry
 	Snapshot  *pb.Snapshot
-	MustSync  bool // it has to outlast a loss of power
+	MustSync  bool // must survive a power loss
 	Messages  []*pb.Message
 
 	raft raft.Ready
 }
 
-// Ready gives what is to be written and sent, false for nothing. Advance has to follow before the
-// next Ready.
+// Ready returns the state to write and the messages to send, and false if there are
+// none. Advance must be called before the next Ready.
 func (r *Replica) Ready() (Ready, bool) {
 	if !r.node.HasReady() {
 		return Ready{}, false
@@ -45,12 +46,12 @@
 	return ready, true
 }
 
-// Advance says that a Ready is on disk, applies what was committed, and gives the responses that
-// follow from it.
+// Advance must be called once a Ready is on disk. It applies the committed entries and returns the
+// resulting responses.
 func (r *Replica) Advance(ready Ready) ([]Response, error) {
 	r.updateLeadership(ready.raft.SoftState)
 	if ready.Snapshot != nil {
-		if err := r.install(ready.Snapshot); err != nil {
+		if err := r.installSnapshot(ready.Snapshot); err != nil {
 			return nil, err
 		}
 	}
@@ -75,8 +76,8 @@
 	return responses, nil
 }
 
-// updateLeadership takes a change of leader. A replica that no longer leads drops its reads; their
-// requesters ask another one.
+// updateLeadership records a change of leader. A replica that is no longer the leader drops its
+// pending reads; their requesters retry at another replica.
 func (r *Replica) updateLeadership(soft *raft.SoftState) {
 	if soft == nil {
 		return
@@ -89,7 +90,7 @@
 	}
 }
 
-// apply carries out a committed entry.
+// apply applies a committed entry.
 func (r *Replica) apply(entry *pb.Entry) error {
 	r.applied = entry.GetIndex()
 	switch {
@@ -97,8 +98,8 @@
 		return r.applyConfChange(entry)
 	case entry.GetType() != pb.EntryType_EntryNormal:
 	case len(entry.GetData()) == 0:
-		// It is the first of a leader, or stands for a change of members that raft refused as one
-		// was under way.
+		// It is the first entry of a new leader, or replaces a membership change that raft rejected
+		// because another one was in progress.
 		r.pendingConfChanges = 0
 	default:
 		r.applyCommand(entry)
@@ -109,7 +110,7 @@
 func (r *Replica) applyCommand(entry *pb.Entry) {
 	command, err := statemachine.Decode(entry.GetData())
 	if err != nil {
-		return // of a later version: each replica of this version skips it
+		return // written by a later version: each replica of this version skips it
 	}
 	result := r.state.Apply(entry.GetIndex(), command)
 	if r.isLeader {
@@ -124,7 +125,7 @@
 	}
 	r.members = r.node.ApplyConfChange(&change)
 	r.pendingConfChanges = max(r.pendingConfChanges-1, 0)
-	// A new member takes only a snapshot that names it.
+	// A new member accepts only a snapshot that lists it as a member.
 	data, err := r.state.Snapshot()
 	if err == nil {
 		_, err = r.storage.CreateSnapshot(r.applied, r.members, data)
@@ -135,14 +136,15 @@
 	return nil
 }
 
-// snapshotIsDue says whether enough entries came since the last snapshot. Without one the log would grow without a
-// bound, and a restart would replay all of it.
+// snapshotIsDue reports whether snapshotInterval entries were applied since the last snapshot.
+// Without snapshots the log would grow without bound, and a restart would replay all of it.
 func snapshotIsDue(applied, lastSnapshot uint64) bool {
 	return applied >= lastSnapshot+snapshotInterval
 }
 
-// Compact makes a snapshot if one is due, and drops the entries before it from memory, else it returns nil. The
-// snapshot has to be on disk before the entries there are dropped.
+// Compact creates a snapshot if one is due and drops the entries before it from memory; otherwise
+// it returns nil. The snapshot must be on disk before the same entries are removed from the
+// write-ahead log.
 func (r *Replica) Compact() (*pb.Snapshot, error) {
 	if !snapshotIsDue(r.applied, r.snapshotIndex) {
 		return nil, nil
--- a/internal/replication/shard/replica.go
+++ b/internal/replication/shard/replica.go
@@ -1,14 +1,14 @@
-// Package shard is one replica of one shard: a raft state machine (go.etcd.io/raft/v3) over the
-// state of package statemachine.
+// Package shard implements one replica of one shard: a raft group member (go.etcd.io/raft/v3) that
+// replicates the state of package statemachine.
 //
-// A replica owns its raft log in memory, its state and its members. It does no I/O and has no
-// clock: Ready says what has to be written to disk and what has to be sent, in that order, and
-// Advance continues once that was done. A router has many replicas; what they want written is
-// written together, with one sync, by package wal.
+// A replica owns its raft log in memory, its state and its list of members. It does no I/O and has
+// no clock: Ready returns what has to be written to disk and then sent, in that order, and Advance
+// continues once that is done. A router has many replicas; package wal writes the pending state of
+// all of them together, with one sync.
 //
-// A replica's ID is drawn when its router's folder is made (package wal), so that it names a disk
-// and not a router. A router that comes back with an empty disk is another replica, which has no
-// vote until it was added as a member.
+// A replica's ID is drawn when its router's folder is created (package wal), so it identifies a
+// disk and not a router. A router that returns with an empty disk is a new replica, which has no
+// vote until it has been added as a member.
 package shard
 
 import (
@@ -29,28 +29,29 @@
 const TickSeconds = 0.05
 
 const (
-	// electionTicks of silence lead to an election. Raft draws one to two times as many, 0.5 to 1 s.
+	// electionTicks is the number of ticks without a message from the leader before an election.
+	// Raft randomizes it to one to two times this value, 0.5 to 1 s.
 	electionTicks = 10
 
-	heartbeatTicks      = 2       // between a leader's heartbeats
-	maxInflightMessages = 64      // under way to a replica
-	maxMessageBytes     = 1 << 18 // of entries in a message
-	maxUncommittedBytes = 4 << 20 // of entries; beyond it a proposal is refused with ErrBusy
-	snapshotInterval    = 4096    // entries between two snapshots
-	trailingEntries     = 512     // that stay in memory after a snapshot: a replica that lags a little needs none
-	maxLearnerLag       = 128     // entries that a learner may lack when it gets its vote
+	heartbeatTicks      = 2       // ticks between a leader's heartbeats
+	maxInflightMessages = 64      // append messages in flight to a replica
+	maxMessageBytes     = 1 << 18 // bytes of entries in a message
+	maxUncommittedBytes = 4 << 20 // bytes of uncommitted entries; above it proposals are rejected with ErrBusy
+	snapshotInterval    = 4096    // entries between snapshots
+	trailingEntries     = 512     // entries retained in memory after a snapshot, for replicas that lag slightly
+	maxLearnerLag       = 128     // entries that a learner may lack when it becomes a voter
 )
 
-// Errors of proposals and reads. After either nothing was written.
+// Errors of proposals and reads. After either one, nothing was written.
 var (
 	ErrNotLeader = errors.New("another replica leads the shard")
 	ErrBusy      = errors.New("shard is busy")
 )
 
-// PersistentState is what of a replica is on disk: where it was when it ended.
+// PersistentState is the state of a replica on disk, from which it is restored.
 type PersistentState struct {
 	HardState *pb.HardState
-	Snapshot  *pb.Snapshot // nil for none
+	Snapshot  *pb.Snapshot // nil if there is none
 	Entries   []*pb.Entry
 }
 
@@ -58,14 +59,14 @@
 	return p.HardState == nil && p.Snapshot == nil && len(p.Entries) == 0
 }
 
-// Response is the result of a command or read that was proposed at this replica.
+// Response is the result of a command or read that was submitted to this replica.
 type Response struct {
 	Requester     string
 	RequestNumber uint64
 	Result        statemachine.Result
 }
 
-// Replica is one replica of a shard. It belongs to one goroutine.
+// Replica is one replica of a shard. It is not safe for concurrent use.
 type Replica struct {
 	shard   int
 	id      uint64
@@ -74,10 +75,10 @@
 	state   *statemachine.State
 	members *pb.ConfState
 
-	applied       uint64 // index of the last entry in state
-	snapshotIndex uint64 // of the last snapshot
+	applied       uint64 // index of the last entry applied to state
+	snapshotIndex uint64 // index of the last snapshot
 	isLeader      bool
-	leader        uint64 // 0 while unknown
+	leader        uint64 // 0 if unknown
 
 	pendingConfChanges int
 	pendingReads       []pendingRead
@@ -85,11 +86,11 @@
 	responses          []Response
 }
 
-// quiet discards raft's log lines, which say nothing that the counters and the caller's log do not.
-var quiet = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
+// discardLogger discards raft's log lines. They add nothing to the counters and the caller's log.
+var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
-// New makes a replica from what is on disk. With nothing on disk and voters given it begins the
-// shard as one of them.
+// New restores a replica from its state on disk. If that state is empty and voters are given, it
+// creates the shard with these initial voters.
 func New(shard int, id uint64, saved PersistentState, voters []uint64) (*Replica, error) {
 	r := &Replica{
 		shard:   shard,
@@ -102,7 +103,7 @@
 		saved.Snapshot = InitialSnapshot(voters)
 	}
 	if saved.Snapshot != nil {
-		if err := r.install(saved.Snapshot); err != nil {
+		if err := r.installSnapshot(saved.Snapshot); err != nil {
 			return nil, err
 		}
 	}
@@ -125,7 +126,7 @@
 		MaxUncommittedEntriesSize: maxUncommittedBytes,
 		CheckQuorum:               true,
 		PreVote:                   true,
-		Logger:                    quiet,
+		Logger:                    discardLogger,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("shard %d: start raft: %w", shard, err)
@@ -134,7 +135,8 @@
 	return r, nil
 }
 
-// InitialSnapshot is the snapshot with which a shard begins at its first voters, the same at each.
+// InitialSnapshot returns the snapshot with which the initial voters create a shard. It is the same
+// at each of them.
 func InitialSnapshot(voters []uint64) *pb.Snapshot {
 	data, err := statemachine.New().Snapshot()
 	if err != nil {
@@ -150,8 +152,8 @@
 	}
 }
 
-// install takes a snapshot as the replica's state.
-func (r *Replica) install(snapshot *pb.Snapshot) error {
+// installSnapshot replaces the replica's state by a snapshot.
+func (r *Replica) installSnapshot(snapshot *pb.Snapshot) error {
 	state, err := statemachine.Restore(snapshot.GetData())
 	if err != nil {
 		return fmt.Errorf("shard %d: restore snapshot: %w", r.shard, err)
@@ -167,25 +169,27 @@
 	return nil
 }
 
-// Shard is the number of the replica's shard.
+// Shard returns the number of the replica's shard.
 func (r *Replica) Shard() int { return r.shard }
 
-// State is the state as this replica has it. Only a read is sure to see the newest.
+// State returns the local state, which may be stale. Only Read is guaranteed to see the newest
+// state.
 func (r *Replica) State() *statemachine.State { return r.state }
 
-// Leadership says whether this replica leads, and which replica does as far as it knows, 0 for none.
+// Leadership reports whether this replica is the leader, and returns the ID of the leader, or 0 if
+// it is unknown.
 func (r *Replica) Leadership() (isLeader bool, leader uint64) { return r.isLeader, r.leader }
 
-// Tick lets TickSeconds pass.
+// Tick advances the logical clock by TickSeconds.
 func (r *Replica) Tick() { r.node.Tick() }
 
-// Step takes a message of another replica. Raft ignores one that does not fit its state.
+// Step processes a message of another replica. Raft ignores a message that does not fit its state.
 func (r *Replica) Step(message *pb.Message) { _ = r.node.Step(message) }
 
-// ReportUnreachable says that a message could not be sent to a replica.
+// ReportUnreachable notifies raft that a message to a replica could not be sent.
 func (r *Replica) ReportUnreachable(id uint64) { r.node.ReportUnreachable(id) }
 
-// ReportSnapshot says how the sending of a snapshot ended.
+// ReportSnapshot notifies raft whether a snapshot was sent to a replica.
 func (r *Replica) ReportSnapshot(id uint64, sent bool) {
 	status := raft.SnapshotFinish
 	if !sent {
--- a/internal/replication/shard/replica_test.go
+++ b/internal/replication/shard/replica_test.go
@@ -14,8 +14,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// playFaults plays a number of faults and checks the answers that clients got.
-func playFaults(t *testing.T, seed uint64, faults int, defect defect) (linearizable bool, c *cluster) {
+// runWithFaults injects a number of faults and checks whether the recorded history is linearizable.
+func runWithFaults(t *testing.T, seed uint64, faults int, defect defect) (linearizable bool, c *cluster) {
 	t.Helper()
 	c = newCluster(t, seed, 3+2*int(seed%2), defect)
 	c.run(200)
@@ -26,12 +26,12 @@
 	return history.Linearizable(c.history, 20*time.Second), c
 }
 
-// TestHistoriesAreLinearizable plays losses of power, routers lost with their disks and cuts, and
-// checks the answers that clients got.
+// TestHistoriesAreLinearizable injects power losses, losses of routers with their disks, and
+// network partitions, and checks that the answers that clients got are linearizable.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	answered, requested := 0, 0
 	for seed := range uint64(12) {
-		linearizable, c := playFaults(t, seed, 6, defect{})
+		linearizable, c := runWithFaults(t, seed, 6, defect{})
 		assert.True(t, linearizable, "seed %d", seed)
 		for _, operation := range c.history {
 			requested++
@@ -46,36 +46,38 @@
 	assert.Greater(t, answered, requested/2)
 }
 
-// isFound says whether a seed's history shows a defect, or raft panics because of it.
-func isFound(t *testing.T, seed uint64, defect defect) (found bool) {
+// detectsDefect reports whether the history of a seed reveals a defect, or raft panics because of
+// it.
+func detectsDefect(t *testing.T, seed uint64, defect defect) (found bool) {
 	t.Helper()
 	defer func() {
 		if recover() != nil {
 			found = true
 		}
 	}()
-	linearizable, _ := playFaults(t, seed, 8, defect)
+	linearizable, _ := runWithFaults(t, seed, 8, defect)
 	return !linearizable
 }
 
-// TestDefectsAreFound: a vote after the disk was emptied, a read without a quorum, an
+// TestInjectedDefectsAreDetected injects three defects, which the checks must detect: a replica
+// that votes with its old ID after its disk was emptied, a read without a quorum, and an
 // acknowledgement before the sync.
-func TestDefectsAreFound(t *testing.T) {
+func TestInjectedDefectsAreDetected(t *testing.T) {
 	for name, defect := range map[string]defect{
-		"keeps its ID with an empty disk": {keepsIDOfEmptyDisk: true},
-		"reads without a quorum":          {readsWithoutQuorum: true},
-		"sends before the sync":           {sendsBeforeSync: true},
+		"reuses its ID with an empty disk": {reusesIDAfterDiskLoss: true},
+		"reads without a quorum":           {readsWithoutQuorum: true},
+		"sends before the sync":            {sendsBeforeSync: true},
 	} {
 		found := false
 		for seed := uint64(100); seed < 160 && !found; seed++ {
-			found = isFound(t, seed, defect)
+			found = detectsDefect(t, seed, defect)
 		}
 		assert.True(t, found, name)
 	}
 }
 
-// proposeAtLeaders proposes a reservation of a new key at each replica that leads, up to a number
-// of requests.
+// proposeAtLeaders proposes a reservation of a new key at each replica that is the leader, until
+// lastRequest reaches the limit.
 func (c *cluster) proposeAtLeaders(limit uint64) {
 	for _, id := range c.ids {
 		replica := c.replicas[id].replica
@@ -95,7 +97,7 @@
 	}
 }
 
-// compactAll lets each replica compact its log and saves the snapshots.
+// compactAll compacts the log of each replica and saves the snapshots.
 func (c *cluster) compactAll() {
 	for _, id := range c.ids {
 		r := c.replicas[id]
@@ -111,9 +113,9 @@
 	}
 }
 
-// TestNewMemberCatchesUpBySnapshot replaces a replica after the log was compacted. The entries that the new one
-// lacks are gone, and without a snapshot it would wait for ever. It must get the snapshot and hold as many
-// reservations as the others.
+// TestNewMemberCatchesUpBySnapshot replaces a replica after the log was compacted. The entries that
+// the new replica lacks are gone, so without a snapshot it would wait forever. It must receive the
+// snapshot and hold as many reservations as the others.
 func TestNewMemberCatchesUpBySnapshot(t *testing.T) {
 	c := newCluster(t, 5, 3, defect{})
 	c.run(300)
--- a/internal/replication/shard/trace_test.go
+++ b/internal/replication/shard/trace_test.go
@@ -12,11 +12,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// goldenTrace is the SHA-256 of the trace as an earlier version wrote it.
+// goldenTrace is the SHA-256 of the trace that an earlier version wrote.
 const goldenTrace = "7b277ae6f3debce7ff48588b3461bd7a0da367582afc393341ea1b9ef4273e1e"
 
-// TestTraceOfSeededScript plays faults drawn from a seed and compares all that the replicas wanted
-// written, sent and answered by hash.
+// TestTraceOfSeededScript injects faults drawn from a fixed seed, and compares the hash of
+// everything that the replicas wrote, sent and answered.
 func TestTraceOfSeededScript(t *testing.T) {
 	before := crand.Reader
 	t.Cleanup(func() { crand.Reader = before })
