--- a/internal/replication/reservation/actions.go
+++ b/internal/replication/reservation/actions.go
@@ -6,63 +6,64 @@
 	"cairnfront/internal/replication/statemachine"
 )
 
-// RequestID names a client's request within this router.
+// RequestID identifies a client's request within this router.
 type RequestID string
 
-// Attempt is an attempt of an idempotency-keyed request that the routing decisions want to send.
+// Attempt is an attempt of an idempotency-keyed request that the routing module wants to send.
 type Attempt struct {
 	RequestID      RequestID
-	Index          int // of the attempt within its request
+	Index          int // index of the attempt within its request
 	Key            string
-	Group          string  // of endpoints that drop a repeated key
-	WindowSeconds  float64 // for which the group drops a repeat
-	Deadline       float64 // of the request, in seconds of the core's clock
+	Group          string  // group of endpoints that drop repeats of a key
+	WindowSeconds  float64 // how long the group drops repeats
+	Deadline       float64 // deadline of the request, in seconds on the core's clock
 	PriorityWeight float64
 }
 
-// Outcome is how a keyed request ended.
+// Outcome is the outcome of a keyed request.
 type Outcome uint8
 
 // The outcomes of a keyed request.
 const (
 	OutcomeUnknown     Outcome = iota // an attempt may have run
 	OutcomeCompleted                  // an attempt ran and was answered
-	OutcomeNotExecuted                // each attempt that was allowed surely did not run
+	OutcomeNotExecuted                // every allowed attempt certainly did not run
 )
 
-// Action is what the caller has to carry out.
+// Action is an action that the caller must carry out.
 type Action interface{ isAction() }
 
-// SubmitCommand proposes a command to the shard of its key. The result of a reservation goes back
-// to Core.HandleResult by its number, or never comes.
+// SubmitCommand proposes a command to the shard of its key. The result of a reservation is passed
+// to Core.HandleResult with the same number, unless it is lost.
 type SubmitCommand struct {
-	Number  uint64 // 0 where the result is not wanted
+	Number  uint64 // 0 if no result is expected
 	Command statemachine.Command
-	Retry   int // 0 for the first submission; a later one goes to another replica
+	Retry   int // 0 for the first submission; a retry is sent to another replica
 }
 
-// AllowAttempt lets an attempt be sent.
+// AllowAttempt allows an attempt to be sent.
 type AllowAttempt struct {
 	RequestID RequestID
 	Index     int
 }
 
-// DenyAttempt ends an attempt that was not sent, which therefore did not run.
+// DenyAttempt ends an attempt that was not sent and therefore did not run.
 type DenyAttempt struct {
 	RequestID RequestID
 	Index     int
 }
 
-// ReportLocation gives the routing decisions the group in which the request's key was attempted before.
+// ReportLocation reports to the routing module the group in which an earlier attempt of the
+// request's key may have run.
 type ReportLocation struct {
 	RequestID RequestID
 	Group     string
-	ExpiresAt float64 // end of the group's window, in seconds of the core's clock
+	ExpiresAt float64 // end of the group's window, in seconds on the core's clock
 	Completed bool    // the earlier attempt ran and was answered
 }
 
-// RejectRequest answers a request whose attempt was denied because its key's location could not be
-// learned. Nothing ran.
+// RejectRequest rejects a request whose attempt was denied because the location of its key could
+// not be determined. No attempt ran.
 type RejectRequest struct {
 	RequestID         RequestID
 	RetryAfterSeconds float64
@@ -75,20 +76,20 @@
 func (ReportLocation) isAction() {}
 func (RejectRequest) isAction()  {}
 
-// RejectReason is why a request was rejected.
+// RejectReason is the reason for rejecting a request.
 type RejectReason uint8
 
-// The reasons of a rejection.
+// The reasons for a rejection.
 const (
-	ReasonUnreachable    RejectReason = iota + 1 // no replica can be asked
-	ReasonTooLittleTime                          // the deadline is too near for a reservation
-	ReasonTooManyPending                         // as many reservations of at least the same weight are pending
-	ReasonDisplaced                              // a reservation of more weight took its place
-	ReasonNoResult                               // the shard did not answer before the deadline
-	ReasonResultTooLate                          // the result left too little time for the attempt
+	ReasonUnreachable    RejectReason = iota + 1 // no replica can be reached
+	ReasonTooLittleTime                          // too little time before the deadline for a reservation
+	ReasonTooManyPending                         // too many pending reservations, none of lower weight
+	ReasonDisplaced                              // displaced by a reservation with a higher weight
+	ReasonNoResult                               // no result from the shard before the deadline
+	ReasonResultTooLate                          // the result came too late for an attempt before the deadline
 )
 
-// String is the reason's text in logs and responses.
+// String returns the reason as it appears in logs and responses.
 func (r RejectReason) String() string {
 	switch r {
 	case ReasonUnreachable:
--- a/internal/replication/reservation/core.go
+++ b/internal/replication/reservation/core.go
@@ -1,14 +1,15 @@
-// Package reservation decides what a router has to know before it sends an attempt of an
-// idempotency-keyed request.
+// Package reservation decides whether a router may send an attempt of an idempotency-keyed request.
 //
-// An attempt is allowed once the key's shard has recorded in which group of endpoints it may run.
-// Where an earlier attempt of the key is recorded in another group, the attempt is denied and the
-// routing decisions hear of that group. Requests without an idempotency key never come here.
+// An attempt is allowed once the key's shard has recorded the group of endpoints in which it may
+// run. If an earlier attempt of the key is recorded in another group, the attempt is denied and
+// that group is reported to the routing module. Requests without an idempotency key do not use this
+// package.
 //
-// The package owns the pending reservations and a bounded memory of what became of earlier ones. It
-// does no I/O and has no clock: commands go out as actions, results come back as events, and the
-// caller's event loop never waits. A router keeps the rule that no request runs twice for its own
-// attempts alone; this package adds what the attempts of other routers may have done.
+// The package owns the pending reservations and a bounded cache of the known locations of earlier
+// attempts. It does no I/O and has no clock: commands are returned as actions, results are passed
+// in as events, and the caller's event loop never blocks. A router alone ensures only for its own
+// attempts that no request runs twice; this package also accounts for the attempts of other
+// routers.
 package reservation
 
 import (
@@ -18,26 +19,26 @@
 	"cairnfront/internal/replication/statemachine"
 )
 
-// Config is what an installation may change.
+// Config configures a Core.
 type Config struct {
-	MaxPending int // reservations that may wait for a result
-	// ProceedWhenUnavailable sends attempts without a reservation while no replica can be reached.
-	// The price is that a request may run twice if a router is lost meanwhile.
+	MaxPending int // maximum number of reservations without a result
+	// ProceedWhenUnavailable allows attempts without a reservation while no replica can be reached.
+	// A request may then run twice if a router fails in that time.
 	ProceedWhenUnavailable bool
 }
 
 const (
-	// attemptSeconds is what an attempt needs before its request's deadline.
+	// attemptSeconds is the time that an attempt needs before its request's deadline.
 	attemptSeconds = 0.15
-	// startCountNumberBits is how far the start count is shifted, so that the numbers of two runs of a
-	// router differ.
+	// startCountNumberBits is how far the start count is shifted left in reservation numbers, so
+	// that the numbers of two runs of a router differ.
 	startCountNumberBits = 20
 	// rndStream separates the core's random numbers from others drawn from the same seed.
 	rndStream = 0xc1a1
 )
 
-// Core holds a router's reservations. It belongs to one goroutine. A pending reservation takes
-// about 300 bytes, a remembered key 120 and an abandoned reservation 100.
+// Core manages a router's reservations. It is not safe for concurrent use. A pending reservation
+// takes about 300 bytes, a remembered key 120 and an abandoned reservation 100.
 type Core struct {
 	config     Config
 	router     string
@@ -46,25 +47,26 @@
 	reachable  bool
 
 	pending      map[uint64]*pendingReservation
-	pendingByKey map[string]*pendingReservation // at most one a key; later attempts of the key join it
-	// abandoned holds those given up without a result. One that is granted later is settled as not executed.
+	pendingByKey map[string]*pendingReservation // at most one per key; later attempts of the key join it
+	// abandoned has the reservations that were abandoned without a result. If one is granted later,
+	// it is settled as not executed.
 	abandoned map[uint64]keyGroup
 
 	locations     map[string]location
-	locationOrder []string // keys of locations, oldest first
+	locationOrder []string // keys of locations, in insertion order
 
 	actions []Action
 
 	// Counters for operators.
 	Granted         int // reservations on which an attempt was allowed
-	AlreadyReserved int // reservations that met an earlier one in another group, or a completed one
-	Denied          int // attempts
-	Shed            int // reservations refused or displaced as too many were pending
-	Expired         int // reservations whose deadline passed first
+	AlreadyReserved int // reservations denied because the key is reserved for another group, or completed
+	Denied          int // denied attempts
+	Shed            int // reservations rejected or displaced because too many were pending
+	Expired         int // reservations whose deadline passed before an attempt was allowed
 }
 
-// New makes the core of a router. By the start count its reservations differ from those of the
-// router's earlier runs.
+// New returns the core of a router. The start count makes the numbers of its reservations differ
+// from those of the router's earlier runs.
 func New(config Config, router string, seed, startCount uint64) *Core {
 	return &Core{
 		config:       config,
@@ -78,7 +80,7 @@
 	}
 }
 
-// takeActions hands out the actions gathered since the last call.
+// takeActions returns the actions emitted since the last call.
 func (c *Core) takeActions() []Action {
 	actions := c.actions
 	c.actions = nil
@@ -87,8 +89,8 @@
 
 func (c *Core) emit(action Action) { c.actions = append(c.actions, action) }
 
-// SetReachable says whether replicas can be asked: the partition state allows it, and a replica is
-// connected.
+// SetReachable sets whether replicas can be reached: the partition state allows it, and a replica
+// is connected.
 func (c *Core) SetReachable(now float64, reachable bool) []Action {
 	if c.reachable == reachable {
 		return nil
@@ -102,11 +104,12 @@
 	return c.takeActions()
 }
 
-// leavesTime says whether an attempt that is sent now can be answered before its request's deadline.
-func leavesTime(now, deadline float64) bool { return now+attemptSeconds <= deadline }
+// hasTimeForAttempt reports whether an attempt that is sent now can be answered before its
+// request's deadline.
+func hasTimeForAttempt(now, deadline float64) bool { return now+attemptSeconds <= deadline }
 
-// RequestAttempt takes an attempt that the routing decisions want to send. It is allowed or denied
-// at once, or later.
+// RequestAttempt requests permission for an attempt that the routing module wants to send. The
+// attempt is allowed or denied either immediately or by later actions.
 func (c *Core) RequestAttempt(now float64, attempt Attempt) []Action {
 	switch {
 	case c.decideByLocation(now, attempt):
@@ -115,7 +118,7 @@
 		c.emit(AllowAttempt{attempt.RequestID, attempt.Index})
 	case !c.reachable:
 		c.rejectAttempt(attempt, ReasonUnreachable)
-	case !leavesTime(now, attempt.Deadline):
+	case !hasTimeForAttempt(now, attempt.Deadline):
 		c.rejectAttempt(attempt, ReasonTooLittleTime)
 	default:
 		c.reserve(now, attempt)
@@ -123,7 +126,8 @@
 	return c.takeActions()
 }
 
-// decideByLocation decides an attempt whose key's location is known, and says whether it did.
+// decideByLocation allows or denies an attempt if the location of its key is sufficient to decide,
+// and reports whether it did.
 func (c *Core) decideByLocation(now float64, attempt Attempt) bool {
 	known, ok := c.locations[attempt.Key]
 	if !ok {
@@ -143,15 +147,15 @@
 	return false
 }
 
-// joinPending lets an attempt wait for a pending reservation of its key, or denies it where that is
-// for another group. It says whether there is one.
+// joinPending adds an attempt to the pending reservation of its key, or denies it if that
+// reservation is for another group. It reports whether the key has a pending reservation.
 func (c *Core) joinPending(now float64, attempt Attempt) bool {
 	p := c.pendingByKey[attempt.Key]
 	if p == nil {
 		return false
 	}
 	if p.Group == attempt.Group {
-		p.waiters = append(p.waiters, waiterOf(attempt))
+		p.waiters = append(p.waiters, newWaiter(attempt))
 		return true
 	}
 	c.deny(attempt.RequestID, attempt.Index)
@@ -159,8 +163,8 @@
 	return true
 }
 
-// HandleResult takes the result of a submitted reservation. A reservation that was submitted twice
-// may have two results.
+// HandleResult processes the result of a submitted reservation. A reservation that was submitted
+// twice may have two results.
 func (c *Core) HandleResult(now float64, number uint64, result statemachine.Result) []Action {
 	p := c.pending[number]
 	switch {
@@ -176,9 +180,9 @@
 	return c.takeActions()
 }
 
-// settleAbandoned settles a reservation that was granted after it was given up: no attempt was sent
-// on it, and none will be. Without this the key would be held for its group until its window ends,
-// and a retry of the client at another group would be denied.
+// settleAbandoned settles a reservation that was granted after it was abandoned. No attempt was or
+// will be sent on it. Without this, the key would stay reserved for its group until its window
+// ends, and a retry of the client in another group would be denied.
 func (c *Core) settleAbandoned(number uint64, result statemachine.Result) {
 	reserved, ok := c.abandoned[number]
 	if !ok || !result.Granted {
@@ -188,7 +192,7 @@
 	c.settle(reserved, number, statemachine.StatusNotExecuted)
 }
 
-// allowWaiters lets the attempts go that waited for a granted reservation, except those whose
+// allowWaiters allows the attempts that waited for a granted reservation, except those whose
 // deadline is too near.
 func (c *Core) allowWaiters(now float64, p *pendingReservation, result statemachine.Result) {
 	granted := location{
@@ -199,7 +203,7 @@
 	}
 	var late []waiter
 	for _, w := range p.waiters {
-		if !leavesTime(now, w.deadline) {
+		if !hasTimeForAttempt(now, w.deadline) {
 			late = append(late, w)
 			continue
 		}
@@ -218,8 +222,8 @@
 	c.remember(p.Key, granted)
 }
 
-// denyWaiters denies the attempts whose reservation met an earlier one, and reports its group once
-// a request.
+// denyWaiters denies the attempts of a reservation that an earlier one blocked, and reports the
+// group of the earlier one once per request.
 func (c *Core) denyWaiters(now float64, p *pendingReservation, result statemachine.Result) {
 	c.AlreadyReserved++
 	earlier := result.Reservation
@@ -241,12 +245,13 @@
 	}
 }
 
-// remainingSeconds is what was left of the reservation's window when the leader looked. Only the
-// leader's clock counts, so the span is used and not the end's time.
+// remainingSeconds returns the rest of the reservation's window when the leader computed the
+// result. Only the leader's clock is valid for it, so the duration is used and not the time of its
+// end.
 func remainingSeconds(result statemachine.Result) float64 { return max(result.RemainingSeconds, 0) }
 
-// RequestEnded takes the outcome of a keyed request. An outcome of OutcomeNotExecuted speaks for
-// all attempts that were allowed.
+// RequestEnded processes the outcome of a keyed request. OutcomeNotExecuted applies to all attempts
+// that were allowed.
 func (c *Core) RequestEnded(request RequestID, key string, outcome Outcome) []Action {
 	c.removeWaiters(request, key)
 	known, ok := c.locations[key]
@@ -265,11 +270,11 @@
 	return c.takeActions()
 }
 
-// Tick submits reservations again that have no result, and abandons those whose deadline is too near.
+// Tick resubmits reservations without a result, and abandons those whose deadline is too near.
 func (c *Core) Tick(now float64) []Action {
 	for _, p := range c.pendingInOrder() {
 		switch {
-		case !leavesTime(now, p.Deadline):
+		case !hasTimeForAttempt(now, p.Deadline):
 			c.Expired++
 			c.abandon(p)
 			c.rejectWaiters(p.waiters, ReasonNoResult)
@@ -280,7 +285,7 @@
 	return c.takeActions()
 }
 
-// NextTick is when Tick has to be called next, 0 for never.
+// NextTick returns the time at which Tick must be called next, or 0 if no reservation is pending.
 func (c *Core) NextTick() (at float64) {
 	for _, p := range c.pending {
 		due := min(p.resubmitAt, p.Deadline-attemptSeconds)
@@ -291,5 +296,5 @@
 	return at
 }
 
-// PendingCount is the number of reservations without a result.
+// PendingCount returns the number of reservations without a result.
 func (c *Core) PendingCount() int { return len(c.pending) }
--- a/internal/replication/reservation/core_test.go
+++ b/internal/replication/reservation/core_test.go
@@ -17,7 +17,7 @@
 	return c
 }
 
-// attemptOf is an attempt of key "k".
+// attemptOf returns an attempt of key "k".
 func attemptOf(request RequestID, index int, group string) Attempt {
 	return Attempt{
 		RequestID:      request,
@@ -30,7 +30,7 @@
 	}
 }
 
-// submitted finds the command among actions.
+// submitted returns the first submitted command in a list of actions.
 func submitted(t *testing.T, actions []Action) SubmitCommand {
 	t.Helper()
 	for _, action := range actions {
@@ -56,15 +56,16 @@
 	return result
 }
 
-// TestAttemptIsAllowedOnceItsLocationIsReserved plays a request from its first attempt to its end. An attempt before
-// its location is reserved may run a second time elsewhere. Each attempt must wait for a grant, further ones of the
-// group need no second one, and another group is denied.
+// TestAttemptIsAllowedOnceItsLocationIsReserved runs a request from its first attempt to its end.
+// An attempt that is sent before its location is reserved may run a second time elsewhere. Each
+// attempt must wait for a grant, further attempts in the same group need no second grant, and
+// another group is denied.
 func TestAttemptIsAllowedOnceItsLocationIsReserved(t *testing.T) {
 	c := reachableCore()
 	first := submitted(t, c.RequestAttempt(0, attemptOf("t", 0, "g")))
 	assert.Equal(t, statemachine.OpReserve, first.Command.Op)
 	assert.Equal(t, []Action{AllowAttempt{"t", 0}}, c.HandleResult(0.01, first.Number, granted("g")))
-	assert.Empty(t, c.HandleResult(0.02, first.Number, granted("g")), "a result that comes twice")
+	assert.Empty(t, c.HandleResult(0.02, first.Number, granted("g")), "a duplicate result has no effect")
 	assert.Equal(t, []Action{AllowAttempt{"t", 1}}, c.RequestAttempt(0.5, attemptOf("t", 1, "g")),
 		"a further attempt in the same group needs no second reservation")
 	actions := c.RequestAttempt(0.6, attemptOf("t", 2, "other"))
@@ -76,8 +77,9 @@
 	assert.Contains(t, c.RequestAttempt(1.5, attemptOf("u", 0, "g")), Action(ReportLocation{"u", "g", 6.01, true}))
 }
 
-// TestEarlierAttemptInAnotherGroupIsReported asks for a key that another router reserved for another group. An
-// attempt would run a second time. It must be denied, and the group in which the key is known must be reported.
+// TestEarlierAttemptInAnotherGroupIsReported requests a key that another router reserved for
+// another group. The attempt would run the request a second time. It must be denied, and the
+// reserved group must be reported.
 func TestEarlierAttemptInAnotherGroupIsReported(t *testing.T) {
 	c := reachableCore()
 	first := submitted(t, c.RequestAttempt(0, attemptOf("t", 0, "g2")))
@@ -87,9 +89,9 @@
 	assert.Equal(t, []Action{AllowAttempt{"t", 1}}, c.HandleResult(0.2, first.Number, granted("g1")))
 }
 
-// TestSecondRequestOfAKeyJoinsThePendingReservation has two requests of one key arrive while the reservation is
-// under way. Two reservations would double the load at the moment of a storm. The second request must wait for the
-// first one's result.
+// TestSecondRequestOfAKeyJoinsThePendingReservation sends two requests with the same key while the
+// reservation is pending. Two reservations would double the load during a retry storm. The second
+// request must wait for the result of the first one.
 func TestSecondRequestOfAKeyJoinsThePendingReservation(t *testing.T) {
 	c := reachableCore()
 	first := submitted(t, c.RequestAttempt(0, attemptOf("t", 0, "g")))
@@ -100,8 +102,9 @@
 	assert.Equal(t, []Action{AllowAttempt{"t", 0}, AllowAttempt{"u", 1}}, actions)
 }
 
-// TestSharedReservationIsSettledOnceBothRequestsWereNotExecuted ends two requests that share a reservation. Settled
-// after the first one, the key would be free while the other's attempt may have run. It must be settled after both.
+// TestSharedReservationIsSettledOnceBothRequestsWereNotExecuted ends two requests that share a
+// reservation. If it were settled after the first request, the key would be free while the other
+// request's attempt may have run. It must be settled only after both.
 func TestSharedReservationIsSettledOnceBothRequestsWereNotExecuted(t *testing.T) {
 	c := reachableCore()
 	first := submitted(t, c.RequestAttempt(0, attemptOf("t", 0, "g")))
@@ -112,10 +115,11 @@
 	assert.Equal(t, statemachine.StatusNotExecuted, settled.Command.Status)
 }
 
-// TestNothingIsAllowedWhileUnreachable asks for an attempt while no replica can be reached. An attempt without a
-// reservation may run twice; an error without a time has all clients return at once. It must be denied with a time
-// to return, unless the installation prefers to proceed.
-func TestNothingIsAllowedWhileUnreachable(t *testing.T) {
+// TestAttemptIsDeniedWhileUnreachable requests an attempt while no replica can be reached. An
+// attempt without a reservation may run twice; an error without a retry time would make all clients
+// retry at the same time. The attempt must be denied with a retry time, unless
+// ProceedWhenUnavailable is set.
+func TestAttemptIsDeniedWhileUnreachable(t *testing.T) {
 	c := reachableCore()
 	c.SetReachable(0, false)
 	actions := c.RequestAttempt(0, attemptOf("t", 0, "g"))
@@ -128,17 +132,18 @@
 	assert.LessOrEqual(t, rejected.RetryAfterSeconds, maxRetryAfterSeconds)
 	c.config.ProceedWhenUnavailable = true
 	assert.Equal(t, []Action{AllowAttempt{"t", 0}}, c.RequestAttempt(0, attemptOf("t", 0, "g")),
-		"an installation may prefer to proceed")
+		"ProceedWhenUnavailable allows the attempt")
 }
 
-// TestReservationWithoutResultIsResubmittedAndThenAbandoned loses the result of a reservation. A client would wait
-// past its deadline, and a late grant would hold the key though no attempt was sent. The command must be submitted
-// again unchanged, then given up, and a late grant settled as not executed.
+// TestReservationWithoutResultIsResubmittedAndThenAbandoned loses the result of a reservation.
+// Otherwise the client would wait past its deadline, and a late grant would reserve the key
+// although no attempt was sent. The command must be resubmitted unchanged and then abandoned, and a
+// late grant settled as not executed.
 func TestReservationWithoutResultIsResubmittedAndThenAbandoned(t *testing.T) {
 	c := reachableCore()
 	first := submitted(t, c.RequestAttempt(0, attemptOf("t", 0, "g")))
 	second := submitted(t, c.Tick(0.4))
-	assert.Equal(t, first.Command, second.Command, "the same command: it is carried out once")
+	assert.Equal(t, first.Command, second.Command, "a resubmission repeats the same command")
 	assert.Equal(t, 1, second.Retry)
 	actions := c.Tick(2.9)
 	assert.Contains(t, actions, Action(DenyAttempt{"t", 0}))
@@ -148,8 +153,9 @@
 	assert.Empty(t, c.HandleResult(2.96, first.Number, granted("g")))
 }
 
-// TestReservationOfCancelledRequestIsSettledAsNotExecuted cancels a request while its reservation is under way.
-// Without a settlement the key would stay reserved for the full window though nothing ran.
+// TestReservationOfCancelledRequestIsSettledAsNotExecuted cancels a request while its reservation
+// is pending. Without a settlement the key would stay reserved for the full window although no
+// attempt ran.
 func TestReservationOfCancelledRequestIsSettledAsNotExecuted(t *testing.T) {
 	c := reachableCore()
 	first := submitted(t, c.RequestAttempt(0, attemptOf("t", 0, "g")))
@@ -159,8 +165,9 @@
 	assert.Equal(t, statemachine.StatusNotExecuted, submitted(t, actions).Command.Status)
 }
 
-// TestReservationOfLeastWeightIsDisplaced fills the reservations that may be pending. Refusing whatever comes last
-// would turn important requests away behind others. The one of least weight must give way, and the bound must hold.
+// TestReservationOfLeastWeightIsDisplaced reaches the limit of pending reservations. If new
+// reservations were always rejected, important requests would fail because of less important ones.
+// The reservation of the lowest weight must be displaced, and the limit must not be exceeded.
 func TestReservationOfLeastWeightIsDisplaced(t *testing.T) {
 	c := New(Config{MaxPending: 2}, "r", 1, 1)
 	c.SetReachable(0, true)
@@ -172,12 +179,12 @@
 	}
 	request(0, 1)
 	request(1, 2)
-	assert.Contains(t, request(2, 3), Action(DenyAttempt{"t0", 0}), "the one of least weight is displaced")
+	assert.Contains(t, request(2, 3), Action(DenyAttempt{"t0", 0}), "the reservation of the lowest weight is displaced")
 	assert.Contains(t, request(3, 1), Action(DenyAttempt{"t3", 0}))
 	assert.Equal(t, 2, c.PendingCount())
 }
 
-// reservationModel plays a core against the state machine and checks each action.
+// reservationModel runs a core against the state machine and checks each action.
 type reservationModel struct {
 	t         *rapid.T
 	core      *Core
@@ -186,7 +193,7 @@
 	revision  uint64
 	submitted []SubmitCommand
 	attempted map[uint64]bool // reservations on which an attempt was allowed
-	lastGrant uint64          // number of the last reservation whose grant the core heard of
+	lastGrant uint64          // number of the last reservation whose grant the core received
 }
 
 func (m *reservationModel) check(actions []Action) {
@@ -196,7 +203,7 @@
 			command := action.Command
 			notExecuted := command.Op == statemachine.OpSettle && command.Status == statemachine.StatusNotExecuted
 			if notExecuted && m.attempted[command.RequestNumber] {
-				m.t.Fatalf("reservation %d is settled as not executed, but attempted", command.RequestNumber)
+				m.t.Fatalf("reservation %d settled as not executed, but its attempt was allowed", command.RequestNumber)
 			}
 			m.submitted = append(m.submitted, action)
 		case AllowAttempt:
@@ -209,8 +216,8 @@
 	}
 }
 
-// apply carries out one of the submitted commands, perhaps keeps it to be carried out again, and
-// perhaps loses its result.
+// apply applies one of the submitted commands. At random it retains the command to apply it again,
+// or drops its result.
 func (m *reservationModel) apply() {
 	if len(m.submitted) == 0 {
 		return
@@ -253,9 +260,9 @@
 	}
 }
 
-// TestNoAttemptWithoutAGrant: whatever happens in whatever order, an attempt is allowed only in a
-// group that a reservation of this router was granted for, and no reservation on which an attempt
-// was allowed is settled as not executed.
+// TestNoAttemptWithoutAGrant runs random events in random order. An attempt may be allowed only in
+// a group for which a reservation of this router was granted, and no reservation on which an
+// attempt was allowed may be settled as not executed.
 func TestNoAttemptWithoutAGrant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &reservationModel{
@@ -271,8 +278,9 @@
 	})
 }
 
-// TestKnownLocationDecidesAttempt holds that only a recent own grant for the same group allows an attempt, and that a
-// completed key or another group denies it until the location expires.
+// TestKnownLocationDecidesAttempt checks that only a recent grant of this router for the same group
+// allows an attempt, and that a completed key or another group denies it until the location
+// expires.
 func TestKnownLocationDecidesAttempt(t *testing.T) {
 	own := location{group: "a", expiresAt: 10, number: 7, recordedAt: 0}
 	others := location{group: "a", expiresAt: 10}
--- a/internal/replication/reservation/location.go
+++ b/internal/replication/reservation/location.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// maxRemembered is the number of keys whose location is remembered, 120 bytes each.
+	// maxRemembered is the maximum number of keys whose location is remembered, at 120 bytes each.
 	maxRemembered = 65536
-	// ownGrantSeconds is for how long an own grant allows a further attempt into the same group. It is
-	// short against a group's window, of which it uses up a part.
+	// ownGrantSeconds is how long a grant of this router allows further attempts in the same group
+	// without asking the shard. It is short compared with a group's window, part of which it uses
+	// up.
 	ownGrantSeconds = 2.0
 )
 
-// locationDecision is what the known location of a key means for an attempt.
+// locationDecision is the decision about an attempt from the known location of its key.
 type locationDecision uint8
 
 const (
-	askShard        locationDecision = iota // nothing that counts is known
-	allowByLocation                         // an own grant for the attempt's group is recent
-	denyByLocation                          // the key completed, or is recorded in another group
+	askShard        locationDecision = iota // no valid location is known
+	allowByLocation                         // this router has a recent grant for the attempt's group
+	denyByLocation                          // the key completed, or is reserved for another group
 )
 
-// decideKnownLocation decides an attempt into a group by what is known of its key. The failure that
-// it guards against is a request that runs twice: two groups of endpoints do not drop each other's
-// repeats, and a completed request's retry may find that its group has forgotten the key.
+// decideKnownLocation decides about an attempt in a group from the known location of its key. It
+// prevents a request from running twice: two groups of endpoints do not drop each other's repeats,
+// and when a completed request is retried, its group may have forgotten the key.
 func decideKnownLocation(now float64, known location, group string) locationDecision {
 	switch {
 	case now >= known.expiresAt:
@@ -38,24 +39,24 @@
 	return askShard
 }
 
-// keyGroup is a key and the group that it was reserved for.
+// keyGroup is a key and the group for which it was reserved.
 type keyGroup struct{ key, group string }
 
-// location is what is known of where a key's attempts run.
+// location is the known location of a key's attempts.
 type location struct {
 	group      string
-	expiresAt  float64 // seconds of the core's clock
+	expiresAt  float64 // in seconds on the core's clock
 	completed  bool    // an attempt ran and was answered
-	number     uint64  // of the own reservation, 0 for another router's
-	recordedAt float64 // seconds of the core's clock
+	number     uint64  // number of this router's reservation, 0 for one of another router
+	recordedAt float64 // in seconds on the core's clock
 	users      []RequestID
 }
 
-// isOwn says that the reservation is this router's. Its users are the requests that had an attempt
-// allowed on it and did not end as not executed.
+// isOwn reports whether the reservation was made by this router. Its users are the requests that
+// had an attempt allowed on it and did not end as not executed.
 func (l location) isOwn() bool { return l.number != 0 }
 
-// remember records a key's location. The oldest key is forgotten for a new one beyond the bound.
+// remember stores a key's location. Above maxRemembered keys, the oldest key is removed.
 func (c *Core) remember(key string, known location) {
 	if _, ok := c.locations[key]; !ok {
 		if len(c.locationOrder) >= maxRemembered {
@@ -67,7 +68,7 @@
 	c.locations[key] = known
 }
 
-// addUser notes a request that has an attempt allowed on an own reservation.
+// addUser records that a request had an attempt allowed on a reservation of this router.
 func (c *Core) addUser(key string, known location, request RequestID) {
 	if slices.Contains(known.users, request) {
 		return
@@ -76,8 +77,9 @@
 	c.locations[key] = known
 }
 
-// removeUser takes a request off an own reservation on which none of its attempts ran. With the
-// last one the reservation is settled as not executed and its location forgotten.
+// removeUser removes a request, none of whose attempts ran, from a reservation of this router.
+// After the last user is removed, the reservation is settled as not executed and its location is
+// removed.
 func (c *Core) removeUser(key string, known location, request RequestID) {
 	known.users = slices.DeleteFunc(slices.Clone(known.users), func(user RequestID) bool { return user == request })
 	if len(known.users) > 0 {
--- a/internal/replication/reservation/pending.go
+++ b/internal/replication/reservation/pending.go
@@ -8,43 +8,44 @@
 )
 
 const (
-	resubmitSeconds      = 0.25 // until a second submission; an election takes 0.3 to 1.5 s
-	maxResubmitSeconds   = 1.0  // between two submissions, as the wait doubles
-	maxResubmitDoublings = 4    // of the wait between submissions
-	resubmitJitterMin    = 0.75 // of the wait
-	resubmitJitterRange  = 0.5  // of the wait
-	minRetryAfterSeconds = 0.5  // that a rejected client is asked to wait: an election
-	maxRetryAfterSeconds = 2.0  // the same, at most
-	maxAbandoned         = 4096 // abandoned reservations whose result may still come, 100 bytes each
+	resubmitSeconds      = 0.25 // before the first resubmission; an election takes 0.3 to 1.5 s
+	maxResubmitSeconds   = 1.0  // upper limit of the wait, which doubles at each resubmission
+	maxResubmitDoublings = 4    // number of times that the wait doubles
+	resubmitJitterMin    = 0.75 // smallest factor applied to the wait
+	resubmitJitterRange  = 0.5  // range of the random factor above the smallest
+	minRetryAfterSeconds = 0.5  // shortest wait asked of a rejected client: the time of an election
+	maxRetryAfterSeconds = 2.0  // longest wait asked of a rejected client
+	maxAbandoned         = 4096 // abandoned reservations whose result may still arrive, 100 bytes each
 )
 
 // pendingReservation is a submitted reservation without a result.
 type pendingReservation struct {
-	Attempt    // the attempt that it was made for
+	Attempt    // the attempt for which the reservation was made
 	number     uint64
 	resubmitAt float64
 	retries    int
-	waiters    []waiter // attempts that it will allow or deny, also of other requests with its key and group
+	waiters    []waiter // attempts that wait for the result, also of other requests with this key and group
 }
 
-// waiter is an attempt that waits for a reservation.
+// waiter is an attempt that waits for the result of a reservation.
 type waiter struct {
 	requestID RequestID
 	index     int
 	deadline  float64
 }
 
-func waiterOf(attempt Attempt) waiter {
+func newWaiter(attempt Attempt) waiter {
 	return waiter{attempt.RequestID, attempt.Index, attempt.Deadline}
 }
 
-// reserve begins a reservation for an attempt, where there is room or room can be made.
+// reserve submits a reservation for an attempt, unless the limit of pending reservations is reached
+// and none can be displaced.
 func (c *Core) reserve(now float64, attempt Attempt) {
 	c.lastNumber++
 	p := &pendingReservation{
 		Attempt: attempt,
 		number:  c.lastNumber,
-		waiters: []waiter{waiterOf(attempt)},
+		waiters: []waiter{newWaiter(attempt)},
 	}
 	if len(c.pending) >= c.config.MaxPending && !c.displaceFor(attempt) {
 		return
@@ -54,8 +55,8 @@
 	c.submit(now, p)
 }
 
-// displaceFor makes room for an attempt by abandoning the youngest reservation of the least weight,
-// or rejects the attempt where none has less weight.
+// displaceFor abandons the newest reservation of the lowest weight to admit an attempt. If no
+// reservation has a lower weight than the attempt, it rejects the attempt and returns false.
 func (c *Core) displaceFor(attempt Attempt) bool {
 	var least *pendingReservation
 	for _, p := range c.pending {
@@ -73,16 +74,16 @@
 	return true
 }
 
-// mayDisplace says whether an attempt takes the place of a pending reservation of the least weight.
-// Of equal weights the older one stays: it is nearer to its result.
+// mayDisplace reports whether an attempt displaces the pending reservation of the lowest weight. If
+// the weights are equal, the older one stays, because it is closer to its result.
 func mayDisplace(weight, leastPending float64) bool { return leastPending < weight }
 
-// comparePriority orders reservations by weight, and the younger before the older.
+// comparePriority orders reservations by ascending weight, and newer ones before older ones.
 func comparePriority(a, b *pendingReservation) int {
 	return cmp.Or(cmp.Compare(a.PriorityWeight, b.PriorityWeight), cmp.Compare(b.number, a.number))
 }
 
-// pendingInOrder gives the pending reservations, oldest first.
+// pendingInOrder returns the pending reservations, oldest first.
 func (c *Core) pendingInOrder() []*pendingReservation {
 	list := make([]*pendingReservation, 0, len(c.pending))
 	for _, p := range c.pending {
@@ -92,8 +93,8 @@
 	return list
 }
 
-// submit proposes a reservation. A repeated submission is the same command, which the shard carries
-// out once.
+// submit proposes a reservation. A resubmission repeats the same command, which the shard applies
+// only once.
 func (c *Core) submit(now float64, p *pendingReservation) {
 	p.resubmitAt = now + resubmitWait(p.retries, c.rnd.Float64())
 	c.emit(SubmitCommand{
@@ -111,15 +112,16 @@
 	p.retries++
 }
 
-// resubmitWait is the time until a reservation is submitted again, in seconds. random is from 0 to 1
-// and spreads the wait, so that reservations made at the same time are not submitted together again.
+// resubmitWait returns the time until a reservation is resubmitted, in seconds. random is between 0
+// and 1 and adds jitter, so that reservations made at the same time are not resubmitted at the same
+// time.
 func resubmitWait(retries int, random float64) float64 {
 	doublings := min(retries, maxResubmitDoublings)
 	wait := min(resubmitSeconds*float64(int(1)<<doublings), maxResubmitSeconds)
 	return wait * (resubmitJitterMin + resubmitJitterRange*random)
 }
 
-// settle records how the attempts on an own reservation ended.
+// settle records the outcome of the attempts on a reservation of this router.
 func (c *Core) settle(reserved keyGroup, number uint64, status statemachine.Status) {
 	c.emit(SubmitCommand{Command: statemachine.Command{
 		Op:            statemachine.OpSettle,
@@ -138,16 +140,16 @@
 	}
 }
 
-// abandon gives up a reservation without a result. None of its attempts is sent.
+// abandon removes a reservation without a result. None of its attempts is sent.
 func (c *Core) abandon(p *pendingReservation) {
 	c.removePending(p)
 	if len(c.abandoned) >= maxAbandoned {
-		clear(c.abandoned) // those that are granted later stay until their windows end
+		clear(c.abandoned) // those that are granted later stay reserved until their windows end
 	}
 	c.abandoned[p.number] = keyGroup{p.Key, p.Group}
 }
 
-// removeWaiters takes the attempts of an ended request off the pending reservation of its key.
+// removeWaiters removes the attempts of an ended request from the pending reservation of its key.
 func (c *Core) removeWaiters(request RequestID, key string) {
 	p := c.pendingByKey[key]
 	if p == nil {
@@ -168,8 +170,9 @@
 	c.emit(RejectRequest{request, retryAfter(c.rnd.Float64()), reason})
 }
 
-// retryAfter is for how long a rejected client is asked to wait, in seconds. random is from 0 to 1, so
-// that clients that were rejected together do not come back together.
+// retryAfter returns the time that a rejected client is asked to wait, in seconds. random is
+// between 0 and 1 and adds jitter, so that clients rejected at the same time do not retry at the
+// same time.
 func retryAfter(random float64) float64 {
 	return minRetryAfterSeconds + (maxRetryAfterSeconds-minRetryAfterSeconds)*random
 }
--- a/internal/replication/reservation/trace_test.go
+++ b/internal/replication/reservation/trace_test.go
@@ -13,15 +13,15 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// goldenTrace is the SHA-256 of the trace as an earlier version wrote it.
+// goldenTrace is the SHA-256 of the trace that an earlier version wrote.
 const goldenTrace = "8e2fb655b783e8a496a580da50a43d6a10e0119fe38a9601974630b51a894c12"
 
 const (
 	traceEvents    = 20_000
-	traceMaxChoice = 12 // of the oldest submitted commands, from which one is drawn
+	traceMaxChoice = 12 // number of the oldest submitted commands from which one is drawn
 )
 
-// reasonCodes number the reasons of a rejection as the trace does.
+// reasonCodes maps the reasons for a rejection to their numbers in the trace.
 var reasonCodes = map[RejectReason]int{
 	ReasonUnreachable:    1,
 	ReasonTooLittleTime:  2,
@@ -31,7 +31,7 @@
 	ReasonDisplaced:      0,
 }
 
-// actionText writes an action in words that do not depend on the names in the code.
+// actionText formats an action independently of the names in the code.
 func actionText(action Action) string {
 	switch a := action.(type) {
 	case SubmitCommand:
@@ -49,19 +49,19 @@
 	return fmt.Sprintf("unknown %T", action)
 }
 
-// tracePlay plays a script drawn from a seed against the state machine and hashes all actions.
-type tracePlay struct {
+// traceRunner runs a script drawn from a seed against the state machine and hashes all actions.
+type traceRunner struct {
 	random   *rand.Rand
 	core     *Core
 	state    *statemachine.State
 	revision uint64
 	now      float64
-	commands []SubmitCommand // submitted; a few of them are carried out more than once
+	commands []SubmitCommand // submitted commands; some of them are applied more than once
 	hash     hash.Hash
-	counts   map[string]int // of the actions, by their first word
+	counts   map[string]int // number of actions, by the first word of their text
 }
 
-func (p *tracePlay) record(actions []Action) {
+func (p *traceRunner) record(actions []Action) {
 	for _, action := range actions {
 		text := actionText(action)
 		_, _ = fmt.Fprintf(p.hash, "%.6f %s\n", p.now, text)
@@ -74,8 +74,8 @@
 	}
 }
 
-// step plays one drawn event. i counts the events.
-func (p *tracePlay) step(i int) {
+// step runs one random event. i is the number of the event.
+func (p *traceRunner) step(i int) {
 	p.now += 0.05 * p.random.Float64()
 	key := fmt.Sprint("k", p.random.IntN(40)+i/500)
 	request := RequestID(fmt.Sprint("t", p.random.IntN(30)))
@@ -91,7 +91,7 @@
 			PriorityWeight: float64(p.random.IntN(4)),
 		}))
 	case event < 65 && len(p.commands) > 0:
-		p.carryOut()
+		p.applySubmitted()
 	case event < 80:
 		p.record(p.core.Tick(p.now))
 	case event < 98:
@@ -105,9 +105,9 @@
 	_, _ = fmt.Fprintf(p.hash, "next %.6f pending %d\n", p.core.NextTick(), p.core.PendingCount())
 }
 
-// carryOut applies one of the submitted commands, at times keeps it to be applied again, and at times loses its
-// result.
-func (p *tracePlay) carryOut() {
+// applySubmitted applies one of the submitted commands. It sometimes retains the command to apply
+// it again, and sometimes drops its result.
+func (p *traceRunner) applySubmitted() {
 	j := p.random.IntN(min(len(p.commands), traceMaxChoice))
 	command := p.commands[j]
 	if p.random.IntN(8) > 0 {
@@ -121,10 +121,10 @@
 	}
 }
 
-// TestTraceOfSeededScript plays a script drawn from a seed against the state machine and compares
-// all actions by hash. A change of structure that changes a decision shows as another hash.
+// TestTraceOfSeededScript runs a script drawn from a fixed seed against the state machine and
+// compares the hash of all actions. A refactoring that changes a decision changes the hash.
 func TestTraceOfSeededScript(t *testing.T) {
-	p := &tracePlay{
+	p := &traceRunner{
 		random: rand.New(rand.NewPCG(7, 11)),
 		core:   New(Config{MaxPending: 6}, "r1", 3, 5),
 		state:  statemachine.New(),
