--- a/internal/replication/diskfailure_test.go
+++ b/internal/replication/diskfailure_test.go
@@ -13,9 +13,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A disk takes nothing for a while. The write-ahead log takes nothing more then, and the node ends; it has to come
-// back by itself once the disk takes writes again, as what it held is still there.
-func TestNodeGoesOnAfterADiskThatFailedForAWhile(t *testing.T) {
+// TestNodeRecoversFromTemporaryDiskFailure lets the disk of one router fail for some time. The
+// write-ahead log accepts no writes after the first failure. The node must resume by itself once
+// the disk accepts writes again, because the earlier data is still on it.
+func TestNodeRecoversFromTemporaryDiskFailure(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.waitUntilHealthy()
 	disk := c.stop(0)
@@ -33,12 +34,13 @@
 		command := reserveCommand("r0", 1<<40, "after", "g1")
 		return (<-c.nodes[0].Propose(command, time.Now().Add(time.Second))).Err == nil
 	}
-	assert.Eventually(t, answered, 10*time.Second, 100*time.Millisecond, "the node does not come back")
+	assert.Eventually(t, answered, 10*time.Second, 100*time.Millisecond, "the node does not recover")
 }
 
-// A router whose disk takes nothing still has requests. They would have no answer while its disk fails; other replicas
-// answer them, each within the 2 s that reserve gives one.
-func TestRequestsAreAnsweredWhileTheDiskFails(t *testing.T) {
+// TestRequestsAreAnsweredDuringDiskFailure sends requests to a router whose disk accepts no writes.
+// Replicas of other routers must answer them, each within the 2 s that reserve allows; otherwise
+// the requests would have no answer while the disk fails.
+func TestRequestsAreAnsweredDuringDiskFailure(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.waitUntilHealthy()
 	disk := c.stop(0)
@@ -47,7 +49,7 @@
 	disk.ShortWrite = full.Load
 	c.start(0, disk)
 	c.waitUntilHealthy()
-	c.nodes[0].lastRequest = 100 // its numbers go on
+	c.nodes[0].lastRequest = 100 // above the request numbers used before the restart
 	full.Store(true)
 	for k := range 20 {
 		assert.True(t, c.reserve(0, fmt.Sprint("during", k), "g1").Granted)
@@ -57,9 +59,10 @@
 	assert.False(t, c.reserve(0, "during3", "g2").Granted)
 }
 
-// A disk fails and stays so. Its router is still connected; counted as up, its replicas would never be replaced, and
-// each shard would bear one loss less.
-func TestReplicasOnAFailedDiskAreReplaced(t *testing.T) {
+// TestReplicasOnFailedDiskAreReplaced lets the disk of one router fail permanently. The router is
+// still connected. If its replicas counted as up, they would never be replaced, and each shard
+// would tolerate one loss less.
+func TestReplicasOnFailedDiskAreReplaced(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.waitUntilHealthy()
 	disk := c.stop(3)
@@ -69,19 +72,21 @@
 	c.start(3, disk)
 	c.waitUntilHealthy()
 	full.Store(true)
-	for k := range 200 { // each shard writes
+	for k := range 200 { // enough keys for a write in each shard
 		c.reserve(1, fmt.Sprint("k", k), "g1")
 	}
 	replaced := func() bool {
-		report := c.report(1) // the only one of its zone, so it holds all shards
-		return report.Health == HealthBearsZoneLoss &&
+		report := c.report(1) // the only router of its zone, so it has a replica of each shard
+		return report.Health == HealthToleratesZoneLoss &&
 			!slices.ContainsFunc(report.Shards, func(s ShardReport) bool { return slices.Contains(s.Replicas, "r3") })
 	}
 	assert.Eventually(t, replaced, testTimeout, 50*time.Millisecond)
 }
 
-// The syncs of all disks fail at once for a while. What was acknowledged before and between is still known after.
-func TestReservationsSurviveSyncsThatFailAtOnce(t *testing.T) {
+// TestReservationsSurviveConcurrentSyncFailures lets the syncs of all disks fail at the same time
+// for a while. Reservations acknowledged before and between the failures must still be known
+// afterwards.
+func TestReservationsSurviveConcurrentSyncFailures(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.waitUntilHealthy()
 	var failing atomic.Bool
@@ -117,8 +122,10 @@
 	}
 }
 
-// A router's replicas are replaced while its disk fails, and take their places again once it is back. Those that stood
-// in for them would stay on their router's disk, and be shown to its peers, for ever.
+// TestReplicasThatAreNoMembersAreGivenUp replaces the replicas of a router while its disk fails,
+// and lets them become members again once the disk has recovered. If the replicas that replaced
+// them were not removed, they would stay on the disk of their router, and be announced to its
+// peers, forever.
 func TestReplicasThatAreNoMembersAreGivenUp(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.waitUntilHealthy()
@@ -129,10 +136,10 @@
 	c.start(3, disk)
 	c.waitUntilHealthy()
 	full.Store(true)
-	for k := range 200 { // each shard writes
+	for k := range 200 { // enough keys for a write in each shard
 		c.reserve(1, fmt.Sprint("k", k), "g1")
 	}
-	membersAt := func(name string) map[int]bool { // by the only router of its zone, which holds all shards
+	shardsOf := func(name string) map[int]bool { // reported by the only router of its zone
 		members := map[int]bool{}
 		for _, s := range c.report(1).Shards {
 			if slices.Contains(append(s.Replicas, s.Learners...), name) {
@@ -141,11 +148,11 @@
 		}
 		return members
 	}
-	require.Eventually(t, func() bool { return len(membersAt("r3")) == 0 }, testTimeout, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return len(shardsOf("r3")) == 0 }, testTimeout, 50*time.Millisecond)
 	full.Store(false)
-	standIns := func() int { return len(membersAt("r0")) }
-	before := standIns()
-	require.Eventually(t, func() bool { return standIns() < before }, testTimeout, 50*time.Millisecond)
-	givenUp := func() bool { return len(c.report(0).Shards) <= standIns() }
-	assert.Eventually(t, givenUp, 10*time.Second, 50*time.Millisecond)
+	replacementCount := func() int { return len(shardsOf("r0")) }
+	before := replacementCount()
+	require.Eventually(t, func() bool { return replacementCount() < before }, testTimeout, 50*time.Millisecond)
+	removed := func() bool { return len(c.report(0).Shards) <= replacementCount() }
+	assert.Eventually(t, removed, 10*time.Second, 50*time.Millisecond)
 }
--- a/internal/replication/events.go
+++ b/internal/replication/events.go
@@ -4,25 +4,26 @@
 	"cairnfront/internal/replication/transport"
 )
 
-// event is what the node's goroutine handles.
+// event is an input to the node's goroutine.
 type event interface{ isEvent() }
 
-// frameReceived is a frame of a peer.
+// frameReceived carries a frame that a peer sent.
 type frameReceived struct {
 	from  string
 	frame transport.Frame
 }
 
-// peerStateChanged says that a peer was connected, or its connection ended.
+// peerStateChanged reports that a peer connected or disconnected.
 type peerStateChanged struct {
 	peer      string
 	connected bool
 }
 
-// requestSubmitted is a request of this router.
+// requestSubmitted carries a request that this router submits.
 type requestSubmitted struct{ request *pendingRequest }
 
-// reportRequested asks for a report. The channel has room for it.
+// reportRequested asks for a report. The channel must be buffered so that sending the report does
+// not block.
 type reportRequested struct{ report chan<- Report }
 
 func (frameReceived) isEvent()    {}
@@ -30,8 +31,8 @@
 func (requestSubmitted) isEvent() {}
 func (reportRequested) isEvent()  {}
 
-// post hands an event to the node's goroutine. It waits while its queue is full, so that a peer
-// that sends too much is slowed by its connection.
+// post queues an event for the node's goroutine. It blocks while the queue is full, which applies
+// backpressure to the connection of a peer that sends too much.
 func (n *Node) post(e event) {
 	select {
 	case n.events <- e:
@@ -66,6 +67,6 @@
 		}
 	case transport.KindNotLeader:
 		n.handleNotLeader(frame)
-	case transport.KindHeartbeat: // the transport keeps these
+	case transport.KindHeartbeat: // handled by the transport and never passed to the node
 	}
 }
--- a/internal/replication/node.go
+++ b/internal/replication/node.go
@@ -21,82 +21,83 @@
 )
 
 const (
-	maxQueuedEvents      = 8192  // that wait for the node's goroutine
-	maxEventsPerBatch    = 256   // handled before the disk is written, so that what comes together is synced together
-	maxPendingRequests   = 65536 // of this router
+	maxQueuedEvents      = 8192  // events queued for the node's goroutine
+	maxEventsPerBatch    = 256   // events handled before one disk write, so that their changes share a sync
+	maxPendingRequests   = 65536 // pending requests submitted by this router
 	retryInterval        = 250 * time.Millisecond
-	responseTimeout      = 5 * time.Second // for which a proposed command's requester is remembered
+	responseTimeout      = 5 * time.Second // how long the requester of a proposed command or read is retained
 	rebalanceInterval    = 500 * time.Millisecond
-	advanceTimeInterval  = 2 * time.Second // between commands that only move a shard's time on
-	startCountNumberBits = 40              // by which the start count is shifted into request numbers
+	advanceTimeInterval  = 2 * time.Second // interval of OpAdvanceTime commands, which only advance a shard's time
+	startCountNumberBits = 40              // bits by which the start count is shifted left in a request number
 )
 
-// Errors of requests.
+// Errors that end a request without a result.
 var (
 	ErrNoAnswer = errors.New("no replica of the shard answered in time")
 	ErrStopped  = errors.New("replication has stopped")
 )
 
-// ErrStaleFolder says that the folder is a copy from an earlier time: this replica may have voted
-// otherwise since.
+// ErrStaleFolder reports that the folder was restored from an older copy: this replica may have
+// cast a different vote since the copy was made.
 var ErrStaleFolder = errors.New(
 	"write-ahead log is an old copy: peers have seen a higher start count than it holds")
 
-// Config is what an installation sets for a router's part.
+// Config configures a router's Node.
 type Config struct {
 	Name, Zone          string
-	ReplicaCount        int      // of each shard
-	InitialMembers      []string // routers that begin the shards, all of which have to be up together once
-	ReplaceAfterSeconds float64  // for which a replica has to be away before it is replaced
+	ReplicaCount        int      // replicas of each shard
+	InitialMembers      []string // routers that create the shards; all of them must be up at the same time once
+	ReplaceAfterSeconds float64  // how long a replica must be down before it is replaced
 	Transport           *transport.Transport
 	Disk                vfs.FS
 	Logger              *slog.Logger
-	Clock               func() time.Time // by which reservations expire; nil for the system's
+	Clock               func() time.Time // wall clock by which reservations expire; time.Now if nil
 }
 
-// Node is one router's part. Its exported methods may be called from any goroutine. All fields but
-// config, events and stopped belong to the goroutine of Run.
+// Node replicates reservations on behalf of one router. Its exported methods are safe for
+// concurrent use. submitMutex guards closed. All other fields except config, events and stopped
+// are used only by the goroutine of Run.
 type Node struct {
 	config    Config
-	wal       *wal.WAL // nil while the disk takes no writes
+	wal       *wal.WAL // nil after a failed write, until the log is reopened
 	identity  wal.Identity
 	replicaID uint64
-	start     time.Time // zero of the times in statuses
+	startedAt time.Time // origin of the times in statuses
 
-	startUnixSeconds float64 // the wall clock's time at start
+	startUnixSeconds float64 // wall clock reading at the start
 
 	events  chan event
-	stopped chan struct{} // closed when Run's goroutine has ended
+	stopped chan struct{} // closed when the goroutine of Run has ended
 
-	submitting sync.RWMutex // held for writing as requests end to be taken
-	ended      bool         // none is taken any more
+	submitMutex sync.RWMutex // write-locked while the node stops accepting requests
+	closed      bool         // new requests are rejected
 
 	replicas   map[int]*shard.Replica // by shard
 	rebalancer *placement.Rebalancer
 	rnd        *rand.Rand
 
-	statuses    map[uint64]placement.ReplicaStatus // of all replicas that were heard of
-	lastHello   map[string]uint64                  // replica of the last hello, by peer
-	startCounts map[uint64]uint32                  // how often each replica's disk was seen to be opened
-	shardVoters map[int][]uint64                   // of shards that others hold, as they said
-	leaderHints map[int]uint64
-	shardTimes  map[int]shardTime // by shard
-	emptyPeers  map[string]bool   // that said that they hold no shard
-	connected   map[string]bool   // peers
+	statuses           map[uint64]placement.ReplicaStatus // all known replicas, by replica ID
+	lastHello          map[string]uint64                  // replica ID in the last hello frame, by peer
+	startCounts        map[uint64]uint32                  // highest known number of times each replica's log was opened
+	shardVoters        map[int][]uint64                   // voters of shards from the hello frames of peers, by shard
+	leaderHints        map[int]uint64
+	shardTimes         map[int]shardTime // by shard
+	peersWithoutShards map[string]bool   // peers whose last hello frame listed no shards
+	connected          map[string]bool   // by peer
 
-	lastNumber uint64
-	pending    map[uint64]*pendingRequest       // requests of this router by number
-	requesters map[responseKey]pendingRequester // of commands and reads that were proposed to replicas here
+	lastRequestNumber uint64
+	pending           map[uint64]*pendingRequest       // requests of this router by request number
+	requesters        map[responseKey]pendingRequester // requesters that wait for a local replica's response
 
 	lastTimeAdvance time.Time
-	lastOpening     time.Time // of the folder, after its disk has failed
-	failure         error     // of the disk, or one that ends the node
+	lastOpenAttempt time.Time // last attempt to reopen the folder after a disk failure
+	failure         error     // a disk failure, or an error that stops the node
 
-	proposalCount, syncCount int64 // for the report
-	earlierSyncs             int64 // of logs before the one that is open
+	proposalCount, syncCount int64 // counters for the report
+	closedLogSyncs           int64 // syncs of write-ahead logs that are closed
 }
 
-// New opens a router's folder and takes over the transport's callbacks.
+// New opens a router's folder and sets the callbacks of the transport.
 func New(config Config) (*Node, error) {
 	log, replicas, err := openFolder(config)
 	if err != nil {
@@ -107,40 +108,41 @@
 	}
 	identity := log.Identity()
 	n := &Node{
-		config:      config,
-		wal:         log,
-		identity:    identity,
-		replicaID:   identity.ID,
-		start:       time.Now(),
-		events:      make(chan event, maxQueuedEvents),
-		stopped:     make(chan struct{}),
-		replicas:    replicas,
-		rebalancer:  placement.NewRebalancer(config.ReplicaCount, config.ReplaceAfterSeconds),
-		rnd:         rand.New(rand.NewPCG(identity.ID, uint64(identity.StartCount))),
-		statuses:    map[uint64]placement.ReplicaStatus{},
-		lastHello:   map[string]uint64{},
-		startCounts: map[uint64]uint32{identity.ID: identity.StartCount},
-		shardVoters: map[int][]uint64{},
-		leaderHints: map[int]uint64{},
-		shardTimes:  map[int]shardTime{},
-		emptyPeers:  map[string]bool{},
-		connected:   map[string]bool{},
-		lastNumber:  uint64(identity.StartCount) << startCountNumberBits,
-		pending:     map[uint64]*pendingRequest{},
-		requesters:  map[responseKey]pendingRequester{},
+		config:             config,
+		wal:                log,
+		identity:           identity,
+		replicaID:          identity.ID,
+		startedAt:          time.Now(),
+		events:             make(chan event, maxQueuedEvents),
+		stopped:            make(chan struct{}),
+		replicas:           replicas,
+		rebalancer:         placement.NewRebalancer(config.ReplicaCount, config.ReplaceAfterSeconds),
+		rnd:                rand.New(rand.NewPCG(identity.ID, uint64(identity.StartCount))),
+		statuses:           map[uint64]placement.ReplicaStatus{},
+		lastHello:          map[string]uint64{},
+		startCounts:        map[uint64]uint32{identity.ID: identity.StartCount},
+		shardVoters:        map[int][]uint64{},
+		leaderHints:        map[int]uint64{},
+		shardTimes:         map[int]shardTime{},
+		peersWithoutShards: map[string]bool{},
+		connected:          map[string]bool{},
+		lastRequestNumber:  uint64(identity.StartCount) << startCountNumberBits,
+		pending:            map[uint64]*pendingRequest{},
+		requesters:         map[responseKey]pendingRequester{},
 	}
 	n.startUnixSeconds = float64(clock.UnixMillis(config.Clock())) / 1000
-	n.setUp(true)
+	n.setReplicaUp(true)
 	for _, replica := range replicas {
-		n.noteShardTime(replica)
+		n.recordShardTime(replica)
 	}
 	config.Transport.OnFrame = func(from string, frame transport.Frame) { n.post(frameReceived{from, frame}) }
 	config.Transport.OnPeerState = func(peer string, connected bool) { n.post(peerStateChanged{peer, connected}) }
 	return n, nil
 }
 
-// Run plays the router's part until the context ends or the router's folder proves to be of no use. It owns the
-// goroutine of the replicas and those of the transport, and returns when they have ended.
+// Run runs the node until the context ends or an error makes the router's folder unusable. It owns
+// the goroutine of the replicas and the goroutines of the transport, and returns after all of them
+// have ended.
 func (n *Node) Run(ctx context.Context, listener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return n.config.Transport.Run(ctx, listener) })
@@ -153,7 +155,8 @@
 	return group.Wait()
 }
 
-// loop handles events. After each batch of them it writes, sends and answers what the replicas want.
+// loop handles events. After each batch it writes the replicas' pending state to disk, sends their
+// messages and answers their requesters.
 func (n *Node) loop(ctx context.Context) error {
 	ticker := time.NewTicker(time.Duration(shard.TickSeconds * float64(time.Second)))
 	defer ticker.Stop()
@@ -178,7 +181,7 @@
 	}
 }
 
-// handleBatch handles an event, and those that wait behind it up to a bound.
+// handleBatch handles an event and the events queued after it, up to maxEventsPerBatch.
 func (n *Node) handleBatch(first event) {
 	n.handle(first)
 	for range maxEventsPerBatch - 1 {
@@ -199,16 +202,17 @@
 	n.reopenFolder()
 }
 
-// secondsSinceStart is the time of the statuses.
-func (n *Node) secondsSinceStart() float64 { return time.Since(n.start).Seconds() }
+// secondsSinceStart returns the current time as used in statuses, from the monotonic clock.
+func (n *Node) secondsSinceStart() float64 { return time.Since(n.startedAt).Seconds() }
 
-// unixSeconds is the time with which shards begin: that of the wall clock at the start, moved on by the monotonic one.
+// unixSeconds returns the initial time of a new shard: the wall clock reading at the start plus the
+// monotonic time elapsed since.
 //
-// It guards against a wall clock that is set while the node leads, which would end reservations early, or keep them, by
-// as much as the clock was set.
+// If the wall clock were read again, a clock step while the node leads a shard would make
+// reservations expire too early, or too late, by the size of the step.
 func (n *Node) unixSeconds() float64 { return n.startUnixSeconds + n.secondsSinceStart() }
 
-// Outcome is what became of a request.
+// Outcome is the result of a request, or the error that ended it.
 type Outcome struct {
 	Result statemachine.Result
 	Err    error
--- a/internal/replication/node_test.go
+++ b/internal/replication/node_test.go
@@ -23,17 +23,17 @@
 
 const testTimeout = 30 * time.Second
 
-// testCluster is nodes in three zones, with a fault proxy on each way between two.
+// testCluster runs nodes in three zones, with a fault proxy for each direction between two nodes.
 type testCluster struct {
-	t         *testing.T
-	net       *faultproxy.Network
-	peers     []transport.Peer
-	keys      []ed25519.PrivateKey
-	listeners []net.Listener
-	addresses []string   // of the listeners, by node
-	proxies   [][]string // addresses, by sender and receiver
-	nodes     []*runningNode
-	ahead     []time.Duration // of the wall clock, by node
+	t            *testing.T
+	net          *faultproxy.Network
+	peers        []transport.Peer
+	keys         []ed25519.PrivateKey
+	listeners    []net.Listener
+	addresses    []string   // listener addresses, by node
+	proxies      [][]string // proxy addresses, by sender and receiver
+	nodes        []*runningNode
+	clockOffsets []time.Duration // wall clock offset, by node
 }
 
 type runningNode struct {
@@ -51,10 +51,10 @@
 func newTestCluster(t *testing.T, size int) *testCluster {
 	t.Helper()
 	c := &testCluster{
-		t:     t,
-		net:   faultproxy.New(1, size),
-		nodes: make([]*runningNode, size),
-		ahead: make([]time.Duration, size),
+		t:            t,
+		net:          faultproxy.New(1, size),
+		nodes:        make([]*runningNode, size),
+		clockOffsets: make([]time.Duration, size),
 	}
 	t.Cleanup(c.net.Close)
 	for i := range size {
@@ -99,7 +99,7 @@
 	}
 	if c.listeners[i] == nil {
 		var err error
-		require.Eventually(c.t, func() bool { // its port may still be in use
+		require.Eventually(c.t, func() bool { // the port may still be in use
 			c.listeners[i], err = listen(c.t, c.addresses[i])
 			return err == nil
 		}, testTimeout, 10*time.Millisecond)
@@ -113,7 +113,7 @@
 		Transport:           &transport.Transport{Name: c.peers[i].Name, PrivateKey: c.keys[i], Peers: peers},
 		Disk:                fs,
 		Logger:              slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Clock:               func() time.Time { return time.Now().Add(c.ahead[i]) },
+		Clock:               func() time.Time { return time.Now().Add(c.clockOffsets[i]) },
 	})
 	require.NoError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -130,7 +130,7 @@
 	c.nodes[i] = &runningNode{Node: node, fs: fs, stop: stop}
 }
 
-// stop stops a node, if it runs, and returns its disk. What it did not sync is not on the disk.
+// stop stops a node if it is running, and returns its disk. Unsynced data is not on the disk.
 func (c *testCluster) stop(i int) *vfs.FaultFS {
 	node := c.nodes[i]
 	if node == nil {
@@ -142,7 +142,7 @@
 	return node.fs
 }
 
-// reserveCommand is a reservation of a key by one of a node's requests.
+// reserveCommand returns a command that reserves a key for a group.
 func reserveCommand(requester string, number uint64, key, group string) statemachine.Command {
 	return statemachine.Command{
 		Op:              statemachine.OpReserve,
@@ -154,7 +154,7 @@
 	}
 }
 
-// reserve reserves a key at a node. It retries while nobody answers.
+// reserve reserves a key through a node. It retries until it gets an answer.
 func (c *testCluster) reserve(i int, key, group string) statemachine.Result {
 	c.t.Helper()
 	node := c.nodes[i]
@@ -179,44 +179,45 @@
 	return report
 }
 
-// waitUntilHealthy waits until the first router reports that the loss of a zone is borne.
+// waitUntilHealthy waits until the first router reports that the loss of a zone is tolerated.
 func (c *testCluster) waitUntilHealthy() {
 	c.t.Helper()
-	healthy := func() bool { return c.report(0).Health == HealthBearsZoneLoss }
+	healthy := func() bool { return c.report(0).Health == HealthToleratesZoneLoss }
 	require.Eventually(c.t, healthy, testTimeout, 50*time.Millisecond, "r0: %s", c.report(0).Health)
 }
 
-// TestReservationSurvivesItsRouter: a reservation made at a router that is then lost with its disk
-// is known at each other router, and its shards get another replica.
-func TestReservationSurvivesItsRouter(t *testing.T) {
+// TestReservationSurvivesLossOfRouter makes reservations through a router that is then lost
+// together with its disk. Every other router must know them, and the shards must get replacement
+// replicas.
+func TestReservationSurvivesLossOfRouter(t *testing.T) {
 	c := newTestCluster(t, 5)
 	c.waitUntilHealthy()
 	for k := range 20 {
 		assert.True(t, c.reserve(1, fmt.Sprint("k", k), "g1").Granted)
 	}
 	lostAt := time.Now()
-	c.stop(1) // with its disk
+	c.stop(1) // the router is lost with its disk
 	for k := range 20 {
 		result := c.reserve([]int{0, 2, 3, 4}[k%4], fmt.Sprint("k", k), "g2")
 		assert.False(t, result.Granted)
 		assert.Equal(t, "g1", result.Reservation.Group)
 	}
 	t.Logf("20 reservations found %.1f s after the loss", time.Since(lostAt).Seconds())
-	c.waitUntilHealthy() // other replicas took the place of the lost ones
-	t.Logf("all shards complete %.1f s after the loss", time.Since(lostAt).Seconds())
+	c.waitUntilHealthy() // replacement replicas have been added
+	t.Logf("all replicas replaced %.1f s after the loss", time.Since(lostAt).Seconds())
 	for _, shard := range c.report(0).Shards {
 		assert.Len(t, shard.Replicas, 3)
 		assert.NotContains(t, shard.Replicas, "r1")
 	}
-	c.start(1, vfs.NewFaultFS(99)) // a new machine under the old name
+	c.start(1, vfs.NewFaultFS(99)) // a new machine with the old name
 	require.Eventually(t, func() bool { return len(c.report(1).Shards) > 0 }, testTimeout, 50*time.Millisecond,
-		"its replicas are added as members")
+		"the new replicas are not added as members")
 	t.Logf("replicas added %.1f s after the loss", time.Since(lostAt).Seconds())
 	assert.False(t, c.reserve(1, "k3", "g2").Granted)
 }
 
-// TestMinorityGrantsNothing: of two sides of a cut that get the same key only one grants it, and
-// the other learns of it after the cut.
+// TestMinorityGrantsNothing sends the same key to both sides of a network partition. Only one side
+// may grant it, and the other side must know that after the partition has healed.
 func TestMinorityGrantsNothing(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.waitUntilHealthy()
@@ -231,9 +232,9 @@
 	assert.Equal(t, "g2", result.Reservation.Group)
 }
 
-// TestReservationSurvivesRestartOfAll: what was acknowledged is there after all routers were off at
-// once.
-func TestReservationSurvivesRestartOfAll(t *testing.T) {
+// TestReservationSurvivesRestartOfAllRouters stops all routers at the same time. An acknowledged
+// reservation must still be known after their restart.
+func TestReservationSurvivesRestartOfAllRouters(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.waitUntilHealthy()
 	assert.True(t, c.reserve(0, "k", "g1").Granted)
@@ -248,7 +249,7 @@
 	assert.False(t, c.reserve(2, "k", "g2").Granted)
 }
 
-// idleNodeConfig is the configuration of a node that does not run.
+// idleNodeConfig returns the configuration of a node that is not run.
 func idleNodeConfig(name string) Config {
 	key := ed25519.NewKeyFromSeed([]byte(strings.Repeat("k", 32)))
 	return Config{
@@ -260,7 +261,7 @@
 	}
 }
 
-// newIdleNode opens a node that does not run.
+// newIdleNode opens a node that is not run.
 func newIdleNode(t *testing.T, name string) *Node {
 	t.Helper()
 	node, err := New(idleNodeConfig(name))
@@ -268,9 +269,10 @@
 	return node
 }
 
-// A node ends with requests in its queue, some taken and some not, and callers go on. A request without an outcome
-// would leave its caller waiting. Each gets one.
-func TestRequestsOfANodeThatEndsHaveAnOutcome(t *testing.T) {
+// TestStoppedNodeCompletesAllRequests stops a node while requests are in its queue, some accepted
+// and some not, and submits another one afterwards. Each request must get an outcome; without one
+// its caller would wait forever.
+func TestStoppedNodeCompletesAllRequests(t *testing.T) {
 	node := newIdleNode(t, "r0")
 	listener, err := listen(t, "127.0.0.1:0")
 	require.NoError(t, err)
@@ -293,9 +295,11 @@
 	}
 }
 
-// A router was given another disk, so that two replicas stand under its name, and its connection ends and comes again.
-// Taken by when they were last seen, either could count as up until the next hello. The one that said hello last is.
-func TestReplicaOfTheLastHelloIsUpAfterAReconnect(t *testing.T) {
+// TestReplicaOfLastHelloIsUpAfterReconnect covers a router whose disk was replaced, so that two
+// replicas have its name, and which then disconnects and reconnects. If the last-seen times decided
+// which replica is up, either one could count as up until the next hello frame. The replica of the
+// last hello frame must be the one that is up.
+func TestReplicaOfLastHelloIsUpAfterReconnect(t *testing.T) {
 	for range 30 {
 		node := newIdleNode(t, "r0")
 		for _, replica := range []uint64{11, 12} {
@@ -303,14 +307,15 @@
 		}
 		node.handlePeerState("r1", false)
 		node.handlePeerState("r1", true)
-		assert.False(t, node.statuses[11].Up, "the first disk is gone")
+		assert.False(t, node.statuses[11].Up, "the replica of the first disk must be down")
 		assert.True(t, node.statuses[12].Up)
 	}
 }
 
-// The wall clock is set by an hour, forward or back, while a node leads. Commands that took their time from it would
-// end reservations early, or keep them for an hour more. The time of commands goes on with real time.
-func TestTimeOfCommandsFollowsNoStepOfTheWallClock(t *testing.T) {
+// TestCommandTimeIgnoresWallClockSteps steps the wall clock of a leading node forward or back, by
+// up to an hour. If command times followed the wall clock, reservations would expire too early, or
+// an hour too late. Command times must advance with the elapsed time.
+func TestCommandTimeIgnoresWallClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second} {
 		var offset time.Duration
 		config := idleNodeConfig("r0")
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// handlePeerState notes that a peer was connected, or its connection ended.
+// handlePeerState updates the statuses of a peer's replicas after it connected or disconnected.
 func (n *Node) handlePeerState(peer string, connected bool) {
 	n.connected[peer] = connected
 	if connected {
@@ -21,7 +21,7 @@
 		if status.Node != peer || id == n.replicaID {
 			continue
 		}
-		status.Up = connected && n.lastSeenReplica(peer) == id
+		status.Up = connected && n.currentReplica(peer) == id
 		if !status.Up {
 			status.LastSeen = n.secondsSinceStart()
 		}
@@ -29,13 +29,15 @@
 	}
 }
 
-// lastSeenReplica is the replica of a router that said hello last, 0 for none.
+// currentReplica returns the replica ID in a router's last hello frame, or 0 if there was none.
 //
-// It guards against a router that was given another disk: which of its replicas is up can't be known from when they
-// were last seen, as both were when their connection ended. The new one would count as down until it says hello again.
-func (n *Node) lastSeenReplica(name string) uint64 { return n.lastHello[name] }
+// After a router's disk is replaced, two replicas have its name. Their last-seen times do not show
+// which of them is up, because both were last seen when the connection ended. Without this rule the
+// new replica could count as down until its next hello frame.
+func (n *Node) currentReplica(name string) uint64 { return n.lastHello[name] }
 
-// hello introduces this router's replica and its shards. It names no replica while the disk takes no writes.
+// hello returns the frame that announces this router's replica and its shards. It has no replica ID
+// while the disk accepts no writes.
 func (n *Node) hello() transport.Frame {
 	if n.wal == nil {
 		return transport.Frame{Kind: transport.KindHello, Zone: n.config.Zone, SeenStartCounts: n.startCounts}
@@ -54,7 +56,7 @@
 	return frame
 }
 
-// sendHelloToAll sends all connected peers what is held here now.
+// sendHelloToAll announces the current replica and shards to all connected peers.
 func (n *Node) sendHelloToAll() {
 	for peer, connected := range n.connected {
 		if connected {
@@ -72,9 +74,9 @@
 		n.startCounts[frame.Replica] = frame.StartCount
 	}
 	n.lastHello[from] = frame.Replica
-	n.retireOtherReplicas(from, frame.Replica)
+	n.markOtherReplicasDown(from, frame.Replica)
 	if frame.Replica == 0 {
-		return // its disk takes no writes
+		return // the peer's disk accepts no writes
 	}
 	n.statuses[frame.Replica] = placement.ReplicaStatus{
 		ID:       frame.Replica,
@@ -83,7 +85,7 @@
 		Up:       true,
 		LastSeen: n.secondsSinceStart(),
 	}
-	n.emptyPeers[from] = len(frame.ShardVoters) == 0
+	n.peersWithoutShards[from] = len(frame.ShardVoters) == 0
 	for number, voters := range frame.ShardVoters {
 		if len(voters) > 0 {
 			n.shardVoters[number] = voters
@@ -92,8 +94,9 @@
 	n.beginShards()
 }
 
-// retireOtherReplicas notes that a router's earlier replicas are gone: it has another disk.
-func (n *Node) retireOtherReplicas(name string, current uint64) {
+// markOtherReplicasDown marks a router's other replicas as down: the router now has another disk, or
+// its disk accepts no writes.
+func (n *Node) markOtherReplicasDown(name string, current uint64) {
 	for id, status := range n.statuses {
 		if status.Node == name && id != current && status.Up {
 			status.Up = false
@@ -103,15 +106,16 @@
 	}
 }
 
-// handleRaftMessage hands a message to its replica. One for a shard that is not held here makes a
-// replica, as the sender added it to the members.
+// handleRaftMessage passes a raft message to the replica of its shard. If there is no local replica
+// of the shard yet, it creates one, because the sender has added this router to the shard's
+// members.
 func (n *Node) handleRaftMessage(from string, frame transport.Frame) {
 	message := &pb.Message{}
 	if proto.Unmarshal(frame.Payload, message) != nil {
 		return
 	}
 	if n.wal == nil || message.GetTo() != n.replicaID || n.statuses[message.GetFrom()].Node != from {
-		return // no replica is up here, or it is for an earlier disk, or from a replica that did not say hello
+		return // no local replica is up, the message is for an earlier disk, or its sender has not sent a hello frame
 	}
 	replica := n.replicas[frame.Shard]
 	if replica == nil {
@@ -125,8 +129,8 @@
 	replica.Step(message)
 }
 
-// beginShards begins the shards once all initial members are up and none of them holds anything, or
-// joins those that began already.
+// beginShards creates the shards once all initial members are up and none of them replicates any
+// shard, or joins shards that were created before.
 func (n *Node) beginShards() {
 	if n.wal == nil || len(n.replicas) > 0 || !slices.Contains(n.config.InitialMembers, n.config.Name) {
 		return
@@ -136,17 +140,17 @@
 		return
 	}
 	var batch []shard.Ready
-	begun := map[int][]uint64{}
+	initialVoters := map[int][]uint64{}
 	for number := range placement.ShardCount {
 		var voters []uint64
 		for _, name := range placement.PreferredNodes(number, nodes, n.config.ReplicaCount) {
 			voters = append(voters, replicaIDs[name])
 		}
 		if known := n.shardVoters[number]; known != nil && !sameMembers(known, voters) {
-			return // begun with another disk of this router, or long ago: its members add this replica
+			return // created by an earlier disk of this router or long ago: the existing members add this replica
 		}
 		if slices.Contains(voters, n.replicaID) {
-			begun[number] = voters
+			initialVoters[number] = voters
 			batch = append(batch, shard.Ready{Shard: number, Snapshot: shard.InitialSnapshot(voters), MustSync: true})
 		}
 		n.shardVoters[number] = voters
@@ -154,15 +158,15 @@
 	if n.failure = n.wal.Write(batch); n.failure != nil {
 		return
 	}
-	if n.failure = n.addInitialReplicas(begun); n.failure != nil {
+	if n.failure = n.addInitialReplicas(initialVoters); n.failure != nil {
 		return
 	}
-	n.config.Logger.Info("shards initialized", "shards", len(begun), "replica", n.replicaID)
+	n.config.Logger.Info("shards initialized", "shards", len(initialVoters), "replica", n.replicaID)
 	n.sendHelloToAll()
 }
 
-// initialMembers are the routers that begin the shards, with their replicas. It is not ok while one
-// of them is not up, or holds shards that this router does not know.
+// initialMembers returns the routers that create the shards, with their replica IDs. ok is false
+// while one of them is down, or replicates shards that this router does not know.
 func (n *Node) initialMembers() (nodes []placement.Node, replicaIDs map[string]uint64, ok bool) {
 	replicaIDs = map[string]uint64{n.config.Name: n.replicaID}
 	for _, name := range n.config.InitialMembers {
@@ -170,8 +174,8 @@
 			nodes = append(nodes, placement.Node{Name: name, Zone: n.config.Zone})
 			continue
 		}
-		id := n.lastSeenReplica(name)
-		if id == 0 || !n.statuses[id].Up || !n.emptyPeers[name] && n.shardVoters[0] == nil {
+		id := n.currentReplica(name)
+		if id == 0 || !n.statuses[id].Up || !n.peersWithoutShards[name] && n.shardVoters[0] == nil {
 			return nil, nil, false
 		}
 		nodes = append(nodes, placement.Node{Name: name, Zone: n.statuses[id].Zone})
@@ -180,8 +184,8 @@
 	return nodes, replicaIDs, true
 }
 
-func (n *Node) addInitialReplicas(begun map[int][]uint64) error {
-	for number, voters := range begun {
+func (n *Node) addInitialReplicas(initialVoters map[int][]uint64) error {
+	for number, voters := range initialVoters {
 		saved := shard.PersistentState{Snapshot: shard.InitialSnapshot(voters)}
 		replica, err := shard.New(number, n.replicaID, saved, nil)
 		if err != nil {
--- a/internal/replication/replicas.go
+++ b/internal/replication/replicas.go
@@ -13,7 +13,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maintainLedShards looks after the shards that are led here: their members and their time.
+// maintainLedShards rebalances the members of the shards that this router leads, and periodically
+// advances the time of these shards.
 func (n *Node) maintainLedShards() {
 	var led []placement.LedShard
 	advanceTime := time.Since(n.lastTimeAdvance) > advanceTimeInterval
@@ -24,7 +25,7 @@
 		voters, learners := replica.Members()
 		led = append(led, placement.LedShard{Shard: number, Voters: voters, Learners: learners})
 		if advanceTime {
-			// A proposal that is refused is made again at the next interval.
+			// A rejected proposal is repeated at the next interval.
 			_ = replica.Propose(statemachine.Command{Op: statemachine.OpAdvanceTime, Now: n.commandTime(number)})
 		}
 	}
@@ -35,12 +36,12 @@
 	n.rebalance(led)
 }
 
-// rebalance proposes the changes of members that are due.
+// rebalance proposes the membership changes that are due.
 func (n *Node) rebalance(led []placement.LedShard) {
 	changes := n.rebalancer.Changes(n.secondsSinceStart(), placement.SortedByID(n.statuses), led)
 	for _, change := range changes {
 		if n.replicas[change.Shard].ProposeConfChange(change.Add, change.Remove) != nil {
-			continue // decided anew at the next interval
+			continue // the rebalancer decides again at the next interval
 		}
 		n.config.Logger.Info("configuration change proposed",
 			"shard", change.Shard,
@@ -49,8 +50,8 @@
 	}
 }
 
-// advanceReplicas writes what the replicas want written, with one sync, then sends and answers what
-// follows from it, until nothing is left.
+// advanceReplicas writes the pending state of all replicas with a single sync, then sends the
+// resulting messages and responses. It repeats this until no replica has anything pending.
 func (n *Node) advanceReplicas() error {
 	for {
 		var batch []shard.Ready
@@ -65,7 +66,7 @@
 		if err := n.wal.Write(batch); err != nil {
 			return err
 		}
-		n.syncCount = n.earlierSyncs + n.wal.SyncCount
+		n.syncCount = n.closedLogSyncs + n.wal.SyncCount
 		votersChanged := false
 		for _, ready := range batch {
 			changed, err := n.advanceReplica(ready)
@@ -80,8 +81,8 @@
 	}
 }
 
-// advanceReplica sends and answers what follows from a Ready that is on disk, and says whether the
-// shard's voters changed.
+// advanceReplica sends the messages and responses of a Ready that is on disk, and reports whether
+// the shard's voters changed.
 func (n *Node) advanceReplica(ready shard.Ready) (votersChanged bool, err error) {
 	replica := n.replicas[ready.Shard]
 	for _, message := range ready.Messages {
@@ -92,7 +93,7 @@
 	if err != nil {
 		return false, err
 	}
-	n.noteShardTime(replica)
+	n.recordShardTime(replica)
 	after, _ := replica.Members()
 	for _, response := range responses {
 		n.respond(response)
@@ -109,7 +110,7 @@
 	return !slices.Equal(before, after), nil
 }
 
-// sendRaftMessage sends a message to another replica, and reports to raft where it could not be sent.
+// sendRaftMessage sends a message to another replica and notifies raft if it could not be sent.
 func (n *Node) sendRaftMessage(replica *shard.Replica, message *pb.Message) {
 	sent := n.trySend(replica.Shard(), message)
 	if message.GetType() == pb.MessageType_MsgSnap {
--- a/internal/replication/report.go
+++ b/internal/replication/report.go
@@ -9,19 +9,19 @@
 	"cairnfront/internal/replication/shard"
 )
 
-// Health says what the loss of one more router, or zone, would cost.
+// Health describes which further failures the shards tolerate: the loss of a router or of a zone.
 type Health string
 
-// The healths of a router's shards, worst first.
+// The values of Health, from worst to best.
 const (
-	HealthNoShards      Health = "holds no shards"
-	HealthNoMajority    Health = "some shards have no majority: their reservations can't be read or made"
-	HealthNoNodeToLose  Health = "the loss of one more router would stop some shards"
-	HealthNoZoneToLose  Health = "bears the loss of a router, not of a zone"
-	HealthBearsZoneLoss Health = "bears the loss of a zone"
+	HealthNoShards          Health = "holds no shards"
+	HealthNoMajority        Health = "some shards have no majority: their reservations can't be read or made"
+	HealthToleratesNoLoss   Health = "the loss of one more router would stop some shards"
+	HealthToleratesNodeLoss Health = "bears the loss of a router, not of a zone"
+	HealthToleratesZoneLoss Health = "bears the loss of a zone"
 )
 
-// ShardReport is a shard as operators see it. Its JSON keys are those of the first version:
+// ShardReport describes a shard for operators. Its JSON keys keep the names of the first version:
 //
 //	slice: the shard; holders: its voters; coming: its learners; promises: its reservations;
 //	bears_machines, bears_zones: the losses that it tolerates
@@ -31,14 +31,15 @@
 	Leader   string   `json:"leader"`
 	Replicas []string `json:"holders"`
 	Learners []string `json:"coming"`
-	// Lag is the entries that the member furthest behind lacks, where this router leads.
+	// Lag is the number of log entries that the slowest member lacks; 0 unless this router leads the
+	// shard.
 	Lag                 uint64 `json:"lag"`
 	Reservations        int    `json:"promises"`
 	TolerableNodeLosses int    `json:"bears_machines"`
 	TolerableZoneLosses int    `json:"bears_zones"`
 }
 
-// Report is what a router knows of its shards. Its JSON keys are those of the first version:
+// Report describes a router's shards. Its JSON keys keep the names of the first version:
 //
 //	holder: the replica; boots: the start count; up: the connected peers; slices: the shards;
 //	claims: the proposals
@@ -53,7 +54,7 @@
 	Syncs      int64         `json:"syncs"`
 }
 
-// Report asks the node's goroutine for a report. It may be called from any goroutine.
+// Report returns the node's current report. It is safe for concurrent use.
 func (n *Node) Report(ctx context.Context) (Report, error) {
 	reports := make(chan Report, 1)
 	select {
@@ -138,9 +139,9 @@
 	case nodeLosses < 0:
 		return HealthNoMajority
 	case nodeLosses == 0:
-		return HealthNoNodeToLose
+		return HealthToleratesNoLoss
 	case zoneLosses == 0:
-		return HealthNoZoneToLose
+		return HealthToleratesNodeLoss
 	}
-	return HealthBearsZoneLoss
+	return HealthToleratesZoneLoss
 }
--- a/internal/replication/requests.go
+++ b/internal/replication/requests.go
@@ -9,37 +9,39 @@
 	"cairnfront/internal/replication/transport"
 )
 
-// maxHintedAttempts is how often a request is sent to the replica that is said to lead, before
-// others are tried.
+// maxHintedAttempts is the number of attempts that may use the leader hint before other replicas
+// are tried.
 const maxHintedAttempts = 2
 
-// readRequesterPrefix distinguishes the requesters of reads from those of commands, which name themselves.
+// readRequesterPrefix separates the requesters of reads from those of commands, whose requester is
+// in the command itself.
 const readRequesterPrefix = "read/"
 
-// pendingRequest is a request of this router without an outcome.
+// pendingRequest is a request of this router that has no outcome yet.
 type pendingRequest struct {
 	frame    transport.Frame
 	deadline time.Time
-	outcome  chan Outcome // has room for the one outcome
+	outcome  chan Outcome // buffered for the single outcome
 	attempts int
 	sentAt   time.Time
 }
 
-// responseKey finds the requester of a replica's response.
+// responseKey identifies the request that a replica's response belongs to.
 type responseKey struct {
 	requester string
 	number    uint64
 }
 
-// pendingRequester is who waits for a replica's response: a peer, or this router where the peer is "".
+// pendingRequester waits for a replica's response: a peer, or this router if peer is empty.
 type pendingRequester struct {
 	peer       string
 	number     uint64
 	receivedAt time.Time
 }
 
-// Propose puts a command to its key's shard. The channel gets one outcome; the caller may leave it
-// unread. A command that is proposed twice is carried out once, by its requester and number.
+// Propose submits a command to the shard of its key. The channel receives exactly one outcome and
+// is buffered, so the caller may ignore it. A command with the same requester and number as an
+// earlier one is applied only once.
 func (n *Node) Propose(command statemachine.Command, deadline time.Time) <-chan Outcome {
 	payload, err := command.Encode()
 	if err != nil {
@@ -52,8 +54,8 @@
 	})
 }
 
-// Read asks for a reservation as it stands now. The channel gets one outcome; the caller may leave
-// it unread.
+// Read requests the current state of a reservation with a linearizable read. The channel receives
+// exactly one outcome and is buffered, so the caller may ignore it.
 func (n *Node) Read(kind statemachine.Kind, key string, deadline time.Time) <-chan Outcome {
 	return n.submit(deadline, transport.Frame{
 		Kind:            transport.KindRead,
@@ -63,11 +65,11 @@
 	})
 }
 
-// submit hands a request to the node's goroutine. It never waits.
+// submit queues a request for the node's goroutine. It never blocks.
 func (n *Node) submit(deadline time.Time, frame transport.Frame) <-chan Outcome {
-	n.submitting.RLock()
-	defer n.submitting.RUnlock()
-	if n.ended {
+	n.submitMutex.RLock()
+	defer n.submitMutex.RUnlock()
+	if n.closed {
 		return completed(Outcome{Err: ErrStopped})
 	}
 	request := &pendingRequest{frame: frame, deadline: deadline, outcome: make(chan Outcome, 1)}
@@ -85,19 +87,20 @@
 	return outcomes
 }
 
-// acceptRequest numbers a request of this router and sends it.
+// acceptRequest assigns a number to a request of this router and sends it.
 func (n *Node) acceptRequest(request *pendingRequest) {
-	n.lastNumber++
+	n.lastRequestNumber++
 	if len(n.pending) >= maxPendingRequests {
 		request.outcome <- Outcome{Err: shard.ErrBusy}
 		return
 	}
-	request.frame.Number = n.lastNumber
-	n.pending[n.lastNumber] = request
+	request.frame.Number = n.lastRequestNumber
+	n.pending[n.lastRequestNumber] = request
 	n.route(request)
 }
 
-// complete gives a pending request its outcome. A request that has one already is no longer pending.
+// complete delivers the outcome of a pending request. It does nothing if the request already has an
+// outcome.
 func (n *Node) complete(number uint64, outcome Outcome) {
 	request := n.pending[number]
 	if request == nil {
@@ -107,14 +110,15 @@
 	request.outcome <- outcome
 }
 
-// stopPending ends the requests that are still pending, and those that the node has not taken from its queue. None is
-// submitted after it.
+// stopPending ends all pending requests, and the requests still in the event queue, with
+// ErrStopped. No request is accepted afterwards.
 //
-// It guards against a request without an outcome, whose caller waits until its own deadline, or for ever.
+// Otherwise a request could be left without an outcome, and its caller would wait until its own
+// deadline, or forever.
 func (n *Node) stopPending() {
-	n.submitting.Lock()
-	n.ended = true
-	n.submitting.Unlock()
+	n.submitMutex.Lock()
+	n.closed = true
+	n.submitMutex.Unlock()
 	for number := range n.pending {
 		n.complete(number, Outcome{Err: ErrStopped})
 	}
@@ -130,7 +134,7 @@
 	}
 }
 
-// retryPending sends requests again that have no outcome, and ends those whose deadline has passed.
+// retryPending sends requests without an outcome again, and ends those whose deadline has passed.
 func (n *Node) retryPending() {
 	now := time.Now()
 	for number, request := range n.pending {
@@ -148,8 +152,8 @@
 	}
 }
 
-// route sends a request to who leads its shard as far as is known, else to one of its replicas
-// after the other.
+// route sends a request to the replica that is believed to lead its shard, or else to a different
+// voter at each attempt.
 func (n *Node) route(request *pendingRequest) {
 	request.sentAt = time.Now()
 	number := request.frame.Shard
@@ -168,24 +172,25 @@
 	if !mayFollowHint(to != 0 && n.statuses[to].Up, request.attempts) {
 		candidates := n.reachableVoters(number)
 		if len(candidates) == 0 {
-			return // sent again once a replica is up
+			return // retried by retryPending once a replica is up
 		}
 		to = candidates[(request.attempts+n.rnd.IntN(len(candidates)))%len(candidates)]
 	}
 	n.config.Transport.Send(n.statuses[to].Node, request.frame)
 }
 
-// mayFollowHint says whether a request is sent to the replica that is said to lead. Two replicas that each take the
-// other for the leader would hand a request to and fro until its deadline.
+// mayFollowHint reports whether a request may be sent to the hinted leader. Without the limit on
+// attempts, two replicas that each believe the other one is the leader would forward a request to
+// each other until its deadline.
 func mayFollowHint(hintedIsUp bool, attempts int) bool {
 	return hintedIsUp && attempts <= maxHintedAttempts
 }
 
-// reachableVoters are the voters of a shard that are up, without this router's replica.
+// reachableVoters returns the voters of a shard that are up, excluding this router's replica.
 func (n *Node) reachableVoters(number int) []uint64 {
 	voters := n.shardVoters[number]
 	if replica := n.replicas[number]; replica != nil {
-		if known, _ := replica.Members(); len(known) > 0 { // a replica that is new to the shard knows none
+		if known, _ := replica.Members(); len(known) > 0 { // a replica that was just created knows no members yet
 			voters = known
 		}
 	}
@@ -198,8 +203,8 @@
 	return reachable
 }
 
-// serve proposes a command or read to this router's replica. Where that does not lead, a peer is
-// sent the leader's name; a request of this router is sent again later.
+// serve passes a command or read to this router's replica. If that replica is not the leader, a
+// peer is sent the ID of the leader; a request of this router is retried later.
 func (n *Node) serve(frame transport.Frame, requester pendingRequester) {
 	requester.receivedAt = time.Now()
 	err := shard.ErrNotLeader
@@ -245,7 +250,7 @@
 	return nil
 }
 
-// respond hands a replica's response to its requester, if it still waits.
+// respond delivers a replica's response to its requester, if the requester is still known.
 func (n *Node) respond(response shard.Response) {
 	key := responseKey{response.Requester, response.RequestNumber}
 	requester, ok := n.requesters[key]
@@ -264,8 +269,8 @@
 	})
 }
 
-// handleNotLeader sends a request on to the replica that is said to lead. Where none is known, it
-// is sent again later.
+// handleNotLeader redirects a request to the replica named as leader. If none is named, the request
+// is retried later.
 func (n *Node) handleNotLeader(frame transport.Frame) {
 	request := n.pending[frame.Number]
 	if request == nil {
--- a/internal/replication/shardtime.go
+++ b/internal/replication/shardtime.go
@@ -4,18 +4,19 @@
 	"cairnfront/internal/replication/shard"
 )
 
-// shardTime is a shard's time when a replica here had applied it.
+// shardTime is the time of a shard as of the last command that a local replica applied.
 type shardTime struct {
 	unixSeconds float64
-	appliedAt   float64 // seconds since the node's start
+	appliedAt   float64 // when it was applied, in seconds since the node's start
 }
 
-// commandTime is the time of a command for a shard: the shard's own, moved on by the monotonic clock. A shard without
-// any takes the wall clock's.
+// commandTime returns the time for a new command of a shard: the last known time of the shard,
+// advanced by the monotonic clock. A shard without a known time uses the wall clock.
 //
-// It guards against a leader whose wall clock is wrong. Ahead, it would end reservations early, and a request could run
-// in two groups; behind, it would keep them. While no replica of a shard runs, the shard's time stands still, and what
-// is reserved lasts longer by as much.
+// This protects against a leader with a wrong wall clock. A clock that is ahead would make
+// reservations expire too early, and a request could run in two groups; a clock that is behind
+// would make them expire too late. While no replica of a shard is running, the shard's time does
+// not advance, so its reservations last longer by that time.
 func (n *Node) commandTime(number int) float64 {
 	known, ok := n.shardTimes[number]
 	if !ok {
@@ -24,8 +25,9 @@
 	return known.unixSeconds + n.secondsSinceStart() - known.appliedAt
 }
 
-// noteShardTime notes what a replica has applied, where its shard's time is ahead of what is known here.
-func (n *Node) noteShardTime(replica *shard.Replica) {
+// recordShardTime records the time of the last command that a replica applied, if it is later than
+// the known time of the shard.
+func (n *Node) recordShardTime(replica *shard.Replica) {
 	number, applied := replica.Shard(), replica.State().Now()
 	if applied == 0 {
 		return
--- a/internal/replication/storage.go
+++ b/internal/replication/storage.go
@@ -11,10 +11,10 @@
 	"cairnfront/internal/replication/wal"
 )
 
-// reopenInterval is the time between two attempts to open a folder whose disk has failed.
+// reopenInterval is the time between two attempts to reopen a folder after a disk failure.
 const reopenInterval = time.Second
 
-// openFolder opens a router's folder and makes its replicas from what it holds.
+// openFolder opens a router's folder and restores its replicas.
 func openFolder(config Config) (*wal.WAL, map[int]*shard.Replica, error) {
 	log, saved, err := wal.Open(config.Disk, config.Name, rand.Uint64)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return log, replicas, nil
 }
 
-// advance writes, sends and answers what the replicas want. A write that fails ends the replicas, and the node goes on
-// without them; other errors end the node.
+// advance writes, sends and answers what the replicas have pending. If a write fails, the replicas
+// are suspended and the node continues without them; other errors stop the node.
 func (n *Node) advance() error {
 	err := n.failure
 	if err == nil {
@@ -47,14 +47,16 @@
 	return err
 }
 
-// suspendReplicas ends all replicas, as what is on the disk is not known, and tells the peers that none is up here. The
-// router's own requests go on to other replicas.
+// suspendReplicas drops all replicas, because the content of the disk is unknown after a failed
+// write, and announces to the peers that this router has no replica. Requests of this router are
+// sent to the replicas of other routers.
 //
-// It guards against a disk that fails for a while and takes a router out of the record until it is restarted.
+// Without this, a temporary disk failure would exclude a router from replication until it is
+// restarted.
 func (n *Node) suspendReplicas(err error) {
 	n.config.Logger.Error("replicas suspended", "error", err.Error())
 	n.closeLog()
-	n.lastOpening = time.Now()
+	n.lastOpenAttempt = time.Now()
 	for number, replica := range n.replicas {
 		if voters, _ := replica.Members(); len(voters) > 0 {
 			n.shardVoters[number] = voters
@@ -62,17 +64,18 @@
 	}
 	clear(n.replicas)
 	clear(n.requesters)
-	n.setUp(false)
+	n.setReplicaUp(false)
 	n.sendHelloToAll()
 }
 
-// reopenFolder opens the folder again after its disk has failed, once an interval, and makes its replicas anew as at a
-// start. A folder that is damaged, or another router's, ends the node.
+// reopenFolder tries to open the folder again after a disk failure, at most once per
+// reopenInterval, and restores the replicas as at a start. A folder that is corrupt, belongs to
+// another router, or was written by a newer version stops the node.
 func (n *Node) reopenFolder() {
-	if n.wal != nil || time.Since(n.lastOpening) < reopenInterval {
+	if n.wal != nil || time.Since(n.lastOpenAttempt) < reopenInterval {
 		return
 	}
-	n.lastOpening = time.Now()
+	n.lastOpenAttempt = time.Now()
 	log, replicas, err := openFolder(n.config)
 	switch {
 	case err == nil:
@@ -88,14 +91,14 @@
 	n.identity = log.Identity()
 	n.replicaID = n.identity.ID
 	n.startCounts[n.replicaID] = n.identity.StartCount
-	n.setUp(true)
+	n.setReplicaUp(true)
 	n.config.Logger.Info("replicas resumed", "shards", len(replicas))
 	n.sendHelloToAll()
 	n.beginShards()
 }
 
-// setUp says whether this router's replicas take part.
-func (n *Node) setUp(up bool) {
+// setReplicaUp marks this router's replica as up or down in the statuses.
+func (n *Node) setReplicaUp(up bool) {
 	n.statuses[n.replicaID] = placement.ReplicaStatus{
 		ID:   n.replicaID,
 		Node: n.config.Name,
@@ -104,12 +107,12 @@
 	}
 }
 
-// closeLog closes the folder, unless it is closed.
+// closeLog closes the write-ahead log if it is open.
 func (n *Node) closeLog() {
 	if n.wal == nil {
 		return
 	}
-	n.earlierSyncs += n.wal.SyncCount
+	n.closedLogSyncs += n.wal.SyncCount
 	n.wal.Close()
 	n.wal = nil
 }
--- a/internal/replication/verify.go
+++ b/internal/replication/verify.go
@@ -15,14 +15,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// inspectedFolder is what a stopped router's folder holds, by shard.
+// inspectedFolder is the content of a stopped router's folder, by shard.
 type inspectedFolder struct {
 	path   string
 	shards map[int]shard.PersistentState
 }
 
-// Verify reads the write-ahead logs of stopped routers, changes nothing, and writes what each holds
-// and whether they agree. It returns false if any can't be read, or two differ in a committed entry.
+// Verify reads the write-ahead logs of stopped routers without changing them, and writes a summary
+// of each and the differences between them. It returns false if a log cannot be read, or if two
+// logs differ in a committed entry.
 func Verify(w io.Writer, paths []string) bool {
 	var folders []inspectedFolder
 	readable := true
@@ -52,10 +53,11 @@
 	return readable && different == 0
 }
 
-// writef writes a line of the output. A failed write shows at the command's exit.
+// writef writes formatted output and ignores write errors, which the command reports when it exits.
 func writef(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
-// summarize writes what a folder holds, and says whether each shard's state could be restored.
+// summarize writes a summary of a folder, and reports whether the state of every shard could be
+// restored.
 func summarize(w io.Writer, path string, identity wal.Identity, shards map[int]shard.PersistentState) bool {
 	restored := true
 	reservations, entries := 0, 0
@@ -77,7 +79,8 @@
 	return restored
 }
 
-// compareFolders counts the shards that two folders both hold and agree or differ on.
+// compareFolders compares the shards that are in both folders, and counts those that agree and
+// those that differ.
 func compareFolders(w io.Writer, a, b inspectedFolder) (same, different int) {
 	for number, savedA := range a.shards {
 		savedB, both := b.shards[number]
@@ -95,7 +98,7 @@
 	return same, different
 }
 
-// replay is the state that a replica's snapshot and committed entries come to.
+// replay returns the state that results from a replica's snapshot and its committed entries.
 func replay(saved shard.PersistentState) (*statemachine.State, error) {
 	state := statemachine.New()
 	snapshotIndex := uint64(0)
@@ -119,8 +122,8 @@
 	return state, nil
 }
 
-// findDifference looks through the entries that two replicas both have and both know to be
-// committed. The reason is "" where they are the same.
+// findDifference returns the first log index at which two replicas have different entries, among
+// the entries that both have and both consider committed. reason is empty if there is none.
 func findDifference(a, b shard.PersistentState) (index uint64, reason string) {
 	committed := min(a.HardState.GetCommit(), b.HardState.GetCommit())
 	for _, entryA := range a.Entries {
--- a/internal/replication/verify_golden_test.go
+++ b/internal/replication/verify_golden_test.go
@@ -9,13 +9,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestVerifyOutputOfGoldenFolders compares the output for folders that an earlier version wrote
-// with what that version printed.
+// TestVerifyOutputOfGoldenFolders verifies folders that an earlier version wrote, and compares the
+// output with the output of that version.
 func TestVerifyOutputOfGoldenFolders(t *testing.T) {
 	var out bytes.Buffer
-	t.Run("in their folder", func(t *testing.T) { // the output has the paths as they are given
+	t.Run("in their folder", func(t *testing.T) { // the output contains the paths as given
 		t.Chdir("wal/testdata")
-		assert.False(t, Verify(&out, []string{"folder-r1", "folder-r2"}), "they differ at one command of shard 3")
+		assert.False(t, Verify(&out, []string{"folder-r1", "folder-r2"}), "the folders differ in a command of shard 3")
 	})
 	golden.Compare(t, "verify.txt", out.String())
 }
--- a/internal/replication/verify_test.go
+++ b/internal/replication/verify_test.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// stoppedFolder is the folder of a stopped router that has committed one reservation.
+// stoppedFolder creates the folder of a stopped router with one committed reservation.
 func stoppedFolder(t *testing.T, group string) string {
 	t.Helper()
 	path := t.TempDir()
@@ -44,9 +44,10 @@
 	return path
 }
 
-// TestVerifyComparesStoppedRouters compares folders that agree, folders that differ at one command, and an empty
-// one. A comparison that passes over a difference hides a key that was granted twice. The index of the first
-// difference must be named, and an unreadable folder must not count as equal.
+// TestVerifyComparesStoppedRouters compares folders that agree, folders that differ in one command,
+// and an empty folder. If the comparison missed a difference, a key that was granted twice would
+// stay unnoticed. The index of the first difference must be reported, and an unreadable folder must
+// not count as equal.
 func TestVerifyComparesStoppedRouters(t *testing.T) {
 	a, b, c := stoppedFolder(t, "g1"), stoppedFolder(t, "g1"), stoppedFolder(t, "g2")
 	var out bytes.Buffer
