--- a/internal/dispatch/addresses.go
+++ b/internal/dispatch/addresses.go
@@ -11,18 +11,19 @@
 
 // Errors of the operators' commands on addresses.
 var (
-	// ErrNotDisabled is returned for an address that is unknown, or is the last usable one of its endpoint.
+	// ErrNotDisabled is returned if an address is unknown, or is the last one of its endpoint that is not disabled.
 	ErrNotDisabled = errors.New("no such endpoint and address, or its last address that is not disabled")
-	// ErrUnknownAddress is returned for an address that is unknown.
+	// ErrUnknownAddress is returned if an address is unknown.
 	ErrUnknownAddress = errors.New("no such endpoint and address")
-	// ErrLoopBusy is returned if the loop did not handle a command before its context ended.
+	// ErrLoopBusy is returned if the event loop did not handle a command before the context was done.
 	ErrLoopBusy = errors.New("the event loop did not handle the command in time")
 )
 
-// AddressLookup returns the configured addresses of an endpoint, none if it has only the one of the endpoint list.
+// AddressLookup returns the configured addresses of an endpoint, or nil if only its address in the endpoint list is
+// used.
 type AddressLookup func(discovery.Endpoint) []address.Addr
 
-// addressAction is what an operator wants to be done with an address.
+// addressAction is an operator's command on an address.
 type addressAction int
 
 const (
@@ -30,13 +31,14 @@
 	reinstateAddress
 )
 
-// addressStatusReply is the answer to an addressStatusQuery.
+// addressStatusReply is the reply to an addressStatusQuery.
 type addressStatusReply []address.Status
 
-// ReplaceAddresses queues the addresses of a configuration file read anew. The pool must have an address selector.
+// ReplaceAddresses queues an event that replaces the configured addresses after a reload of the configuration file. The
+// pool must have an address selector.
 func (d *Dispatcher) ReplaceAddresses(lookup AddressLookup) { d.post(addressesReplaced{lookup}) }
 
-// AddressStatus returns the state of every address that the address selector knows.
+// AddressStatus returns the state of every address of the address selector.
 func (d *Dispatcher) AddressStatus(ctx context.Context) ([]address.Status, error) {
 	reply := make(chan addressStatusReply, 1)
 	d.post(addressStatusQuery{reply})
@@ -48,7 +50,7 @@
 	}
 }
 
-// DisableAddress uses an address for no new attempt until it is reinstated.
+// DisableAddress takes an address out of use for new attempts until it is reinstated.
 func (d *Dispatcher) DisableAddress(ctx context.Context, endpoint routing.EndpointID, addr string) error {
 	return d.commandAddress(ctx, disableAddress, endpoint, addr)
 }
@@ -75,13 +77,13 @@
 	}
 }
 
-// replaceAddresses takes the addresses of a configuration file read anew into use.
+// replaceAddresses applies the addresses of a reloaded configuration file to the pool.
 func (d *Dispatcher) replaceAddresses(lookup AddressLookup) {
 	d.Pool.EndpointAddresses = lookup
 	d.Pool.RefreshAddresses()
 }
 
-// addressStatus returns the state of every address, an empty list without an address selector.
+// addressStatus returns the state of every address, or an empty list if the pool has no address selector.
 func (d *Dispatcher) addressStatus() addressStatusReply {
 	if d.Pool.AddressSelector == nil {
 		return addressStatusReply{}
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -9,30 +9,30 @@
 	"cairnfront/routing"
 )
 
-// sendState says how far an attempt has come on the connection that it is sent on. What the decisions expect of it is
-// routing's attemptState. These are all transitions; attempt.move makes them and no other:
+// sendState is the state of an attempt on its connection. The routing module has a separate state for each attempt,
+// attemptState. The table lists all transitions; attempt.move rejects any other:
 //
 //	from       to         when
-//	open       cancelled  the decisions gave it up, or its deadline passed (cancelAttempt)
+//	open       cancelled  the Decider cancelled it, or its deadline passed (cancelAttempt)
 //	open       ended      its connection reported its end, or it could not be sent (finishAttempt)
 //	cancelled  ended      its connection reported its end, or will not report one (finishAttempt)
 type sendState uint8
 
 const (
-	sendOpen      sendState = iota // it may complete
-	sendCancelled                  // given up; its connection still has to tell how it ended
-	sendEnded                      // the decisions know its end
+	sendOpen      sendState = iota // the attempt may still complete
+	sendCancelled                  // cancelled; its connection has not reported the end yet
+	sendEnded                      // the attempt's end was handled and reported to the Decider
 	sendStateCount
 )
 
-// sendTransitions has, by its state, the states that an attempt may take next.
+// sendTransitions lists the allowed next states for each state of an attempt.
 var sendTransitions = [sendStateCount][sendStateCount]bool{
 	sendOpen:      {sendCancelled: true, sendEnded: true},
 	sendCancelled: {sendEnded: true},
 }
 
-// move takes an attempt to another state where the table has the transition, and says whether it did. An end that is
-// reported twice is told apart by that: the decisions hear of one.
+// move changes the attempt's state if sendTransitions allows it, and reports whether it did. If the end of an attempt
+// is reported twice, the second call returns false, so that the Decider gets one AttemptEnded event.
 func (a *attempt) move(to sendState) bool {
 	if !sendTransitions[a.state][to] {
 		return false
@@ -41,23 +41,23 @@
 	return true
 }
 
-// attempt is one try of a request at an endpoint.
+// attempt is one attempt to send a request to an endpoint.
 type attempt struct {
 	request    *openRequest
-	number     int // in request.attempts
+	number     int // index in request.attempts
 	endpoint   routing.EndpointID
 	startedAt  float64              // monotonic seconds
-	sent       *upstream.Attempt    // nil if it could not be sent, and once it has ended
-	connection *upstream.Connection // nil if it could not be sent
+	sent       *upstream.Attempt    // nil if the attempt could not be sent, and after it has ended
+	connection *upstream.Connection // nil if the attempt could not be sent
 
 	state         sendState
-	stallReported bool // the decisions know that its connection is silent
+	stallReported bool // an AttemptStalled event was passed to the Decider
 }
 
-// OwnsUpstreamAttempt makes an attempt an upstream.Owner.
+// OwnsUpstreamAttempt implements upstream.Owner.
 func (*attempt) OwnsUpstreamAttempt() {}
 
-// AttemptReport says how an attempt ended.
+// AttemptReport describes how an attempt ended.
 type AttemptReport struct {
 	Endpoint       routing.EndpointID
 	Class          routing.ClassIndex
@@ -65,7 +65,7 @@
 	ElapsedSeconds float64
 }
 
-// startAttempt sends a request to an endpoint. An attempt that can't be sent ends as NotSent after the event in hand.
+// startAttempt sends a request to an endpoint. An attempt that can't be sent ends as NotSent after the current event.
 func (d *Dispatcher) startAttempt(o *openRequest, action routing.StartAttempt) {
 	a := &attempt{
 		request:   o,
@@ -82,7 +82,7 @@
 		d.runNext(retryBudgetCheck{})
 	}
 	switch {
-	case o.request.Cancelled(): // its cancellation is not handled yet
+	case o.request.Cancelled(): // the client cancelled the request, and the loop has not handled that yet
 		d.runNext(requestDisconnected{o})
 	case o.state == requestOpen && deadline > d.now:
 		d.Metrics.Inc(telemetry.AttemptsSent.With(telemetry.Class(o.request.ClassName)))
@@ -103,8 +103,8 @@
 	d.schedule(deadline, attemptDeadline{a})
 }
 
-// attemptEndsBy returns by when an attempt ends, by its request's deadline and the one that the decisions gave it; that
-// is 0 for none.
+// attemptEndsBy returns the deadline of an attempt: the earlier of its request's deadline and attemptDeadline, which
+// the Decider sets and which is 0 if unset.
 func attemptEndsBy(requestDeadline, attemptDeadline float64) float64 {
 	if attemptDeadline > 0 {
 		return min(requestDeadline, attemptDeadline)
@@ -112,8 +112,8 @@
 	return requestDeadline
 }
 
-// connections returns the connections that the request's attempts were sent on. A further attempt avoids them: what
-// went wrong on one is likely to go wrong there again.
+// connections returns the connections that the request's attempts were sent on. A retry avoids these connections,
+// because an attempt that failed on a connection is likely to fail there again.
 func (o *openRequest) connections() []*upstream.Connection {
 	var used []*upstream.Connection
 	for _, a := range o.attempts {
@@ -124,14 +124,15 @@
 	return used
 }
 
-// finishAttempt handles the end of an attempt, once. The first one that completed answers the request.
+// finishAttempt handles the end of an attempt; a second call for the same attempt only frees the body. The first
+// attempt of a request that completes answers the request.
 func (d *Dispatcher) finishAttempt(a *attempt, end request.AttemptEnd) {
 	if !a.move(sendEnded) {
 		end.Body.Free()
 		return
 	}
 	o := a.request
-	a.sent = nil // it holds the body, and a timer still holds the attempt
+	a.sent = nil // releases the request body; the attemptDeadline timer still refers to the attempt
 	o.running--
 	elapsed := d.now - a.startedAt
 	class := telemetry.Class(o.request.ClassName)
@@ -166,10 +167,10 @@
 	d.forgetIfDone(o)
 }
 
-// cancelAttempt gives an attempt up. Its end is reported once its endpoint was sent the cancel. If the endpoint can't
-// know of the attempt, its end is handled after the event in hand.
+// cancelAttempt cancels an attempt. Its connection reports the end after it has sent the cancel command to the
+// endpoint. If nothing of the attempt was sent, the end is handled after the current event.
 func (d *Dispatcher) cancelAttempt(a *attempt, result routing.AttemptResult) {
-	notSent := a.sent == nil // then it is about to end
+	notSent := a.sent == nil // an attemptFinished task is already queued for it
 	if notSent || !a.move(sendCancelled) {
 		return
 	}
@@ -178,8 +179,8 @@
 	}
 }
 
-// reportStalled tells the decisions, once each, of attempts whose connection is silent while their endpoint answers on
-// another.
+// reportStalled passes an AttemptStalled event to the Decider, once per attempt, for attempts whose connection is
+// silent while their endpoint answers on another connection.
 func (d *Dispatcher) reportStalled(stalled []*upstream.Attempt) {
 	for _, sent := range stalled {
 		a, ok := sent.Owner.(*attempt)
@@ -192,7 +193,7 @@
 	}
 }
 
-// reportRetryBudget tells the decisions which retry budgets were used up, and which are available again.
+// reportRetryBudget passes an event to the Decider for each retry budget that became exhausted or available again.
 func (d *Dispatcher) reportRetryBudget() {
 	for _, change := range d.RetryBudget.TakeChanges() {
 		d.Metrics.Inc(telemetry.RetryBudgetChanges)
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The end of an attempt is reported twice. The client would get two answers, and the decisions would count the attempt
-// twice. One response and one event come of it.
+// Guards against an attempt whose end is reported twice: the client would get two responses, and the Decider would
+// count the attempt twice. Two reports of the end must lead to one response and one event.
 func TestFirstCompletedAttemptAnswers(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
@@ -30,12 +30,13 @@
 		Detail:      routing.CacheHit,
 		RequestDone: true,
 	}, f.decider.events[2])
-	assert.Len(t, f.decider.events, 3, "a second end is not reported")
+	assert.Len(t, f.decider.events, 3, "the second report of the end is ignored")
 	assert.Empty(t, f.requests)
 }
 
-// A connection does not come up before the deadline of its attempt, or an attempt can not be sent at all. Its request
-// would wait until the client gives up. Each such attempt ends as not sent, at its deadline or at once.
+// Guards against an attempt that never ends because its connection is not established before its deadline, or because
+// it can't be sent at all: its request would wait until the client gives up. Such an attempt must end as NotSent, at
+// its deadline or at once.
 func TestAttemptEndsAtItsDeadline(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		if _, ok := ev.(routing.RequestArrived); !ok {
@@ -52,7 +53,7 @@
 	f.setTime(101.5)
 	f.runDueTimers()
 	f.runDueTimers()
-	assert.Equal(t, []routing.Event{ // the two that could not be sent, then the one whose connection never came up
+	assert.Equal(t, []routing.Event{ // the two that could not be sent, then the one without an established connection
 		routing.AttemptEnded{Request: "ab", Attempt: 1, Endpoint: "c", Result: routing.NotSent},
 		routing.AttemptEnded{Request: "ab", Attempt: 2, Endpoint: "x", Result: routing.NotSent},
 		routing.AttemptEnded{Request: "ab", Attempt: 0, Endpoint: "c", Result: routing.NotSent, ElapsedSeconds: 1.5},
@@ -60,8 +61,9 @@
 	assert.Equal(t, 0, f.requests["ab"].running)
 }
 
-// An attempt is cancelled before any of it was written. Reported as cancelled it would count as one that may have run,
-// and could not be repeated. It ends as not sent, and a second answer or the cancel of an unknown attempt does nothing.
+// Guards against an attempt that is reported as Cancelled although nothing of it was written: it would count as one
+// that the endpoint may have executed, so it could not be retried. It must end as NotSent. A second response, and the
+// cancel of an unknown attempt, must have no effect.
 func TestCancelledAttemptThatWasNeverWrittenEndsAsNotSent(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		switch ev.(type) {
@@ -84,7 +86,7 @@
 	f.setTime(101)
 	f.runDueTimers()
 	want := request.Response{Result: request.Rejected, Reason: request.ReasonDecided, RetryAfterSeconds: 2}
-	assert.Equal(t, []request.Response{want}, f.recorder.responses, "one response and no more")
+	assert.Equal(t, []request.Response{want}, f.recorder.responses, "exactly one response")
 	assert.Equal(t, []routing.Event{
 		routing.TimerFired{Token: 7},
 		routing.AttemptEnded{
@@ -98,8 +100,8 @@
 	assert.Empty(t, f.requests)
 }
 
-// A probe gets no answer, or its endpoint is unknown. Without an end the decisions would wait for its result for ever.
-// Each probe ends once, at its timeout or at once.
+// Guards against a probe without a result, because it gets no answer or its endpoint is unknown: the Decider would wait
+// for the result forever. Each probe must end once, at its timeout or at once.
 func TestProbeEndsOnce(t *testing.T) {
 	f := newFixture(t, nil)
 	f.Pool.ConnectTimeout = time.Second
@@ -114,8 +116,8 @@
 	}, f.decider.events[2:])
 }
 
-// An edge cache that is sent its own name as the source would fetch from itself. The name is left out there, and stays
-// for every other endpoint.
+// Guards against an edge cache that fetches from itself because an attempt names it as the fill source. The fill source
+// must be empty in that case only; every other endpoint is named.
 func TestOnlyAnEdgeCacheIsNotNamedAsItsOwnSource(t *testing.T) {
 	f := newFixture(t, nil)
 	f.arrive(f.request)
@@ -125,8 +127,8 @@
 	assert.Equal(t, "o", f.fillSource(routing.StartAttempt{Endpoint: "c", Source: "o"}))
 }
 
-// Several attempts stall, and one has ended meanwhile. The others would go unreported behind it. Each that is open is
-// reported and counted once.
+// Guards against stalled attempts that are not reported because another attempt in the same list has already ended.
+// Each open attempt must be reported and counted once.
 func TestStalledAttemptsAreReportedOnceEach(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
--- a/internal/dispatch/deadline_test.go
+++ b/internal/dispatch/deadline_test.go
@@ -20,17 +20,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// deadlineSlack is by how much the deadline sent to an endpoint may exceed what the client has left, by the terms.
+// deadlineSlack is the tolerance in seconds that the protocol allows between the timeout sent to an endpoint and the
+// client's remaining time.
 const deadlineSlack = 0.15
 
-// receivedLine is an attempt's line as an endpoint got it.
+// receivedLine is the command line of an attempt as the endpoint received it.
 type receivedLine struct {
 	command cacheproto.Command
 	at      time.Time
 }
 
-// slowEndpoints dials endpoints c and d. A dial takes dialDelay, and the endpoint's side begins to read after
-// readDelay.
+// slowEndpoints dials the endpoints c and d. A dial takes dialDelay, and the endpoint starts to read from the new
+// connection after readDelay.
 type slowEndpoints struct {
 	dialDelay, readDelay time.Duration
 	received             chan receivedLine
@@ -65,7 +66,7 @@
 	return near, nil
 }
 
-// startDispatcher runs a dispatcher on the system's clock with the endpoints c and d.
+// startDispatcher runs a dispatcher with the system clock and the endpoints c and d until the test ends.
 func startDispatcher(t *testing.T, decider routing.Decider, dial func(context.Context, string) (net.Conn, error),
 ) *Dispatcher {
 	t.Helper()
@@ -95,7 +96,7 @@
 	return d
 }
 
-// hedging starts an attempt at c when a request arrives, and one more at d shortly after.
+// hedging starts an attempt at c when a request arrives, and a hedged attempt at d 50 ms later.
 func hedging(ev routing.Event) []routing.Action {
 	switch ev := ev.(type) {
 	case routing.RequestArrived:
@@ -109,15 +110,15 @@
 	return nil
 }
 
-// A connection comes up late, or takes nothing for a while, and the deadline in the line was computed before that. The
-// endpoint would work for a client that has given up. The deadline of each line is what the client has left as it
-// arrives, for a first attempt and a hedged one.
+// Guards against a timeout in the command line that was computed before a slow connect or a blocked write: the endpoint
+// would work for a client that has given up. The timeout in each line must be the client's remaining time when the line
+// arrives, for a first attempt and for a hedged one.
 func TestDeadlineToldToEndpointIsWhatTheClientHasLeft(t *testing.T) {
 	for name, test := range map[string]struct {
 		endpoints slowEndpoints
 		left      time.Duration
 		bodyBytes int
-		lines     int // at least; none may arrive after the client's deadline
+		lines     int // minimum number of lines; none may arrive after the client's deadline
 	}{
 		"a connect of 0.35 s": {slowEndpoints{dialDelay: 350 * time.Millisecond}, time.Second, 0, 2},
 		"and 0.2 s left":      {slowEndpoints{dialDelay: 350 * time.Millisecond}, 200 * time.Millisecond, 0, 0},
@@ -157,9 +158,9 @@
 			for ; len(endpoints.received) > 0; lines++ {
 				line := <-endpoints.received
 				left := test.left - line.at.Sub(startedAt)
-				assert.Positive(t, left, "nothing arrives after the client's deadline")
+				assert.Positive(t, left, "no line arrives after the client's deadline")
 				assert.LessOrEqual(t, line.command.TimeoutSeconds, left.Seconds()+deadlineSlack)
-				assert.Greater(t, line.command.TimeoutSeconds, left.Seconds()-deadlineSlack, "and not much less")
+				assert.Greater(t, line.command.TimeoutSeconds, left.Seconds()-deadlineSlack, "and not too short")
 			}
 			assert.GreaterOrEqual(t, lines, test.lines)
 		})
--- a/internal/dispatch/decisions.go
+++ b/internal/dispatch/decisions.go
@@ -8,16 +8,16 @@
 	"cairnfront/routing"
 )
 
-// decide brings an event to the decisions and carries out the actions that they return. About is the request that the
-// event is of, nil for none: it is aborted if the decisions panic.
+// decide passes an event to the Decider and carries out the actions that it returns. About is the request that the
+// event belongs to, or nil; this request is aborted if the Decider panics.
 func (d *Dispatcher) decide(ev routing.Event, about *openRequest) {
 	for _, action := range d.actionsFor(ev, about) {
 		d.perform(action)
 	}
 }
 
-// actionsFor returns what the decisions say to an event. If they panic, the stack is logged, the request is aborted and
-// nothing is returned.
+// actionsFor returns the Decider's actions for an event. If the Decider panics, the stack is logged, the request is
+// aborted and no action is returned.
 func (d *Dispatcher) actionsFor(ev routing.Event, about *openRequest) (actions []routing.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -28,11 +28,11 @@
 			}
 		}
 	}()
-	// The decider's list is valid until its next call, which an action may cause.
+	// Copies the list: it is valid only until the next call of Decide, and an action may cause one.
 	return append(actions, d.Decider.Decide(d.now, ev)...)
 }
 
-// perform carries out one action. An action about a request that is not open any more has no effect.
+// perform carries out one action. An action for a request that is not open any more has no effect.
 func (d *Dispatcher) perform(action routing.Action) {
 	switch action := action.(type) {
 	case routing.StartAttempt:
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,13 +1,13 @@
 // Package dispatch runs the event loop that owns the routing state.
 //
-// One goroutine, the one in Dispatcher.Run, brings events to the routing decisions in order, with a clock that never
-// goes back, and carries out the actions that they return. It starts and cancels attempts, answers requests, sets
-// timers and sends health probes. The loop owns the open requests, their attempts, the probes and the timers. The
-// methods of the upstream pool belong to it too.
+// Dispatcher.Run is a single goroutine that passes events to the routing module (the Decider) in order, with a
+// monotonic clock, and carries out the actions that the Decider returns. It starts and cancels attempts, answers
+// requests, sets timers and sends health probes. The loop owns the open requests, their attempts, the probes and the
+// timers, and it is the only caller of the upstream pool's methods.
 //
-// The package decides nothing itself and does no I/O: the loop never waits for a socket or a disk. What it adds to the
-// decisions is protection against them. A panic in a decision aborts the request that it was about, and a request that
-// the decisions fail to end is aborted shortly after its deadline.
+// The package makes no routing decisions and does no I/O: the loop never waits for a socket or a disk. It protects the
+// process from faults in the Decider: a panic in the Decider aborts only the request that the event belongs to, and a
+// request that the Decider does not end is aborted shortly after its deadline.
 package dispatch
 
 import (
@@ -24,16 +24,16 @@
 )
 
 const (
-	// queueCapacity is how many events may wait for the loop. A request that finds no room is rejected at once.
+	// queueCapacity is the maximum number of queued events. A request that arrives when the queue is full is rejected.
 	queueCapacity = 4096
-	// closeIdleInterval is the time between sweeps of the pool for idle connections.
+	// closeIdleInterval is the time between two scans of the pool for idle connections to close.
 	closeIdleInterval = time.Second
-	// watchInterval is the time between checks for silent attempts and for the retry budget's windows.
+	// watchInterval is the time between two checks for stalled attempts and for expired retry budget windows.
 	watchInterval = 20 * time.Millisecond
 )
 
-// Dispatcher brings events to the routing decisions and carries out their actions. It has to be made by New. The
-// exported fields are set before Run and belong to Run's goroutine from then on.
+// Dispatcher passes events to the Decider and carries out the actions that it returns. Create it with New. The exported
+// fields must be set before Run is called; after that only Run's goroutine may access them.
 type Dispatcher struct {
 	Decider     routing.Decider
 	Settings    routing.Settings
@@ -41,26 +41,26 @@
 	Metrics     *telemetry.Metrics
 	Clock       func() float64      // monotonic seconds, see clock.Instant
 	Wall        *clock.Wall         // translates the Unix times of discovery events
-	RetryBudget *retrybudget.Budget // nil for no budget
+	RetryBudget *retrybudget.Budget // nil if retries are not limited by a budget
 
-	// OnAttemptEnd is called for each attempt that ended, if not nil, on the loop's goroutine. It must not block.
+	// OnAttemptEnd, if not nil, is called on the loop's goroutine for each attempt that ended. It must not block.
 	OnAttemptEnd func(AttemptReport)
 
 	queue   chan event
 	stopped chan struct{} // closed when Run returns
 
 	mu               sync.Mutex
-	cancelled        []*request.Request // not yet handled; a request is cancelled at most once, which bounds the list
-	cancelledPending chan struct{}      // holds a value while cancelled may be non-empty
+	cancelled        []*request.Request // cancellations to handle; bounded, as a request is cancelled at most once
+	cancelledPending chan struct{}      // contains a value while cancelled may be non-empty
 
-	ending    bool    // every open request was aborted, and none is taken in
-	now       float64 // time of the event in hand, monotonic seconds
+	ending    bool    // set by abortAll: all open requests were aborted and new requests are rejected
+	now       float64 // time of the event being handled, monotonic seconds
 	requests  map[routing.RequestID]*openRequest
-	endpoints map[routing.EndpointID]listedEndpoint // that are not removed
+	endpoints map[routing.EndpointID]listedEndpoint // entries of the endpoint list, without removed endpoints
 	timers    timerQueue
 }
 
-// New returns a dispatcher that is not running.
+// New returns a Dispatcher; call Run to start its event loop.
 func New(
 	decider routing.Decider,
 	settings routing.Settings,
@@ -82,7 +82,7 @@
 	}
 }
 
-// Run handles events and timers until the context ends. It may be called once.
+// Run handles events and timers until the context is done. It must be called at most once.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	defer close(d.stopped)
 	nextTimer := time.NewTimer(0)
@@ -99,7 +99,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-d.cancelledPending: // handled below, as before each other event
+		case <-d.cancelledPending: // the cancellations are handled below the select
 		case ev := <-d.queue:
 			d.handleCancelled()
 			d.recovering(func() { d.handle(ev) })
@@ -117,7 +117,7 @@
 	}
 }
 
-// sweep closes idle connections and notices steps of the wall clock.
+// sweep closes idle connections and checks whether the wall clock was stepped.
 func (d *Dispatcher) sweep() {
 	d.Pool.CloseIdle(clock.Now())
 	if d.Wall.Observe() {
@@ -125,7 +125,7 @@
 	}
 }
 
-// watch finds silent attempts and advances the windows of the retry budget.
+// watch reports stalled attempts and advances the windows of the retry budget.
 func (d *Dispatcher) watch() {
 	d.advanceClock()
 	d.reportStalled(d.Pool.CheckAddresses(clock.Now()))
@@ -135,11 +135,11 @@
 	}
 }
 
-// advanceClock sets the time of the event in hand. It never goes back.
+// advanceClock updates the loop's current time, which never decreases.
 func (d *Dispatcher) advanceClock() { d.now = max(d.now, d.Clock()) }
 
-// recovering calls step and keeps the loop going if it panics. The request that the panic was about is aborted once it
-// is overdue.
+// recovering calls step and recovers a panic in it, so that the loop continues. A request that is left open by the
+// panic is aborted by its requestOverdue timer.
 func (d *Dispatcher) recovering(step func()) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -5,16 +5,17 @@
 	"cairnfront/routing"
 )
 
-// listedEndpoint is what the dispatcher stores of an entry of the endpoint list.
+// listedEndpoint is the part of an entry of the endpoint list that the dispatcher stores.
 type listedEndpoint struct {
 	kind          int
-	startedAtUnix float64 // as listed, Unix seconds; 0 for long ago
+	startedAtUnix float64 // start time in the endpoint list, Unix seconds; 0 if the endpoint started long ago
 	startedAt     float64 // the same time in monotonic seconds
 }
 
-// list returns the entry of a listed endpoint; earlier is the one before, zero for none. The time of a start is
-// translated once, when it is first received, and as late as it may have been: a warming endpoint is taken for colder
-// than it is rather than for warmer (rule 4). A start that is new came after the one before, whatever the clocks say.
+// list returns the entry to store for a listed endpoint; earlier is its previous entry, zero if there is none. A start
+// time is translated to monotonic time once, when it is first received, and to the latest possible time: a warming
+// endpoint may seem colder than it is, but never warmer (rule 4). A new start time is always after the previous one,
+// whatever the clocks show.
 func (d *Dispatcher) list(listed routing.Endpoint, earlier listedEndpoint) listedEndpoint {
 	entry := listedEndpoint{kind: listed.Kind, startedAtUnix: listed.StartedAt}
 	switch {
@@ -30,7 +31,7 @@
 	return entry
 }
 
-// LoadBootstrap handles the discovery events that the router was started with. It is called before Run.
+// LoadBootstrap applies the discovery events of the bootstrap file. It must be called before Run.
 func (d *Dispatcher) LoadBootstrap(events []discovery.Event) {
 	d.advanceClock()
 	for i, ev := range events {
@@ -42,7 +43,8 @@
 	}
 }
 
-// applyDiscovery handles a purge or a change of the endpoint list. Kind is that of an update which is no snapshot.
+// applyDiscovery handles a purge or a change of the endpoint list. Kind is the kind of the update that is passed to the
+// Decider; a snapshot is always passed as Snapshot unless kind is Restored.
 func (d *Dispatcher) applyDiscovery(ev discovery.Event, kind routing.UpdateKind) {
 	if ev.IsPurge() {
 		d.decide(routing.Purge{
@@ -74,13 +76,13 @@
 	d.decide(routing.EndpointUpdate{Kind: kind, Endpoints: endpoints}, nil)
 }
 
-// purgeAge returns how many seconds ago a purge was, which was at a time at the latest. It is not older than it may be,
-// so that a copy counts as older than the purge wherever that can't be excluded (rule 5). Else a purged copy could be
-// answered after a step of the wall clock.
+// purgeAge returns the age of a purge in seconds; latest is the latest time at which it may have been made. The purge
+// is taken to be as recent as possible, so that every copy that may be older than the purge counts as older (rule 5).
+// Otherwise a purged copy could be served after a step of the wall clock.
 func purgeAge(latest, now float64) float64 { return max(now-latest, 0) }
 
-// fillSource is the source of a fill as the attempt names it, empty for none. An edge cache that is its own source
-// fills nothing; a parent cache or the origin is named all the same.
+// fillSource returns the fill source that is sent with an attempt, or an empty string to send none. An edge cache that
+// is its own source does not fetch, so none is sent; a parent cache or the origin is sent even as its own source.
 func (d *Dispatcher) fillSource(action routing.StartAttempt) string {
 	kind := d.endpoints[action.Endpoint].kind
 	isParent := kind == int(d.Settings.Float(routing.SettingParentKind, -1))
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -7,28 +7,28 @@
 	"cairnfront/routing"
 )
 
-// event is what waits in the loop's queue: one of the types below, each of which has a method of Dispatcher that queues
-// it. A request's cancellation does not go through the queue.
+// event is an entry of the loop's queue: one of the types below, each of which has a Dispatcher method that queues it.
+// Cancellations of requests bypass the queue (RequestCancelled).
 type event interface{ isDispatchEvent() }
 
 type (
-	// requestArrived brings an admitted request.
+	// requestArrived is the arrival of an admitted request.
 	requestArrived struct{ request *request.Request }
-	// upstreamEvent is an event of a connection to an endpoint.
+	// upstreamEvent is an event of the upstream pool, such as the end of an attempt.
 	upstreamEvent struct{ upstream.Event }
 	// discoveryEvent is a change of the endpoint list, or a purge.
 	discoveryEvent struct{ discovery.Event }
-	// healthObserved is what other routers observed of an endpoint's health.
+	// healthObserved is a health observation of an endpoint by other routers.
 	healthObserved struct{ observation routing.HealthObservation }
 	// shutdown aborts every open request.
 	shutdown struct{}
-	// livenessProbe calls done from the loop.
+	// livenessProbe calls done on the loop's goroutine.
 	livenessProbe struct{ done func() }
-	// pause holds the loop until resume is closed.
+	// pause blocks the loop until resume is closed.
 	pause struct{ resume <-chan struct{} }
-	// addressesReplaced brings the addresses of the configuration file read anew.
+	// addressesReplaced replaces the configured addresses after a reload of the configuration file.
 	addressesReplaced struct{ lookup AddressLookup }
-	// addressStatusQuery asks for the state of all addresses.
+	// addressStatusQuery requests the state of all addresses.
 	addressStatusQuery struct{ reply chan<- addressStatusReply }
 	// addressCommand disables or reinstates an address.
 	addressCommand struct {
@@ -50,7 +50,7 @@
 func (addressStatusQuery) isDispatchEvent() {}
 func (addressCommand) isDispatchEvent()     {}
 
-// RequestArrived queues an admitted request if there is room for it now, and reports whether there was. It never waits.
+// RequestArrived queues an admitted request. It never blocks, and returns false if the queue is full.
 func (d *Dispatcher) RequestArrived(r *request.Request) bool {
 	select {
 	case d.queue <- requestArrived{r}:
@@ -60,8 +60,8 @@
 	}
 }
 
-// RequestCancelled tells, ahead of all events in the queue, that the client of a request does not wait any more. It
-// never waits, since the goroutine that reads a client's connection calls it.
+// RequestCancelled notifies the loop that a client cancelled a request or disconnected. The loop handles cancellations
+// before all queued events. It never blocks, because the goroutine that reads the client's connection calls it.
 func (d *Dispatcher) RequestCancelled(r *request.Request) {
 	d.mu.Lock()
 	d.cancelled = append(d.cancelled, r)
@@ -72,28 +72,28 @@
 	}
 }
 
-// UpstreamEvent queues an event of the upstream pool. Like all methods below it waits while the queue is full, but not
-// for a loop that has stopped.
+// UpstreamEvent queues an event of the upstream pool. Like all methods below it blocks while the queue is full, and
+// drops the event if the loop has stopped.
 func (d *Dispatcher) UpstreamEvent(ev upstream.Event) { d.post(upstreamEvent{ev}) }
 
 // DiscoveryEvent queues an event of the discovery service.
 func (d *Dispatcher) DiscoveryEvent(ev discovery.Event) { d.post(discoveryEvent{ev}) }
 
-// HealthObserved queues what other routers observed of an endpoint's health.
+// HealthObserved queues a health observation of an endpoint by other routers.
 func (d *Dispatcher) HealthObserved(observation routing.HealthObservation) {
 	d.post(healthObserved{observation})
 }
 
-// AbortAll queues that every open request is aborted, because the process has to end.
+// AbortAll queues an event that aborts every open request, for the shutdown of the process.
 func (d *Dispatcher) AbortAll() { d.post(shutdown{}) }
 
-// ProbeLiveness queues a call of done, which shows that the loop handles events. Done must not block.
+// ProbeLiveness queues an event that calls done, which shows that the loop handles events. The function must not block.
 func (d *Dispatcher) ProbeLiveness(done func()) { d.post(livenessProbe{done}) }
 
-// Pause queues that the loop stands still until resume is closed. It serves the tests of a stalled router.
+// Pause queues an event that blocks the loop until resume is closed. It is used in tests of a stalled router.
 func (d *Dispatcher) Pause(resume <-chan struct{}) { d.post(pause{resume}) }
 
-// post queues an event. It waits while the queue is full, but not for a loop that has stopped.
+// post queues an event. It blocks while the queue is full, and drops the event if the loop has stopped.
 func (d *Dispatcher) post(ev event) {
 	select {
 	case d.queue <- ev:
@@ -101,7 +101,7 @@
 	}
 }
 
-// handleCancelled handles the cancellations that came since the last call.
+// handleCancelled handles the cancellations that were reported since the last call.
 func (d *Dispatcher) handleCancelled() {
 	d.mu.Lock()
 	cancelled := d.cancelled
@@ -112,7 +112,7 @@
 	}
 }
 
-// handle handles one event of the queue.
+// handle handles one queued event.
 func (d *Dispatcher) handle(ev event) {
 	d.advanceClock()
 	switch ev := ev.(type) {
@@ -139,7 +139,7 @@
 	}
 }
 
-// handleUpstream handles an event of the pool.
+// handleUpstream handles an event of the upstream pool.
 func (d *Dispatcher) handleUpstream(ev upstream.Event) {
 	switch ev := ev.(type) {
 	case upstream.DialEnded:
--- a/internal/dispatch/events_test.go
+++ b/internal/dispatch/events_test.go
@@ -15,8 +15,8 @@
 // purgeAt98 is a purge of the object ff.
 var purgeAt98 = discovery.Event{Kind: discovery.PurgeObject, Purge: discovery.Purge{Object: "ff", PurgedAt: 98}}
 
-// The clock is set back between two events. Decisions that see time run backwards miscount what they measure. Events
-// come in their order, and their times never decrease.
+// Guards against a clock that is set back between two events: the Decider would measure negative durations. Events must
+// be handled in order, and their times must never decrease.
 func TestEventsKeepOrderAndClock(t *testing.T) {
 	f := newFixture(t, nil)
 	f.arrive(f.request)
@@ -35,13 +35,13 @@
 		routing.EndpointUpdate{Endpoints: []routing.Endpoint{draining}},
 		routing.ClientDisconnected{Request: "ab"},
 	}, f.decider.events)
-	assert.Equal(t, []float64{100, 100, 100, 100, 100}, f.decider.times, "the clock never goes back")
+	assert.Equal(t, []float64{100, 100, 100, 100, 100}, f.decider.times, "the time never decreases")
 	assert.Empty(t, f.requests)
 }
 
-// Clients disconnect while the queue of events is full. Attempts would be started for nobody, and the reader of a
-// connection would wait for room. Who reports a cancellation does not wait, and the decisions learn of it before what
-// was queued.
+// Guards against cancellations that are delayed by a full event queue: attempts would be started for clients that have
+// disconnected, and the goroutine that reads a client's connection would block. Reporting a cancellation must not
+// block, and the Decider must get it before the queued events.
 func TestCancellationsOvertakeAFullQueue(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
@@ -57,23 +57,23 @@
 		return nil
 	}
 	require.NoError(t, f.Run(ctx))
-	assert.Equal(t, routing.ClientDisconnected{Request: "ab"}, f.decider.events[before], "before the queue")
+	assert.Equal(t, routing.ClientDisconnected{Request: "ab"}, f.decider.events[before], "before the queued events")
 }
 
-// The event loop has stopped while a connection still reports events. Once the queue is full the reporter would wait
-// for ever, and the process would not end. Events are dropped from then on.
+// Guards against a connection that still reports events after the event loop has stopped: when the queue is full, the
+// reporter would block forever and the process would not end. Events must be dropped after the loop has stopped.
 func TestEventsAreDroppedOnceTheLoopStopped(t *testing.T) {
 	f := newFixture(t, nil)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	require.NoError(t, f.Run(ctx))
-	for range queueCapacity + 1 { // the last one would wait for ever
+	for range queueCapacity + 1 { // the last one would block forever
 		f.DiscoveryEvent(purgeAt98)
 	}
 }
 
-// Code of the event loop panics. The process would end with every request that is open. The panic is logged and
-// counted, and the loop goes on.
+// Guards against a panic in the event loop's own code that ends the process and with it every open request. The panic
+// must be logged and counted, and the loop must continue.
 func TestPanicOfTheLoopItselfIsSurvived(t *testing.T) {
 	f := newFixture(t, nil)
 	f.request.ResponseWriter = nil
--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -15,7 +15,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// TestLogLinesKeepMessageAndKeys holds the message, level and keys of each kind of log line that this package writes.
+// TestLogLinesKeepMessageAndKeys compares the message, level and keys of each kind of log line of this package with the
+// golden file.
 func TestLogLinesKeepMessageAndKeys(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		switch ev := ev.(type) {
--- a/internal/dispatch/helpers_test.go
+++ b/internal/dispatch/helpers_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// scriptedDecider records the events that it is handed and returns what respond says to each, nothing if that is nil.
+// scriptedDecider records the events that it gets and returns the actions of respond, or none if respond is nil.
 type scriptedDecider struct {
 	events  []routing.Event
 	times   []float64
@@ -33,7 +33,7 @@
 	return s.respond(ev)
 }
 
-// responseRecorder keeps the responses.
+// responseRecorder records the responses to requests.
 type responseRecorder struct{ responses []request.Response }
 
 func (r *responseRecorder) Respond(_ *request.Request, response request.Response) bool {
@@ -41,8 +41,8 @@
 	return true
 }
 
-// fixture is a dispatcher at time 100 whose connections to the edge cache c and the origin o never come up, with a
-// request of id "ab" and deadline 105 that has not arrived yet.
+// fixture is a dispatcher at time 100 whose connections to the edge cache c and the origin o are never established, and
+// a request with the id "ab" and the deadline 105 that has not arrived yet.
 type fixture struct {
 	*Dispatcher
 	decider  *scriptedDecider
@@ -98,7 +98,7 @@
 	return f
 }
 
-// setTime sets the system's time, Unix seconds.
+// setTime sets the dispatcher's clock, in seconds.
 func (f *fixture) setTime(now float64) { f.Clock = func() float64 { return now } }
 
 // arrive handles the arrival of a request.
--- a/internal/dispatch/probes.go
+++ b/internal/dispatch/probes.go
@@ -14,10 +14,10 @@
 	ended     bool
 }
 
-// OwnsUpstreamAttempt makes a probe an upstream.Owner.
+// OwnsUpstreamAttempt implements upstream.Owner.
 func (*probe) OwnsUpstreamAttempt() {}
 
-// startProbe sends a health probe. One that can't be sent fails after the event in hand.
+// startProbe sends a health probe. A probe that can't be sent ends as ConnectFailed after the current event.
 func (d *Dispatcher) startProbe(endpoint routing.EndpointID) {
 	p := &probe{endpoint: endpoint, startedAt: d.now}
 	p.sent = d.Pool.SendHealthCheck(endpoint, p)
@@ -28,7 +28,7 @@
 	d.schedule(d.now+d.Pool.ConnectTimeout.Seconds(), probeTimeout{p})
 }
 
-// finishProbe tells the decisions, once, how a probe ended.
+// finishProbe passes the result of a probe to the Decider, once.
 func (d *Dispatcher) finishProbe(p *probe, end request.AttemptEnd) {
 	if p.ended {
 		return
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -8,44 +8,44 @@
 	"cairnfront/routing"
 )
 
-// overdueGrace is the time after a request's deadline at which it is aborted if the decisions failed to end it.
+// overdueGrace is the time after a request's deadline at which the request is aborted if the Decider has not ended it.
 const overdueGrace = 20 * time.Millisecond
 
-// openRequest is a request that has no final response yet, or has attempts in progress.
+// openRequest is a request without a final response, or with attempts in progress.
 type openRequest struct {
 	request  *request.Request
-	attempts []*attempt // by number
-	running  int        // attempts that have not ended
+	attempts []*attempt // indexed by attempt number
+	running  int        // number of attempts that have not ended
 
 	state              requestState
-	abandonmentPending bool // the decisions have been notified, or are about to be, that it was abandoned
+	abandonmentPending bool // a reportAbandoned task was queued for the request
 }
 
-// requestState is what became of a request. These are all transitions; openRequest.move makes them and no other:
+// requestState is the state of a request. The table lists all transitions; openRequest.move rejects any other:
 //
 //	from      to         when
-//	open      answered   it gets its final response (respond)
-//	open      cancelled  its client does not wait any more (disconnect)
-//	answered  cancelled  likewise, while attempts of it are in progress (disconnect)
+//	open      answered   the request gets its final response (respond)
+//	open      cancelled  the client cancelled the request or disconnected (disconnect)
+//	answered  cancelled  the client cancelled or disconnected while attempts are in progress (disconnect)
 //
-// The loop forgets a request that is not open once none of its attempts is in progress (forgetIfDone).
+// The loop removes a request that is answered or cancelled when it has no attempt in progress (forgetIfDone).
 type requestState uint8
 
 const (
-	requestOpen      requestState = iota // it is owed a final response
-	requestAnswered                      // it had its final response
-	requestCancelled                     // the decisions know that its client disconnected
+	requestOpen      requestState = iota // the client has not got a final response
+	requestAnswered                      // the client got the final response
+	requestCancelled                     // a ClientDisconnected event was passed to the Decider
 	requestStateCount
 )
 
-// requestTransitions has, by its state, the states that a request may take next.
+// requestTransitions lists the allowed next states for each state of a request.
 var requestTransitions = [requestStateCount][requestStateCount]bool{
 	requestOpen:     {requestAnswered: true, requestCancelled: true},
 	requestAnswered: {requestCancelled: true},
 }
 
-// move takes a request to another state where the table has the transition, and says whether it did. A second final
-// response, or a second cancellation, is told apart by that.
+// move changes the request's state if requestTransitions allows it, and reports whether it did. It returns false for a
+// second final response and for a second cancellation.
 func (o *openRequest) move(to requestState) bool {
 	if !requestTransitions[o.state][to] {
 		return false
@@ -54,12 +54,12 @@
 	return true
 }
 
-// id is the request's id as the decisions know it.
+// id returns the id that identifies the request in events to the Decider.
 func (o *openRequest) id() routing.RequestID { return o.request.ID }
 
-// openRequest takes in a request that arrived.
+// openRequest handles the arrival of a request.
 func (d *Dispatcher) openRequest(r *request.Request) {
-	if r.Cancelled() { // while it waited in the queue: there is nothing to decide
+	if r.Cancelled() { // cancelled while it was queued, so the Decider has nothing to decide
 		r.Body.Free()
 		return
 	}
@@ -69,7 +69,7 @@
 		return
 	}
 	id := r.ID
-	if d.requests[id] != nil { // the decisions know a request by its id
+	if d.requests[id] != nil { // the Decider identifies a request by its id alone
 		r.Body.Free()
 		r.ResponseWriter.Respond(r, request.Response{Result: request.Rejected, Reason: request.ReasonDuplicateID})
 		return
@@ -89,15 +89,15 @@
 	}, o)
 }
 
-// overdueAt returns when a request with a deadline is aborted if the decisions failed to end it.
+// overdueAt returns the time at which a request is aborted if the Decider has not ended it.
 //
-// It guards against a request that the decisions forget, as after a panic: its client would wait in vain, and its body
-// and attempts would never be freed. The decisions end each request by its deadline, so a little later nothing is cut
-// short.
+// It guards against a request that the Decider never ends, for example after a panic: its client would get no response,
+// and its body and attempts would never be freed. The Decider ends each request by its deadline, so an abort shortly
+// after the deadline interrupts no request that is still being handled.
 func overdueAt(deadline float64) float64 { return deadline + overdueGrace.Seconds() }
 
-// handleRequestCancelled handles that a client does not wait any more. A request whose id was in use already is not
-// open.
+// handleRequestCancelled handles a cancellation by the client. It ignores a request that was rejected because its id
+// was in use.
 func (d *Dispatcher) handleRequestCancelled(r *request.Request) {
 	d.advanceClock()
 	if o := d.requests[r.ID]; o != nil && o.request == r {
@@ -105,7 +105,7 @@
 	}
 }
 
-// disconnect tells the decisions, once, that the client of a request does not wait any more.
+// disconnect passes a ClientDisconnected event for a request to the Decider, once.
 func (d *Dispatcher) disconnect(o *openRequest) {
 	if !o.move(requestCancelled) {
 		return
@@ -114,7 +114,7 @@
 	d.forgetIfDone(o)
 }
 
-// respond gives a request its final response, if it had none.
+// respond sends the final response to a request, or frees the response's body if the request is not open any more.
 func (d *Dispatcher) respond(o *openRequest, response request.Response) {
 	if !o.move(requestAnswered) {
 		response.Body.Free()
@@ -124,17 +124,17 @@
 	d.forgetIfDone(o)
 }
 
-// forgetIfDone forgets a request that has ended and has no attempt in progress.
+// forgetIfDone removes a request that was answered or cancelled and has no attempt in progress.
 func (d *Dispatcher) forgetIfDone(o *openRequest) {
 	if o.state == requestOpen || o.running > 0 || d.requests[o.id()] != o {
 		return
 	}
 	delete(d.requests, o.id())
 	o.request.Body.Free()
-	o.request.Body = nil // timers that are still set refer to the request
+	o.request.Body = nil // releases the body although pending timers still refer to the request
 }
 
-// abandon aborts a request that the decisions failed to end, and cancels its attempts.
+// abandon aborts a request that the Decider failed to end, and cancels its attempts.
 func (d *Dispatcher) abandon(o *openRequest, reason request.Reason) {
 	d.respond(o, request.Response{Result: request.Aborted, Reason: reason})
 	for _, a := range o.attempts {
@@ -146,8 +146,8 @@
 	}
 }
 
-// abortAll aborts every open request and cancels its attempts: none begins after the final response. Requests that
-// arrive later are rejected.
+// abortAll aborts every open request and cancels its attempts, so that no attempt is sent after the final response.
+// Requests that arrive later are rejected.
 func (d *Dispatcher) abortAll() {
 	d.ending = true
 	for _, o := range d.requests {
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A decision panics over one request. The others must not notice, and the client must not wait until its deadline. That
-// request is aborted, the stack is in the log, and the decisions are asked to forget it.
+// Guards against a panic in the Decider that affects other requests, or leaves the client waiting until its deadline.
+// The request of the event must be aborted, the stack must be logged, and the Decider must get a ClientDisconnected
+// event to drop its state of the request.
 func TestPanicOfADecisionAbortsOneRequest(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		if _, ok := ev.(routing.RequestArrived); ok {
@@ -24,19 +25,19 @@
 	f.runDueTimers()
 	assert.Equal(t, []request.Response{{Result: request.Aborted, Reason: request.ReasonPanic}}, f.recorder.responses)
 	assert.Contains(t, f.log.String(), "a fault")
-	assert.Contains(t, f.log.String(), "requests_test.go", "with the stack")
+	assert.Contains(t, f.log.String(), "requests_test.go", "the stack is logged")
 	assert.Empty(t, f.requests)
 	assert.Equal(t, routing.ClientDisconnected{Request: "ab"}, f.decider.events[len(f.decider.events)-1])
 }
 
-// The decisions start no further attempt and give no answer either. The request would stay open, with its memory, for
-// ever. It is aborted a little after its deadline, and not before.
+// Guards against a request for which the Decider neither starts another attempt nor sends a response: it would stay
+// open, with its memory, forever. It must be aborted shortly after its deadline, and not before.
 func TestRequestThatTheDecisionsForgetIsAborted(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
 	f.setTime(105.01)
 	f.runDueTimers()
-	assert.Empty(t, f.recorder.responses, "its own deadline has passed, the client's may not have")
+	assert.Empty(t, f.recorder.responses, "the grace period after the deadline has not passed")
 	f.setTime(105.021)
 	f.runDueTimers()
 	want := request.Response{Result: request.Aborted, Reason: request.ReasonDeadlineExceeded}
@@ -44,8 +45,8 @@
 	assert.Empty(t, f.requests)
 }
 
-// A client uses the id of a request that is open. The answers of the two could be confused, and a cancel of one would
-// end the other. The second is rejected and the first goes on.
+// Guards against two open requests with the same id: their responses could be mixed up, and a cancel of one would end
+// the other. The second request must be rejected, and the first must stay open.
 func TestRequestWithAnIDInUseIsRejected(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
@@ -54,14 +55,14 @@
 	f.handleRequestCancelled(&twin)
 	want := request.Response{Result: request.Rejected, Reason: request.ReasonDuplicateID}
 	assert.Equal(t, []request.Response{want}, f.recorder.responses)
-	assert.Equal(t, f.request, f.requests["ab"].request, "the first one goes on")
+	assert.Equal(t, f.request, f.requests["ab"].request, "the first request stays open")
 	f.handle(shutdown{})
 	assert.Equal(t, request.Aborted, f.recorder.responses[1].Result)
 }
 
-// A client disconnects, and the end of an attempt is handled before the cancellation. A retry would run for nobody.
-// Neither a first nor a further attempt is sent, and the decisions learn of the disconnect before they learn how the
-// attempt ended.
+// Guards against attempts for a client that has disconnected, when the end of an earlier attempt is handled before the
+// cancellation. Neither a first attempt nor a retry may be sent, and the Decider must get the disconnect before the end
+// of the attempt that was not sent.
 func TestNoAttemptOnceTheClientDisconnected(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		switch ev := ev.(type) {
@@ -85,17 +86,18 @@
 		routing.AttemptEnded{Request: "ab", Attempt: 1, Endpoint: "o", Result: routing.NotSent, RequestDone: true},
 	}, f.decider.events[2:])
 	f.handleRequestCancelled(f.request)
-	assert.Len(t, f.decider.events, 5, "it is reported once")
+	assert.Len(t, f.decider.events, 5, "the disconnect is reported once")
 	assert.Empty(t, f.requests)
 	assert.Empty(t, f.recorder.responses)
 	queued := &request.Request{ID: "cd", ResponseWriter: f.recorder}
 	queued.Cancel()
 	f.arrive(queued)
-	assert.Len(t, f.decider.events, 5, "nothing is decided about one that was cancelled in the queue")
+	assert.Len(t, f.decider.events, 5, "the Decider gets no event for a request that was cancelled in the queue")
 }
 
-// The process ends while requests wait for their turn. One that is answered as aborted could still be sent and run. Its
-// attempts are cancelled before their line is begun, and a request that was on its way to the loop is rejected.
+// Guards against an attempt that is sent after its request was answered as aborted, because the process ends while
+// attempts wait to be written. Attempts must be cancelled before their command line is written, and a request that
+// arrives after that must be rejected.
 func TestNothingBeginsOnceAllRequestsAreAborted(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
@@ -117,7 +119,7 @@
 	return reasons
 }
 
-// lastAttemptResult is the result of the attempt that ended last, as the decisions got it.
+// lastAttemptResult returns the result in the last AttemptEnded event that the Decider got.
 func (f *fixture) lastAttemptResult(t *testing.T) routing.AttemptResult {
 	t.Helper()
 	for i := len(f.decider.events) - 1; i >= 0; i-- {
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -9,24 +9,24 @@
 	"cairnfront/routing"
 )
 
-// timerTask is what a timer does when it is due: one of the types below.
+// timerTask is the action of a timer: one of the types below.
 type timerTask interface{ run(d *Dispatcher) }
 
-// The tasks of timers that wait for a point in time.
+// The tasks that run at a given time.
 type (
-	// decisionTimer is a timer that the decisions asked for.
+	// decisionTimer fires a timer that the Decider requested with routing.SetTimer.
 	decisionTimer struct{ token uint64 }
-	// attemptDeadline ends an attempt that takes too long.
+	// attemptDeadline cancels an attempt that has not ended by its deadline.
 	attemptDeadline struct{ attempt *attempt }
-	// probeTimeout ends a health probe that takes too long.
+	// probeTimeout ends a health probe that was not answered in time.
 	probeTimeout struct{ probe *probe }
-	// requestOverdue aborts a request that the decisions failed to end.
+	// requestOverdue aborts a request that the Decider has not ended by its deadline.
 	requestOverdue struct{ request *openRequest }
 )
 
-// The tasks that are run after the event in hand.
+// The tasks that run directly after the current event.
 type (
-	// attemptFinished ends an attempt that no connection will report the end of.
+	// attemptFinished ends an attempt whose end no connection will report.
 	attemptFinished struct {
 		attempt *attempt
 		end     request.AttemptEnd
@@ -36,11 +36,11 @@
 		probe *probe
 		end   request.AttemptEnd
 	}
-	// requestDisconnected handles that the client of a request does not wait any more.
+	// requestDisconnected handles a cancellation of a request by its client.
 	requestDisconnected struct{ request *openRequest }
-	// reportAbandoned has the decisions forget a request that was abandoned.
+	// reportAbandoned makes the Decider drop its state of a request that was abandoned.
 	reportAbandoned struct{ request *openRequest }
-	// retryBudgetCheck reports changes of the retry budget.
+	// retryBudgetCheck passes changes of the retry budget to the Decider.
 	retryBudgetCheck struct{}
 )
 
@@ -74,28 +74,28 @@
 
 func (retryBudgetCheck) run(d *Dispatcher) { d.reportRetryBudget() }
 
-// timer is a task that is due at a time.
+// timer is a task with the time at which it is due.
 type timer struct {
-	due      float64 // monotonic seconds; runNextDue for a task that is run after the event in hand
-	sequence int     // number of the timer in the order in which they were set
+	due      float64 // monotonic seconds; runNextDue for a task that runs directly after the current event
+	sequence int     // position in the order in which timers were added; orders timers with the same due time
 	task     timerTask
 }
 
-// runNextDue is before the due time of every timer that waits for a point in time.
+// runNextDue is the due time of tasks that run directly after the current event. It is before every other due time.
 const runNextDue = 0
 
-// schedule runs a task at a time, monotonic seconds.
+// schedule adds a task that runs at the due time, in monotonic seconds.
 func (d *Dispatcher) schedule(due float64, task timerTask) { d.timers.add(due, task) }
 
-// runNext runs a task once the event in hand is done with, before all timers that are due.
+// runNext adds a task that runs after the current event, before all timers that are due.
 func (d *Dispatcher) runNext(task timerTask) { d.timers.add(runNextDue, task) }
 
-// waitUntil returns how long to wait for a time, both in monotonic seconds; 0 for one that has passed.
+// waitUntil returns the time from now until due, both in monotonic seconds, or 0 if due has passed.
 func waitUntil(due, now float64) time.Duration {
 	return time.Duration(max(due-now, 0) * float64(time.Second))
 }
 
-// runDueTimers runs the tasks that are due, with those that they add.
+// runDueTimers runs all tasks that are due, including those that the tasks themselves add.
 func (d *Dispatcher) runDueTimers() {
 	d.advanceClock()
 	for {
@@ -103,7 +103,7 @@
 		if !ok || due > d.now {
 			return
 		}
-		t := heap.Pop(&d.timers).(timer) //nolint:forcetypeassert // Pop returns what add has set
+		t := heap.Pop(&d.timers).(timer) //nolint:forcetypeassert // Pop returns what add has pushed
 		if t.due > runNextDue {
 			d.Metrics.SetMax(telemetry.MaxTimerDelay, d.now-t.due)
 		}
@@ -111,19 +111,19 @@
 	}
 }
 
-// timerQueue is a heap of timers by due time, then by the order in which they were set.
+// timerQueue is a min-heap of timers ordered by due time, then by insertion order.
 type timerQueue struct {
 	timers       []timer
 	lastSequence int
 }
 
-// add sets a timer.
+// add inserts a task that is due at the given time.
 func (q *timerQueue) add(due float64, task timerTask) {
 	q.lastSequence++
 	heap.Push(q, timer{due: due, sequence: q.lastSequence, task: task})
 }
 
-// next returns when the first timer is due, false if there is none.
+// next returns the due time of the first timer; ok is false if there is no timer.
 func (q *timerQueue) next() (due float64, ok bool) {
 	if len(q.timers) == 0 {
 		return 0, false
@@ -131,28 +131,28 @@
 	return q.timers[0].due, true
 }
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (q *timerQueue) Len() int { return len(q.timers) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (q *timerQueue) Less(i, j int) bool {
 	a, b := &q.timers[i], &q.timers[j]
 	return a.due < b.due || a.due == b.due && a.sequence < b.sequence
 }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (q *timerQueue) Swap(i, j int) { q.timers[i], q.timers[j] = q.timers[j], q.timers[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (q *timerQueue) Push(t any) {
-	q.timers = append(q.timers, t.(timer)) //nolint:forcetypeassert // add alone calls it
+	q.timers = append(q.timers, t.(timer)) //nolint:forcetypeassert // only add calls it
 }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (q *timerQueue) Pop() any {
 	last := len(q.timers) - 1
 	t := q.timers[last]
-	q.timers[last] = timer{} // releases what its task refers to
+	q.timers[last] = timer{} // releases the references of its task
 	q.timers = q.timers[:last]
 	return t
 }
--- a/internal/dispatch/timers_test.go
+++ b/internal/dispatch/timers_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Several timers are due at once after the loop was late. Decisions that learn of them in another order differ from run
-// to run. They fire by due time, then in the order in which they were set, and the delay is recorded.
+// Guards against timers that fire in an arbitrary order when several are due because the loop was delayed: decisions
+// would differ from run to run. They must fire by due time, then in insertion order, and the delay must be recorded.
 func TestTimersRunByDueTimeThenInTheOrderInWhichTheyWereSet(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		if ev == (routing.TimerFired{Token: 1}) {
@@ -25,7 +25,7 @@
 	f.runDueTimers()
 	assert.Equal(t, []routing.Event{
 		routing.TimerFired{Token: 1},
-		// What follows from an event goes before the timers that are due.
+		// Tasks that an event adds with runNext run before the timers that are due.
 		routing.ProbeResult{Endpoint: "x", Result: routing.ConnectFailed},
 		routing.TimerFired{Token: 2},
 		routing.TimerFired{Token: 3},
--- a/internal/dispatch/wallclock_test.go
+++ b/internal/dispatch/wallclock_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// wallSteps are series of steps of the wall clock, in seconds.
+// wallSteps are sequences of steps of the wall clock, in seconds.
 var wallSteps = [][]float64{{-3600}, {-5}, {5}, {3600}, {-3600, -3600}, {3600, 3600}, {-3600, 3600}, {5, -3600}}
 
-// steppedFixture is a fixture whose wall clock is ahead of the monotonic one by offset seconds.
+// steppedFixture is a fixture whose wall clock is offset seconds ahead of the monotonic clock.
 type steppedFixture struct {
 	*fixture
 	offset float64
@@ -34,7 +34,7 @@
 	return f
 }
 
-// lastEvent returns the last event that the decisions got, which has to be of the type E.
+// lastEvent returns the last event that the Decider got and fails the test if it is not of type E.
 func lastEvent[E routing.Event](t *testing.T, f *steppedFixture) E {
 	t.Helper()
 	last, ok := f.decider.events[len(f.decider.events)-1].(E)
@@ -42,9 +42,9 @@
 	return last
 }
 
-// The wall clock is stepped around a purge. A purge that is taken for older than it is leaves copies in use that it has
-// invalidated (rule 5). The age of a purge is not more than the true one, whether its time came from a clock that was
-// stepped or from one that was not.
+// Guards against a purge whose age is overestimated because the wall clock was stepped around it: copies that it has
+// invalidated would still be served (rule 5). The computed age must not exceed the true age, whether the purge time
+// was read from a clock that was stepped or from one that was not.
 func TestPurgeIsNeverTakenForOlderAcrossWallSteps(t *testing.T) {
 	for _, steps := range wallSteps {
 		f := newSteppedFixture(t)
@@ -69,9 +69,9 @@
 	}
 }
 
-// The wall clock is stepped around the start of a cache. A cold cache would be taken for warm and get too many requests
-// (rule 4). Its start is not taken for earlier than it was, and the same start that is listed again does not count as a
-// new one.
+// Guards against a cold cache that counts as warm and gets too many requests (rule 4), because the wall clock was
+// stepped around the start of the cache. The computed start must not be before the true start, and a start time that is
+// listed again must not count as a new start.
 func TestStartIsNeverTakenForEarlierAcrossWallSteps(t *testing.T) {
 	for _, steps := range wallSteps {
 		f := newSteppedFixture(t)
@@ -91,7 +91,7 @@
 				assert.LessOrEqual(t, heard, now)
 
 				f.setTime(now + 3)
-				f.offset = before // the list is sent again after a further step
+				f.offset = before // the list is sent again after another step of the wall clock
 				f.handle(discoveryEvent{event})
 				again := lastEvent[routing.EndpointUpdate](t, f).Endpoints[0].StartedAt
 				assert.InDelta(t, heard, again, 0, "the same start")
