--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestInstantsKeepTheirSpans shows that an instant turns into a time with the monotonic reading that deadlines need.
+// Guards against an Instant that is converted to a time without a monotonic reading.
 //
-// A deadline without a monotonic reading moves when the wall clock is set.
+// A deadline without a monotonic reading changes when the wall clock is set.
 func TestInstantsKeepTheirSpans(t *testing.T) {
 	now := time.Now()
 	instant := At(now)
@@ -18,11 +18,11 @@
 	assert.Zero(t, now.Sub(instant.Time()))
 	assert.InDelta(t, time.Second, At(now.Add(time.Second)).Sub(instant), 0)
 	assert.InDelta(t, instant.Seconds(), FromSeconds(instant.Seconds()).Seconds(), 1e-6)
-	assert.Contains(t, instant.Time().String(), "m=", "a monotonic reading")
+	assert.Contains(t, instant.Time().String(), "m=", "the time has a monotonic reading")
 	assert.InDelta(t, float64(time.Now().UnixNano()), float64(Now()), float64(time.Second))
 }
 
-// steppedClock is a pair of clocks of which the wall clock is stepped.
+// steppedClock is a monotonic clock and a wall clock whose offset the test can step.
 type steppedClock struct {
 	monotonic time.Duration
 	offset    time.Duration
@@ -32,11 +32,11 @@
 	return Reading{Instant: Instant(c.monotonic), UnixTime: c.monotonic + c.offset}
 }
 
-// TestUnixTimesAreUnchangedWithoutAStep holds the translation of a clock that is never stepped, also into the future.
+// Checks that times are not changed if the wall clock is never stepped, also times in the future.
 //
 // A translation that changes a time although no clock was set would make every purge too old or too new.
 func TestUnixTimesAreUnchangedWithoutAStep(t *testing.T) {
-	clocks := &steppedClock{monotonic: 1000 * time.Second, offset: 20 * time.Millisecond} // slewed
+	clocks := &steppedClock{monotonic: 1000 * time.Second, offset: 20 * time.Millisecond} // less than a step
 	wall := NewWall(clocks.read)
 	assert.False(t, wall.Observe())
 	for _, unixSeconds := range []float64{-5, 0, 999.5, 1000, 1003} {
@@ -45,10 +45,10 @@
 	}
 }
 
-// TestUnixTimesAreTranslatedSafelyAcrossSteps draws steps of the wall clock. A time may have been read from a clock
-// before any of them or after, so each of those has to lie between the earliest and the latest instant.
+// Checks random steps of the wall clock. A time may have been read from the clock before or after any of the steps, so
+// the true time must be between the earliest and the latest instant in each case.
 //
-// A purge that is taken for older than it is lets copies be served that it has invalidated.
+// If a purge seems older than it is, copies that it has invalidated are served.
 func TestUnixTimesAreTranslatedSafelyAcrossSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clocks := &steppedClock{monotonic: 10000 * time.Second}
@@ -73,11 +73,11 @@
 	})
 }
 
-// TestSlewedClockKeepsNewTimesNew sets the wall clock forward and back, and then slews it by less than a step. A time
-// that was just read from it is a little ahead of the setting that is remembered.
+// Steps the wall clock forward and back, and then slews it by less than a step. A time that was just read from this
+// clock is slightly ahead of the current time under the remembered setting.
 //
-// Such a time was taken for one of the other setting, an hour ago: a new purge seemed old, and copies from before it
-// were accepted.
+// Guards against a regression: such a time was translated with the other setting, to an hour ago. A new purge seemed
+// old, and copies from before the purge were accepted.
 func TestSlewedClockKeepsNewTimesNew(t *testing.T) {
 	for _, slew := range []time.Duration{-minStep + 1, -5 * time.Millisecond, 0, time.Millisecond, minStep - 1} {
 		clocks := &steppedClock{monotonic: 10000 * time.Second}
@@ -93,10 +93,10 @@
 	}
 }
 
-// TestStepsAreBounded shows that the memory of a clock that is stepped without end does not grow.
+// A time service slews the wall clock back in small changes that are less than a step.
 //
-// A time service slews the clock back by less than a step, a little at a time, and a purge is made by the slewed clock.
-// Taken for older than it is, it would leave copies from just before it to be served.
+// Guards against a purge that seems older than it is because its time was read from the slewed clock: copies from just
+// before the purge would be served.
 func TestSlewedBackClockMakesNoTimeOlder(t *testing.T) {
 	for _, before := range [][]time.Duration{nil, {time.Hour}, {time.Hour, 0}} {
 		clocks := &steppedClock{monotonic: 10000 * time.Second}
@@ -117,7 +117,7 @@
 	}
 }
 
-// A machine whose clock is set again and again would let the process grow.
+// Guards against memory that grows without limit on a machine whose clock is stepped again and again.
 func TestStepsAreBounded(t *testing.T) {
 	clocks := &steppedClock{}
 	wall := NewWall(clocks.read)
--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -6,50 +6,53 @@
 )
 
 const (
-	// minStep is the least change between the clocks that is taken for a step of the wall clock. Slewing moves both.
+	// minStep is the minimum change of the wall clock's offset that counts as a step. A smaller change counts as
+	// slewing.
 	minStep = 250 * time.Millisecond
 
-	// minSlew is the least change that is taken for slewing. What is less may lie between the reads of the two clocks.
+	// minSlew is the minimum change of the offset that counts as slewing. A smaller difference may be the time between
+	// the reads of the two clocks.
 	minSlew = time.Millisecond
 
-	// maxSteps is how many settings of the wall clock are remembered, the newest ones.
+	// maxSteps is the maximum number of remembered wall clock settings; the oldest are dropped.
 	maxSteps = 16
 )
 
-// Reading is what both clocks show at one time.
+// Reading is a simultaneous reading of both clocks.
 type Reading struct {
 	Instant  Instant
-	UnixTime time.Duration // of the wall clock, since the Unix epoch
+	UnixTime time.Duration // wall clock time since the Unix epoch
 }
 
-// System reads the system's clocks.
+// System reads the system's monotonic clock and wall clock.
 func System() Reading {
 	now := time.Now()
 	return Reading{Instant: At(now), UnixTime: time.Duration(now.UnixNano())}
 }
 
-// setting is how the wall clock was set: its offset from the monotonic one.
+// setting is a setting of the wall clock between two steps: its offset from the monotonic clock.
 type setting struct {
-	offset time.Duration // as it was first observed
-	lowest time.Duration // to which it was slewed since
+	offset time.Duration // the offset when the setting was first observed
+	lowest time.Duration // the lowest offset that slewing has caused since then
 }
 
-// Wall translates Unix times that other processes sent to instants. It remembers how the wall clock was set since the
-// process started, as it is not known whether a time was taken before a step or after it, nor whose clock was right. It
-// holds maxSteps settings and is for one goroutine.
+// Wall translates Unix times that other processes sent to instants. It remembers the wall clock's offsets since the
+// process started, because it is unknown whether a time was read before or after a step, and which of the clocks was
+// correct. It remembers up to maxSteps settings. It is not safe for concurrent use.
 type Wall struct {
 	read     func() Reading
-	settings []setting // each once
+	settings []setting // without duplicates
 }
 
-// NewWall returns a Wall over a reading of the clocks, System in production.
+// NewWall returns a Wall that reads the clocks with read, which is System in production.
 func NewWall(read func() Reading) *Wall {
 	w := &Wall{read: read, settings: []setting{{}}}
 	w.Observe()
 	return w
 }
 
-// Observe checks whether the wall clock was stepped. It is to be called about once a second; the translations do too.
+// Observe reads the clocks and reports whether the wall clock was stepped. It should be called about once a second; the
+// methods that translate times call it too.
 func (w *Wall) Observe() (stepped bool) {
 	reading := w.read()
 	offset := reading.UnixTime - time.Duration(reading.Instant)
@@ -66,22 +69,24 @@
 	return true
 }
 
-// slewTo notes an offset of the setting.
+// slewTo updates the lowest offset of the setting.
 //
-// It guards against a clock that is slewed back by less than a step: a purge would seem older than it is by as much,
-// and copies from just before it would be served.
+// It guards against a clock that is slewed back by less than a step: a purge would seem older than it is by that
+// amount, and copies from just before the purge would be served.
 func (s *setting) slewTo(offset time.Duration) {
 	if offset <= s.lowest-minSlew {
 		s.lowest = offset
 	}
 }
 
-// LatestInstant returns the latest instant, now at the latest, that a Unix time may stand for, both in seconds. Where
-// the wall clock was neither stepped nor slewed back that is the time itself, unchanged.
+// LatestInstant returns the latest instant that a Unix time may correspond to, both in seconds. After a step of the wall
+// clock the result is at most the current time. If the wall clock was neither stepped nor slewed back, the result is the
+// time itself, unchanged.
 //
-// A setting is known to less than minStep, as the clock may be slewed after it. So a time that is ahead of now by less
-// than that was read just now. Passing over it would leave settings under which it is hours old: a new purge would seem
-// old, and copies from before it would be served.
+// The offset of a setting is only known to within minStep, because the clock may be slewed after the setting was
+// observed. Therefore a time that is ahead of the current time by less than minStep counts as read just now. If such a
+// candidate were skipped, only settings under which the time is hours old would remain: a new purge would seem old, and
+// copies from before the purge would be served.
 func (w *Wall) LatestInstant(unixSeconds float64) (instantSeconds float64) {
 	w.Observe()
 	if len(w.settings) == 1 {
@@ -91,7 +96,7 @@
 	latest, found := now, false
 	for _, s := range w.settings {
 		candidate := unixSeconds - s.lowest.Seconds()
-		if candidate-now >= minStep.Seconds() { // under this setting it is still to come
+		if candidate-now >= minStep.Seconds() { // under this setting the time is in the future
 			continue
 		}
 		candidate = min(candidate, now)
@@ -102,7 +107,7 @@
 	return latest
 }
 
-// EarliestInstant returns the earliest instant that a Unix time may stand for, both in seconds.
+// EarliestInstant returns the earliest instant that a Unix time may correspond to; both are in seconds.
 func (w *Wall) EarliestInstant(unixSeconds float64) (instantSeconds float64) {
 	w.Observe()
 	highest := w.settings[0].offset
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -16,43 +16,45 @@
 	// bufferBytes is the size of each of the connection's two ring buffers.
 	bufferBytes = 16 << 10
 
-	// heartbeatTimeout is how long nothing may come on a connection: two heartbeats of the service and a margin.
+	// heartbeatTimeout is the time without data after which a connection is closed: two heartbeat intervals of the
+	// service plus a margin.
 	heartbeatTimeout = 2500 * time.Millisecond
 )
 
-// errAddressChanged is the cause with which a connection to an earlier address is cancelled.
+// errAddressChanged is the cancellation cause of a connection to a previous address of the service.
 var errAddressChanged = errors.New("discovery service has another address")
 
-// Client watches the discovery service. It reconnects until its context ends, and asks each time for the events that
-// follow the last one it has. Its fields are set before Run and belong to Run from then on.
+// Client receives the events of the discovery service. It reconnects until its context is done, and requests the events
+// after the last received revision on each connection. Its fields must be set before Run is called and must not be
+// accessed after that.
 type Client struct {
 	Address      string
 	LastRevision uint64
 	Telemetry    *telemetry.Metrics
 
-	// OnEvent is handed each event after LastRevision once, in the order of the revisions, and no heartbeats. It is
-	// called on the goroutine that reads the connection. It may wait for room in a queue, but not for a socket or
-	// a disk: no heartbeat is read meanwhile.
+	// OnEvent is called once for each event after LastRevision, in revision order, but not for heartbeats. It is
+	// called on the goroutine that reads the connection. It may block on a full queue, but not on a socket or a disk,
+	// because no heartbeat is read during the call.
 	OnEvent func(Event)
 
-	// AddressChanges brings new addresses of the service. The connection to the former one is closed at once.
+	// AddressChanges receives new addresses of the service. The connection to the previous one is closed at once.
 	AddressChanges chan string
 
-	// OnRawEvent, where set, is handed every event as it came, heartbeats too, in place of OnEvent and on the same
-	// goroutine. Its error ends the connection. StartRevision then returns the revision after which the service is
-	// asked on each new connection.
+	// OnRawEvent, if set, is called in place of OnEvent, on the same goroutine, for every event in the order of
+	// arrival, including heartbeats. If it returns an error, the connection is closed. StartRevision must then be set
+	// as well; each new connection requests the events after the revision that it returns.
 	OnRawEvent    func(Event) error
 	StartRevision func() uint64
 
-	// Dial establishes a connection; over TCP where nil.
+	// Dial establishes a connection; if nil, TCP is used.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-	readTimeout time.Duration // heartbeatTimeout unless a test sets another
-	gapRevision uint64        // revision that came after a gap, when it was seen first; 0 for none
+	readTimeout time.Duration // heartbeatTimeout unless a test sets another value
+	gapRevision uint64        // revision whose gap was already reported with ErrRevisionGap; 0 if none
 }
 
-// Run watches the service until the context ends. Between connections it waits with an exponential backoff, which a new
-// address cuts short.
+// Run receives events until the context is done. It waits with an exponential backoff between connections; a new
+// address ends the wait.
 func (c *Client) Run(ctx context.Context) error {
 	if c.Dial == nil {
 		c.Dial = dialNetwork
@@ -75,8 +77,8 @@
 	return nil
 }
 
-// watchUntilAddressChange runs one connection. It returns the new address if one came meanwhile, and otherwise whether
-// the connection brought any event. It owns the goroutine of the connection and waits for its end.
+// watchUntilAddressChange runs one connection until it ends or the address changes. It returns the new address, or else
+// whether the connection delivered any event. It starts the goroutine of the connection and waits for it to end.
 func (c *Client) watchUntilAddressChange(ctx context.Context) (newAddress string, receivedAny bool) {
 	connCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -92,7 +94,7 @@
 	}
 }
 
-// wait returns after the backoff, at the end of the context, or with a new address.
+// wait returns after the backoff, when the context is done, or with a new address.
 func (c *Client) wait(ctx context.Context, backoff time.Duration) (newAddress string) {
 	select {
 	case <-ctx.Done():
@@ -102,7 +104,7 @@
 	return newAddress
 }
 
-// watch reads events from one connection until it ends and returns whether any came.
+// watch reads events from one connection until it ends, and reports whether it received any.
 func (c *Client) watch(ctx context.Context) (receivedAny bool) {
 	c.Telemetry.ConnectionOpened(telemetry.SideDiscovery)
 	remote := telemetry.Remote{Side: telemetry.SideDiscovery, Address: c.Address}
@@ -135,7 +137,7 @@
 	return receivedAny
 }
 
-// cancelCode is the end code of a connection whose context was cancelled.
+// cancelCode returns the end code of a connection whose context was cancelled.
 func cancelCode(ctx context.Context) netconn.EndCode {
 	if errors.Is(context.Cause(ctx), errAddressChanged) {
 		return netconn.AddressChanged
@@ -143,7 +145,7 @@
 	return netconn.Shutdown
 }
 
-// readEvents asks for the missing events, hands on those that come, and returns why the connection ends.
+// readEvents requests the missing events, delivers each event that it reads, and returns why the connection ends.
 func (c *Client) readEvents(conn *netconn.Conn, receivedAny *bool) (netconn.EndCode, error) {
 	after := c.LastRevision
 	if c.OnRawEvent != nil {
@@ -154,7 +156,7 @@
 		return netconn.ClassifyError(err), err
 	}
 	headerBytes := make([]byte, HeaderSize)
-	conn.SetFrameTimeout(c.readTimeout) // a long list may take longer as long as more of it comes
+	conn.SetFrameTimeout(c.readTimeout) // a long list may take longer in total while more data arrives
 	for {
 		conn.SetReadDeadline(time.Now().Add(c.readTimeout))
 		ev, err := readEvent(conn, headerBytes)
@@ -169,7 +171,7 @@
 	}
 }
 
-// readEvent reads one frame. headerBytes is scratch space of HeaderSize bytes.
+// readEvent reads one frame. headerBytes is a scratch buffer of HeaderSize bytes.
 func readEvent(conn *netconn.Conn, headerBytes []byte) (Event, error) {
 	if err := conn.ReadFull(headerBytes); err != nil {
 		return Event{}, err
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -16,22 +16,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// frame builds a frame by hand, so that it may be malformed.
+// frame builds a frame without the codec, so that it can be malformed.
 func frame(revision uint64, kind EventKind, payload string) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(countedHeader+len(payload)))
 	b = binary.BigEndian.AppendUint64(b, revision)
 	return append(append(b, byte(kind)), payload...)
 }
 
-// delivery is an event that a client gets, and whether it goes on.
+// delivery is an event for a client, and whether the client accepts it without closing the connection.
 type delivery struct {
 	kind     EventKind
 	revision uint64
 	accepted bool
 }
 
-// deliverAll delivers events to a client whose last revision is 5, and returns the revisions that it hands on. Each
-// event that is not accepted has to be reported as a gap.
+// deliverAll delivers events to a client whose last revision is 5, and returns the revisions passed to OnEvent. It
+// checks that each event that is not accepted is reported as a revision gap.
 func deliverAll(t *testing.T, deliveries []delivery) (handedOn []uint64) {
 	t.Helper()
 	c := &Client{
@@ -49,9 +49,9 @@
 	return handedOn
 }
 
-// Events are lost between the service and the router: a drain or a purge never takes effect, and nothing in the log
-// says so. A gap ends the connection, so that the service is asked again. It is accepted if the same revision comes
-// again, and an event that was handed on before is passed over.
+// Guards against events that are lost between the service and the router: a drain or a purge would never take effect,
+// and the log would not show it. A gap must end the connection, so that the events are requested again. The gap must be
+// accepted if the same revision arrives again, and an event that was already delivered must be ignored.
 func TestRevisionGapIsAskedForOnce(t *testing.T) {
 	assert.Equal(t, []uint64{6, 8, 9, 10}, deliverAll(t, []delivery{
 		{Update, 6, true},
@@ -67,7 +67,7 @@
 	}))
 }
 
-// runClient runs a client in a goroutine, which belongs to the returned function: it ends the client and waits for it.
+// runClient runs a client in a goroutine. The returned function stops the client and waits for the goroutine to end.
 func runClient(t *testing.T, c *Client) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -79,8 +79,9 @@
 	}
 }
 
-// A connection to the service ends with half a record, brings an unknown kind, or is silent. Events in between would be
-// lost, or handed on twice. Each of these ends the connection, and the next one asks for what follows the last event.
+// Guards against events that are lost or delivered twice when a connection ends within a record, receives an unknown
+// kind of event, or is silent. Each of these must end the connection, and the next connection must request the events
+// after the last received revision.
 func TestClientReconnectsFromTheLastRevision(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -112,7 +113,7 @@
 		require.NoError(t, err)
 		assert.Equal(t, connection.wantQuery, binary.BigEndian.Uint64(query))
 		_, _ = conn.Write(connection.sent)
-		_, _ = conn.Read(query) // returns when the client closes the connection
+		_, _ = conn.Read(query) // blocks until the client closes the connection
 		_ = conn.Close()
 	}
 	assert.Equal(t, uint64(6), (<-events).Revision)
@@ -122,8 +123,9 @@
 	assert.Contains(t, log.String(), "reason=protocol_error")
 }
 
-// The service moves while its former address still holds the connection open. The router would follow a service that
-// has no news. A new address is asked at once for what follows the last event.
+// Guards against a router that stays connected to the previous address of the service, where no more events are sent,
+// because that connection remains open. The client must connect to the new address at once and request the events after
+// the last received revision.
 func TestClientFollowsAddressChanges(t *testing.T) {
 	var listeners [3]net.Listener
 	for i := range listeners {
@@ -164,8 +166,9 @@
 	assert.Equal(t, 2, strings.Count(log.String(), "reason=address_changed"))
 }
 
-// A connection brings heartbeats and its events are held back. Nothing fails, and a drain is never heard of. A
-// heartbeat that names an event which did not come ends the connection, once for each such revision after each event.
+// Guards against a connection that delivers heartbeats but no events: no read fails, and a drain is never received. A
+// heartbeat with a revision after the last received one must end the connection, once for each such revision after each
+// event.
 func TestHeartbeatAheadOfTheLastRevisionIsAGap(t *testing.T) {
 	assert.Equal(t, []uint64{6, 7, 8}, deliverAll(t, []delivery{
 		{Heartbeat, 5, true},
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -12,32 +12,33 @@
 	"cairnfront/routing"
 )
 
-// HeaderSize is the number of bytes of a frame's length, revision and kind.
+// HeaderSize is the size in bytes of a frame's header: its length, revision and kind.
 const HeaderSize = 13
 
 const (
 	lengthSize      = 4
-	countedHeader   = HeaderSize - lengthSize // bytes of the header that the frame's length counts
+	countedHeader   = HeaderSize - lengthSize // bytes of the header that are included in the frame's length
 	maxFrameLength  = 1 << 20
 	endpointSize    = 27
 	purgeObjectSize = 16
 	purgeGroupSize  = 10
-	purgeTimeSize   = 8 // at the end of both kinds of purge
+	purgeTimeSize   = 8 // the time is the last field of both kinds of purge
 )
 
-// Endpoint IDs are written as this prefix and 8 hex digits.
+// endpointIDPrefix is the prefix of an endpoint ID; 8 hex digits follow.
 const endpointIDPrefix = "s-"
 
-// Units on the wire: weights are in thousandths, times in milliseconds.
+// Units in the protocol: weights are in thousandths, times in milliseconds.
 const (
 	weightScale    = 1000
 	millisInSecond = 1000
 )
 
-// ErrMalformed is wrapped by the errors on frames that break the protocol. The connection is then out of step.
+// ErrMalformed is wrapped by all errors about frames that violate the protocol. The connection can't be used after
+// that, because the start of the next frame is unknown.
 var ErrMalformed = errors.New("malformed frame")
 
-// errNotIPv4 is returned where an endpoint's address does not fit the record, which holds four bytes.
+// errNotIPv4 is returned if an endpoint's address does not fit into the record, which has four bytes for it.
 var errNotIPv4 = errors.New("is not an IPv4 address")
 
 // Header is the start of a frame.
@@ -47,10 +48,10 @@
 	PayloadBytes int
 }
 
-// endpointStatuses has the status of each state byte of an endpoint record.
+// endpointStatuses maps the state byte of an endpoint record to the endpoint's status.
 var endpointStatuses = [...]routing.EndpointStatus{routing.Ready, routing.Draining, routing.Removed}
 
-// ParseHeader reads the first HeaderSize bytes of a frame.
+// ParseHeader parses the first HeaderSize bytes of a frame.
 func ParseHeader(b []byte) (Header, error) {
 	length := binary.BigEndian.Uint32(b)
 	if length < countedHeader || length > maxFrameLength {
@@ -63,7 +64,7 @@
 	}, nil
 }
 
-// ParsePayload reads the payload of the frame with this header.
+// ParsePayload parses the payload of the frame with the given header.
 func ParsePayload(header Header, payload []byte) (Event, error) {
 	ev := Event{Revision: header.Revision, Kind: header.Kind}
 	var err error
@@ -133,7 +134,8 @@
 	return purge, nil
 }
 
-// AppendEvent appends the event's frame to b, as the discovery service sends it. Stand-ins of the service use it.
+// AppendEvent appends the event's frame to b, in the format of the discovery service. Fake services in tests and in the
+// laboratory use it.
 func AppendEvent(b []byte, ev Event) ([]byte, error) {
 	payload, err := appendPayload(nil, ev)
 	if err != nil {
@@ -167,7 +169,7 @@
 		return appendPurgeTime(b, ev.Purge), nil
 	case Heartbeat:
 		return b, nil
-	default: // the reader refuses a kind that it does not know
+	default: // ParsePayload rejects a frame of unknown kind
 		return b, nil
 	}
 }
--- a/internal/discovery/codec_test.go
+++ b/internal/discovery/codec_test.go
@@ -27,9 +27,9 @@
 	},
 }
 
-// A payload that is cut short, or of an unknown kind, could be read as another event: an endpoint would be lost, or a
-// copy purged that was not meant. Well-formed payloads of each kind are parsed in full, and every other one is
-// malformed.
+// Guards against a truncated payload, or one of unknown kind, that is parsed as a different event: an endpoint would be
+// lost, or the wrong copy purged. Well-formed payloads of each kind must be parsed completely, and any other payload
+// must be rejected as malformed.
 func TestPayloadsOfEachKindAreParsed(t *testing.T) {
 	const (
 		object      = "\x7f\x3a\x9c\x21\xe0\xb4\xd6\x55"
@@ -71,8 +71,8 @@
 	}
 }
 
-// A broken length field lets the client wait for bytes that never come, or allocate gigabytes. A length below the
-// header or above the maximum is malformed.
+// Guards against an invalid length field that makes the client wait for bytes that never arrive, or allocate gigabytes.
+// A length below the header size or above the maximum must be rejected as malformed.
 func TestFrameLengthsHaveBounds(t *testing.T) {
 	for _, length := range []uint32{0, 8, maxFrameLength + 1} {
 		_, err := ParseHeader(append(binary.BigEndian.AppendUint32(nil, length), make([]byte, 9)...))
--- a/internal/discovery/dial.go
+++ b/internal/discovery/dial.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// dialTimeout bounds one dial. It is over the time in which a lost first packet is sent again, twice.
+	// dialTimeout is the limit for establishing a connection. It is longer than two retransmissions of a lost SYN take.
 	dialTimeout = 3500 * time.Millisecond
 
-	// dialInterval is the time after which another dial begins beside one that has not ended: the first may be lost,
-	// and a service with a full accept queue may accept the second one sooner.
+	// dialInterval is the time after which another dial starts in parallel to those in progress: the packets of the
+	// first may be lost, and a service with a full accept queue may accept the second one sooner.
 	dialInterval = time.Second
 
-	// maxDials is how many dials run side by side.
+	// maxDials is the maximum number of parallel dials.
 	maxDials = 3
 )
 
-// dialNetwork establishes a connection to host:port.
+// dialNetwork establishes a TCP connection to host:port.
 func dialNetwork(ctx context.Context, addr string) (net.Conn, error) {
 	return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 }
 
-// dialResult is how a dial ended.
+// dialResult is the result of one dial.
 type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// dial establishes a connection to the service, with the first of up to maxDials dials that succeeds. It fails with the
-// first one that fails. It owns the dials' goroutines and returns once all have ended.
+// dial establishes a connection to the service. It runs up to maxDials dials in parallel and returns the result of the
+// first one that ends, whether it succeeded or failed. It returns after the goroutines of all dials have ended.
 func (c *Client) dial(ctx context.Context) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -58,7 +58,7 @@
 	}
 }
 
-// closeRest waits for dials that were called off, and closes the connections that came up all the same.
+// closeRest waits for the cancelled dials, and closes the connections that were established nevertheless.
 func closeRest(results <-chan dialResult, underWay int) {
 	for range underWay {
 		if rest := <-results; rest.err == nil {
--- a/internal/discovery/dial_test.go
+++ b/internal/discovery/dial_test.go
@@ -15,15 +15,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Connections to the service take longer than a second to come up. A router that gives each up after a second never
-// follows the service. The late one is used, and a second dial beside it does not end it.
+// Guards against a router that never connects because establishing a connection takes longer than a second and each
+// dial is cancelled before. The slow connection must be used, and a second parallel dial must not cancel it.
 func TestConnectionThatComesUpLateIsUsed(t *testing.T) {
 	near, far := net.Pipe()
 	var dials atomic.Int32
 	c := &Client{
 		Telemetry: telemetry.New(io.Discard, ""),
 		Dial: func(ctx context.Context, _ string) (net.Conn, error) {
-			if dials.Add(1) > 1 { // a second one beside it does not end it
+			if dials.Add(1) > 1 { // the second dial must not cancel the first
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenEvents holds one frame of each kind as it stands on the wire, and what it is decoded to.
+// goldenEvents lists the encoded frame and the decoded event for each kind.
 var goldenEvents = []struct {
 	name  string
 	frame string
@@ -73,8 +73,8 @@
 	},
 }
 
-// A change of the codec that both its directions share is not seen by a round trip, and a service of another version
-// would not be understood. The bytes of each event are those of the golden file.
+// Guards against a change of the format in both the encoder and the decoder, which a round-trip test does not detect:
+// the client could not parse the events of a service of another version. The encoded bytes must equal the golden bytes.
 func TestEventsMatchTheGoldenBytes(t *testing.T) {
 	for _, c := range goldenEvents {
 		frame, err := AppendEvent(nil, c.event)
--- a/internal/discovery/known.go
+++ b/internal/discovery/known.go
@@ -11,7 +11,7 @@
 	"cairnfront/routing"
 )
 
-// Errors of ParseKnownEvents, apart from those of the JSON itself.
+// Errors of ParseKnownEvents, in addition to those of encoding/json.
 var (
 	ErrNoEvents        = errors.New("no events")
 	ErrEmptyEvent      = errors.New("event has neither endpoints nor a purge")
@@ -19,15 +19,15 @@
 	ErrInvalidObject   = errors.New("invalid object")
 )
 
-// IndexNames are the names of zones and endpoint kinds in the order of their indices.
+// IndexNames lists the names of zones and endpoint kinds; the position of a name is the index of its zone or kind.
 type IndexNames struct {
 	Zones []string
 	Kinds []string
 }
 
-// knownFile is the JSON form of the events that a bootstrap file holds. Its keys and words are those of the users' file
-// and are used here alone: notices are events, pool is a list of endpoints, flush a purge, asset an object, collection
-// and group a purge group and a cell; SERVING, DRAINING and DELETED are ready, draining and removed.
+// knownFile is the JSON form of the events in a bootstrap file. The keys and values of that format are used only in
+// this file: notices are events, pool is a list of endpoints, flush a purge, asset an object, collection a purge group,
+// and group a cell; SERVING, DRAINING and DELETED mean ready, draining and removed.
 type knownFile struct {
 	LastRevision uint64       `json:"rev"`
 	Events       []knownEvent `json:"notices"`
@@ -61,15 +61,15 @@
 	PurgedMillis float64 `json:"ms"`
 }
 
-// knownStatuses has the status of each word that stands for one in JSON.
+// knownStatuses maps the status strings of the bootstrap file to endpoint statuses.
 var knownStatuses = map[string]routing.EndpointStatus{
 	"SERVING":  routing.Ready,
 	"DRAINING": routing.Draining,
 	"DELETED":  routing.Removed,
 }
 
-// ParseKnownEvents reads the events that a bootstrap file holds, and the revision of the last one. The first event is
-// always a Snapshot or a purge.
+// ParseKnownEvents parses the events in a bootstrap file and returns them with the revision of the last one. The first
+// event is always a Snapshot or a purge.
 func ParseKnownEvents(text []byte, names IndexNames) (events []Event, lastRevision uint64, err error) {
 	var file knownFile
 	if err := json.Unmarshal(text, &file); err != nil {
--- a/internal/discovery/known_test.go
+++ b/internal/discovery/known_test.go
@@ -15,8 +15,8 @@
 
 var testNames = IndexNames{Zones: []string{"west", "east"}, Kinds: []string{"up", "std"}}
 
-// Events that are known at the start spare the first snapshot. Each kind is parsed with its revision, and the last
-// revision is returned.
+// With the events in the bootstrap file a router does not need to wait for the first snapshot. Each kind must be parsed
+// with its revision, and the last revision must be returned.
 func TestKnownEventsAreParsed(t *testing.T) {
 	text := `{"rev":43,"notices":[
 		{"rev":41,"pool":{"index":7,"snapshot":false,"endpoints":[` + knownEndpointText + `]}},
@@ -43,8 +43,8 @@
 	}, events)
 }
 
-// A file of known events is damaged or names a zone that the settings lack. Accepted, it would start the router with
-// endpoints that do not exist. Each such file is refused with an error that says what is wrong.
+// Guards against a router that starts with endpoints that do not exist, because the events in its bootstrap file are
+// damaged or name a zone that is missing in the settings. Such events must be rejected with a specific error.
 func TestUnusableKnownEventsAreRejected(t *testing.T) {
 	_, _, err := ParseKnownEvents(nil, testNames)
 	require.Error(t, err)
--- a/internal/discovery/revisions.go
+++ b/internal/discovery/revisions.go
@@ -7,19 +7,19 @@
 	"cairnfront/internal/telemetry"
 )
 
-// ErrRevisionGap ends a connection whose revisions do not follow on from those that the client has.
+// ErrRevisionGap closes a connection on which revisions after the last received one are missing.
 var ErrRevisionGap = errors.New("revision gap")
 
-// revisionOrder says how an event's revision lies to the last one that was handed on.
+// revisionOrder is the position of an event's revision relative to the last delivered one.
 type revisionOrder int
 
 const (
-	revisionRepeated revisionOrder = iota // it was handed on before
-	revisionNext                          // it follows
-	revisionAhead                         // some between them have not come
+	revisionRepeated revisionOrder = iota // the event was already delivered
+	revisionNext                          // the revision directly follows the last delivered one
+	revisionAhead                         // events between the two revisions have not been received
 )
 
-// orderOf returns how a revision lies to the last one.
+// orderOf returns the position of a revision relative to the last delivered one.
 func orderOf(revision, last uint64) revisionOrder {
 	switch {
 	case revision <= last:
@@ -30,12 +30,14 @@
 	return revisionAhead
 }
 
-// acceptInOrder hands on an event that follows the last one, and passes over one that was handed on before. A revision
-// that skips some ends the connection once, so that the service is asked again after the last revision. If the same
-// revision then comes again, the service holds nothing between, and the event is accepted.
+// acceptInOrder passes the event that follows the last revision to OnEvent, and ignores an event that was already
+// delivered. A gap in the revisions closes the connection once, so that the events after the last revision are
+// requested again. If the same revision then arrives again, the service has no events in between, and the event is
+// accepted.
 //
-// It guards against lost events, above all a drain or a purge: attempts would go to an endpoint that ends, or purged
-// copies be answered, with nothing in the log. It shows as a connection that ends with netconn.SequenceGap.
+// It guards against lost events, above all a drain or a purge: attempts would be sent to an endpoint that shuts down,
+// or purged copies would be served, without any log line. A gap is logged as a connection that ends with
+// netconn.SequenceGap.
 func (c *Client) acceptInOrder(ev Event) error {
 	switch orderOf(ev.Revision, c.LastRevision) {
 	case revisionRepeated:
@@ -53,9 +55,9 @@
 	return nil
 }
 
-// checkHeartbeat compares the heartbeat's revision, that of the service's last event, with the last one received. An
-// event that was lost or is held back on this connection is asked for once on another: on a connection that brings
-// heartbeats and no events a drain would never be heard of.
+// checkHeartbeat compares the heartbeat's revision, which is that of the service's last event, with the last received
+// revision. If it is ahead, an event was lost or is delayed on this connection, and the event is requested once on a
+// new connection. Otherwise a drain would never be received on a connection that delivers heartbeats but no events.
 func (c *Client) checkHeartbeat(revision uint64) error {
 	if orderOf(revision, c.LastRevision) == revisionRepeated {
 		return nil
@@ -63,7 +65,7 @@
 	return c.reportGapOnce(revision)
 }
 
-// reportGapOnce returns an error the first time that this revision is seen after a gap.
+// reportGapOnce returns ErrRevisionGap the first time that this revision is received after a gap, and nil after that.
 func (c *Client) reportGapOnce(revision uint64) error {
 	if c.gapRevision == revision {
 		return nil
--- a/internal/discovery/revisions_test.go
+++ b/internal/discovery/revisions_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestOrderOfRevisions: at the last one, on both sides of it, and at the greatest number.
+// Checks revisions before, at and after the last one, and at the maximum of uint64.
 func TestOrderOfRevisions(t *testing.T) {
 	assert.Equal(t, revisionRepeated, orderOf(6, 7))
 	assert.Equal(t, revisionRepeated, orderOf(7, 7))
@@ -17,7 +17,7 @@
 	assert.Equal(t, revisionRepeated, orderOf(math.MaxUint64, math.MaxUint64))
 }
 
-// TestBackoffGrowsToItsMaximum: and not beyond it.
+// The backoff must never decrease, and must stop at its maximum.
 func TestBackoffGrowsToItsMaximum(t *testing.T) {
 	backoff := initialBackoff
 	for range 10 {
--- a/internal/discovery/slow_test.go
+++ b/internal/discovery/slow_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A long list comes over a slow link and takes longer than the silence after which a connection is given up. The router
-// would begin the list again and again and never have it. A list in pieces, each soon enough after the one before, is
-// read to its end.
+// Guards against a read timeout that covers a complete frame: a long list over a slow link would time out on every
+// connection, and the router would never receive it. A list must be read completely if each of its parts arrives within
+// the timeout.
 func TestListThatComesSlowlyIsRead(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -35,7 +35,7 @@
 	for len(list) > 0 {
 		piece := min(len(list), 100)
 		_, err = conn.Write(list[:piece])
-		require.NoError(t, err, "the connection is still there")
+		require.NoError(t, err, "the connection is still open")
 		list = list[piece:]
 		time.Sleep(60 * time.Millisecond)
 	}
@@ -43,7 +43,7 @@
 	case ev := <-events:
 		assert.Len(t, ev.Endpoints, 20)
 	case <-time.After(5 * time.Second):
-		t.Error("the list does not arrive")
+		t.Error("the list was not received")
 	}
 	stop()
 	_ = conn.Close()
