--- a/internal/bootstrap/config.go
+++ b/internal/bootstrap/config.go
@@ -1,8 +1,8 @@
-// Package bootstrap reads the file that a router is started with: its addresses, limits and settings, and the
-// discovery events known at that time.
+// Package bootstrap reads the bootstrap file of a router: its addresses, limits and settings, and the discovery events
+// that were known when the file was written.
 //
-// It owns the format of the file and the validation of its values. It converts the settings to the names of the routing
-// module, which interprets them. It does not connect to the discovery service.
+// It defines the format of the file and validates its values. It translates the settings to the names used by the
+// routing module, which interprets them. It does not connect to the discovery service.
 package bootstrap
 
 import (
@@ -16,10 +16,10 @@
 	"cairnfront/routing"
 )
 
-// PathVariable is the environment variable that holds the path of the file.
+// PathVariable is the name of the environment variable with the path of the bootstrap file.
 const PathVariable = "LB_CONFIG"
 
-// Errors that callers can test for. All but ErrNoPath are wrapped by a FieldError.
+// Errors that callers can test for. All except ErrNoPath are wrapped by a FieldError.
 var (
 	ErrNoPath         = errors.New("read bootstrap file: " + PathVariable + " is not set")
 	ErrMissing        = errors.New("missing")
@@ -31,7 +31,7 @@
 	ErrFixed          = errors.New("can't change without a restart")
 )
 
-// FieldError is an error in a field of the file.
+// FieldError is an error in a field of the bootstrap file.
 type FieldError struct {
 	Field string
 	Err   error
@@ -51,12 +51,12 @@
 	MemoryMB         int
 	MaxSockets       int
 	Settings         routing.Settings
-	ClassNames       []string // of the request classes, in the order of their indices
+	ClassNames       []string // names of the request classes, by class index
 	KnownEvents      []discovery.Event
-	LastRevision     uint64 // of the last known event
+	LastRevision     uint64 // revision of the last known event
 }
 
-// LoadFromEnv reads the file that PathVariable names.
+// LoadFromEnv reads the file whose path is in the environment variable PathVariable.
 func LoadFromEnv() (Config, error) {
 	path := os.Getenv(PathVariable)
 	if path == "" {
@@ -65,7 +65,7 @@
 	return LoadFile(path)
 }
 
-// LoadFile reads a file.
+// LoadFile reads and parses the bootstrap file at path.
 func LoadFile(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -78,8 +78,8 @@
 	return config, nil
 }
 
-// CheckReload returns a FieldError that wraps ErrFixed if c differs from the running configuration in a field that
-// can't change without a restart. The discovery service's address, the seed and the known events may differ.
+// CheckReload returns a FieldError that wraps ErrFixed if a field that can't change without a restart differs between c
+// and the running configuration. The discovery service's address, the seed and the known events may differ.
 func (c Config) CheckReload(running Config) error {
 	sameLimits := c.Cores == running.Cores && c.MemoryMB == running.MemoryMB && c.MaxSockets == running.MaxSockets
 	sameSettings := maps.Equal(c.Settings, running.Settings) && slices.Equal(c.ClassNames, running.ClassNames)
--- a/internal/bootstrap/config_test.go
+++ b/internal/bootstrap/config_test.go
@@ -22,8 +22,8 @@
 "limits":{"connect_timeout_s":0.4,"max_streams":32},"stats":{"source":"on_probe"},
 "request_classes":[{"name":"page","effect":"retryable"},{"name":"order","effect":"fragile"}]}}`
 
-// A field that is read wrongly makes the router run with other limits or settings than the deployment gave. The fields
-// of a known file must have their values.
+// Guards against a field that is parsed incorrectly: the router would run with other limits or settings than those in
+// the deployment's file. The parsed fields of a sample file must have the expected values.
 func TestFileIsParsed(t *testing.T) {
 	config, err := Parse([]byte(validFile))
 	require.NoError(t, err)
@@ -48,8 +48,8 @@
 	}
 }
 
-// A router that starts with an invalid field fails later and elsewhere. The start must fail with the field's name and
-// an error of its kind.
+// Guards against a router that starts with an invalid field and fails later in another place. Parsing must fail with
+// the name of the field and a specific error.
 func TestInvalidFieldsAreNamed(t *testing.T) {
 	for _, c := range []struct {
 		old, replacement string
@@ -82,8 +82,8 @@
 	assert.ErrorContains(t, err, "JSON")
 }
 
-// A class with an objective over its deadline is most likely a mistake. Checking the file must name it; a start accepts
-// it, as deployments may have it.
+// A class whose latency objective is longer than its deadline is most likely a mistake. CheckObjectives must report it;
+// Parse must accept it, because deployments may have such classes.
 func TestObjectiveOverTheDeadlineIsNamed(t *testing.T) {
 	for seconds, want := range map[string]error{"0.4": nil, "0.5": nil, "0.6": ErrObjectiveTooLong} {
 		class := `"name":"order","on_time_s":` + seconds + `,"hard_limit_s":0.5,`
@@ -97,8 +97,8 @@
 	}
 }
 
-// The protocol has new keys skipped. A start that refused one would fail at each extension of the deployment's file.
-// New keys, and settings that are missing, must be accepted.
+// By the protocol, unknown keys are skipped. Guards against a router that fails to start whenever the deployment's file
+// gets a new key. Unknown keys and missing settings must be accepted.
 func TestUnknownAndMissingKeysAreAccepted(t *testing.T) {
 	for old, replacement := range map[string]string{
 		`"me":2`:                    `"me":2,"new":{"key":1}`,
@@ -113,8 +113,8 @@
 	}
 }
 
-// A start that fails for want of the file has to say which file. The error must name the variable or the path, and keep
-// its cause.
+// Guards against an error that does not identify the file that can't be read. The error must contain the name of the
+// environment variable or the path, and must wrap its cause.
 func TestUnreadableFilesAreNamed(t *testing.T) {
 	t.Setenv(PathVariable, "")
 	_, err := LoadFromEnv()
@@ -129,8 +129,8 @@
 	assert.ErrorContains(t, err, path)
 }
 
-// Limits and classes can't change while requests are open. A reload that took them in half would leave the stages in
-// disagreement. Only a change of the discovery address must be accepted.
+// Guards against a reload that changes limits or classes while requests are open: parts of the router would use
+// different values. Of the fields in this test, only a change of the discovery address must be accepted.
 func TestReloadMayChangeOnlyTheDiscoveryAddress(t *testing.T) {
 	running, err := Parse([]byte(validFile))
 	require.NoError(t, err)
@@ -156,7 +156,8 @@
 	}
 }
 
-// FuzzParse holds that no text panics, and that what is accepted has classes, events and the minimum of memory.
+// FuzzParse checks that Parse never panics, and that accepted files have classes, events and at least the minimum
+// memory.
 func FuzzParse(f *testing.F) {
 	const endpoint = `{"name":"s-1","address":"10.1.0.9:9090","zone":"east","type":"std","status":"SERVING"}`
 	f.Add([]byte(validFile))
--- a/internal/bootstrap/golden_test.go
+++ b/internal/bootstrap/golden_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// printConfig writes each value of a configuration on a line of its own, in an order that does not change.
+// printConfig formats a configuration with one value per line, in a deterministic order.
 func printConfig(c Config) string {
 	var out strings.Builder
 	line := func(format string, values ...any) { fmt.Fprintf(&out, format+"\n", values...) }
@@ -46,7 +46,7 @@
 	return out.String()
 }
 
-// TestFileWithEveryKeyIsReadTheSame compares a file with every key with its parsed form, value by value.
+// TestFileWithEveryKeyIsReadTheSame compares the parsed values of a file with every key to the golden file.
 func TestFileWithEveryKeyIsReadTheSame(t *testing.T) {
 	config, err := LoadFile("testdata/every-key.json")
 	require.NoError(t, err)
--- a/internal/bootstrap/parse.go
+++ b/internal/bootstrap/parse.go
@@ -11,7 +11,7 @@
 	"cairnfront/routing"
 )
 
-// Fields of the file, as errors name them: the keys of the JSON object.
+// Field names in errors. They are the keys of the JSON object.
 const (
 	fieldName      = "name"
 	fieldListen    = "listen"
@@ -19,10 +19,10 @@
 	fieldSeed      = "seed"
 	fieldLimits    = "limits"
 	fieldSettings  = "settings"
-	fieldKnown     = "known" // events of the discovery service
+	fieldKnown     = "known" // discovery events
 )
 
-// Settings that the parser itself reads.
+// Keys of settings that the parser itself interprets.
 const (
 	settingClasses = "request_classes"
 	settingTenants = "tenants"
@@ -30,7 +30,7 @@
 	settingKinds   = "flavors"
 )
 
-// The lowest limits that a router accepts.
+// The minimum limits that a router accepts.
 const (
 	minMemoryMB = 32
 	minSockets  = 64
@@ -53,11 +53,12 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Parse parses the text of a file. Its error is a *FieldError, or one of encoding/json for text that is not JSON.
+// Parse parses the text of a file. It returns a *FieldError, or an error of encoding/json if the text is not valid
+// JSON.
 func Parse(text []byte) (Config, error) {
 	var parsed file
 	decoder := json.NewDecoder(bytes.NewReader(text))
-	decoder.UseNumber() // numbers in settings keep the form in which they are written
+	decoder.UseNumber() // preserves the text of numbers in settings
 	if err := decoder.Decode(&parsed); err != nil {
 		return Config{}, fmt.Errorf("parse JSON: %w", err)
 	}
@@ -121,13 +122,13 @@
 }
 
 func (f *file) classNames() ([]string, error) {
-	classes, _ := f.Settings[settingClasses].([]any) // another type is reported as no classes
+	classes, _ := f.Settings[settingClasses].([]any) // a value of another type is reported as ErrNoClasses
 	if len(classes) == 0 {
 		return nil, ErrNoClasses
 	}
 	names := make([]string, len(classes))
 	for i, class := range classes {
-		names[i], _ = lookup(class, "name").(string) // another type is reported as no name
+		names[i], _ = lookup(class, "name").(string) // a value of another type is reported as ErrUnnamedClass
 		if names[i] == "" {
 			return nil, fmt.Errorf("%w: index %d", ErrUnnamedClass, i)
 		}
@@ -135,13 +136,13 @@
 	return names, nil
 }
 
-// lookup returns the value of a key of a JSON object, nil if value is no object.
+// lookup returns the value of a key in a JSON object, or nil if value is not an object or lacks the key.
 func lookup(value any, key string) any {
 	object, _ := value.(map[string]any)
 	return object[key]
 }
 
-// stringsOf converts a JSON list to strings. An item of another type becomes the empty string.
+// stringsOf converts a JSON list to strings. An item that is not a string becomes the empty string.
 func stringsOf(value any) []string {
 	list, _ := value.([]any)
 	out := make([]string, len(list))
--- a/internal/bootstrap/settings.go
+++ b/internal/bootstrap/settings.go
@@ -10,8 +10,9 @@
 	"cairnfront/routing"
 )
 
-// flatten adds a JSON value to the settings in the form of the simulator's wire and under the names of the routing
-// module: objects become paths, lists of objects numbered paths, and lists of scalars one text.
+// flatten adds a JSON value to the settings, in the format of the simulator protocol and with the names of the routing
+// module. Objects become dotted paths, lists of objects become paths with indices, and lists of scalars become one
+// comma-separated string.
 func flatten(settings routing.Settings, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -33,7 +34,7 @@
 	}
 }
 
-// isObjectList reports whether a list has objects with names. Lists that may be empty are recognized by their paths.
+// isObjectList reports whether a list contains named objects. Lists that may be empty are recognized by their paths.
 func isObjectList(path string, list []any) bool {
 	if path == settingClasses || path == settingTenants {
 		return true
@@ -60,10 +61,10 @@
 	settings[name] = value
 }
 
-// separators replaces the characters that separate values on the simulator's wire.
+// separators replaces the characters that separate values in the simulator protocol.
 var separators = strings.NewReplacer(" ", "_", ",", "_")
 
-// plainText returns the text of a scalar.
+// plainText returns the string form of a scalar.
 func plainText(value any) string {
 	switch value := value.(type) {
 	case nil:
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An installation that sets nothing gets the defaults. If they differ from those of the schema, the printed
-// documentation is wrong. An empty file must give the values that the schema names.
+// An installation with an empty file gets the defaults. Guards against defaults that differ from those in the schema,
+// so that the printed documentation is wrong. An empty file must give the same values as the printed defaults.
 func TestEmptyFileHasTheDefaults(t *testing.T) {
 	empty, err := Parse("empty", nil)
 	require.NoError(t, err)
@@ -17,19 +17,19 @@
 	require.NoError(t, err)
 	assert.Equal(t, empty, full)
 	assert.Equal(t, 4096.0, empty.DiskCache.CapacityMB) //nolint:testifylint // exact by intent
-	assert.Empty(t, empty.DiskCache.Directory, "nothing is on by default")
+	assert.Empty(t, empty.DiskCache.Directory, "the disk cache is disabled by default")
 }
 
-// Operators start from the file under deploy. If it falls behind the program, they set values that they did not mean.
-// It must be what the program prints.
+// Operators start from the file in the deploy directory. If it is outdated, they set values that they did not intend.
+// It must be identical to the defaults that the program prints.
 func TestFileUnderDeployHoldsTheDefaults(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/operators.yaml")
 	require.NoError(t, err)
 	assert.Equal(t, string(Defaults()), string(text), "cairnfront config defaults > deploy/operators.yaml")
 }
 
-// A mistake that is reported without its place is searched for by trial. Every mistake of a file must be reported at
-// once, each with line, column, key and reason.
+// Guards against errors without a position, with which an operator finds a mistake only by trial and error. All
+// mistakes in a file must be reported together, each with its line, column, key and reason.
 func TestMistakesAreNamedWithTheirPlace(t *testing.T) {
 	for text, want := range map[string]string{
 		"box:\n  colour: red\n":              "f:2:3: box.colour: unknown key",
@@ -51,15 +51,15 @@
 	}
 }
 
-// A reload is tried again where the file could not be read, and not where it is invalid. The two must be told apart by
-// the type of the error.
+// A reload is retried if the file could not be read, but not if the file is invalid. The type of the error must
+// distinguish the two cases.
 func TestFileThatCannotBeReadIsNoFieldError(t *testing.T) {
 	_, err := Read(t.TempDir() + "/none.yaml")
 	require.ErrorIs(t, err, os.ErrNotExist)
 	assert.NotErrorAs(t, err, &FieldError{})
 }
 
-// FuzzParse holds that no text panics, and that what is accepted has usable values.
+// FuzzParse checks that Parse never panics, and that the values of accepted files are valid.
 func FuzzParse(f *testing.F) {
 	f.Add("box:\n  rules:\n  - {name: a}\ntier: {alpha: 2}\n")
 	f.Add("a: &x [*x]")
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// indent is the indentation of an object's keys relative to the key of the object.
+// indent is the indentation of an object's keys, relative to the key of the object.
 const indent = "  "
 
-// Defaults returns a file with the default and the description of every key. It is made from the schema and keeps the
-// schema's order of keys.
+// Defaults returns a configuration file with the default value and the description of every key. It is generated from
+// the schema, with the keys in the order of the schema.
 func Defaults() []byte {
 	var out bytes.Buffer
 	out.WriteString("# Configuration file of cairnfront: every key with its default, unit and meaning.\n")
@@ -19,7 +19,7 @@
 	return out.Bytes()
 }
 
-// writeProperties writes the keys of an object's schema at a nesting depth.
+// writeProperties writes the keys of an object's schema, indented for the nesting depth.
 func writeProperties(out *bytes.Buffer, schema *orderedObject, depth int) {
 	properties := schema.object("properties")
 	if properties == nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// writeItemProperties writes, as comments, the keys of a list's items. Items is nil unless the list holds objects.
+// writeItemProperties writes the keys of a list's items as comments. Items is nil unless the list contains objects.
 func writeItemProperties(out *bytes.Buffer, items *orderedObject, pad string) {
 	if items == nil {
 		return
@@ -57,28 +57,28 @@
 	}
 }
 
-// encode returns a default as JSON, which is YAML too.
+// encode returns a default value as JSON, which is also valid YAML.
 func encode(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // it came from JSON
+		panic(err) // can't happen: the value was decoded from JSON
 	}
 	return text
 }
 
-// orderedObject is a JSON object whose keys keep their order.
+// orderedObject is a JSON object that preserves the order of its keys.
 type orderedObject struct {
 	keys   []string
 	values map[string]any
 }
 
-// object returns the object of a key, nil if there is none.
+// object returns the object at a key, or nil if there is none.
 func (o *orderedObject) object(key string) *orderedObject {
 	value, _ := o.values[key].(*orderedObject)
 	return value
 }
 
-// decodeOrdered decodes a JSON object. It panics at anything else, since only the program's own schema is read with it.
+// decodeOrdered decodes a JSON object. It panics on any other input, because it is used only for the embedded schema.
 func decodeOrdered(text []byte) *orderedObject {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	object, ok := decodeValue(decoder).(*orderedObject)
@@ -115,7 +115,7 @@
 	return token
 }
 
-// nextToken returns the next token of the schema.
+// nextToken returns the next token of the schema. It panics on an error.
 func nextToken(decoder *json.Decoder) json.Token {
 	token, err := decoder.Token()
 	if err != nil {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -13,15 +13,15 @@
 	"golang.org/x/text/message"
 )
 
-// FieldError is one mistake in a file: its place and the reason.
+// FieldError is one mistake in a configuration file, with its position and reason.
 type FieldError struct {
 	File         string
-	Line, Column int    // from 1
-	Path         string // keys and indexes separated by dots; empty for the file itself
+	Line, Column int    // starting at 1
+	Path         string // keys and indices separated by dots; empty if the error concerns the complete file
 	Reason       string
 }
 
-// Error returns FILE:LINE:COLUMN: PATH: REASON.
+// Error returns the text FILE:LINE:COLUMN: PATH: REASON.
 func (e FieldError) Error() string {
 	place := fmt.Sprintf("%s:%d:%d: ", e.File, e.Line, e.Column)
 	if e.Path != "" {
@@ -30,7 +30,7 @@
 	return place + e.Reason
 }
 
-// explain turns an error of the schema's validator into a FieldError for each mistake, in the order of the file.
+// explain converts an error of the schema validator to a FieldError for each mistake, in the order of the file.
 func (d document) explain(err error) error {
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
@@ -47,7 +47,7 @@
 	return errors.Join(joined...)
 }
 
-// fieldErrors returns the mistakes at the leaves of a validator's error.
+// fieldErrors returns a FieldError for each leaf of the validator's tree of errors.
 func (d document) fieldErrors(invalid *jsonschema.ValidationError, printer *message.Printer) []FieldError {
 	if len(invalid.Causes) > 0 {
 		var mistakes []FieldError
@@ -63,7 +63,7 @@
 	return []FieldError{mistake}
 }
 
-// unknownKeys returns a mistake for each key that the schema doesn't have, at the place of the key.
+// unknownKeys returns a FieldError for each key that is not in the schema, with the position of the key.
 func (d document) unknownKeys(mapping FieldError, location, keys []string) []FieldError {
 	n := d.find(location)
 	mistakes := make([]FieldError, len(keys))
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -1,11 +1,11 @@
 // Package config reads the configuration file of routers and edge caches.
 //
-// The file is YAML. It is validated against a JSON Schema, which is published and is the only place with the default,
-// unit and meaning of each key. What a schema can't express is checked after it. An error names the file, line, column
-// and key, and the reason.
+// The file is YAML. It is validated against a JSON Schema, which is published and is the only place that defines the
+// default, unit and meaning of each key. Rules that a schema can't express are checked after that. An error contains
+// the file, line, column, key and reason.
 //
-// The package reads and validates only. It doesn't watch the file. The programs decide which changes take effect
-// without a restart. The keys' names are mapped to the field's terms by the struct tags of File.
+// The package only reads and validates the file; it does not watch it. The programs decide which changes take effect
+// without a restart. The struct tags of File map the keys of the file to the terms used in the code.
 package config
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// File is the content of a configuration file, with every default filled in.
+// File is the content of a configuration file, with defaults for all keys that are not set.
 type File struct {
 	Router     Router     `json:"router"`
 	Membership Membership `json:"peers"`
@@ -21,23 +21,23 @@
 	DiskCache  DiskCache  `json:"tier"`
 }
 
-// Router is the configuration of a router beside its bootstrap file.
+// Router is the part of a router's configuration that is not in the bootstrap file.
 type Router struct {
-	AdminSocket string              `json:"socket"`        // path; empty for none
-	RetryShare  float64             `json:"further_share"` // retries per first attempt; 0 for no budget
-	RetryFloor  float64             `json:"further_least"` // retries that are allowed in a window at any load
+	AdminSocket string              `json:"socket"`        // path; empty if disabled
+	RetryShare  float64             `json:"further_share"` // retries per first attempt; 0 for no retry budget
+	RetryFloor  float64             `json:"further_least"` // retries allowed in each window regardless of the load
 	Addresses   []EndpointAddresses `json:"addresses"`
 }
 
-// EndpointAddresses are the addresses of endpoints that listen on several. It names endpoints by Endpoint, an id or a
-// pattern of path.Match, by DiscoveryAddress, or by both.
+// EndpointAddresses lists the addresses of an endpoint that listens on several. It selects endpoints by Endpoint, which
+// is an id or a pattern for path.Match, by DiscoveryAddress, or by both.
 type EndpointAddresses struct {
 	Endpoint         string   `json:"member"`
 	DiscoveryAddress string   `json:"board"`
 	Addresses        []string `json:"list"`
 }
 
-// Matches reports whether the addresses are those of an endpoint with an id and an address in the endpoint list.
+// Matches reports whether the addresses apply to the endpoint with the given id and address in the endpoint list.
 func (e EndpointAddresses) Matches(id, discoveryAddress string) bool {
 	if e.DiscoveryAddress != "" && e.DiscoveryAddress != discoveryAddress {
 		return false
@@ -45,11 +45,11 @@
 	if e.Endpoint == "" {
 		return e.DiscoveryAddress != ""
 	}
-	matched, _ := path.Match(e.Endpoint, id) // the pattern was validated
+	matched, _ := path.Match(e.Endpoint, id) // no error, because the pattern was validated
 	return matched
 }
 
-// Membership is the configuration of a router's membership. Limits are per second, a KB is 1000 bytes.
+// Membership is the configuration of a router's membership. Limits are per second; a KB is 1000 bytes.
 type Membership struct {
 	Listen                  string  `json:"listen"`
 	Advertise               string  `json:"advertise"`
@@ -72,7 +72,7 @@
 type Peer struct {
 	Name    string `json:"name"`
 	Key     string `json:"key"`     // public key, base64
-	Address string `json:"address"` // IP:PORT; empty if it is learned from other peers
+	Address string `json:"address"` // IP:PORT; empty if other peers provide it
 }
 
 // EdgeCache is the configuration of a cache process.
@@ -94,7 +94,7 @@
 	Classes              []Class          `json:"rules"`
 }
 
-// CapacityModel limits a cache process as a smaller or slower machine would; its zero value does not.
+// CapacityModel limits a cache process to the capacity of a smaller or slower machine. The zero value sets no limits.
 type CapacityModel struct {
 	Cores           float64 `json:"cores"`
 	WorkMS          float64 `json:"work_ms"`
@@ -104,7 +104,7 @@
 	ColdSeconds     float64 `json:"cold_s"`
 }
 
-// SyntheticContent is what an origin serves: generated objects, or the files of a directory.
+// SyntheticContent configures the content of an origin: generated objects, or the files of a directory.
 type SyntheticContent struct {
 	Seed              uint64  `json:"seed"`
 	Directory         string  `json:"folder"`
@@ -114,10 +114,10 @@
 	IdempotencyWindow Seconds `json:"window_s"`
 }
 
-// Effects of a request class in the file: what running a request twice does.
+// Effects of a request class in the file: whether a request may be executed twice.
 const (
 	EffectIdempotent     = "repeatable"
-	EffectIdempotencyKey = "keyed" // run once by an origin that recognizes the key
+	EffectIdempotencyKey = "keyed" // the origin recognizes the idempotency key and executes the request once
 	EffectNonIdempotent  = "unrepeatable"
 )
 
@@ -150,5 +150,5 @@
 // Seconds is a duration in seconds, the unit of the file.
 type Seconds float64
 
-// Duration returns s as a time.Duration.
+// Duration converts s to a time.Duration.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -14,8 +14,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// A renamed field of the code may cease to read its key, and the default takes its place in silence. A file with every
-// key must give the same value as in an earlier version.
+// Guards against a renamed struct field that no longer reads its key, so that the default is used without an error. The
+// values of a file with every key must match the golden file.
 func TestFileWithEveryKeyParsesToTheGoldenValue(t *testing.T) {
 	file, err := Read("testdata/every-key.yaml")
 	require.NoError(t, err)
@@ -24,8 +24,8 @@
 	golden.Compare(t, "every-key.golden.json", string(text)+"\n")
 }
 
-// A key that is added to the schema alone would not be held by the golden value. The file must have every key of the
-// schema.
+// Guards against a key that is added to the schema but not to the test file, so that the golden file does not cover it.
+// The test file must contain every key of the schema.
 func TestEveryKeyOfTheSchemaStandsInTheFile(t *testing.T) {
 	text, err := os.ReadFile("testdata/every-key.yaml")
 	require.NoError(t, err)
@@ -36,7 +36,7 @@
 	assertHasKeys(t, "", schema, value)
 }
 
-// assertHasKeys checks that a value names each property of a schema, those of a list's first item too.
+// assertHasKeys checks that a value contains each property of a schema, including those of the first item of a list.
 func assertHasKeys(t *testing.T, path string, schema, value map[string]any) {
 	t.Helper()
 	properties, _ := schema["properties"].(map[string]any)
@@ -57,15 +57,15 @@
 	}
 }
 
-// Editors and scripts of installations use the printed schema and defaults. A change that nobody wanted would reach
-// them unseen. Both must stay byte for byte.
+// Editors and scripts of installations use the printed schema and defaults. Guards against unintended changes of these.
+// Both must be identical to the golden files.
 func TestSchemaAndDefaultsStayAsPublished(t *testing.T) {
 	golden.Compare(t, "schema.golden.json", string(Schema))
 	golden.Compare(t, "defaults.golden.yaml", string(Defaults()))
 }
 
-// Operators mend a file by its errors. Errors that lose their place or reason in a refactoring leave them searching.
-// The errors of each broken file must stay as they were.
+// Guards against a refactoring in which errors lose their position or reason, which operators need to fix a file. The
+// errors of each invalid file must match the golden file.
 func TestErrorsOfBrokenFilesKeepPlaceAndReason(t *testing.T) {
 	paths, err := filepath.Glob("testdata/broken/*.yaml")
 	require.NoError(t, err)
--- a/internal/config/keypaths.go
+++ b/internal/config/keypaths.go
@@ -1,6 +1,6 @@
 package config
 
-// Keys of the configuration file that errors of other packages name.
+// Key paths in the configuration file that other packages use in errors.
 const (
 	KeyEdgeCacheClasses = "box.rules"
 	KeyEdgeCacheListen  = "box.listen"
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -1,11 +1,11 @@
 package config
 
-// Keys of the file that the package's own errors name. The struct tags of File have all keys with their terms.
+// Keys of the file that this package uses in errors. The struct tags of File map all keys to the terms of the code.
 const (
 	keyRouter           = "router"
 	keyAddresses        = "addresses"
 	keyEndpoint         = "member" // id of an endpoint
-	keyDiscoveryAddress = "board"  // an endpoint's address in the endpoint list
+	keyDiscoveryAddress = "board"  // address of an endpoint in the endpoint list
 	keyAddressList      = "list"
 
 	keyMembership  = "peers"
@@ -14,7 +14,7 @@
 	keyName        = "name"
 	keyPublicKey   = "key"
 	keyAddress     = "address"
-	keyFaultyPeers = "liars" // byzantine peers that are tolerated
+	keyFaultyPeers = "liars" // number of Byzantine peers that are tolerated
 
 	keyEdgeCache = "box"
 	keySynthetic = "made" // synthetic content
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -12,7 +12,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Read reads and validates a file. Its error joins a FieldError for each mistake, unless the file can't be read.
+// Read reads and validates a file. The returned error joins a FieldError for each mistake, unless the file can't be
+// read.
 func Read(path string) (File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -21,8 +22,9 @@
 	return Parse(path, text)
 }
 
-// Parse validates a file's text. Its error joins a FieldError for each mistake, in the order of the file. The steps are
-// YAML, values, schema, then what no schema can express. The mistakes of the first step that finds any are reported.
+// Parse parses and validates the text of a file. The returned error joins a FieldError for each mistake, in the order
+// of the file. The steps are: YAML syntax, values, schema, then rules that a schema can't express. Only the mistakes
+// found by the first failing step are reported.
 func Parse(name string, text []byte) (File, error) {
 	root, err := parseYAML(name, text)
 	if err != nil {
@@ -66,7 +68,7 @@
 	return document{name: name, root: &root}, nil
 }
 
-// syntaxError converts an error of the YAML parser, whose text has the line, to a FieldError.
+// syntaxError converts an error of the YAML parser to a FieldError. The line number is parsed from the error's text.
 func syntaxError(name string, err error) FieldError {
 	mistake := FieldError{File: name, Line: 1, Column: 1, Reason: err.Error()}
 	_, rest, found := strings.Cut(mistake.Reason, "line ")
@@ -81,13 +83,13 @@
 	return mistake
 }
 
-// errorAt returns a mistake with the place of a path, or of the nearest existing node above it.
+// errorAt returns a FieldError with the position of the node at a path, or of its nearest existing ancestor.
 func (d document) errorAt(reason string, path ...string) FieldError {
 	n := d.find(path)
 	return FieldError{File: d.name, Line: n.Line, Column: n.Column, Path: strings.Join(path, "."), Reason: reason}
 }
 
-// find returns the node at a path, or the nearest existing one above it.
+// find returns the node at a path, or its nearest existing ancestor.
 func (d document) find(path []string) *yaml.Node {
 	n := d.root
 	if n.Kind == yaml.DocumentNode && len(n.Content) > 0 {
@@ -103,7 +105,7 @@
 	return n
 }
 
-// child returns the value of a key of a mapping, or an item of a sequence by its index; nil if there is none.
+// child returns the value of a key in a mapping, or the item at an index of a sequence, or nil if there is none.
 func child(n *yaml.Node, step string) *yaml.Node {
 	if n.Kind == yaml.SequenceNode {
 		if i, err := strconv.Atoi(step); err == nil && i < len(n.Content) {
@@ -117,7 +119,7 @@
 	return nil
 }
 
-// entry returns the key and value nodes of a mapping's entry, nil if there is none.
+// entry returns the key and value nodes of an entry in a mapping, or nil if there is none.
 func entry(mapping *yaml.Node, key string) (keyNode, valueNode *yaml.Node) {
 	for i := 0; i+1 < len(mapping.Content); i += 2 {
 		if mapping.Content[i].Value == key {
@@ -127,7 +129,7 @@
 	return nil, nil
 }
 
-// schemaValue returns the tree as the value that is validated against the schema. An empty file is an empty object.
+// schemaValue converts the tree to the value that is validated against the schema. An empty file is an empty object.
 func (d document) schemaValue() (any, error) {
 	if len(d.root.Content) == 0 || d.root.Content[0].Tag == "!!null" {
 		return map[string]any{}, nil
@@ -137,14 +139,14 @@
 	return value, errors.Join(c.mistakes...)
 }
 
-// converter turns YAML nodes into plain values and collects mistakes: duplicate keys, aliases, and numbers that JSON
-// can't represent.
+// converter converts YAML nodes to plain Go values and collects mistakes: duplicate keys, aliases, and numbers that
+// JSON can't represent.
 type converter struct {
 	name     string
 	mistakes []error
 }
 
-// reject adds a mistake.
+// reject records a mistake at a node.
 func (c *converter) reject(n *yaml.Node, path, reason string) {
 	c.mistakes = append(c.mistakes, FieldError{
 		File:   c.name,
@@ -168,13 +170,13 @@
 		return items
 	case yaml.ScalarNode:
 		return c.convertScalar(n, path)
-	case yaml.AliasNode, yaml.DocumentNode: // a document never stands within another node
+	case yaml.AliasNode, yaml.DocumentNode: // a document node is never nested in another node
 	}
 	c.reject(n, path, "anchors and aliases are not supported")
 	return nil
 }
 
-// convertMapping returns the plain value of a mapping, which has the last value of a duplicate key.
+// convertMapping returns the plain value of a mapping. The last value of a duplicate key is used.
 func (c *converter) convertMapping(n *yaml.Node, path string) map[string]any {
 	values := map[string]any{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
@@ -187,7 +189,7 @@
 	return values
 }
 
-// convertScalar returns the plain value of a scalar: a number as json.Number, a date as its text.
+// convertScalar returns the plain value of a scalar. A number becomes a json.Number, and a date becomes its text.
 func (c *converter) convertScalar(n *yaml.Node, path string) any {
 	var value any
 	if err := n.Decode(&value); err != nil {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -9,16 +9,16 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Schema is the published JSON Schema of the file.
+// Schema is the published JSON Schema of the configuration file.
 //
 //go:embed schema.json
 var Schema []byte
 
-// schemaName is the name of the schema in the validator's errors.
+// schemaName is the name of the schema in errors of the validator.
 const schemaName = "config.schema.json"
 
-// compiledSchema returns the validator of the schema and the schema as a plain value. It panics if the embedded schema
-// is invalid.
+// compiledSchema returns the compiled schema for validation, and the schema as a plain value. It panics if the embedded
+// schema is invalid.
 var compiledSchema = sync.OnceValues(func() (*jsonschema.Schema, any) {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(Schema))
 	if err != nil {
@@ -31,7 +31,7 @@
 	return compiler.MustCompile(schemaName), value
 })
 
-// fillDefaults adds the schema's defaults for keys that a value doesn't have.
+// fillDefaults adds the schema's defaults for keys that are missing in a value.
 func fillDefaults(schema, value any) {
 	object, _ := schema.(map[string]any)
 	switch v := value.(type) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// mustObject returns a part of the program's own schema that is an object. It panics at anything else.
+// mustObject returns a part of the embedded schema as an object. It panics if the part is not an object.
 func mustObject(part any) map[string]any {
 	object, ok := part.(map[string]any)
 	if !ok {
@@ -61,7 +61,8 @@
 	return object
 }
 
-// addDefault adds a property's default to an object: an empty object if it is an object, nothing if it has none.
+// addDefault adds the default of a property to an object. Without a default it adds an empty object for a property of
+// type object, and nothing for other types.
 func addDefault(object map[string]any, name string, property map[string]any) {
 	if value, ok := property["default"]; ok {
 		object[name] = value
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -12,7 +12,7 @@
 // publicKeyBytes is the length of an Ed25519 public key.
 const publicKeyBytes = 32
 
-// validate checks what the schema can't express. It returns the first mistake.
+// validate checks the rules that the schema can't express. It returns the first mistake.
 func (f File) validate(d document) error {
 	for i, addresses := range f.Router.Addresses {
 		if err := addresses.validate(d, []string{keyRouter, keyAddresses, strconv.Itoa(i)}); err != nil {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// validate checks that the addresses name an endpoint and can be dialed. At is their path.
+// validate checks that an endpoint is specified and that the addresses can be dialed. At is the path of e in the file.
 func (e EndpointAddresses) validate(d document, at []string) error {
 	if e.Endpoint == "" && e.DiscoveryAddress == "" {
 		return d.errorAt(keyEndpoint+" or "+keyDiscoveryAddress+" is required", at...)
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// validate checks that the roster has no duplicates and that this router can take part in it.
+// validate checks that the roster has no duplicates and that this router can join the membership.
 func (m Membership) validate(d document) error {
 	if m.Listen == "" {
 		return nil
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// validateRoster checks each entry of the roster. It returns the names in it and whether any other router has an
-// address.
+// validateRoster checks each entry of the roster. It returns the names in the roster, and whether any router other than
+// this one has an address.
 func (m Membership) validateRoster(d document) (names map[string]bool, reachable bool, err error) {
 	names = map[string]bool{}
 	keys := map[string]bool{}
