--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -33,7 +33,7 @@
 	return path
 }
 
-// testServer has a handler for each kind of result.
+// testServer returns a server with a handler for each kind of result.
 func testServer() *Server {
 	return &Server{
 		Metrics: telemetry.New(&bytes.Buffer{}, ""),
@@ -48,8 +48,9 @@
 	}
 }
 
-// A handler that fails or panics could end the router or leave its client waiting. Each kind of result must become a
-// response with its reason, the socket must be closed to other users, and the requests must be counted.
+// Guards against a handler that fails or panics and so ends the router or leaves its client without a response. Each
+// kind of result must become a response with its reason. The socket must not be accessible to other users, and the
+// requests must be counted.
 func TestRequestsAreAnswered(t *testing.T) {
 	server := testServer()
 	path := start(t, server)
@@ -73,8 +74,8 @@
 	assert.EqualValues(t, 1, server.Metrics.Value("panics_total")) //nolint:testifylint // exact by intent
 }
 
-// A client of another version, or of no version, sends lines that the server can't read. It must get the reason, and a
-// line without end must not take memory without bound.
+// Clients of another version, or clients that do not speak the protocol, send lines that the server can't parse. The
+// response must contain the reason, and a line without an end must not use unlimited memory.
 func TestMalformedLinesAreAnsweredWithTheReason(t *testing.T) {
 	path := start(t, testServer())
 	for line, want := range map[string]string{
@@ -92,8 +93,8 @@
 	}
 }
 
-// The mode of a socket alone does not stop every user in every setting. The server must ask the kernel for the client's
-// user, refuse one that is not allowed with the reason, and count it.
+// The file mode of a socket does not stop other users in every environment. The server must check the client's user id
+// from the kernel, respond to a user that is not allowed with the reason, and count the refusal.
 func TestOtherUsersAreRefused(t *testing.T) {
 	server := &Server{
 		Metrics: telemetry.New(&bytes.Buffer{}, ""),
@@ -105,8 +106,8 @@
 	assert.EqualValues(t, 1, server.Metrics.Value("admin_users_refused_total")) //nolint:testifylint // exact by intent
 }
 
-// TestRefusalBeforeTheRequestIsReadReachesTheClient has a server that responds and closes before the request is
-// written: the write fails, the response still counts.
+// The server responds and closes the connection before the request is written. The client's write fails, but the client
+// must still return the error in the response.
 func TestRefusalBeforeTheRequestIsReadReachesTheClient(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	ln, err := new(net.ListenConfig).Listen(t.Context(), "unix", path)
@@ -129,8 +130,8 @@
 	}
 }
 
-// A program that was killed leaves its socket behind, and the next start fails at it. Removing whatever stands at the
-// path would destroy files, or cut off a running program. Only a socket on which nobody listens must be replaced.
+// A killed program leaves its socket file behind, with which the next start would fail. Removing any file at the path
+// could delete other files, or disconnect a running program. Only a socket without a listener must be replaced.
 func TestListenReplacesOnlyAStaleSocket(t *testing.T) {
 	path := start(t, &Server{})
 	_, err := Listen(t.Context(), path)
@@ -148,6 +149,6 @@
 	unixListener.SetUnlinkOnClose(false)
 	_ = stale.Close()
 	ln, err := Listen(t.Context(), file+"2")
-	require.NoError(t, err, "left behind")
+	require.NoError(t, err, "the stale socket is replaced")
 	_ = ln.Close()
 }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Call sends one request to the admin socket of a running program and returns the data of its response. It returns a
-// *ResponseError if the program refused or failed the request. The context and requestTimeout bound the connecting,
-// twice requestTimeout bounds the exchange.
+// Call sends one request to the admin socket of a running program and returns the data of the response. It returns a
+// *ResponseError if the program refused the request or its handler failed. Connecting is limited by the context and by
+// requestTimeout; sending the request and reading the response is limited to twice requestTimeout.
 func Call(
 	ctx context.Context, path string, name RequestName, args map[string]string,
 ) (json.RawMessage, error) {
@@ -18,15 +18,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("connect to admin socket %s: %w", path, err)
 	}
-	defer func() { _ = conn.Close() }() // the response was read, or the error is known
+	defer func() { _ = conn.Close() }() // an error of Close is irrelevant after the exchange
 	return exchange(conn, path, name, args)
 }
 
-// exchange sends a request and reads its response. A server that refuses a client responds and closes without reading,
-// maybe before the request is written. The response is read even if writing fails, as it has the reason.
+// exchange sends a request and reads its response. A server that refuses a client responds and closes the connection
+// without reading, possibly before the request is written. Therefore the response, which contains the reason, is read
+// even if writing fails.
 func exchange(conn net.Conn, path string, name RequestName, args map[string]string) (json.RawMessage, error) {
-	// The server's timeout and as much for the network. Setting it fails only on a closed connection, where reading
-	// fails too.
+	// The server's timeout, plus the same time for the network. SetDeadline fails only on a closed connection, on which
+	// reading fails as well.
 	_ = conn.SetDeadline(time.Now().Add(2 * requestTimeout))
 	text, err := json.Marshal(Request{Version: Version, Name: name, Args: args})
 	if err != nil {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -20,17 +20,17 @@
 // Server answers requests. Its exported fields are set before Run.
 type Server struct {
 	Handlers map[RequestName]Handler
-	Metrics  *telemetry.Metrics // nil for none
+	Metrics  *telemetry.Metrics // nil to disable counters
 
-	allowed func(uid uint32) bool // nil for root and the program's own user
+	allowed func(uid uint32) bool // if nil, root and the program's own user are allowed
 }
 
-// Listen opens the socket. It replaces a socket that a program which has ended left behind, but no other file.
+// Listen opens the socket. It replaces the stale socket of a program that has ended, but no other file.
 func Listen(ctx context.Context, path string) (net.Listener, error) {
 	if err := removeStaleSocket(ctx, path); err != nil {
 		return nil, fmt.Errorf("open admin socket: %w", err)
 	}
-	oldMask := syscall.Umask(0o177) // no other user may connect, not even before a chmod
+	oldMask := syscall.Umask(0o177) // prevents that another user connects before a chmod could take effect
 	ln, err := new(net.ListenConfig).Listen(ctx, "unix", path)
 	syscall.Umask(oldMask)
 	if err != nil {
@@ -43,21 +43,21 @@
 func removeStaleSocket(ctx context.Context, path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
-		return nil //nolint:nilerr // no file, or one that listening fails at, whose error is reported
+		return nil //nolint:nilerr // there is no file, or Listen reports the error
 	}
 	if info.Mode()&os.ModeSocket == 0 {
 		return fmt.Errorf("%s: %w", path, ErrNotASocket)
 	}
 	conn, err := (&net.Dialer{Timeout: requestTimeout}).DialContext(ctx, "unix", path)
 	if err == nil {
-		_ = conn.Close() // nothing was sent
+		_ = conn.Close() // an error is irrelevant, as nothing was sent
 		return fmt.Errorf("%s: %w", path, ErrSocketInUse)
 	}
 	return os.Remove(path)
 }
 
-// Run serves until the context ends or the listener is closed. It owns a goroutine for each connection, and closes the
-// connections when the context ends. It returns once all of them have ended.
+// Run accepts connections until the context is done or the listener is closed. It serves each connection in a
+// goroutine, closes the connections when the context is done, and returns after all these goroutines have ended.
 func (s *Server) Run(ctx context.Context, ln net.Listener) error {
 	if s.allowed == nil {
 		s.allowed = func(uid uint32) bool { return uid == 0 || int(uid) == os.Getuid() }
@@ -78,7 +78,7 @@
 		case slots <- struct{}{}:
 		default:
 			s.count(telemetry.AdminConnectionsRejected)
-			_ = conn.Close() // nothing was read or sent
+			_ = conn.Close() // an error is irrelevant, as nothing was read or sent
 			continue
 		}
 		g.Go(func() error {
@@ -89,16 +89,16 @@
 	}
 }
 
-// serveConnection answers the requests of one client until the client closes, exceeds a limit or is idle for
-// requestTimeout. Errors of closing and of setting deadlines are ignored: they come only from a connection that has
-// ended, where the next read or write fails too.
+// serveConnection answers the requests of one client until the client closes the connection, exceeds a limit, or is
+// idle for requestTimeout. Errors of Close and SetDeadline are ignored: they occur only on a connection that has ended,
+// where the next read or write fails as well.
 func (s *Server) serveConnection(ctx context.Context, conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
 	_ = conn.SetDeadline(time.Now().Add(requestTimeout))
 	if err := s.authorize(conn); err != nil {
 		s.count(telemetry.AdminUsersRefused)
-		_ = respond(conn, nil, err) // the connection ends in any case
+		_ = respond(conn, nil, err) // an error is irrelevant, as the connection is closed next
 		return
 	}
 	in := bufio.NewReaderSize(io.LimitReader(conn, maxConnectionBytes), maxRequestBytes)
@@ -107,7 +107,7 @@
 		line, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
 			err = fmt.Errorf("read request: %w: over %d bytes", ErrRequestTooLong, maxRequestBytes)
-			_ = respond(conn, nil, err) // the connection ends in any case
+			_ = respond(conn, nil, err) // an error is irrelevant, as the connection is closed next
 			return
 		}
 		if err != nil {
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// peerUID returns the user of the client's process.
+// peerUID returns the user id of the client's process.
 func peerUID(conn net.Conn) (uint32, error) {
 	unixConn, ok := conn.(*net.UnixConn)
 	if !ok {
@@ -153,7 +153,8 @@
 	return credentials.Uid, nil
 }
 
-// handle carries out the request on a line. A panic of its handler is counted and becomes its error.
+// handle parses a line and calls the handler of its request. A panic of the handler is counted and returned as an
+// error.
 func (s *Server) handle(ctx context.Context, line []byte) (data any, err error) {
 	var request Request
 	if err := json.Unmarshal(line, &request); err != nil {
@@ -178,7 +179,8 @@
 	return handler(ctx, request.Args)
 }
 
-// respond writes the response to a request, which failed unless failure is nil. It returns the error of writing.
+// respond writes the response to a request: an error response if failure is not nil, or else one with data. It returns
+// an error if writing fails.
 func respond(conn net.Conn, data any, failure error) error {
 	response := Response{Version: Version}
 	if failure == nil {
@@ -192,12 +194,12 @@
 	if err != nil {
 		return err
 	}
-	_ = conn.SetWriteDeadline(time.Now().Add(requestTimeout)) // it fails only where writing fails too
+	_ = conn.SetWriteDeadline(time.Now().Add(requestTimeout)) // if this fails, writing fails as well
 	_, err = conn.Write(append(text, '\n'))
 	return err
 }
 
-// encodeData encodes what a handler returned, within maxResponseBytes.
+// encodeData encodes the result of a handler. It returns an error if the result exceeds maxResponseBytes.
 func encodeData(data any) (json.RawMessage, error) {
 	encoded, err := json.Marshal(data)
 	if err != nil {
@@ -209,7 +211,7 @@
 	return encoded, nil
 }
 
-// count adds one to a counter.
+// count increments a counter if the server has metrics.
 func (s *Server) count(c telemetry.Counter) {
 	if s.Metrics != nil {
 		s.Metrics.Inc(c)
--- a/internal/admin/wirenames.go
+++ b/internal/admin/wirenames.go
@@ -2,20 +2,20 @@
 
 import "cairnfront/internal/telemetry"
 
-// This file has the names of requests and arguments on the admin socket's wire, and the terms for them. Clients in use
-// send the wire's names, so these stay as they are; help texts, printed output and counters have the terms. States in
-// the JSON of responses are mapped by the packages of the states (address.Condition, partition.State).
+// This file maps the names of requests and arguments in the admin protocol to the terms of the code. The protocol names
+// must not change, because existing clients send them; help texts, printed output and counters use the terms. States in
+// the JSON of responses are mapped by the packages that define the states (address.Condition, partition.State).
 
-// RequestName names a request on the wire.
+// RequestName is the name of a request in the admin protocol.
 type RequestName string
 
 // The requests.
 const (
-	ShowAddresses    RequestName = "reach"       // the addresses of all endpoints and their state
+	ShowAddresses    RequestName = "reach"       // returns the addresses of all endpoints and their state
 	CooldownAddress  RequestName = "rest"        // takes an address out of use until it is reinstated
 	ReinstateAddress RequestName = "unrest"      // ends the cooldown of an address
-	ShowPeers        RequestName = "peers"       // the membership view
-	LeavePeers       RequestName = "peers-leave" // leaves the membership until the next start
+	ShowPeers        RequestName = "peers"       // returns the membership view
+	LeavePeers       RequestName = "peers-leave" // leaves the membership until the program is restarted
 )
 
 // The arguments of CooldownAddress and ReinstateAddress.
@@ -24,7 +24,7 @@
 	ArgAddress  = "address" // IP:PORT or unix:/PATH
 )
 
-// requestLabels has the label of each request in the counter of requests.
+// requestLabels maps each request to its label in the metric admin_requests_total.
 var requestLabels = map[RequestName]telemetry.AdminRequest{
 	ShowAddresses:    "addresses",
 	CooldownAddress:  "cooldown",
@@ -33,7 +33,7 @@
 	LeavePeers:       "peers_leave",
 }
 
-// label returns the request's label in the counter of requests: its own name if it is none of this file's.
+// label returns the request's label in the metric admin_requests_total, or the request's name if it has no label.
 func (n RequestName) label() telemetry.AdminRequest {
 	if label, ok := requestLabels[n]; ok {
 		return label
--- a/internal/admin/wirenames_test.go
+++ b/internal/admin/wirenames_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestRequestsAreCountedUnderThePublishedLabels compares the labels of the wire's names with those that operators read
-// in the dump of the counters.
+// TestRequestsAreCountedUnderThePublishedLabels compares the labels of requests with the published ones, which
+// operators see in the dump of the metrics.
 func TestRequestsAreCountedUnderThePublishedLabels(t *testing.T) {
 	for name, want := range map[RequestName]string{
 		"reach":       "addresses",
--- a/internal/cborcodec/codec.go
+++ b/internal/cborcodec/codec.go
@@ -1,17 +1,18 @@
-// Package cborcodec has the one configuration with which this program writes and reads CBOR (RFC 8949): deterministic
-// encoding, no tags, no indefinite lengths, no duplicate keys, and bounds on what is read. It owns no state.
+// Package cborcodec provides the CBOR (RFC 8949) configuration of all packages: deterministic encoding, no tags, no
+// indefinite lengths, no duplicate keys, and limits on the size of decoded data. It has no state.
 package cborcodec
 
 import "github.com/fxamacker/cbor/v2"
 
-// maxNesting is how deep lists and maps may be nested in what is read.
+// maxNesting is the maximum nesting depth of arrays and maps that the decoder accepts.
 const maxNesting = 8
 
-// NewModes makes an encoder and a decoder. The decoder takes maxElements in a list and as many pairs in a map.
+// NewModes returns an encoder and a decoder. The decoder accepts up to maxElements elements per array and pairs per
+// map.
 func NewModes(maxElements int) (cbor.EncMode, cbor.DecMode) {
 	encoder, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic(err) // of options that never change
+		panic(err) // can't happen: the options are constant
 	}
 	decoder, err := cbor.DecOptions{
 		MaxArrayElements: maxElements,
@@ -22,7 +23,7 @@
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 	}.DecMode()
 	if err != nil {
-		panic(err) // of options that only a caller's bound changes
+		panic(err) // only an invalid maxElements causes this error
 	}
 	return encoder, decoder
 }
--- a/internal/telemetry/connections.go
+++ b/internal/telemetry/connections.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Remote says what is at the other end of a connection.
+// Remote describes the peer of a connection.
 type Remote struct {
 	Side     Side
 	Endpoint string // id of the endpoint; empty for other sides
-	Address  string // empty for a connection to an endpoint without a usable address
+	Address  string // empty if the endpoint has no usable address
 }
 
-// ConnectionEnd says how a connection ended.
+// ConnectionEnd describes how a connection ended.
 type ConnectionEnd struct {
 	Remote        Remote
 	Reason        fmt.Stringer // a netconn.EndCode
-	Err           error        // nil for none
+	Err           error        // nil if the connection ended without an error
 	OpenedAt      time.Time
 	BytesReceived int64
 	BytesSent     int64
 }
 
-// ConnectionOpened counts a connection that came up or is being made.
+// ConnectionOpened counts a connection that was accepted or is being established.
 func (m *Metrics) ConnectionOpened(side Side) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -30,7 +30,7 @@
 	m.values[ConnectionsOpen.With(side).series]++
 }
 
-// ConnectionEnded counts a connection that ended and writes its one log line.
+// ConnectionEnded counts a connection that ended and writes its log line.
 func (m *Metrics) ConnectionEnded(e ConnectionEnd) {
 	m.countConnectionEnd(e)
 	attributes := []any{"side", e.Remote.Side, "reason", e.Reason}
--- a/internal/telemetry/dump.go
+++ b/internal/telemetry/dump.go
@@ -11,17 +11,17 @@
 	"strings"
 )
 
-// decimals is how many decimals a value that is no integer has in the dump. Such values are seconds.
+// decimals is the number of decimal places of non-integer values in the dump. Such values are in seconds.
 const decimals = 6
 
-// Dump writes all metrics that have a value, one a line, in the order of their names, together with what the process
-// holds now. A line is "counter NAME VALUE" for metrics of every kind. NAME has the labels in the text form of
-// Prometheus; VALUE is an integer, or a decimal number where the metric is in seconds. Dump collects garbage first.
-// Nothing that counts waits for the writer, which may be slow.
+// Dump writes all metrics that have a value, one per line and sorted by name, together with the current resource usage
+// of the process. A line is "counter NAME VALUE" for metrics of every kind. NAME includes the labels in the text format
+// of Prometheus; VALUE is an integer, or a decimal number if the metric is in seconds. Dump runs a garbage collection
+// first. It holds no lock while it writes, so a slow writer does not block updates of metrics.
 func (m *Metrics) Dump(w io.Writer) {
 	lines := append(m.lines(), processLines()...)
 	sort.Strings(lines)
-	_, _ = io.WriteString(w, strings.Join(lines, "")) // there is nowhere to report a dump that can't be written
+	_, _ = io.WriteString(w, strings.Join(lines, "")) // there is no place to report a write error
 }
 
 // lines returns the line of each metric that has a value.
@@ -35,9 +35,9 @@
 	return lines
 }
 
-// processLines returns the lines of what the process holds now. The heap is what is held after a collection.
+// processLines returns the lines of the process's resource usage. The heap is measured after a garbage collection.
 func processLines() []string {
-	descriptors, _ := os.ReadDir("/proc/self/fd") // what could be listed is counted
+	descriptors, _ := os.ReadDir("/proc/self/fd") // after an error, the entries read so far are counted
 	var memory runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&memory)
@@ -48,7 +48,7 @@
 	}
 }
 
-// line formats a value as the dump writes it.
+// line formats a series and its value as a line of the dump.
 func line(s series, value float64) string {
 	precision := decimals
 	if value == math.Trunc(value) {
--- a/internal/telemetry/metric.go
+++ b/internal/telemetry/metric.go
@@ -5,26 +5,26 @@
 	"strings"
 )
 
-// kind says how the value of a metric moves.
+// kind is the type of a metric, which determines how its value can change.
 type kind uint8
 
 // The kinds of metrics.
 const (
-	kindCounter kind = iota // the value only grows
-	kindGauge               // the value goes up and down
-	kindMaximum             // the value is the largest so far
+	kindCounter kind = iota // the value only increases
+	kindGauge               // the value can increase and decrease
+	kindMaximum             // the value is the maximum since the start
 )
 
-// descriptor describes a metric. Its name follows the conventions of Prometheus: snake_case, the base unit (seconds
-// or bytes) where it has one, and with _total at the end of counters and of nothing else.
+// descriptor describes a metric. Its name follows the conventions of Prometheus: snake_case, with the base unit
+// (seconds or bytes) if it has a unit, and with the suffix _total if and only if it is a counter.
 type descriptor struct {
 	name   string
 	kind   kind
-	labels []string // names of the labels, in the order in which the dump writes them
-	help   string   // what the value is, in one sentence
+	labels []string // names of the labels, in the order of the dump
+	help   string   // description of the value in one sentence
 }
 
-// table holds all metrics in the order in which table.go defines them.
+// table contains all metrics, in the order in which table.go defines them.
 var table []*descriptor
 
 // define adds a metric to the table.
@@ -34,16 +34,16 @@
 	return metric
 }
 
-// series is one value of a metric: the one for certain values of its labels.
+// series is a time series: a metric with one combination of label values.
 type series struct {
 	metric *descriptor
 	labels string // pairs of name and quoted value; empty for a metric without labels
 }
 
-// usualLabelBytes is room for the name and the value of a label, so that most series take one allocation.
+// usualLabelBytes is the buffer size reserved for each label, so that building most series needs a single allocation.
 const usualLabelBytes = 32
 
-// escapeLabel returns the value of a label as the dump writes it. Few have anything to escape.
+// escapeLabel escapes a label value for the dump. Most values contain no character to escape and are returned as is.
 func escapeLabel(value string) string {
 	if !strings.ContainsAny(value, "\\\n\"") {
 		return value
@@ -51,11 +51,11 @@
 	return labelEscaper.Replace(value)
 }
 
-// labelEscaper escapes the value of a label as the text format of Prometheus does.
+// labelEscaper escapes label values by the rules of the Prometheus text format.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, "\n", `\n`, `"`, `\"`)
 
-// with returns the series for the values of the metric's labels. The types of this package that embed or build a
-// series have one argument for each label, so the numbers of names and values are the same.
+// with returns the series for the given label values. The exported types of this package have one type parameter per
+// label, so the number of values always equals the number of labels.
 func (d *descriptor) with(values ...fmt.Stringer) series {
 	var labels strings.Builder
 	labels.Grow(usualLabelBytes * len(values))
@@ -73,9 +73,9 @@
 	return series{metric: d, labels: labels.String()}
 }
 
-// String returns the name of the series as the dump writes it: name{label="value",label="value"}.
+// String returns the name of the series in the format of the dump: name{label="value",label="value"}.
 func (s series) String() string {
-	if s.metric == nil { // the zero value
+	if s.metric == nil { // s is the zero value
 		return ""
 	}
 	if s.labels == "" {
@@ -84,37 +84,37 @@
 	return s.metric.name + "{" + s.labels + "}"
 }
 
-// Counter is a series whose value only grows.
+// Counter is a series whose value only increases.
 type Counter struct{ series }
 
-// Gauge is a series whose value goes up and down.
+// Gauge is a series whose value can increase and decrease.
 type Gauge struct{ series }
 
-// Maximum is a series whose value is the largest so far.
+// Maximum is a series whose value is the maximum since the start of the process.
 type Maximum struct{ series }
 
-// CounterVec is a counter with one label, whose value has type A.
+// CounterVec is a counter with one label, whose values are of type A.
 type CounterVec[A fmt.Stringer] struct{ metric *descriptor }
 
-// With returns the series for a label's value.
+// With returns the counter for a label value.
 func (v CounterVec[A]) With(a A) Counter { return Counter{v.metric.with(a)} }
 
 // CounterVec2 is a counter with two labels.
 type CounterVec2[A, B fmt.Stringer] struct{ metric *descriptor }
 
-// With returns the series for the values of the labels.
+// With returns the counter for the label values.
 func (v CounterVec2[A, B]) With(a A, b B) Counter { return Counter{v.metric.with(a, b)} }
 
 // CounterVec3 is a counter with three labels.
 type CounterVec3[A, B, C fmt.Stringer] struct{ metric *descriptor }
 
-// With returns the series for the values of the labels.
+// With returns the counter for the label values.
 func (v CounterVec3[A, B, C]) With(a A, b B, c C) Counter { return Counter{v.metric.with(a, b, c)} }
 
-// GaugeVec is a gauge with one label, whose value has type A.
+// GaugeVec is a gauge with one label, whose values are of type A.
 type GaugeVec[A fmt.Stringer] struct{ metric *descriptor }
 
-// With returns the series for a label's value.
+// With returns the gauge for a label value.
 func (v GaugeVec[A]) With(a A) Gauge { return Gauge{v.metric.with(a)} }
 
 func newCounter(name, help string) Counter {
--- a/internal/telemetry/metrics_test.go
+++ b/internal/telemetry/metrics_test.go
@@ -12,13 +12,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// label is a label of tests.
+// label is a label value for tests.
 type label string
 
 func (l label) String() string { return string(l) }
 
-// A counter with labels has a value for each combination of them. An update under the wrong one makes the figures of an
-// incident wrong. Each value and each total must be the sum of its updates.
+// A counter with labels has a value for each combination of label values. Guards against updates of the wrong
+// combination, which give incorrect numbers during an incident. Each value and each total must be the sum of its
+// updates.
 func TestCountersAddUp(t *testing.T) {
 	m := New(&bytes.Buffer{}, "")
 	for range 2 {
@@ -42,8 +43,8 @@
 	assert.EqualValues(t, 1, m.Total("requests_cancelled_total")) //nolint:testifylint // exact by intent
 }
 
-// Scripts compare dumps line by line. An order that changes from dump to dump makes every line differ. The dump must be
-// sorted, with one line a value.
+// Scripts compare dumps line by line. Guards against an order that changes from dump to dump, with which every line
+// differs. The dump must be sorted, with one line per value.
 func TestDumpIsSortedWithOneLineForEachValue(t *testing.T) {
 	m := New(&bytes.Buffer{}, "")
 	m.RequestReceived("page")
@@ -67,8 +68,8 @@
 `, got)
 }
 
-// A label's value with a quote or a line break would break the line of the dump in two. Such values must be escaped,
-// and the series must be found by its escaped name.
+// Guards against a label value with a quote or a line break, which would split the line of the dump. Such values must
+// be escaped, and the series must be found by its escaped name.
 func TestLabelValuesAreEscaped(t *testing.T) {
 	series := CacheRequests.With("a \"b\" \\ c\nd")
 	assert.Equal(t, `cache_requests_total{class="a \"b\" \\ c\nd"}`, series.String())
@@ -77,7 +78,7 @@
 	assert.EqualValues(t, 1, m.Value(series.String())) //nolint:testifylint // exact by intent
 }
 
-// TestValuesOfUnknownSeriesAreNaN: a misspelt name in a test does not pass for a counter that never counted.
+// Guards against a misspelled metric name in a test, which must not be reported as a counter with the value 0.
 func TestValuesOfUnknownSeriesAreNaN(t *testing.T) {
 	m := New(&bytes.Buffer{}, "")
 	for _, name := range []string{
@@ -91,14 +92,14 @@
 	assert.Zero(t, m.Total("requests_received_total"))
 }
 
-// TestZeroSeriesHasNoName: a series that no metric made has no name, and its use does not panic.
+// The zero value of a series has an empty name, and using it must not panic. The same applies to a nil label value.
 func TestZeroSeriesHasNoName(t *testing.T) {
 	assert.Empty(t, Counter{}.String())
 	noReason := ConnectionsClosed.With(SideClient, nil)
 	assert.Equal(t, `connections_closed_total{side="client",reason=""}`, noReason.String())
 }
 
-// TestConnectionEndedWritesOneLine holds the log line of a closed connection.
+// TestConnectionEndedWritesOneLine checks the log line and the counters of a closed connection.
 func TestConnectionEndedWritesOneLine(t *testing.T) {
 	var out bytes.Buffer
 	m := New(&out, "n1")
@@ -124,8 +125,8 @@
 	assert.EqualValues(t, 4, m.Value(`connection_sent_bytes_total{side="client"}`))
 }
 
-// TestLinesNameTheProcess holds the key by which each line names its process. Lines of an edge cache that name it as a
-// router send the reader of the logs to the wrong machine; named by the key endpoint they would have that key twice.
+// TestLinesNameTheProcess checks the key with which each log line identifies its process. Log lines of an edge cache
+// with the key router would point operators to the wrong machine; with the key endpoint, the key would occur twice.
 func TestLinesNameTheProcess(t *testing.T) {
 	for want, construct := range map[string]func(io.Writer, string) *Metrics{
 		"router=n1":      New,
@@ -140,7 +141,7 @@
 	}
 }
 
-// TestRecoveredPanicIsCountedAndLogged holds the log line of a recovered panic.
+// TestRecoveredPanicIsCountedAndLogged checks the log line and the counter of a recovered panic.
 func TestRecoveredPanicIsCountedAndLogged(t *testing.T) {
 	var out bytes.Buffer
 	m := New(&out, "")
--- a/internal/telemetry/panic.go
+++ b/internal/telemetry/panic.go
@@ -5,8 +5,8 @@
 	"runtime/debug"
 )
 
-// RecordPanic counts a panic that a component has recovered, and logs it with the stack of the caller. The attributes
-// are further keys and values of the log line.
+// RecordPanic counts a panic that a component has recovered, and logs it with the caller's stack. The attributes are
+// additional keys and values of the log line.
 func (m *Metrics) RecordPanic(component Component, recovered any, attributes ...any) {
 	m.Inc(Panics)
 	line := []any{"component", component, "error", fmt.Sprint(recovered)}
--- a/internal/telemetry/read.go
+++ b/internal/telemetry/read.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// labelPair matches one label of a series with its quoted value.
+// labelPair matches a label name and its quoted value in the name of a series.
 var labelPair = regexp.MustCompile(`(\w+)="(?:[^"\\]|\\.)*"`)
 
-// Value returns the value of the series of a name as the dump writes it, such as upstream_attempts_total{class="page"}.
-// It is 0 for a series that never counted, and NaN, which equals nothing, for a name or labels that the table does not
-// have.
+// Value returns the value of the series with the given name, in the format of the dump, such as
+// upstream_attempts_total{class="page"}. It returns 0 for a series that was never updated, and NaN, which does not
+// equal any value, for an unknown name or unknown labels.
 func (m *Metrics) Value(name string) float64 {
 	metric, labels, _ := strings.Cut(strings.TrimSuffix(name, "}"), "{")
 	if !inTable(metric, labels) {
@@ -27,7 +27,7 @@
 	return 0
 }
 
-// Total returns the sum of a metric's values over its labels, and NaN for a name that the table does not have.
+// Total returns the sum of a metric's values over all label values, or NaN if the name is unknown.
 func (m *Metrics) Total(name string) float64 {
 	if lookUp(name) == nil {
 		return math.NaN()
@@ -43,7 +43,7 @@
 	return total
 }
 
-// lookUp returns the metric of a name, nil if there is none.
+// lookUp returns the metric with the given name, or nil if there is none.
 func lookUp(name string) *descriptor {
 	for _, metric := range table {
 		if metric.name == name {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// inTable reports whether there is a metric of a name with just the labels of a text.
+// inTable reports whether there is a metric with the given name and exactly the given labels.
 func inTable(name, labels string) bool {
 	metric := lookUp(name)
 	if metric == nil {
--- a/internal/telemetry/requests.go
+++ b/internal/telemetry/requests.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// RequestReceived counts a request that is open from now on.
+// RequestReceived counts a received request and adds it to the open requests.
 func (m *Metrics) RequestReceived(class string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -10,17 +10,17 @@
 	m.values[RequestsOpen.series]++
 }
 
-// RequestAnswered counts the final response to an open request, which has a result for a reason.
+// RequestAnswered counts the final response to an open request, by its result and reason.
 func (m *Metrics) RequestAnswered(class string, result, reason fmt.Stringer) {
 	m.requestEnded(RequestsAnswered.With(Class(class), result, reason))
 }
 
-// RequestCancelled counts an open request whose client stopped waiting.
+// RequestCancelled counts an open request that was cancelled or whose client disconnected.
 func (m *Metrics) RequestCancelled(class string, reason fmt.Stringer) {
 	m.requestEnded(RequestsCancelled.With(Class(class), reason))
 }
 
-// requestEnded counts a request that is not open any more by its kind of end.
+// requestEnded increments the counter of how a request ended, and removes the request from the open requests.
 func (m *Metrics) requestEnded(end Counter) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/telemetry/table.go
+++ b/internal/telemetry/table.go
@@ -14,9 +14,9 @@
 	RequestsCancelled = newCounterVec2[Class, fmt.Stringer]("requests_cancelled_total", "class", "reason",
 		"Requests whose client stopped waiting before their final response.")
 	ResponsesAfterDeadline = newCounter("responses_after_deadline_total",
-		"Final responses that the socket took after the request's deadline.")
+		"Final responses that were written to the socket after the request's deadline.")
 	MaxResponseDelay = newMaximum("response_delay_max_seconds",
-		"Longest time after a request's deadline at which the socket took its response.")
+		"Longest time after a request's deadline at which its response was written to the socket.")
 )
 
 // Metrics of connections.
@@ -24,7 +24,7 @@
 	ConnectionsOpened = newCounterVec[Side]("connections_opened_total", "side",
 		"Connections that were accepted, or that were dialled whether or not that succeeded.")
 	ConnectionsOpen = newGaugeVec[Side]("connections_open", "side",
-		"Connections that have not been closed, with those that are being dialled.")
+		"Connections that have not been closed, including those that are being dialled.")
 	ConnectionsClosed = newCounterVec2[Side, fmt.Stringer]("connections_closed_total", "side", "reason",
 		"Connections that ended, by the reason that their log line has.")
 	ConnectionsRejected = newCounterVec[Side]("connections_rejected_total", "side",
@@ -42,15 +42,15 @@
 	MaxTimerDelay = newMaximum("dispatch_timer_delay_max_seconds",
 		"Longest time after its due time at which a timer of the dispatch loop fired.")
 	AttemptsSent = newCounterVec[Class]("upstream_attempts_total", "class",
-		"Attempts that were begun before their deadline.")
+		"Attempts that were started before their deadline.")
 	AttemptsEnded = newCounterVec2[Class, fmt.Stringer]("upstream_attempts_ended_total", "class", "result",
-		"Attempts that ended, by result, with those that could not be sent.")
+		"Attempts that ended, by result, including those that could not be sent.")
 	LateResponses = newCounter("upstream_late_responses_total",
-		"Responses of endpoints to attempts that were given up, or to none.")
+		"Responses of endpoints to attempts that were cancelled or are unknown.")
 	AttemptsStalled = newCounter("upstream_attempts_stalled_total",
 		"Attempts whose connection was silent while the endpoint answered over another address.")
 	ConnectionsSilent = newCounter("upstream_connections_silent_total",
-		"Times that a connection was found silent while an attempt waited on it.")
+		"Times that a connection received no data while an attempt waited for a response on it.")
 	ConnectionsUnwritable = newCounterVec[fmt.Stringer]("upstream_unwritable_connections_total", "end",
 		"Connections that ended after their endpoint had stopped reading: answered, silent or failed.")
 	AddressProbes = newCounter("upstream_address_probes_total",
@@ -68,7 +68,7 @@
 	Reloads = newCounter("configuration_reloads_total",
 		"Reloads of the configuration that took effect.")
 	ReloadsFailed = newCounter("configuration_reload_failures_total",
-		"Reloads of the configuration that failed and left the configuration before in force.")
+		"Reloads of the configuration that failed, so that the previous configuration remains in use.")
 	AdminConnectionsRejected = newCounter("admin_connections_rejected_total",
 		"Connections to the admin socket that were closed because too many were open.")
 	AdminUsersRefused = newCounter("admin_users_refused_total",
@@ -84,9 +84,9 @@
 	PartitionStateChanges = newCounterVec[fmt.Stringer]("partition_state_changes_total", "state",
 		"Changes of the partition state, by the new state.")
 	PeerDoubts = newCounter("endpoint_doubts_total",
-		"Changes of the doubt about an endpoint that peers' observations caused.")
+		"Changes of the doubt level of an endpoint that were caused by observations of peers.")
 	PeerDoubtsDropped = newCounter("endpoint_doubts_dropped_total",
-		"Doubts about endpoints that were dropped because too many waited for the dispatch loop.")
+		"Changes of the doubt level of endpoints that were dropped because the dispatch queue was full.")
 	PeerAttemptsDropped = newCounter("peer_attempt_results_dropped_total",
 		"Results of attempts that were dropped because too many waited for the membership loop.")
 	PeerQueueFull = newCounter("peer_datagrams_queue_full_total",
@@ -98,11 +98,11 @@
 	PeerDatagramsRefused = newCounterVec[fmt.Stringer]("peer_datagrams_refused_total", "reason",
 		"Received datagrams that were refused.")
 	PeerRecordsRefused = newCounter("peer_records_refused_total",
-		"Records in accepted datagrams that were left out, as they do not verify or name unknown members.")
+		"Records in accepted datagrams that were ignored because they are unverifiable or of unknown members.")
 	PeerOwnObservations = newCounter("peer_observations_sent_total",
 		"Own observations of endpoints that were queued for the peers.")
 	PeerNameConflicts = newCounter("peer_name_conflicts_total",
-		"Times that a newer process with this router's name was found, after which this one is silent.")
+		"Times that a newer process with this router's name was detected, after which this one sends nothing.")
 )
 
 // Metrics of an edge cache.
@@ -115,7 +115,7 @@
 	CacheResponseBytes = newCounterVec[fmt.Stringer]("cache_response_bytes_total", "detail",
 		"Bytes of the bodies of responses, by how the copy was found.")
 	CacheRequestsRejected = newCounter("cache_requests_rejected_total",
-		"Requests that were rejected for too many open ones on their connection, or for an id in use.")
+		"Requests that were rejected because their connection had too many open requests or their id was in use.")
 	CacheUnknownClass = newCounter("cache_unknown_class_requests_total",
 		"Requests of a class that the configuration does not have.")
 	CacheOverloaded = newCounter("cache_overloads_total",
@@ -131,7 +131,7 @@
 	CacheFetchedBytes = newCounter("cache_fetched_bytes_total",
 		"Bytes of the bodies that were fetched.")
 	CacheDiscoveryRestarts = newCounter("cache_discovery_restarts_total",
-		"Times that the numbers of the discovery service's events started anew.")
+		"Times that the revisions of the discovery service restarted.")
 	CachePurges = newCounter("cache_purges_total",
 		"Purges that were applied.")
 )
@@ -170,7 +170,7 @@
 		"Segments that compaction removed.")
 )
 
-// Metrics that are read when the metrics are dumped.
+// Metrics whose values are read at the time of the dump.
 var (
 	ProcessDescriptors = newGauge("process_open_descriptors",
 		"File descriptors that the process has open.")
--- a/internal/telemetry/table_test.go
+++ b/internal/telemetry/table_test.go
@@ -16,10 +16,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// kindTexts are the kinds of metrics as the golden file has them.
+// kindTexts are the names of the kinds in the golden file.
 var kindTexts = map[kind]string{kindCounter: "counter", kindGauge: "gauge", kindMaximum: "maximum"}
 
-// TestTableHoldsThePublishedMetrics compares the table with the names, kinds and labels that operators rely on.
+// TestTableHoldsThePublishedMetrics compares the table with the published names, kinds and labels in the golden file.
 func TestTableHoldsThePublishedMetrics(t *testing.T) {
 	want, err := os.ReadFile("testdata/metrics.golden.txt")
 	require.NoError(t, err)
@@ -34,10 +34,10 @@
 	assert.Equal(t, string(want), got.String())
 }
 
-// snakeCase matches lower-case words that are joined by underscores.
+// snakeCase matches lower-case words joined by underscores.
 var snakeCase = regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)*$`)
 
-// baseUnits and otherUnits are words of names that stand for units. Only the first kind is used.
+// baseUnits and otherUnits are the words for units in names. Only base units are allowed.
 var (
 	baseUnits  = []string{"seconds", "bytes"}
 	otherUnits = []string{
@@ -46,7 +46,8 @@
 	}
 )
 
-// conventionFaults lists in what a metric breaks the conventions of Prometheus, beside what the types keep.
+// conventionFaults lists the naming conventions of Prometheus that a metric violates, except those ensured by the
+// types.
 func conventionFaults(metric *descriptor) []string {
 	var faults []string
 	add := func(broken bool, fault string) {
@@ -76,8 +77,8 @@
 	return faults
 }
 
-// A metric without a unit or a help text is read wrongly during an incident. Every metric of the table must follow the
-// conventions of names and have a help text.
+// Guards against a metric without a unit or a help text, which is misinterpreted during an incident. Every metric in
+// the table must follow the naming conventions and have a unique help text.
 func TestMetricsFollowTheConventions(t *testing.T) {
 	helpTexts := map[string]string{}
 	names := map[string]bool{}
@@ -90,7 +91,7 @@
 	}
 }
 
-// TestBrokenConventionsAreFound shows that the check can fail.
+// TestBrokenConventionsAreFound checks that conventionFaults detects each violation.
 func TestBrokenConventionsAreFound(t *testing.T) {
 	const help = "Requests that were counted."
 	for fault, metric := range map[string]descriptor{
@@ -110,7 +111,7 @@
 	assert.Len(t, conventionFaults(&gauge), 1)
 }
 
-// TestSeriesHaveTheLabelsOfTheirMetric holds for each type of metric that a series has just the metric's labels.
+// TestSeriesHaveTheLabelsOfTheirMetric checks for each metric type that a series has exactly the labels of its metric.
 func TestSeriesHaveTheLabelsOfTheirMetric(t *testing.T) {
 	assert.Equal(t, "panics_total", Panics.String())
 	assert.Equal(t, "requests_open", RequestsOpen.String())
@@ -126,7 +127,7 @@
 	}
 }
 
-// TestCountersAreNamedOnlyInTheTable looks for names of counters in the source of all packages.
+// TestCountersAreNamedOnlyInTheTable checks that no package updates a counter by a string instead of a table entry.
 func TestCountersAreNamedOnlyInTheTable(t *testing.T) {
 	for _, dir := range []string{"../../internal", "../../cmd"} {
 		require.NoError(t, filepath.WalkDir(dir, func(path string, _ fs.DirEntry, err error) error {
@@ -145,7 +146,7 @@
 	}
 }
 
-// TestNamedCountersAreFound shows that the check can fail.
+// TestNamedCountersAreFound checks that namedCounters detects strings in calls.
 func TestNamedCountersAreFound(t *testing.T) {
 	text := `package p
 
@@ -165,8 +166,8 @@
 	assert.Equal(t, want, namedCounters(file))
 }
 
-// namedCounters returns the strings that a file names counters or their labels with: those in the first argument of
-// Inc, IncBy and SetMax.
+// namedCounters returns the string literals that a file uses as names or labels of metrics: those in the first argument
+// of Inc, IncBy and SetMax.
 func namedCounters(file *ast.File) []string {
 	var names []string
 	ast.Inspect(file, func(n ast.Node) bool {
@@ -185,7 +186,7 @@
 	return names
 }
 
-// isMethod reports whether a call is one of a method with one of the names.
+// isMethod reports whether a call calls a method with one of the names.
 func isMethod(call *ast.CallExpr, names ...string) bool {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	return ok && slices.Contains(names, method.Sel.Name)
--- a/internal/wirenames/wirenames.go
+++ b/internal/wirenames/wirenames.go
@@ -1,8 +1,8 @@
-// Package wirenames translates names on the users' interfaces into those of the routing module.
+// Package wirenames translates names in protocols and files to those of the routing module.
 //
-// The simulator's wire, the bootstrap file and the caches' protocol name the same settings and load metrics; the tables
-// of this package are the one place that knows both sides. The words of one wire alone are in its codec: clientproto,
-// cacheproto, discovery and simadapter. The package parses nothing and gives no name a meaning.
+// The simulator protocol, the bootstrap file and the cache protocol contain the same settings and load metrics; the
+// tables of this package are the only place that maps their names. Names that occur in a single protocol are mapped in
+// its codec: clientproto, cacheproto, discovery and simadapter. The package does not parse or interpret anything.
 package wirenames
 
 import (
@@ -11,10 +11,11 @@
 	"cairnfront/routing"
 )
 
-// classList is the prefix of the settings of request classes on the wire.
+// classList is the prefix of the paths of request class settings in the protocols.
 const classList = "request_classes."
 
-// settingNames maps the paths of settings to the names in the routing module. Other settings keep their names.
+// settingNames maps the paths of settings to the names in the routing module. Other settings have the same name in
+// both.
 var settingNames = map[string]routing.SettingName{
 	"me":                          routing.SettingRouter,
 	"group_size":                  routing.SettingRouters,
@@ -62,7 +63,7 @@
 	"request_classes.count":       routing.SettingClassCount,
 }
 
-// classFieldNames maps the fields of a request class in the same way.
+// classFieldNames maps the fields of a request class to the names in the routing module.
 var classFieldNames = map[string]routing.ClassField{
 	"aim_stretch":  routing.ClassObjectiveStretch,
 	"hard_limit_s": routing.ClassDeadline,
@@ -74,7 +75,7 @@
 	"window_s":     routing.ClassIdempotencyWindow,
 }
 
-// settingValues maps the words that stand as values of a setting. Other values stay as they are.
+// settingValues maps the enumerated values of settings. Other values are not changed.
 var settingValues = map[routing.SettingName]map[string]string{
 	routing.SettingDiscoveryMode:    {"on_request": routing.DiscoveryOnRequest},
 	routing.SettingLoadReportSource: {"inline": routing.LoadFromResponses, "on_probe": routing.LoadFromProbes},
@@ -82,7 +83,7 @@
 	routing.SettingResultDetails:    {"all": routing.DetailsOfAll, "hit": routing.DetailsOfHits},
 }
 
-// classFieldValues maps the words that stand as values of a field of a request class in the same way.
+// classFieldValues maps the enumerated values of request class fields. Other values are not changed.
 var classFieldValues = map[routing.ClassField]map[string]string{
 	routing.ClassEffect: {
 		"retryable": string(routing.Idempotent),
@@ -96,7 +97,7 @@
 	},
 }
 
-// Setting translates the path of a setting and its value. Unknown names and values stay as they are.
+// Setting translates the path of a setting and its value. Unknown names and values are returned unchanged.
 func Setting(path, value string) (name routing.SettingName, translatedValue string) {
 	if name, ok := settingNames[path]; ok {
 		return name, translated(settingValues[name], value)
@@ -109,7 +110,7 @@
 	return routing.SettingName(path), value
 }
 
-// classSetting translates a field of the request class of an index, and its value.
+// classSetting translates a field of the request class with the given index, and its value.
 func classSetting(index, wireField, value string) (name routing.SettingName, translatedValue string) {
 	field, ok := classFieldNames[wireField]
 	if !ok {
@@ -119,7 +120,7 @@
 	return name, translated(classFieldValues[field], value)
 }
 
-// translated returns the word that stands for a value, or the value itself.
+// translated returns the translation of a value, or the value itself if there is none.
 func translated(words map[string]string, value string) string {
 	if word, ok := words[value]; ok {
 		return word
--- a/internal/wirenames/wirenames_test.go
+++ b/internal/wirenames/wirenames_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A setting that is not translated is unknown to the routing module, which then takes its default in silence. Settings
-// of the wire must come out under the module's names.
+// Guards against a setting that is not translated: the routing module would not know it and would use the default
+// without an error. Settings must be translated to the names of the routing module.
 func TestSettingsAreTranslated(t *testing.T) {
 	for _, c := range []struct {
 		path, value string
@@ -32,7 +32,7 @@
 	}
 }
 
-// A word is translated only as the value of the setting that it belongs to.
+// A value must be translated only for the setting to which the translation belongs.
 func TestValuesOfOtherSettingsStayAsTheyAre(t *testing.T) {
 	for _, path := range []string{"zones", "request_classes.0.name", "request_classes.0.deep.er"} {
 		for _, word := range []string{"location", "fragile", "inline"} {
@@ -42,8 +42,8 @@
 	}
 }
 
-// Settings that are not translated keep their names, so none of these may be a name of the routing module, and no two
-// settings may get the same name.
+// Settings that are not translated have the same name in the routing module. Guards against two settings that get the
+// same name: such a name must not equal a translated one, and no two settings may be translated to the same name.
 func TestNamesDoNotCollide(t *testing.T) {
 	paths := map[routing.SettingName]string{}
 	add := func(path string) {
@@ -68,15 +68,15 @@
 	}
 }
 
-// Newer deployments send fields that this version does not know. Such a field must keep its name and disturb no other.
+// Newer deployments send fields that are unknown to this version. Such a field must keep its name and its value.
 func TestUnknownClassFieldKeepsItsName(t *testing.T) {
 	name, value := Setting("request_classes.0.deep.er", "x")
 	assert.Equal(t, routing.ClassSetting(0, "deep.er"), name)
 	assert.Equal(t, "x", value)
 }
 
-// A load metric under an unknown name is not used, and an overloaded cache looks idle. Each metric of the wire must
-// come out under the module's name.
+// Guards against a load metric that is not translated: it would be ignored, and an overloaded cache would seem idle.
+// Each load metric must be translated to the name of the routing module.
 func TestLoadMetricsAreTranslated(t *testing.T) {
 	for word, want := range map[string]LoadMetricName{
 		"concurrent": "inflight", "inflight": LoadInFlight,
