--- a/internal/bootstrap/config.go
+++ b/internal/bootstrap/config.go
@@ -21,14 +21,14 @@
 
 // Errors that callers can test for. All except ErrNoPath are wrapped by a FieldError.
 var (
-	ErrNoPath         = errors.New("read bootstrap file: " + PathVariable + " is not set")
-	ErrMissing        = errors.New("missing")
-	ErrInvalidAddress = errors.New("not an address of the form host:port")
-	ErrInvalidSeed    = errors.New("not a 64-bit hexadecimal number")
-	ErrLimitTooLow    = errors.New("missing or below the minimum")
-	ErrUnnamedClass   = errors.New("request class has no name")
-	ErrNoClasses      = errors.New("request_classes is missing or empty")
-	ErrFixed          = errors.New("can't change without a restart")
+	ErrNoPath          = errors.New("read bootstrap file: " + PathVariable + " is not set")
+	ErrMissing         = errors.New("missing")
+	ErrInvalidAddress  = errors.New("not an address of the form host:port")
+	ErrInvalidSeed     = errors.New("not a 64-bit hexadecimal number")
+	ErrLimitTooLow     = errors.New("missing or below the minimum")
+	ErrUnnamedClass    = errors.New("request class has no name")
+	ErrNoClasses       = errors.New("request_classes is missing or empty")
+	ErrRestartRequired = errors.New("can't change without a restart")
 )
 
 // FieldError is an error in a field of the bootstrap file.
@@ -78,8 +78,8 @@
 	return config, nil
 }
 
-// CheckReload returns a FieldError that wraps ErrFixed if a field that can't change without a restart differs between c
-// and the running configuration. The discovery service's address, the seed and the known events may differ.
+// CheckReload returns a FieldError that wraps ErrRestartRequired if a field that can't change without a restart differs
+// between c and the running configuration. The discovery service's address, the seed and the known events may differ.
 func (c Config) CheckReload(running Config) error {
 	sameLimits := c.Cores == running.Cores && c.MemoryMB == running.MemoryMB && c.MaxSockets == running.MaxSockets
 	sameSettings := maps.Equal(c.Settings, running.Settings) && slices.Equal(c.ClassNames, running.ClassNames)
@@ -93,7 +93,7 @@
 		{fieldSettings, sameSettings},
 	} {
 		if !field.same {
-			return &FieldError{Field: field.name, Err: ErrFixed}
+			return &FieldError{Field: field.name, Err: ErrRestartRequired}
 		}
 	}
 	return nil
--- a/internal/bootstrap/config_test.go
+++ b/internal/bootstrap/config_test.go
@@ -50,7 +50,7 @@
 
 // Guards against a router that starts with an invalid field and fails later in another place. Parsing must fail with
 // the name of the field and a specific error.
-func TestInvalidFieldsAreNamed(t *testing.T) {
+func TestErrorsNameTheInvalidField(t *testing.T) {
 	for _, c := range []struct {
 		old, replacement string
 		field            string
@@ -84,7 +84,7 @@
 
 // A class whose latency objective is longer than its deadline is most likely a mistake. CheckObjectives must report it;
 // Parse must accept it, because deployments may have such classes.
-func TestObjectiveOverTheDeadlineIsNamed(t *testing.T) {
+func TestObjectiveLongerThanTheDeadlineIsReported(t *testing.T) {
 	for seconds, want := range map[string]error{"0.4": nil, "0.5": nil, "0.6": ErrObjectiveTooLong} {
 		class := `"name":"order","on_time_s":` + seconds + `,"hard_limit_s":0.5,`
 		config, err := Parse([]byte(strings.Replace(validFile, `"name":"order",`, class, 1)))
@@ -115,7 +115,7 @@
 
 // Guards against an error that does not identify the file that can't be read. The error must contain the name of the
 // environment variable or the path, and must wrap its cause.
-func TestUnreadableFilesAreNamed(t *testing.T) {
+func TestErrorsNameTheUnreadableFile(t *testing.T) {
 	t.Setenv(PathVariable, "")
 	_, err := LoadFromEnv()
 	require.ErrorIs(t, err, ErrNoPath)
@@ -151,7 +151,7 @@
 			require.NoError(t, err)
 			continue
 		}
-		require.ErrorIs(t, err, ErrFixed)
+		require.ErrorIs(t, err, ErrRestartRequired)
 		assert.ErrorContains(t, err, c.fixedField+": can't change without a restart")
 	}
 }
--- a/internal/bootstrap/golden_test.go
+++ b/internal/bootstrap/golden_test.go
@@ -46,8 +46,8 @@
 	return out.String()
 }
 
-// TestFileWithEveryKeyIsReadTheSame compares the parsed values of a file with every key to the golden file.
-func TestFileWithEveryKeyIsReadTheSame(t *testing.T) {
+// TestFileWithEveryKeyMatchesTheGoldenFile compares the parsed values of a file with every key to the golden file.
+func TestFileWithEveryKeyMatchesTheGoldenFile(t *testing.T) {
 	config, err := LoadFile("testdata/every-key.json")
 	require.NoError(t, err)
 	golden.Compare(t, "every-key.golden", printConfig(config))
--- a/internal/bootstrap/settings.go
+++ b/internal/bootstrap/settings.go
@@ -28,9 +28,9 @@
 		for i, item := range value {
 			texts[i] = plainText(item)
 		}
-		put(settings, path, strings.Join(texts, ","))
+		putSetting(settings, path, strings.Join(texts, ","))
 	default:
-		put(settings, path, plainText(value))
+		putSetting(settings, path, plainText(value))
 	}
 }
 
@@ -43,7 +43,7 @@
 }
 
 func flattenObjectList(settings routing.Settings, path string, list []any) {
-	put(settings, joinPath(path, "count"), strconv.Itoa(len(list)))
+	putSetting(settings, joinPath(path, "count"), strconv.Itoa(len(list)))
 	for i, item := range list {
 		flatten(settings, joinPath(path, strconv.Itoa(i)), item)
 	}
@@ -56,7 +56,7 @@
 	return path + "." + key
 }
 
-func put(settings routing.Settings, path, text string) {
+func putSetting(settings routing.Settings, path, text string) {
 	name, value := wirenames.Setting(path, text)
 	settings[name] = value
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,7 +11,7 @@
 // Guards against an Instant that is converted to a time without a monotonic reading.
 //
 // A deadline without a monotonic reading changes when the wall clock is set.
-func TestInstantsKeepTheirSpans(t *testing.T) {
+func TestInstantsKeepTheMonotonicReading(t *testing.T) {
 	now := time.Now()
 	instant := At(now)
 	assert.True(t, now.Equal(instant.Time()))
@@ -49,7 +49,7 @@
 // the true time must be between the earliest and the latest instant in each case.
 //
 // If a purge seems older than it is, copies that it has invalidated are served.
-func TestUnixTimesAreTranslatedSafelyAcrossSteps(t *testing.T) {
+func TestTrueTimeIsWithinTheTranslatedRangeAcrossSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clocks := &steppedClock{monotonic: 10000 * time.Second}
 		wall := NewWall(clocks.read)
@@ -60,25 +60,25 @@
 			offsets = append(offsets, clocks.offset)
 			wall.Observe()
 		}
-		happened := clocks.monotonic - time.Duration(rapid.IntRange(0, 9000).Draw(t, "ago"))*time.Second
-		clockOfTeller := rapid.SampledFrom(offsets).Draw(t, "offset")
-		received := (happened + clockOfTeller).Seconds()
-		latest, earliest := wall.LatestInstant(received), wall.EarliestInstant(received)
-		if latest < happened.Seconds()-1e-6 || latest > clocks.monotonic.Seconds() {
-			t.Fatalf("latest %v, happened %v, now %v", latest, happened.Seconds(), clocks.monotonic.Seconds())
+		trueTime := clocks.monotonic - time.Duration(rapid.IntRange(0, 9000).Draw(t, "ago"))*time.Second
+		senderOffset := rapid.SampledFrom(offsets).Draw(t, "offset")
+		unixSeconds := (trueTime + senderOffset).Seconds()
+		latest, earliest := wall.LatestInstant(unixSeconds), wall.EarliestInstant(unixSeconds)
+		if latest < trueTime.Seconds()-1e-6 || latest > clocks.monotonic.Seconds() {
+			t.Fatalf("latest %v, true time %v, now %v", latest, trueTime.Seconds(), clocks.monotonic.Seconds())
 		}
-		if earliest > happened.Seconds()+1e-6 {
-			t.Fatalf("earliest %v, happened %v", earliest, happened.Seconds())
+		if earliest > trueTime.Seconds()+1e-6 {
+			t.Fatalf("earliest %v, true time %v", earliest, trueTime.Seconds())
 		}
 	})
 }
 
 // Steps the wall clock forward and back, and then slews it by less than a step. A time that was just read from this
-// clock is slightly ahead of the current time under the remembered setting.
+// clock is slightly ahead of the current time with the remembered offset.
 //
-// Guards against a regression: such a time was translated with the other setting, to an hour ago. A new purge seemed
+// Guards against a regression: such a time was translated with the other offset, to an hour ago. A new purge seemed
 // old, and copies from before the purge were accepted.
-func TestSlewedClockKeepsNewTimesNew(t *testing.T) {
+func TestNewTimesStayNewOnASlewedClock(t *testing.T) {
 	for _, slew := range []time.Duration{-minStep + 1, -5 * time.Millisecond, 0, time.Millisecond, minStep - 1} {
 		clocks := &steppedClock{monotonic: 10000 * time.Second}
 		wall := NewWall(clocks.read)
@@ -97,7 +97,7 @@
 //
 // Guards against a purge that seems older than it is because its time was read from the slewed clock: copies from just
 // before the purge would be served.
-func TestSlewedBackClockMakesNoTimeOlder(t *testing.T) {
+func TestBackwardSlewMakesNoTimeEarlier(t *testing.T) {
 	for _, before := range [][]time.Duration{nil, {time.Hour}, {time.Hour, 0}} {
 		clocks := &steppedClock{monotonic: 10000 * time.Second}
 		wall := NewWall(clocks.read)
@@ -109,21 +109,21 @@
 		for slewed := time.Duration(0); slewed < 2*minStep; slewed += 10 * time.Millisecond {
 			clocks.monotonic += time.Second
 			clocks.offset = settled - slewed
-			happened := clocks.monotonic - time.Second/2
-			latest := wall.LatestInstant((happened + clocks.offset).Seconds())
-			assert.GreaterOrEqual(t, latest, happened.Seconds()-1e-6, "%v after %v", slewed, before)
-			assert.LessOrEqual(t, latest, happened.Seconds()+minStep.Seconds(), "%v after %v", slewed, before)
+			trueTime := clocks.monotonic - time.Second/2
+			latest := wall.LatestInstant((trueTime + clocks.offset).Seconds())
+			assert.GreaterOrEqual(t, latest, trueTime.Seconds()-1e-6, "%v after %v", slewed, before)
+			assert.LessOrEqual(t, latest, trueTime.Seconds()+minStep.Seconds(), "%v after %v", slewed, before)
 		}
 	}
 }
 
 // Guards against memory that grows without limit on a machine whose clock is stepped again and again.
-func TestStepsAreBounded(t *testing.T) {
+func TestRememberedOffsetsAreBounded(t *testing.T) {
 	clocks := &steppedClock{}
 	wall := NewWall(clocks.read)
-	for range 10 * maxSteps {
+	for range 10 * maxOffsets {
 		clocks.offset += time.Hour
 		assert.True(t, wall.Observe())
 	}
-	assert.Len(t, wall.settings, maxSteps)
+	assert.Len(t, wall.offsets, maxOffsets)
 }
--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -14,8 +14,8 @@
 	// the reads of the two clocks.
 	minSlew = time.Millisecond
 
-	// maxSteps is the maximum number of remembered wall clock settings; the oldest are dropped.
-	maxSteps = 16
+	// maxOffsets is the maximum number of remembered offsets of the wall clock; the oldest are dropped.
+	maxOffsets = 16
 )
 
 // Reading is a simultaneous reading of both clocks.
@@ -30,23 +30,23 @@
 	return Reading{Instant: At(now), UnixTime: time.Duration(now.UnixNano())}
 }
 
-// setting is a setting of the wall clock between two steps: its offset from the monotonic clock.
-type setting struct {
-	offset time.Duration // the offset when the setting was first observed
+// wallOffset is the offset of the wall clock from the monotonic clock between two steps.
+type wallOffset struct {
+	offset time.Duration // the offset when it was first observed after a step
 	lowest time.Duration // the lowest offset that slewing has caused since then
 }
 
 // Wall translates Unix times that other processes sent to instants. It remembers the wall clock's offsets since the
 // process started, because it is unknown whether a time was read before or after a step, and which of the clocks was
-// correct. It remembers up to maxSteps settings. It is not safe for concurrent use.
+// correct. It remembers up to maxOffsets offsets. It is not safe for concurrent use.
 type Wall struct {
-	read     func() Reading
-	settings []setting // without duplicates
+	read    func() Reading
+	offsets []wallOffset // without duplicates
 }
 
 // NewWall returns a Wall that reads the clocks with read, which is System in production.
 func NewWall(read func() Reading) *Wall {
-	w := &Wall{read: read, settings: []setting{{}}}
+	w := &Wall{read: read, offsets: []wallOffset{{}}}
 	w.Observe()
 	return w
 }
@@ -56,47 +56,47 @@
 func (w *Wall) Observe() (stepped bool) {
 	reading := w.read()
 	offset := reading.UnixTime - time.Duration(reading.Instant)
-	for i := range w.settings {
-		if (offset - w.settings[i].offset).Abs() < minStep {
-			w.settings[i].slewTo(offset)
+	for i := range w.offsets {
+		if (offset - w.offsets[i].offset).Abs() < minStep {
+			w.offsets[i].updateLowest(offset)
 			return false
 		}
 	}
-	w.settings = append(w.settings, setting{offset: offset, lowest: offset})
-	if len(w.settings) > maxSteps {
-		w.settings = slices.Delete(w.settings, 0, len(w.settings)-maxSteps)
+	w.offsets = append(w.offsets, wallOffset{offset: offset, lowest: offset})
+	if len(w.offsets) > maxOffsets {
+		w.offsets = slices.Delete(w.offsets, 0, len(w.offsets)-maxOffsets)
 	}
 	return true
 }
 
-// slewTo updates the lowest offset of the setting.
+// updateLowest lowers s.lowest to an offset that slewing has caused.
 //
 // It guards against a clock that is slewed back by less than a step: a purge would seem older than it is by that
 // amount, and copies from just before the purge would be served.
-func (s *setting) slewTo(offset time.Duration) {
+func (s *wallOffset) updateLowest(offset time.Duration) {
 	if offset <= s.lowest-minSlew {
 		s.lowest = offset
 	}
 }
 
-// LatestInstant returns the latest instant that a Unix time may correspond to, both in seconds. After a step of the wall
-// clock the result is at most the current time. If the wall clock was neither stepped nor slewed back, the result is the
-// time itself, unchanged.
+// LatestInstant returns the latest instant that a Unix time may correspond to, both in seconds. After a step of the
+// wall clock the result is at most the current time. If the wall clock was neither stepped nor slewed back, the result
+// is the time itself, unchanged.
 //
-// The offset of a setting is only known to within minStep, because the clock may be slewed after the setting was
-// observed. Therefore a time that is ahead of the current time by less than minStep counts as read just now. If such a
-// candidate were skipped, only settings under which the time is hours old would remain: a new purge would seem old, and
-// copies from before the purge would be served.
+// An offset is only known to within minStep, because the clock may be slewed after the offset was observed. Therefore a
+// time that is ahead of the current time by less than minStep counts as read just now. If such a candidate were
+// skipped, only offsets with which the time is hours old would remain: a new purge would seem old, and copies from
+// before the purge would be served.
 func (w *Wall) LatestInstant(unixSeconds float64) (instantSeconds float64) {
 	w.Observe()
-	if len(w.settings) == 1 {
-		return unixSeconds - w.settings[0].lowest.Seconds()
+	if len(w.offsets) == 1 {
+		return unixSeconds - w.offsets[0].lowest.Seconds()
 	}
 	now := w.read().Instant.Seconds()
 	latest, found := now, false
-	for _, s := range w.settings {
+	for _, s := range w.offsets {
 		candidate := unixSeconds - s.lowest.Seconds()
-		if candidate-now >= minStep.Seconds() { // under this setting the time is in the future
+		if candidate-now >= minStep.Seconds() { // with this offset the time is in the future
 			continue
 		}
 		candidate = min(candidate, now)
@@ -110,8 +110,8 @@
 // EarliestInstant returns the earliest instant that a Unix time may correspond to; both are in seconds.
 func (w *Wall) EarliestInstant(unixSeconds float64) (instantSeconds float64) {
 	w.Observe()
-	highest := w.settings[0].offset
-	for _, s := range w.settings {
+	highest := w.offsets[0].offset
+	for _, s := range w.offsets {
 		highest = max(highest, s.offset)
 	}
 	return unixSeconds - highest.Seconds()
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -61,12 +61,12 @@
 	}
 	backoff := initialBackoff
 	for ctx.Err() == nil {
-		newAddress, receivedAny := c.watchUntilAddressChange(ctx)
+		newAddress, receivedAny := c.runUntilAddressChange(ctx)
 		if newAddress == "" {
 			if receivedAny {
 				backoff = initialBackoff
 			}
-			newAddress = c.wait(ctx, backoff)
+			newAddress = c.waitForBackoff(ctx, backoff)
 			backoff = nextBackoff(backoff)
 		}
 		if newAddress != "" {
@@ -77,13 +77,13 @@
 	return nil
 }
 
-// watchUntilAddressChange runs one connection until it ends or the address changes. It returns the new address, or else
+// runUntilAddressChange runs one connection until it ends or the address changes. It returns the new address, or else
 // whether the connection delivered any event. It starts the goroutine of the connection and waits for it to end.
-func (c *Client) watchUntilAddressChange(ctx context.Context) (newAddress string, receivedAny bool) {
+func (c *Client) runUntilAddressChange(ctx context.Context) (newAddress string, receivedAny bool) {
 	connCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	ended := make(chan bool, 1)
-	go func() { ended <- c.watch(connCtx) }()
+	go func() { ended <- c.runConnection(connCtx) }()
 	select {
 	case newAddress = <-c.AddressChanges:
 		cancel(errAddressChanged)
@@ -94,8 +94,8 @@
 	}
 }
 
-// wait returns after the backoff, when the context is done, or with a new address.
-func (c *Client) wait(ctx context.Context, backoff time.Duration) (newAddress string) {
+// waitForBackoff returns after the backoff, when the context is done, or with a new address.
+func (c *Client) waitForBackoff(ctx context.Context, backoff time.Duration) (newAddress string) {
 	select {
 	case <-ctx.Done():
 	case newAddress = <-c.AddressChanges:
@@ -104,8 +104,8 @@
 	return newAddress
 }
 
-// watch reads events from one connection until it ends, and reports whether it received any.
-func (c *Client) watch(ctx context.Context) (receivedAny bool) {
+// runConnection reads events from one connection until it ends, and reports whether it received any.
+func (c *Client) runConnection(ctx context.Context) (receivedAny bool) {
 	c.Telemetry.ConnectionOpened(telemetry.SideDiscovery)
 	remote := telemetry.Remote{Side: telemetry.SideDiscovery, Address: c.Address}
 	startedAt := time.Now()
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -18,7 +18,7 @@
 
 // frame builds a frame without the codec, so that it can be malformed.
 func frame(revision uint64, kind EventKind, payload string) []byte {
-	b := binary.BigEndian.AppendUint32(nil, uint32(countedHeader+len(payload)))
+	b := binary.BigEndian.AppendUint32(nil, uint32(countedHeaderSize+len(payload)))
 	b = binary.BigEndian.AppendUint64(b, revision)
 	return append(append(b, byte(kind)), payload...)
 }
@@ -32,12 +32,12 @@
 
 // deliverAll delivers events to a client whose last revision is 5, and returns the revisions passed to OnEvent. It
 // checks that each event that is not accepted is reported as a revision gap.
-func deliverAll(t *testing.T, deliveries []delivery) (handedOn []uint64) {
+func deliverAll(t *testing.T, deliveries []delivery) (delivered []uint64) {
 	t.Helper()
 	c := &Client{
 		LastRevision: 5,
 		Telemetry:    telemetry.New(io.Discard, ""),
-		OnEvent:      func(ev Event) { handedOn = append(handedOn, ev.Revision) },
+		OnEvent:      func(ev Event) { delivered = append(delivered, ev.Revision) },
 	}
 	for _, step := range deliveries {
 		err := c.deliver(Event{Revision: step.revision, Kind: step.kind})
@@ -46,13 +46,13 @@
 			require.ErrorIs(t, err, ErrRevisionGap)
 		}
 	}
-	return handedOn
+	return delivered
 }
 
 // Guards against events that are lost between the service and the router: a drain or a purge would never take effect,
 // and the log would not show it. A gap must end the connection, so that the events are requested again. The gap must be
 // accepted if the same revision arrives again, and an event that was already delivered must be ignored.
-func TestRevisionGapIsAskedForOnce(t *testing.T) {
+func TestRevisionGapClosesTheConnectionOnce(t *testing.T) {
 	assert.Equal(t, []uint64{6, 8, 9, 10}, deliverAll(t, []delivery{
 		{Update, 6, true},
 		{Update, 6, true},
@@ -169,7 +169,7 @@
 // Guards against a connection that delivers heartbeats but no events: no read fails, and a drain is never received. A
 // heartbeat with a revision after the last received one must end the connection, once for each such revision after each
 // event.
-func TestHeartbeatAheadOfTheLastRevisionIsAGap(t *testing.T) {
+func TestHeartbeatAheadOfTheLastRevisionClosesTheConnectionOnce(t *testing.T) {
 	assert.Equal(t, []uint64{6, 7, 8}, deliverAll(t, []delivery{
 		{Heartbeat, 5, true},
 		{Heartbeat, 4, true},
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -16,13 +16,13 @@
 const HeaderSize = 13
 
 const (
-	lengthSize      = 4
-	countedHeader   = HeaderSize - lengthSize // bytes of the header that are included in the frame's length
-	maxFrameLength  = 1 << 20
-	endpointSize    = 27
-	purgeObjectSize = 16
-	purgeGroupSize  = 10
-	purgeTimeSize   = 8 // the time is the last field of both kinds of purge
+	lengthSize        = 4
+	countedHeaderSize = HeaderSize - lengthSize // bytes of the header that are included in the frame's length
+	maxFrameLength    = 1 << 20
+	endpointSize      = 27
+	purgeObjectSize   = 16
+	purgeGroupSize    = 10
+	purgeTimeSize     = 8 // the time is the last field of both kinds of purge
 )
 
 // endpointIDPrefix is the prefix of an endpoint ID; 8 hex digits follow.
@@ -54,13 +54,13 @@
 // ParseHeader parses the first HeaderSize bytes of a frame.
 func ParseHeader(b []byte) (Header, error) {
 	length := binary.BigEndian.Uint32(b)
-	if length < countedHeader || length > maxFrameLength {
+	if length < countedHeaderSize || length > maxFrameLength {
 		return Header{}, fmt.Errorf("%w: length %d is out of bounds", ErrMalformed, length)
 	}
 	return Header{
 		Revision:     binary.BigEndian.Uint64(b[4:]),
 		Kind:         EventKind(b[12]),
-		PayloadBytes: int(length) - countedHeader,
+		PayloadBytes: int(length) - countedHeaderSize,
 	}, nil
 }
 
@@ -141,7 +141,7 @@
 	if err != nil {
 		return b, err
 	}
-	b = binary.BigEndian.AppendUint32(b, uint32(countedHeader+len(payload)))
+	b = binary.BigEndian.AppendUint32(b, uint32(countedHeaderSize+len(payload)))
 	b = binary.BigEndian.AppendUint64(b, ev.Revision)
 	b = append(b, byte(ev.Kind))
 	return append(b, payload...), nil
--- a/internal/discovery/codec_test.go
+++ b/internal/discovery/codec_test.go
@@ -73,7 +73,7 @@
 
 // Guards against an invalid length field that makes the client wait for bytes that never arrive, or allocate gigabytes.
 // A length below the header size or above the maximum must be rejected as malformed.
-func TestFrameLengthsHaveBounds(t *testing.T) {
+func TestFrameLengthOutOfBoundsIsMalformed(t *testing.T) {
 	for _, length := range []uint32{0, 8, maxFrameLength + 1} {
 		_, err := ParseHeader(append(binary.BigEndian.AppendUint32(nil, length), make([]byte, 9)...))
 		require.ErrorIs(t, err, ErrMalformed)
--- a/internal/discovery/dial.go
+++ b/internal/discovery/dial.go
@@ -35,34 +35,34 @@
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	results := make(chan dialResult, maxDials)
-	start := func() {
+	startDial := func() {
 		conn, err := c.Dial(ctx, c.Address)
 		results <- dialResult{conn, err}
 	}
-	go start()
-	underWay := 1
-	another := time.NewTicker(dialInterval)
-	defer another.Stop()
+	go startDial()
+	pending := 1
+	nextDial := time.NewTicker(dialInterval)
+	defer nextDial.Stop()
 	for {
 		select {
 		case first := <-results:
 			cancel()
-			closeRest(results, underWay-1)
+			closeRemaining(results, pending-1)
 			return first.conn, first.err
-		case <-another.C:
-			if underWay < maxDials {
-				underWay++
-				go start()
+		case <-nextDial.C:
+			if pending < maxDials {
+				pending++
+				go startDial()
 			}
 		}
 	}
 }
 
-// closeRest waits for the cancelled dials, and closes the connections that were established nevertheless.
-func closeRest(results <-chan dialResult, underWay int) {
-	for range underWay {
-		if rest := <-results; rest.err == nil {
-			_ = rest.conn.Close() // nothing was written
+// closeRemaining waits for the cancelled dials, and closes the connections that were established nevertheless.
+func closeRemaining(results <-chan dialResult, pending int) {
+	for range pending {
+		if remaining := <-results; remaining.err == nil {
+			_ = remaining.conn.Close() // nothing was written
 		}
 	}
 }
--- a/internal/discovery/dial_test.go
+++ b/internal/discovery/dial_test.go
@@ -17,8 +17,8 @@
 
 // Guards against a router that never connects because establishing a connection takes longer than a second and each
 // dial is cancelled before. The slow connection must be used, and a second parallel dial must not cancel it.
-func TestConnectionThatComesUpLateIsUsed(t *testing.T) {
-	near, far := net.Pipe()
+func TestSlowDialIsNotCancelled(t *testing.T) {
+	clientSide, serviceSide := net.Pipe()
 	var dials atomic.Int32
 	c := &Client{
 		Telemetry: telemetry.New(io.Discard, ""),
@@ -29,7 +29,7 @@
 			}
 			select {
 			case <-time.After(1400 * time.Millisecond):
-				return near, nil
+				return clientSide, nil
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
@@ -37,8 +37,8 @@
 	}
 	stop := runClient(t, c)
 	query := make([]byte, 8)
-	require.NoError(t, far.SetReadDeadline(time.Now().Add(5*time.Second)))
-	_, err := io.ReadFull(far, query)
+	require.NoError(t, serviceSide.SetReadDeadline(time.Now().Add(5*time.Second)))
+	_, err := io.ReadFull(serviceSide, query)
 	require.NoError(t, err)
 	assert.Zero(t, binary.BigEndian.Uint64(query))
 	assert.EqualValues(t, 2, dials.Load())
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -75,7 +75,7 @@
 
 // Guards against a change of the format in both the encoder and the decoder, which a round-trip test does not detect:
 // the client could not parse the events of a service of another version. The encoded bytes must equal the golden bytes.
-func TestEventsMatchTheGoldenBytes(t *testing.T) {
+func TestEncodedEventsMatchTheGoldenBytes(t *testing.T) {
 	for _, c := range goldenEvents {
 		frame, err := AppendEvent(nil, c.event)
 		require.NoError(t, err, c.name)
--- a/internal/discovery/known_test.go
+++ b/internal/discovery/known_test.go
@@ -45,7 +45,7 @@
 
 // Guards against a router that starts with endpoints that do not exist, because the events in its bootstrap file are
 // damaged or name a zone that is missing in the settings. Such events must be rejected with a specific error.
-func TestUnusableKnownEventsAreRejected(t *testing.T) {
+func TestInvalidKnownEventsAreRejected(t *testing.T) {
 	_, _, err := ParseKnownEvents(nil, testNames)
 	require.Error(t, err)
 	for text, want := range map[string]error{
--- a/internal/discovery/revisions.go
+++ b/internal/discovery/revisions.go
@@ -19,8 +19,8 @@
 	revisionAhead                         // events between the two revisions have not been received
 )
 
-// orderOf returns the position of a revision relative to the last delivered one.
-func orderOf(revision, last uint64) revisionOrder {
+// compareRevision returns the position of a revision relative to the last delivered one.
+func compareRevision(revision, last uint64) revisionOrder {
 	switch {
 	case revision <= last:
 		return revisionRepeated
@@ -39,7 +39,7 @@
 // or purged copies would be served, without any log line. A gap is logged as a connection that ends with
 // netconn.SequenceGap.
 func (c *Client) acceptInOrder(ev Event) error {
-	switch orderOf(ev.Revision, c.LastRevision) {
+	switch compareRevision(ev.Revision, c.LastRevision) {
 	case revisionRepeated:
 		c.Telemetry.Inc(telemetry.DiscoveryEventsRepeated)
 		return nil
@@ -59,7 +59,7 @@
 // revision. If it is ahead, an event was lost or is delayed on this connection, and the event is requested once on a
 // new connection. Otherwise a drain would never be received on a connection that delivers heartbeats but no events.
 func (c *Client) checkHeartbeat(revision uint64) error {
-	if orderOf(revision, c.LastRevision) == revisionRepeated {
+	if compareRevision(revision, c.LastRevision) == revisionRepeated {
 		return nil
 	}
 	return c.reportGapOnce(revision)
--- a/internal/discovery/revisions_test.go
+++ b/internal/discovery/revisions_test.go
@@ -8,13 +8,13 @@
 )
 
 // Checks revisions before, at and after the last one, and at the maximum of uint64.
-func TestOrderOfRevisions(t *testing.T) {
-	assert.Equal(t, revisionRepeated, orderOf(6, 7))
-	assert.Equal(t, revisionRepeated, orderOf(7, 7))
-	assert.Equal(t, revisionNext, orderOf(8, 7))
-	assert.Equal(t, revisionAhead, orderOf(9, 7))
-	assert.Equal(t, revisionRepeated, orderOf(0, math.MaxUint64))
-	assert.Equal(t, revisionRepeated, orderOf(math.MaxUint64, math.MaxUint64))
+func TestCompareRevision(t *testing.T) {
+	assert.Equal(t, revisionRepeated, compareRevision(6, 7))
+	assert.Equal(t, revisionRepeated, compareRevision(7, 7))
+	assert.Equal(t, revisionNext, compareRevision(8, 7))
+	assert.Equal(t, revisionAhead, compareRevision(9, 7))
+	assert.Equal(t, revisionRepeated, compareRevision(0, math.MaxUint64))
+	assert.Equal(t, revisionRepeated, compareRevision(math.MaxUint64, math.MaxUint64))
 }
 
 // The backoff must never decrease, and must stop at its maximum.
--- a/internal/discovery/slow_test.go
+++ b/internal/discovery/slow_test.go
@@ -16,7 +16,7 @@
 // Guards against a read timeout that covers a complete frame: a long list over a slow link would time out on every
 // connection, and the router would never receive it. A list must be read completely if each of its parts arrives within
 // the timeout.
-func TestListThatComesSlowlyIsRead(t *testing.T) {
+func TestListOverSlowLinkIsReadCompletely(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	events := make(chan Event, 9)
--- a/internal/dispatch/addresses.go
+++ b/internal/dispatch/addresses.go
@@ -52,16 +52,16 @@
 
 // DisableAddress takes an address out of use for new attempts until it is reinstated.
 func (d *Dispatcher) DisableAddress(ctx context.Context, endpoint routing.EndpointID, addr string) error {
-	return d.commandAddress(ctx, disableAddress, endpoint, addr)
+	return d.sendAddressCommand(ctx, disableAddress, endpoint, addr)
 }
 
 // ReinstateAddress ends any cooldown of an address.
 func (d *Dispatcher) ReinstateAddress(ctx context.Context, endpoint routing.EndpointID, addr string) error {
-	return d.commandAddress(ctx, reinstateAddress, endpoint, addr)
+	return d.sendAddressCommand(ctx, reinstateAddress, endpoint, addr)
 }
 
-// commandAddress queues a command on an address and waits for its result.
-func (d *Dispatcher) commandAddress(
+// sendAddressCommand queues a command on an address and waits for its result.
+func (d *Dispatcher) sendAddressCommand(
 	ctx context.Context,
 	action addressAction,
 	endpoint routing.EndpointID,
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -73,17 +73,17 @@
 		endpoint:  action.Endpoint,
 		startedAt: d.now,
 	}
-	earlier := o.connections()
+	usedConnections := o.connections()
 	o.attempts = append(o.attempts, a)
-	o.running++
-	deadline := attemptEndsBy(o.request.Deadline, action.Deadline)
+	o.activeAttempts++
+	deadline := effectiveDeadline(o.request.Deadline, action.Deadline)
 	if d.RetryBudget != nil {
 		d.RetryBudget.RecordAttempt(d.now, o.request.Class, a.endpoint, a.number > 0)
-		d.runNext(retryBudgetCheck{})
+		d.runAfterEvent(retryBudgetCheck{})
 	}
 	switch {
 	case o.request.Cancelled(): // the client cancelled the request, and the loop has not handled that yet
-		d.runNext(requestDisconnected{o})
+		d.runAfterEvent(requestDisconnected{o})
 	case o.state == requestOpen && deadline > d.now:
 		d.Metrics.Inc(telemetry.AttemptsSent.With(telemetry.Class(o.request.ClassName)))
 		a.sent = d.Pool.Send(cacheproto.Attempt{
@@ -93,19 +93,19 @@
 		}, upstream.Bounds{
 			Deadline:   clock.FromSeconds(deadline),
 			SendBefore: clock.FromSeconds(action.SendBefore),
-		}, earlier, a)
+		}, usedConnections, a)
 	}
 	if a.sent == nil {
-		d.runNext(attemptFinished{a, request.AttemptEnd{Result: routing.NotSent}})
+		d.runAfterEvent(attemptFinished{a, request.AttemptEnd{Result: routing.NotSent}})
 		return
 	}
 	a.connection = a.sent.Connection()
 	d.schedule(deadline, attemptDeadline{a})
 }
 
-// attemptEndsBy returns the deadline of an attempt: the earlier of its request's deadline and attemptDeadline, which
-// the Decider sets and which is 0 if unset.
-func attemptEndsBy(requestDeadline, attemptDeadline float64) float64 {
+// effectiveDeadline returns the deadline of an attempt: the earlier of its request's deadline and attemptDeadline,
+// which the Decider sets and which is 0 if unset.
+func effectiveDeadline(requestDeadline, attemptDeadline float64) float64 {
 	if attemptDeadline > 0 {
 		return min(requestDeadline, attemptDeadline)
 	}
@@ -133,7 +133,7 @@
 	}
 	o := a.request
 	a.sent = nil // releases the request body; the attemptDeadline timer still refers to the attempt
-	o.running--
+	o.activeAttempts--
 	elapsed := d.now - a.startedAt
 	class := telemetry.Class(o.request.ClassName)
 	d.Metrics.Inc(telemetry.AttemptsEnded.With(class, request.ResultLabel(end.Result)))
@@ -164,7 +164,7 @@
 		RequestDone:    o.state != requestOpen,
 		LoadReport:     end.LoadReport,
 	}, o)
-	d.forgetIfDone(o)
+	d.removeIfDone(o)
 }
 
 // cancelAttempt cancels an attempt. Its connection reports the end after it has sent the cancel command to the
@@ -174,8 +174,8 @@
 	if notSent || !a.move(sendCancelled) {
 		return
 	}
-	if result, atOnce := d.Pool.Cancel(a.sent, result); atOnce {
-		d.runNext(attemptFinished{a, request.AttemptEnd{Result: result}})
+	if result, immediate := d.Pool.Cancel(a.sent, result); immediate {
+		d.runAfterEvent(attemptFinished{a, request.AttemptEnd{Result: result}})
 	}
 }
 
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -13,7 +13,7 @@
 
 // Guards against an attempt whose end is reported twice: the client would get two responses, and the Decider would
 // count the attempt twice. Two reports of the end must lead to one response and one event.
-func TestFirstCompletedAttemptAnswers(t *testing.T) {
+func TestAttemptEndReportedTwiceIsHandledOnce(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
 	sent := f.requests["ab"].attempts[0].sent
@@ -37,7 +37,7 @@
 // Guards against an attempt that never ends because its connection is not established before its deadline, or because
 // it can't be sent at all: its request would wait until the client gives up. Such an attempt must end as NotSent, at
 // its deadline or at once.
-func TestAttemptEndsAtItsDeadline(t *testing.T) {
+func TestUnsentAttemptEndsAtItsDeadline(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		if _, ok := ev.(routing.RequestArrived); !ok {
 			return nil
@@ -58,7 +58,7 @@
 		routing.AttemptEnded{Request: "ab", Attempt: 2, Endpoint: "x", Result: routing.NotSent},
 		routing.AttemptEnded{Request: "ab", Attempt: 0, Endpoint: "c", Result: routing.NotSent, ElapsedSeconds: 1.5},
 	}, f.decider.events[2:])
-	assert.Equal(t, 0, f.requests["ab"].running)
+	assert.Equal(t, 0, f.requests["ab"].activeAttempts)
 }
 
 // Guards against an attempt that is reported as Cancelled although nothing of it was written: it would count as one
@@ -118,7 +118,7 @@
 
 // Guards against an edge cache that fetches from itself because an attempt names it as the fill source. The fill source
 // must be empty in that case only; every other endpoint is named.
-func TestOnlyAnEdgeCacheIsNotNamedAsItsOwnSource(t *testing.T) {
+func TestEdgeCacheIsNotSentItselfAsFillSource(t *testing.T) {
 	f := newFixture(t, nil)
 	f.arrive(f.request)
 	for endpoint, want := range map[routing.EndpointID]string{"c": "", "o": "o"} {
--- a/internal/dispatch/deadline_test.go
+++ b/internal/dispatch/deadline_test.go
@@ -43,10 +43,10 @@
 		return nil, ctx.Err()
 	case <-time.After(s.dialDelay):
 	}
-	near, far := net.Pipe()
+	clientSide, endpointSide := net.Pipe()
 	go func() {
 		time.Sleep(s.readDelay)
-		reader := bufio.NewReader(far)
+		reader := bufio.NewReader(endpointSide)
 		for {
 			line, err := reader.ReadBytes('\n')
 			if err != nil {
@@ -63,7 +63,7 @@
 			s.received <- receivedLine{command, time.Now()}
 		}
 	}()
-	return near, nil
+	return clientSide, nil
 }
 
 // startDispatcher runs a dispatcher with the system clock and the endpoints c and d until the test ends.
@@ -113,26 +113,26 @@
 // Guards against a timeout in the command line that was computed before a slow connect or a blocked write: the endpoint
 // would work for a client that has given up. The timeout in each line must be the client's remaining time when the line
 // arrives, for a first attempt and for a hedged one.
-func TestDeadlineToldToEndpointIsWhatTheClientHasLeft(t *testing.T) {
+func TestTimeoutSentToEndpointIsTheClientsRemainingTime(t *testing.T) {
 	for name, test := range map[string]struct {
 		endpoints slowEndpoints
-		left      time.Duration
+		remaining time.Duration
 		bodyBytes int
 		lines     int // minimum number of lines; none may arrive after the client's deadline
 	}{
-		"a connect of 0.35 s": {slowEndpoints{dialDelay: 350 * time.Millisecond}, time.Second, 0, 2},
-		"and 0.2 s left":      {slowEndpoints{dialDelay: 350 * time.Millisecond}, 200 * time.Millisecond, 0, 0},
-		"nothing taken for 0.5 s": {
+		"slow connect":           {slowEndpoints{dialDelay: 350 * time.Millisecond}, time.Second, 0, 2},
+		"slow connect, too late": {slowEndpoints{dialDelay: 350 * time.Millisecond}, 200 * time.Millisecond, 0, 0},
+		"slow reads": {
 			slowEndpoints{readDelay: 500 * time.Millisecond}, time.Second, 0, 2,
 		},
-		"nothing taken of a body for 0.5 s": {
+		"slow reads of a body": {
 			slowEndpoints{readDelay: 500 * time.Millisecond}, time.Second, 40_000, 2,
 		},
-		"both": {
+		"slow connect and reads": {
 			slowEndpoints{dialDelay: 350 * time.Millisecond, readDelay: 500 * time.Millisecond},
 			1500 * time.Millisecond, 0, 2,
 		},
-		"both, and 0.5 s left": {
+		"slow connect and reads, too late": {
 			slowEndpoints{dialDelay: 350 * time.Millisecond, readDelay: 500 * time.Millisecond},
 			500 * time.Millisecond, 0, 0,
 		},
@@ -146,21 +146,21 @@
 			r := &request.Request{
 				ID: "9b1f03aa5c7e2d41", ClassName: "page", Object: "7f3a9c21e0b4d655", Part: "0",
 				ArrivedAt:      d.Clock(),
-				Deadline:       d.Clock() + test.left.Seconds(),
+				Deadline:       d.Clock() + test.remaining.Seconds(),
 				ResponseWriter: &responseRecorder{},
 			}
 			if test.bodyBytes > 0 {
 				r.Body = &request.Body{Bytes: make([]byte, test.bodyBytes)}
 			}
 			require.True(t, d.RequestArrived(r))
-			time.Sleep(test.left + 300*time.Millisecond)
+			time.Sleep(test.remaining + 300*time.Millisecond)
 			lines := 0
 			for ; len(endpoints.received) > 0; lines++ {
 				line := <-endpoints.received
-				left := test.left - line.at.Sub(startedAt)
-				assert.Positive(t, left, "no line arrives after the client's deadline")
-				assert.LessOrEqual(t, line.command.TimeoutSeconds, left.Seconds()+deadlineSlack)
-				assert.Greater(t, line.command.TimeoutSeconds, left.Seconds()-deadlineSlack, "and not too short")
+				remaining := test.remaining - line.at.Sub(startedAt)
+				assert.Positive(t, remaining, "no line arrives after the client's deadline")
+				assert.LessOrEqual(t, line.command.TimeoutSeconds, remaining.Seconds()+deadlineSlack)
+				assert.Greater(t, line.command.TimeoutSeconds, remaining.Seconds()-deadlineSlack, "and not too short")
 			}
 			assert.GreaterOrEqual(t, lines, test.lines)
 		})
--- a/internal/dispatch/decisions.go
+++ b/internal/dispatch/decisions.go
@@ -8,23 +8,23 @@
 	"cairnfront/routing"
 )
 
-// decide passes an event to the Decider and carries out the actions that it returns. About is the request that the
-// event belongs to, or nil; this request is aborted if the Decider panics.
-func (d *Dispatcher) decide(ev routing.Event, about *openRequest) {
-	for _, action := range d.actionsFor(ev, about) {
+// decide passes an event to the Decider and carries out the actions that it returns. The related request is the one
+// that the event belongs to, or nil; this request is aborted if the Decider panics.
+func (d *Dispatcher) decide(ev routing.Event, relatedRequest *openRequest) {
+	for _, action := range d.actionsFor(ev, relatedRequest) {
 		d.perform(action)
 	}
 }
 
 // actionsFor returns the Decider's actions for an event. If the Decider panics, the stack is logged, the request is
 // aborted and no action is returned.
-func (d *Dispatcher) actionsFor(ev routing.Event, about *openRequest) (actions []routing.Action) {
+func (d *Dispatcher) actionsFor(ev routing.Event, relatedRequest *openRequest) (actions []routing.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			d.Metrics.RecordPanic(telemetry.ComponentRouting, p, "event", fmt.Sprintf("%T", ev))
 			actions = nil
-			if about != nil {
-				d.abandon(about, request.ReasonPanic)
+			if relatedRequest != nil {
+				d.abandon(relatedRequest, request.ReasonPanic)
 			}
 		}
 	}()
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -28,8 +28,8 @@
 	queueCapacity = 4096
 	// closeIdleInterval is the time between two scans of the pool for idle connections to close.
 	closeIdleInterval = time.Second
-	// watchInterval is the time between two checks for stalled attempts and for expired retry budget windows.
-	watchInterval = 20 * time.Millisecond
+	// stallCheckInterval is the time between two checks for stalled attempts and for expired retry budget windows.
+	stallCheckInterval = 20 * time.Millisecond
 )
 
 // Dispatcher passes events to the Decider and carries out the actions that it returns. Create it with New. The exported
@@ -53,11 +53,11 @@
 	cancelled        []*request.Request // cancellations to handle; bounded, as a request is cancelled at most once
 	cancelledPending chan struct{}      // contains a value while cancelled may be non-empty
 
-	ending    bool    // set by abortAll: all open requests were aborted and new requests are rejected
-	now       float64 // time of the event being handled, monotonic seconds
-	requests  map[routing.RequestID]*openRequest
-	endpoints map[routing.EndpointID]listedEndpoint // entries of the endpoint list, without removed endpoints
-	timers    timerQueue
+	shuttingDown bool    // set by abortAll: all open requests were aborted and new requests are rejected
+	now          float64 // time of the event being handled, monotonic seconds
+	requests     map[routing.RequestID]*openRequest
+	endpoints    map[routing.EndpointID]listedEndpoint // entries of the endpoint list, without removed endpoints
+	timers       timerQueue
 }
 
 // New returns a Dispatcher; call Run to start its event loop.
@@ -89,11 +89,11 @@
 	defer nextTimer.Stop()
 	closeIdle := time.NewTicker(closeIdleInterval)
 	defer closeIdle.Stop()
-	var watch <-chan time.Time
+	var checkStalls <-chan time.Time
 	if d.Pool.AddressSelector != nil || d.RetryBudget != nil {
-		ticker := time.NewTicker(watchInterval)
+		ticker := time.NewTicker(stallCheckInterval)
 		defer ticker.Stop()
-		watch = ticker.C
+		checkStalls = ticker.C
 	}
 	for {
 		select {
@@ -102,31 +102,31 @@
 		case <-d.cancelledPending: // the cancellations are handled below the select
 		case ev := <-d.queue:
 			d.handleCancelled()
-			d.recovering(func() { d.handle(ev) })
+			d.recoverPanics(func() { d.handle(ev) })
 		case <-nextTimer.C:
 		case <-closeIdle.C:
-			d.recovering(d.sweep)
-		case <-watch:
-			d.recovering(d.watch)
+			d.recoverPanics(d.closeIdleAndCheckClock)
+		case <-checkStalls:
+			d.recoverPanics(d.checkStalls)
 		}
 		d.handleCancelled()
-		d.recovering(d.runDueTimers)
+		d.recoverPanics(d.runDueTimers)
 		if due, ok := d.timers.next(); ok {
 			nextTimer.Reset(waitUntil(due, d.Clock()))
 		}
 	}
 }
 
-// sweep closes idle connections and checks whether the wall clock was stepped.
-func (d *Dispatcher) sweep() {
+// closeIdleAndCheckClock closes idle connections and checks whether the wall clock was stepped.
+func (d *Dispatcher) closeIdleAndCheckClock() {
 	d.Pool.CloseIdle(clock.Now())
 	if d.Wall.Observe() {
 		d.Metrics.Log.Warn("wall clock stepped")
 	}
 }
 
-// watch reports stalled attempts and advances the windows of the retry budget.
-func (d *Dispatcher) watch() {
+// checkStalls reports stalled attempts and advances the windows of the retry budget.
+func (d *Dispatcher) checkStalls() {
 	d.advanceClock()
 	d.reportStalled(d.Pool.CheckAddresses(clock.Now()))
 	if d.RetryBudget != nil {
@@ -138,9 +138,9 @@
 // advanceClock updates the loop's current time, which never decreases.
 func (d *Dispatcher) advanceClock() { d.now = max(d.now, d.Clock()) }
 
-// recovering calls step and recovers a panic in it, so that the loop continues. A request that is left open by the
+// recoverPanics calls step and recovers a panic in it, so that the loop continues. A request that is left open by the
 // panic is aborted by its requestOverdue timer.
-func (d *Dispatcher) recovering(step func()) {
+func (d *Dispatcher) recoverPanics(step func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			d.Metrics.RecordPanic(telemetry.ComponentDispatch, p)
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -12,19 +12,19 @@
 	startedAt     float64 // the same time in monotonic seconds
 }
 
-// list returns the entry to store for a listed endpoint; earlier is its previous entry, zero if there is none. A start
-// time is translated to monotonic time once, when it is first received, and to the latest possible time: a warming
-// endpoint may seem colder than it is, but never warmer (rule 4). A new start time is always after the previous one,
-// whatever the clocks show.
-func (d *Dispatcher) list(listed routing.Endpoint, earlier listedEndpoint) listedEndpoint {
+// toListedEndpoint returns the entry to store for a listed endpoint; previous is its former entry, zero if there is
+// none. A start time is translated to monotonic time once, when it is first received, and to the latest possible time:
+// a warming endpoint may seem colder than it is, but never warmer (rule 4). A new start time is always after the
+// previous one, whatever the clocks show.
+func (d *Dispatcher) toListedEndpoint(listed routing.Endpoint, previous listedEndpoint) listedEndpoint {
 	entry := listedEndpoint{kind: listed.Kind, startedAtUnix: listed.StartedAt}
 	switch {
 	case listed.StartedAt <= 0:
-	case listed.StartedAt == earlier.startedAtUnix:
-		entry.startedAt = earlier.startedAt
+	case listed.StartedAt == previous.startedAtUnix:
+		entry.startedAt = previous.startedAt
 	default:
 		entry.startedAt = d.Wall.LatestInstant(listed.StartedAt)
-		if entry.startedAt <= earlier.startedAt {
+		if entry.startedAt <= previous.startedAt {
 			entry.startedAt = d.now
 		}
 	}
@@ -54,7 +54,7 @@
 		}, nil)
 		return
 	}
-	snapshot, known := ev.Kind == discovery.Snapshot, d.endpoints
+	snapshot, previousEndpoints := ev.Kind == discovery.Snapshot, d.endpoints
 	if snapshot {
 		d.endpoints = map[routing.EndpointID]listedEndpoint{}
 	}
@@ -63,7 +63,7 @@
 	}
 	endpoints := make([]routing.Endpoint, len(ev.Endpoints))
 	for i, listed := range ev.Endpoints {
-		entry := d.list(listed.Endpoint, known[listed.ID])
+		entry := d.toListedEndpoint(listed.Endpoint, previousEndpoints[listed.ID])
 		endpoints[i] = listed.Endpoint
 		endpoints[i].StartedAt = entry.startedAt
 		if listed.Status == routing.Removed {
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -108,7 +108,7 @@
 	d.cancelled = nil
 	d.mu.Unlock()
 	for _, r := range cancelled {
-		d.recovering(func() { d.handleRequestCancelled(r) })
+		d.recoverPanics(func() { d.handleRequestCancelled(r) })
 	}
 }
 
--- a/internal/dispatch/events_test.go
+++ b/internal/dispatch/events_test.go
@@ -42,7 +42,7 @@
 // Guards against cancellations that are delayed by a full event queue: attempts would be started for clients that have
 // disconnected, and the goroutine that reads a client's connection would block. Reporting a cancellation must not
 // block, and the Decider must get it before the queued events.
-func TestCancellationsOvertakeAFullQueue(t *testing.T) {
+func TestCancellationsBypassAFullQueue(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
 	for f.RequestArrived(&request.Request{ID: "cd", ResponseWriter: f.recorder}) {
@@ -74,10 +74,10 @@
 
 // Guards against a panic in the event loop's own code that ends the process and with it every open request. The panic
 // must be logged and counted, and the loop must continue.
-func TestPanicOfTheLoopItselfIsSurvived(t *testing.T) {
+func TestEventLoopRecoversFromItsOwnPanics(t *testing.T) {
 	f := newFixture(t, nil)
 	f.request.ResponseWriter = nil
-	f.recovering(func() {
+	f.recoverPanics(func() {
 		f.arrive(f.request)
 		f.respond(f.requests["ab"], request.Response{})
 	})
--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -45,7 +45,7 @@
 	arrive("cd", 120)
 	arrive("ab", 120)
 	f.endAttempt(0, request.AttemptEnd{Result: routing.Overloaded})
-	f.recovering(func() { panic("beside the decisions") })
+	f.recoverPanics(func() { panic("beside the decisions") })
 	got := regexp.MustCompile(`(?m)^time=\S+ `).ReplaceAllString(f.log.String(), "")
 	got = regexp.MustCompile(`stack=".*"`).ReplaceAllString(got, "stack=...")
 	if *update {
--- a/internal/dispatch/probes.go
+++ b/internal/dispatch/probes.go
@@ -22,7 +22,7 @@
 	p := &probe{endpoint: endpoint, startedAt: d.now}
 	p.sent = d.Pool.SendHealthCheck(endpoint, p)
 	if p.sent == nil {
-		d.runNext(probeFinished{p, request.AttemptEnd{Result: routing.ConnectFailed}})
+		d.runAfterEvent(probeFinished{p, request.AttemptEnd{Result: routing.ConnectFailed}})
 		return
 	}
 	d.schedule(d.now+d.Pool.ConnectTimeout.Seconds(), probeTimeout{p})
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -13,9 +13,9 @@
 
 // openRequest is a request without a final response, or with attempts in progress.
 type openRequest struct {
-	request  *request.Request
-	attempts []*attempt // indexed by attempt number
-	running  int        // number of attempts that have not ended
+	request        *request.Request
+	attempts       []*attempt // indexed by attempt number
+	activeAttempts int        // number of attempts that have not ended
 
 	state              requestState
 	abandonmentPending bool // a reportAbandoned task was queued for the request
@@ -28,7 +28,7 @@
 //	open      cancelled  the client cancelled the request or disconnected (disconnect)
 //	answered  cancelled  the client cancelled or disconnected while attempts are in progress (disconnect)
 //
-// The loop removes a request that is answered or cancelled when it has no attempt in progress (forgetIfDone).
+// The loop removes a request that is answered or cancelled when it has no attempt in progress (removeIfDone).
 type requestState uint8
 
 const (
@@ -63,7 +63,7 @@
 		r.Body.Free()
 		return
 	}
-	if d.ending {
+	if d.shuttingDown {
 		r.Body.Free()
 		r.ResponseWriter.Respond(r, request.Response{Result: request.Rejected, Reason: request.ReasonShutdown})
 		return
@@ -111,7 +111,7 @@
 		return
 	}
 	d.decide(routing.ClientDisconnected{Request: o.id()}, o)
-	d.forgetIfDone(o)
+	d.removeIfDone(o)
 }
 
 // respond sends the final response to a request, or frees the response's body if the request is not open any more.
@@ -121,12 +121,12 @@
 		return
 	}
 	o.request.ResponseWriter.Respond(o.request, response)
-	d.forgetIfDone(o)
+	d.removeIfDone(o)
 }
 
-// forgetIfDone removes a request that was answered or cancelled and has no attempt in progress.
-func (d *Dispatcher) forgetIfDone(o *openRequest) {
-	if o.state == requestOpen || o.running > 0 || d.requests[o.id()] != o {
+// removeIfDone removes a request that was answered or cancelled and has no attempt in progress.
+func (d *Dispatcher) removeIfDone(o *openRequest) {
+	if o.state == requestOpen || o.activeAttempts > 0 || d.requests[o.id()] != o {
 		return
 	}
 	delete(d.requests, o.id())
@@ -142,14 +142,14 @@
 	}
 	if !o.abandonmentPending {
 		o.abandonmentPending = true
-		d.runNext(reportAbandoned{o})
+		d.runAfterEvent(reportAbandoned{o})
 	}
 }
 
 // abortAll aborts every open request and cancels its attempts, so that no attempt is sent after the final response.
 // Requests that arrive later are rejected.
 func (d *Dispatcher) abortAll() {
-	d.ending = true
+	d.shuttingDown = true
 	for _, o := range d.requests {
 		d.respond(o, request.Response{Result: request.Aborted, Reason: request.ReasonShutdown})
 		for _, a := range o.attempts {
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -32,7 +32,7 @@
 
 // Guards against a request for which the Decider neither starts another attempt nor sends a response: it would stay
 // open, with its memory, forever. It must be aborted shortly after its deadline, and not before.
-func TestRequestThatTheDecisionsForgetIsAborted(t *testing.T) {
+func TestOverdueRequestIsAborted(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
 	f.setTime(105.01)
@@ -47,12 +47,12 @@
 
 // Guards against two open requests with the same id: their responses could be mixed up, and a cancel of one would end
 // the other. The second request must be rejected, and the first must stay open.
-func TestRequestWithAnIDInUseIsRejected(t *testing.T) {
+func TestRequestWithDuplicateIDIsRejected(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
-	twin := *f.request
-	f.arrive(&twin)
-	f.handleRequestCancelled(&twin)
+	duplicate := *f.request
+	f.arrive(&duplicate)
+	f.handleRequestCancelled(&duplicate)
 	want := request.Response{Result: request.Rejected, Reason: request.ReasonDuplicateID}
 	assert.Equal(t, []request.Response{want}, f.recorder.responses)
 	assert.Equal(t, f.request, f.requests["ab"].request, "the first request stays open")
@@ -63,7 +63,7 @@
 // Guards against attempts for a client that has disconnected, when the end of an earlier attempt is handled before the
 // cancellation. Neither a first attempt nor a retry may be sent, and the Decider must get the disconnect before the end
 // of the attempt that was not sent.
-func TestNoAttemptOnceTheClientDisconnected(t *testing.T) {
+func TestNoAttemptStartsAfterTheClientDisconnected(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		switch ev := ev.(type) {
 		case routing.RequestArrived:
@@ -98,7 +98,7 @@
 // Guards against an attempt that is sent after its request was answered as aborted, because the process ends while
 // attempts wait to be written. Attempts must be cancelled before their command line is written, and a request that
 // arrives after that must be rejected.
-func TestNothingBeginsOnceAllRequestsAreAborted(t *testing.T) {
+func TestNoAttemptStartsAfterAbortAll(t *testing.T) {
 	f := newFixture(t, startsAttempt())
 	f.arrive(f.request)
 	f.handle(shutdown{})
--- a/internal/dispatch/states_test.go
+++ b/internal/dispatch/states_test.go
@@ -9,7 +9,7 @@
 
 // Guards against an attempt that ends twice or a request that is answered twice: the counts of open attempts and
 // requests would stay wrong. An attempt must end once, and a request must get one final response.
-func TestStatesOnlyGoForward(t *testing.T) {
+func TestStateTransitionsOnlyGoForward(t *testing.T) {
 	for from := range sendStateCount {
 		for to := range sendStateCount {
 			a := &attempt{state: from}
@@ -27,14 +27,14 @@
 }
 
 // An attempt ends at the earlier of its own deadline and that of its request, or at the latter if its own is unset.
-func TestAttemptEndsByTheEarlierDeadline(t *testing.T) {
-	assert.Equal(t, 3.0, attemptEndsBy(3, 0)) //nolint:testifylint // exact by intent
-	assert.Equal(t, 2.0, attemptEndsBy(3, 2)) //nolint:testifylint // exact by intent
-	assert.Equal(t, 3.0, attemptEndsBy(3, 4)) //nolint:testifylint // exact by intent
+func TestEffectiveDeadlineIsTheEarlierOne(t *testing.T) {
+	assert.Equal(t, 3.0, effectiveDeadline(3, 0)) //nolint:testifylint // exact by intent
+	assert.Equal(t, 2.0, effectiveDeadline(3, 2)) //nolint:testifylint // exact by intent
+	assert.Equal(t, 3.0, effectiveDeadline(3, 4)) //nolint:testifylint // exact by intent
 }
 
 // The wait for a time that has passed is zero, and so is the age of a purge whose time is in the future.
-func TestTimesThatHavePassedAreNotWaitedFor(t *testing.T) {
+func TestWaitAndPurgeAgeAreNotNegative(t *testing.T) {
 	assert.Equal(t, time.Second, waitUntil(3, 2))
 	assert.Zero(t, waitUntil(2, 3))
 	assert.Equal(t, 1.0, purgeAge(2, 3)) //nolint:testifylint // exact by intent
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -76,19 +76,19 @@
 
 // timer is a task with the time at which it is due.
 type timer struct {
-	due      float64 // monotonic seconds; runNextDue for a task that runs directly after the current event
+	due      float64 // monotonic seconds; dueAfterEvent for a task that runs directly after the current event
 	sequence int     // position in the order in which timers were added; orders timers with the same due time
 	task     timerTask
 }
 
-// runNextDue is the due time of tasks that run directly after the current event. It is before every other due time.
-const runNextDue = 0
+// dueAfterEvent is the due time of tasks that run directly after the current event. It is before every other due time.
+const dueAfterEvent = 0
 
 // schedule adds a task that runs at the due time, in monotonic seconds.
 func (d *Dispatcher) schedule(due float64, task timerTask) { d.timers.add(due, task) }
 
-// runNext adds a task that runs after the current event, before all timers that are due.
-func (d *Dispatcher) runNext(task timerTask) { d.timers.add(runNextDue, task) }
+// runAfterEvent adds a task that runs after the current event, before all timers that are due.
+func (d *Dispatcher) runAfterEvent(task timerTask) { d.timers.add(dueAfterEvent, task) }
 
 // waitUntil returns the time from now until due, both in monotonic seconds, or 0 if due has passed.
 func waitUntil(due, now float64) time.Duration {
@@ -104,7 +104,7 @@
 			return
 		}
 		t := heap.Pop(&d.timers).(timer) //nolint:forcetypeassert // Pop returns what add has pushed
-		if t.due > runNextDue {
+		if t.due > dueAfterEvent {
 			d.Metrics.SetMax(telemetry.MaxTimerDelay, d.now-t.due)
 		}
 		t.task.run(d)
--- a/internal/dispatch/timers_test.go
+++ b/internal/dispatch/timers_test.go
@@ -10,7 +10,7 @@
 
 // Guards against timers that fire in an arbitrary order when several are due because the loop was delayed: decisions
 // would differ from run to run. They must fire by due time, then in insertion order, and the delay must be recorded.
-func TestTimersRunByDueTimeThenInTheOrderInWhichTheyWereSet(t *testing.T) {
+func TestTimersRunInDueTimeThenInsertionOrder(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		if ev == (routing.TimerFired{Token: 1}) {
 			return []routing.Action{routing.Probe{Endpoint: "x"}, routing.SetTimer{AfterSeconds: 0, Token: 5}}
@@ -25,7 +25,7 @@
 	f.runDueTimers()
 	assert.Equal(t, []routing.Event{
 		routing.TimerFired{Token: 1},
-		// Tasks that an event adds with runNext run before the timers that are due.
+		// Tasks that an event adds with runAfterEvent run before the timers that are due.
 		routing.ProbeResult{Endpoint: "x", Result: routing.ConnectFailed},
 		routing.TimerFired{Token: 2},
 		routing.TimerFired{Token: 3},
--- a/internal/dispatch/wallclock_test.go
+++ b/internal/dispatch/wallclock_test.go
@@ -45,21 +45,21 @@
 // Guards against a purge whose age is overestimated because the wall clock was stepped around it: copies that it has
 // invalidated would still be served (rule 5). The computed age must not exceed the true age, whether the purge time
 // was read from a clock that was stepped or from one that was not.
-func TestPurgeIsNeverTakenForOlderAcrossWallSteps(t *testing.T) {
+func TestPurgeAgeIsNotOverestimatedAcrossWallClockSteps(t *testing.T) {
 	for _, steps := range wallSteps {
 		f := newSteppedFixture(t)
 		now := 10000.0
 		for _, step := range steps {
-			for _, tellerOffset := range []float64{0, f.offset, f.offset + step} {
+			for _, senderOffset := range []float64{0, f.offset, f.offset + step} {
 				f.setTime(now)
 				purgedAt := now - 3
 				f.offset += step
 				f.handle(discoveryEvent{discovery.Event{
 					Kind:  discovery.PurgeObject,
-					Purge: discovery.Purge{Object: "ff", PurgedAt: purgedAt + tellerOffset},
+					Purge: discovery.Purge{Object: "ff", PurgedAt: purgedAt + senderOffset},
 				}})
 				age := lastEvent[routing.Purge](t, f).AgeSeconds
-				assert.LessOrEqual(t, age, 3+1e-6, "steps %v, sent with %v", steps, tellerOffset)
+				assert.LessOrEqual(t, age, 3+1e-6, "steps %v, sent with %v", steps, senderOffset)
 				assert.GreaterOrEqual(t, age, 0.0)
 				f.offset -= step
 				now += 10
@@ -72,29 +72,29 @@
 // Guards against a cold cache that counts as warm and gets too many requests (rule 4), because the wall clock was
 // stepped around the start of the cache. The computed start must not be before the true start, and a start time that is
 // listed again must not count as a new start.
-func TestStartIsNeverTakenForEarlierAcrossWallSteps(t *testing.T) {
+func TestEndpointStartIsNotTooEarlyAcrossWallClockSteps(t *testing.T) {
 	for _, steps := range wallSteps {
 		f := newSteppedFixture(t)
 		now := 10000.0
 		for _, step := range steps {
-			for _, tellerOffset := range []float64{0, f.offset, f.offset + step} {
+			for _, senderOffset := range []float64{0, f.offset, f.offset + step} {
 				f.setTime(now)
 				before := f.offset
 				f.offset += step
 				startedAt := now - 2
 				listed := discovery.Endpoint{Address: "c"}
-				listed.Endpoint = routing.Endpoint{ID: "c", StartedAt: startedAt + tellerOffset}
+				listed.Endpoint = routing.Endpoint{ID: "c", StartedAt: startedAt + senderOffset}
 				event := discovery.Event{Kind: discovery.Update, Endpoints: []discovery.Endpoint{listed}}
 				f.handle(discoveryEvent{event})
-				heard := lastEvent[routing.EndpointUpdate](t, f).Endpoints[0].StartedAt
-				assert.GreaterOrEqual(t, heard, startedAt-1e-6, "steps %v, sent with %v", steps, tellerOffset)
-				assert.LessOrEqual(t, heard, now)
+				firstStart := lastEvent[routing.EndpointUpdate](t, f).Endpoints[0].StartedAt
+				assert.GreaterOrEqual(t, firstStart, startedAt-1e-6, "steps %v, sent with %v", steps, senderOffset)
+				assert.LessOrEqual(t, firstStart, now)
 
 				f.setTime(now + 3)
 				f.offset = before // the list is sent again after another step of the wall clock
 				f.handle(discoveryEvent{event})
-				again := lastEvent[routing.EndpointUpdate](t, f).Endpoints[0].StartedAt
-				assert.InDelta(t, heard, again, 0, "the same start")
+				secondStart := lastEvent[routing.EndpointUpdate](t, f).Endpoints[0].StartedAt
+				assert.InDelta(t, firstStart, secondStart, 0, "the same start")
 				now += 10
 			}
 			f.offset += step
