--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -108,7 +108,7 @@
 
 // The server responds and closes the connection before the request is written. The client's write fails, but the client
 // must still return the error in the response.
-func TestRefusalBeforeTheRequestIsReadReachesTheClient(t *testing.T) {
+func TestClientReturnsARefusalSentBeforeItsRequest(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	ln, err := new(net.ListenConfig).Listen(t.Context(), "unix", path)
 	require.NoError(t, err)
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -101,10 +101,10 @@
 		_ = respond(conn, nil, err) // an error is irrelevant, as the connection is closed next
 		return
 	}
-	in := bufio.NewReaderSize(io.LimitReader(conn, maxConnectionBytes), maxRequestBytes)
+	reader := bufio.NewReaderSize(io.LimitReader(conn, maxConnectionBytes), maxRequestBytes)
 	for {
 		_ = conn.SetDeadline(time.Now().Add(requestTimeout))
-		line, err := in.ReadSlice('\n')
+		line, err := reader.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
 			err = fmt.Errorf("read request: %w: over %d bytes", ErrRequestTooLong, maxRequestBytes)
 			_ = respond(conn, nil, err) // an error is irrelevant, as the connection is closed next
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -22,7 +22,7 @@
 
 // Operators start from the file in the deploy directory. If it is outdated, they set values that they did not intend.
 // It must be identical to the defaults that the program prints.
-func TestFileUnderDeployHoldsTheDefaults(t *testing.T) {
+func TestDeployedFileMatchesTheDefaults(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/operators.yaml")
 	require.NoError(t, err)
 	assert.Equal(t, string(Defaults()), string(text), "cairnfront config defaults > deploy/operators.yaml")
@@ -30,7 +30,7 @@
 
 // Guards against errors without a position, with which an operator finds a mistake only by trial and error. All
 // mistakes in a file must be reported together, each with its line, column, key and reason.
-func TestMistakesAreNamedWithTheirPlace(t *testing.T) {
+func TestAllMistakesAreReportedWithTheirPosition(t *testing.T) {
 	for text, want := range map[string]string{
 		"box:\n  colour: red\n":              "f:2:3: box.colour: unknown key",
 		"tier:\n  space_mb: much\n":          "f:2:13: tier.space_mb: got string, want number",
@@ -53,7 +53,7 @@
 
 // A reload is retried if the file could not be read, but not if the file is invalid. The type of the error must
 // distinguish the two cases.
-func TestFileThatCannotBeReadIsNoFieldError(t *testing.T) {
+func TestUnreadableFileIsNoFieldError(t *testing.T) {
 	_, err := Read(t.TempDir() + "/none.yaml")
 	require.ErrorIs(t, err, os.ErrNotExist)
 	assert.NotErrorAs(t, err, &FieldError{})
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -26,7 +26,7 @@
 
 // Guards against a key that is added to the schema but not to the test file, so that the golden file does not cover it.
 // The test file must contain every key of the schema.
-func TestEveryKeyOfTheSchemaStandsInTheFile(t *testing.T) {
+func TestFileWithEveryKeyCoversTheSchema(t *testing.T) {
 	text, err := os.ReadFile("testdata/every-key.yaml")
 	require.NoError(t, err)
 	var value map[string]any
@@ -59,14 +59,14 @@
 
 // Editors and scripts of installations use the printed schema and defaults. Guards against unintended changes of these.
 // Both must be identical to the golden files.
-func TestSchemaAndDefaultsStayAsPublished(t *testing.T) {
+func TestSchemaAndDefaultsMatchTheGoldenFiles(t *testing.T) {
 	golden.Compare(t, "schema.golden.json", string(Schema))
 	golden.Compare(t, "defaults.golden.yaml", string(Defaults()))
 }
 
 // Guards against a refactoring in which errors lose their position or reason, which operators need to fix a file. The
 // errors of each invalid file must match the golden file.
-func TestErrorsOfBrokenFilesKeepPlaceAndReason(t *testing.T) {
+func TestErrorsOfInvalidFilesMatchTheGoldenFile(t *testing.T) {
 	paths, err := filepath.Glob("testdata/broken/*.yaml")
 	require.NoError(t, err)
 	require.NotEmpty(t, paths)
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -146,8 +146,8 @@
 	mistakes []error
 }
 
-// reject records a mistake at a node.
-func (c *converter) reject(n *yaml.Node, path, reason string) {
+// addMistake records a mistake at a node.
+func (c *converter) addMistake(n *yaml.Node, path, reason string) {
 	c.mistakes = append(c.mistakes, FieldError{
 		File:   c.name,
 		Line:   n.Line,
@@ -172,7 +172,7 @@
 		return c.convertScalar(n, path)
 	case yaml.AliasNode, yaml.DocumentNode: // a document node is never nested in another node
 	}
-	c.reject(n, path, "anchors and aliases are not supported")
+	c.addMistake(n, path, "anchors and aliases are not supported")
 	return nil
 }
 
@@ -182,7 +182,7 @@
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key := n.Content[i].Value
 		if _, duplicate := values[key]; duplicate {
-			c.reject(n.Content[i], path, fmt.Sprintf("duplicate key %q", key))
+			c.addMistake(n.Content[i], path, fmt.Sprintf("duplicate key %q", key))
 		}
 		values[key] = c.convert(n.Content[i+1], strings.TrimPrefix(path+"."+key, "."))
 	}
@@ -193,7 +193,7 @@
 func (c *converter) convertScalar(n *yaml.Node, path string) any {
 	var value any
 	if err := n.Decode(&value); err != nil {
-		c.reject(n, path, err.Error())
+		c.addMistake(n, path, err.Error())
 	}
 	switch v := value.(type) {
 	case int:
@@ -203,7 +203,7 @@
 	case float64:
 		text := strconv.FormatFloat(v, 'g', -1, 64)
 		if _, err := json.Marshal(v); err != nil {
-			c.reject(n, path, text+" is not a finite number")
+			c.addMistake(n, path, text+" is not a finite number")
 			return nil
 		}
 		return json.Number(text)
--- a/internal/telemetry/metric.go
+++ b/internal/telemetry/metric.go
@@ -27,8 +27,8 @@
 // table contains all metrics, in the order in which table.go defines them.
 var table []*descriptor
 
-// define adds a metric to the table.
-func define(kind kind, name, help string, labels ...string) *descriptor {
+// defineMetric adds a metric to the table.
+func defineMetric(kind kind, name, help string, labels ...string) *descriptor {
 	metric := &descriptor{name: name, kind: kind, labels: labels, help: help}
 	table = append(table, metric)
 	return metric
@@ -40,8 +40,8 @@
 	labels string // pairs of name and quoted value; empty for a metric without labels
 }
 
-// usualLabelBytes is the buffer size reserved for each label, so that building most series needs a single allocation.
-const usualLabelBytes = 32
+// typicalLabelBytes is the buffer size reserved for each label, so that building most series needs a single allocation.
+const typicalLabelBytes = 32
 
 // escapeLabel escapes a label value for the dump. Most values contain no character to escape and are returned as is.
 func escapeLabel(value string) string {
@@ -58,7 +58,7 @@
 // label, so the number of values always equals the number of labels.
 func (d *descriptor) with(values ...fmt.Stringer) series {
 	var labels strings.Builder
-	labels.Grow(usualLabelBytes * len(values))
+	labels.Grow(typicalLabelBytes * len(values))
 	for i, value := range values {
 		if i > 0 {
 			labels.WriteByte(',')
@@ -118,29 +118,29 @@
 func (v GaugeVec[A]) With(a A) Gauge { return Gauge{v.metric.with(a)} }
 
 func newCounter(name, help string) Counter {
-	return Counter{series{metric: define(kindCounter, name, help)}}
+	return Counter{series{metric: defineMetric(kindCounter, name, help)}}
 }
 
 func newCounterVec[A fmt.Stringer](name, label, help string) CounterVec[A] {
-	return CounterVec[A]{define(kindCounter, name, help, label)}
+	return CounterVec[A]{defineMetric(kindCounter, name, help, label)}
 }
 
 func newCounterVec2[A, B fmt.Stringer](name, labelA, labelB, help string) CounterVec2[A, B] {
-	return CounterVec2[A, B]{define(kindCounter, name, help, labelA, labelB)}
+	return CounterVec2[A, B]{defineMetric(kindCounter, name, help, labelA, labelB)}
 }
 
 func newCounterVec3[A, B, C fmt.Stringer](name, labelA, labelB, labelC, help string) CounterVec3[A, B, C] {
-	return CounterVec3[A, B, C]{define(kindCounter, name, help, labelA, labelB, labelC)}
+	return CounterVec3[A, B, C]{defineMetric(kindCounter, name, help, labelA, labelB, labelC)}
 }
 
 func newGauge(name, help string) Gauge {
-	return Gauge{series{metric: define(kindGauge, name, help)}}
+	return Gauge{series{metric: defineMetric(kindGauge, name, help)}}
 }
 
 func newGaugeVec[A fmt.Stringer](name, label, help string) GaugeVec[A] {
-	return GaugeVec[A]{define(kindGauge, name, help, label)}
+	return GaugeVec[A]{defineMetric(kindGauge, name, help, label)}
 }
 
 func newMaximum(name, help string) Maximum {
-	return Maximum{series{metric: define(kindMaximum, name, help)}}
+	return Maximum{series{metric: defineMetric(kindMaximum, name, help)}}
 }
--- a/internal/telemetry/metrics_test.go
+++ b/internal/telemetry/metrics_test.go
@@ -125,9 +125,10 @@
 	assert.EqualValues(t, 4, m.Value(`connection_sent_bytes_total{side="client"}`))
 }
 
-// TestLinesNameTheProcess checks the key with which each log line identifies its process. Log lines of an edge cache
-// with the key router would point operators to the wrong machine; with the key endpoint, the key would occur twice.
-func TestLinesNameTheProcess(t *testing.T) {
+// TestLogLinesIdentifyTheProcess checks the key with which each log line identifies its process. Log lines of an edge
+// cache with the key router would point operators to the wrong machine; with the key endpoint, the key would occur
+// twice.
+func TestLogLinesIdentifyTheProcess(t *testing.T) {
 	for want, construct := range map[string]func(io.Writer, string) *Metrics{
 		"router=n1":      New,
 		"endpoint_id=n1": NewForEndpoint,
--- a/internal/telemetry/read.go
+++ b/internal/telemetry/read.go
@@ -29,7 +29,7 @@
 
 // Total returns the sum of a metric's values over all label values, or NaN if the name is unknown.
 func (m *Metrics) Total(name string) float64 {
-	if lookUp(name) == nil {
+	if findMetric(name) == nil {
 		return math.NaN()
 	}
 	m.mu.Lock()
@@ -43,8 +43,8 @@
 	return total
 }
 
-// lookUp returns the metric with the given name, or nil if there is none.
-func lookUp(name string) *descriptor {
+// findMetric returns the metric with the given name, or nil if there is none.
+func findMetric(name string) *descriptor {
 	for _, metric := range table {
 		if metric.name == name {
 			return metric
@@ -55,7 +55,7 @@
 
 // inTable reports whether there is a metric with the given name and exactly the given labels.
 func inTable(name, labels string) bool {
-	metric := lookUp(name)
+	metric := findMetric(name)
 	if metric == nil {
 		return false
 	}
--- a/internal/telemetry/table_test.go
+++ b/internal/telemetry/table_test.go
@@ -46,13 +46,13 @@
 	}
 )
 
-// conventionFaults lists the naming conventions of Prometheus that a metric violates, except those ensured by the
+// conventionViolations lists the naming conventions of Prometheus that a metric violates, except those ensured by the
 // types.
-func conventionFaults(metric *descriptor) []string {
-	var faults []string
-	add := func(broken bool, fault string) {
+func conventionViolations(metric *descriptor) []string {
+	var violations []string
+	add := func(broken bool, violation string) {
 		if broken {
-			faults = append(faults, fault)
+			violations = append(violations, violation)
 		}
 	}
 	words := strings.Split(metric.name, "_")
@@ -74,7 +74,7 @@
 		add(slices.Contains(metric.labels[:i], name), "two labels have one name")
 	}
 	add(!regexp.MustCompile(`^[A-Z][^\n]{10,}[^.]\.$`).MatchString(metric.help), "the help text is no sentence")
-	return faults
+	return violations
 }
 
 // Guards against a metric without a unit or a help text, which is misinterpreted during an incident. Every metric in
@@ -83,7 +83,7 @@
 	helpTexts := map[string]string{}
 	names := map[string]bool{}
 	for _, metric := range table {
-		assert.Empty(t, conventionFaults(metric), metric.name)
+		assert.Empty(t, conventionViolations(metric), metric.name)
 		assert.False(t, names[metric.name], "%s is defined twice", metric.name)
 		names[metric.name] = true
 		assert.Empty(t, helpTexts[metric.help], "%s has the help text of another metric", metric.name)
@@ -91,10 +91,10 @@
 	}
 }
 
-// TestBrokenConventionsAreFound checks that conventionFaults detects each violation.
-func TestBrokenConventionsAreFound(t *testing.T) {
+// TestConventionViolationsAreFound checks that conventionViolations detects each violation.
+func TestConventionViolationsAreFound(t *testing.T) {
 	const help = "Requests that were counted."
-	for fault, metric := range map[string]descriptor{
+	for violation, metric := range map[string]descriptor{
 		"the name is not in snake_case":      {name: "requests.open", kind: kindGauge, help: help},
 		"the unit is no base unit":           {name: "delay_ms_total", help: help},
 		"the unit is not at the end":         {name: "bytes_read_total", help: help},
@@ -105,10 +105,10 @@
 
 		"_total ends the names of counters and of nothing else": {name: "requests", help: help},
 	} {
-		assert.Equal(t, []string{fault}, conventionFaults(&metric))
+		assert.Equal(t, []string{violation}, conventionViolations(&metric))
 	}
 	gauge := descriptor{name: "requests_total", kind: kindGauge, help: help}
-	assert.Len(t, conventionFaults(&gauge), 1)
+	assert.Len(t, conventionViolations(&gauge), 1)
 }
 
 // TestSeriesHaveTheLabelsOfTheirMetric checks for each metric type that a series has exactly the labels of its metric.
@@ -139,15 +139,15 @@
 				return err
 			}
 			if file.Name.Name != "telemetry" {
-				assert.Empty(t, namedCounters(file), path)
+				assert.Empty(t, metricNameLiterals(file), path)
 			}
 			return nil
 		}))
 	}
 }
 
-// TestNamedCountersAreFound checks that namedCounters detects strings in calls.
-func TestNamedCountersAreFound(t *testing.T) {
+// TestMetricNameLiteralsAreFound checks that metricNameLiterals detects strings in calls.
+func TestMetricNameLiteralsAreFound(t *testing.T) {
 	text := `package p
 
 func f(m *telemetry.Metrics) {
@@ -163,12 +163,12 @@
 	want := []string{
 		`"panics_total"`, `"cache_response_bytes_total"`, `"hit"`, `"response_delay_max_seconds"`, `"client"`,
 	}
-	assert.Equal(t, want, namedCounters(file))
+	assert.Equal(t, want, metricNameLiterals(file))
 }
 
-// namedCounters returns the string literals that a file uses as names or labels of metrics: those in the first argument
-// of Inc, IncBy and SetMax.
-func namedCounters(file *ast.File) []string {
+// metricNameLiterals returns the string literals that a file uses as names or labels of metrics: those in the first
+// argument of Inc, IncBy and SetMax.
+func metricNameLiterals(file *ast.File) []string {
 	var names []string
 	ast.Inspect(file, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
--- a/internal/wirenames/wirenames.go
+++ b/internal/wirenames/wirenames.go
@@ -11,8 +11,8 @@
 	"cairnfront/routing"
 )
 
-// classList is the prefix of the paths of request class settings in the protocols.
-const classList = "request_classes."
+// classSettingPrefix is the prefix of the paths of request class settings in the protocols.
+const classSettingPrefix = "request_classes."
 
 // settingNames maps the paths of settings to the names in the routing module. Other settings have the same name in
 // both.
@@ -102,7 +102,7 @@
 	if name, ok := settingNames[path]; ok {
 		return name, translated(settingValues[name], value)
 	}
-	if classPath, ok := strings.CutPrefix(path, classList); ok {
+	if classPath, ok := strings.CutPrefix(path, classSettingPrefix); ok {
 		if index, field, ok := strings.Cut(classPath, "."); ok {
 			return classSetting(index, field, value)
 		}
@@ -121,9 +121,9 @@
 }
 
 // translated returns the translation of a value, or the value itself if there is none.
-func translated(words map[string]string, value string) string {
-	if word, ok := words[value]; ok {
-		return word
+func translated(translations map[string]string, value string) string {
+	if translation, ok := translations[value]; ok {
+		return translation
 	}
 	return value
 }
