--- a/internal/bootstrap/parse.go
+++ b/internal/bootstrap/parse.go
@@ -100,8 +100,8 @@
 		return config, &FieldError{fieldKnown, ErrMissing}
 	}
 	names := discovery.IndexNames{
-		Zones: stringsOf(f.Settings[settingZones]),
-		Kinds: stringsOf(f.Settings[settingKinds]),
+		Zones: stringList(f.Settings[settingZones]),
+		Kinds: stringList(f.Settings[settingKinds]),
 	}
 	if config.KnownEvents, config.LastRevision, err = discovery.ParseKnownEvents(f.Known, names); err != nil {
 		return config, &FieldError{fieldKnown, err}
@@ -142,8 +142,8 @@
 	return object[key]
 }
 
-// stringsOf converts a JSON list to strings. An item that is not a string becomes the empty string.
-func stringsOf(value any) []string {
+// stringList converts a JSON list to strings. An item that is not a string becomes the empty string.
+func stringList(value any) []string {
 	list, _ := value.([]any)
 	out := make([]string, len(list))
 	for i, item := range list {
--- a/internal/bootstrap/settings.go
+++ b/internal/bootstrap/settings.go
@@ -26,11 +26,11 @@
 		}
 		texts := make([]string, len(value))
 		for i, item := range value {
-			texts[i] = plainText(item)
+			texts[i] = scalarText(item)
 		}
 		putSetting(settings, path, strings.Join(texts, ","))
 	default:
-		putSetting(settings, path, plainText(value))
+		putSetting(settings, path, scalarText(value))
 	}
 }
 
@@ -64,8 +64,8 @@
 // separators replaces the characters that separate values in the simulator protocol.
 var separators = strings.NewReplacer(" ", "_", ",", "_")
 
-// plainText returns the string form of a scalar.
-func plainText(value any) string {
+// scalarText returns the string form of a scalar.
+func scalarText(value any) string {
 	switch value := value.(type) {
 	case nil:
 		return ""
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -30,8 +30,9 @@
 	return place + e.Reason
 }
 
-// explain converts an error of the schema validator to a FieldError for each mistake, in the order of the file.
-func (d document) explain(err error) error {
+// convertValidationError converts an error of the schema validator to a FieldError for each mistake, in the order of
+// the file.
+func (d document) convertValidationError(err error) error {
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
 		return err
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -36,7 +36,7 @@
 	}
 	schema, document := compiledSchema()
 	if err := schema.Validate(value); err != nil {
-		return File{}, root.explain(err)
+		return File{}, root.convertValidationError(err)
 	}
 	fillDefaults(document, value)
 	var file File
--- a/internal/dispatch/addresses.go
+++ b/internal/dispatch/addresses.go
@@ -36,12 +36,12 @@
 
 // ReplaceAddresses queues an event that replaces the configured addresses after a reload of the configuration file. The
 // pool must have an address selector.
-func (d *Dispatcher) ReplaceAddresses(lookup AddressLookup) { d.post(addressesReplaced{lookup}) }
+func (d *Dispatcher) ReplaceAddresses(lookup AddressLookup) { d.enqueue(addressesReplaced{lookup}) }
 
 // AddressStatus returns the state of every address of the address selector.
 func (d *Dispatcher) AddressStatus(ctx context.Context) ([]address.Status, error) {
 	reply := make(chan addressStatusReply, 1)
-	d.post(addressStatusQuery{reply})
+	d.enqueue(addressStatusQuery{reply})
 	select {
 	case status := <-reply:
 		return status, nil
@@ -68,7 +68,7 @@
 	addr string,
 ) error {
 	reply := make(chan error, 1)
-	d.post(addressCommand{action: action, endpoint: endpoint, address: addr, reply: reply})
+	d.enqueue(addressCommand{action: action, endpoint: endpoint, address: addr, reply: reply})
 	select {
 	case err := <-reply:
 		return err
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -10,7 +10,7 @@
 )
 
 // sendState is the state of an attempt on its connection. The routing module has a separate state for each attempt,
-// attemptState. The table lists all transitions; attempt.move rejects any other:
+// attemptState. The table lists all transitions; attempt.transition rejects any other:
 //
 //	from       to         when
 //	open       cancelled  the Decider cancelled it, or its deadline passed (cancelAttempt)
@@ -31,9 +31,9 @@
 	sendCancelled: {sendEnded: true},
 }
 
-// move changes the attempt's state if sendTransitions allows it, and reports whether it did. If the end of an attempt
-// is reported twice, the second call returns false, so that the Decider gets one AttemptEnded event.
-func (a *attempt) move(to sendState) bool {
+// transition changes the attempt's state if sendTransitions allows it, and reports whether it did. If the end of an
+// attempt is reported twice, the second call returns false, so that the Decider gets one AttemptEnded event.
+func (a *attempt) transition(to sendState) bool {
 	if !sendTransitions[a.state][to] {
 		return false
 	}
@@ -127,7 +127,7 @@
 // finishAttempt handles the end of an attempt; a second call for the same attempt only frees the body. The first
 // attempt of a request that completes answers the request.
 func (d *Dispatcher) finishAttempt(a *attempt, end request.AttemptEnd) {
-	if !a.move(sendEnded) {
+	if !a.transition(sendEnded) {
 		end.Body.Free()
 		return
 	}
@@ -171,7 +171,7 @@
 // endpoint. If nothing of the attempt was sent, the end is handled after the current event.
 func (d *Dispatcher) cancelAttempt(a *attempt, result routing.AttemptResult) {
 	notSent := a.sent == nil // an attemptFinished task is already queued for it
-	if notSent || !a.move(sendCancelled) {
+	if notSent || !a.transition(sendCancelled) {
 		return
 	}
 	if result, immediate := d.Pool.Cancel(a.sent, result); immediate {
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -14,7 +14,7 @@
 // Guards against an attempt whose end is reported twice: the client would get two responses, and the Decider would
 // count the attempt twice. Two reports of the end must lead to one response and one event.
 func TestAttemptEndReportedTwiceIsHandledOnce(t *testing.T) {
-	f := newFixture(t, startsAttempt())
+	f := newFixture(t, startAttemptOnArrival())
 	f.arrive(f.request)
 	sent := f.requests["ab"].attempts[0].sent
 	body := &request.Body{Bytes: []byte("x")}
@@ -130,7 +130,7 @@
 // Guards against stalled attempts that are not reported because another attempt in the same list has already ended.
 // Each open attempt must be reported and counted once.
 func TestStalledAttemptsAreReportedOnceEach(t *testing.T) {
-	f := newFixture(t, startsAttempt())
+	f := newFixture(t, startAttemptOnArrival())
 	f.arrive(f.request)
 	open := f.requests["ab"].attempts[0]
 	ended := &attempt{request: open.request, state: sendEnded}
--- a/internal/dispatch/deadline_test.go
+++ b/internal/dispatch/deadline_test.go
@@ -96,8 +96,8 @@
 	return d
 }
 
-// hedging starts an attempt at c when a request arrives, and a hedged attempt at d 50 ms later.
-func hedging(ev routing.Event) []routing.Action {
+// startHedgedAttempts starts an attempt at c when a request arrives, and a hedged attempt at d 50 ms later.
+func startHedgedAttempts(ev routing.Event) []routing.Action {
 	switch ev := ev.(type) {
 	case routing.RequestArrived:
 		return []routing.Action{
@@ -141,7 +141,7 @@
 			t.Parallel()
 			endpoints := test.endpoints
 			endpoints.received = make(chan receivedLine, 9)
-			d := startDispatcher(t, &scriptedDecider{respond: hedging}, endpoints.dial)
+			d := startDispatcher(t, &scriptedDecider{respond: startHedgedAttempts}, endpoints.dial)
 			startedAt := time.Now()
 			r := &request.Request{
 				ID: "9b1f03aa5c7e2d41", ClassName: "page", Object: "7f3a9c21e0b4d655", Part: "0",
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -74,27 +74,27 @@
 
 // UpstreamEvent queues an event of the upstream pool. Like all methods below it blocks while the queue is full, and
 // drops the event if the loop has stopped.
-func (d *Dispatcher) UpstreamEvent(ev upstream.Event) { d.post(upstreamEvent{ev}) }
+func (d *Dispatcher) UpstreamEvent(ev upstream.Event) { d.enqueue(upstreamEvent{ev}) }
 
 // DiscoveryEvent queues an event of the discovery service.
-func (d *Dispatcher) DiscoveryEvent(ev discovery.Event) { d.post(discoveryEvent{ev}) }
+func (d *Dispatcher) DiscoveryEvent(ev discovery.Event) { d.enqueue(discoveryEvent{ev}) }
 
 // HealthObserved queues a health observation of an endpoint by other routers.
 func (d *Dispatcher) HealthObserved(observation routing.HealthObservation) {
-	d.post(healthObserved{observation})
+	d.enqueue(healthObserved{observation})
 }
 
 // AbortAll queues an event that aborts every open request, for the shutdown of the process.
-func (d *Dispatcher) AbortAll() { d.post(shutdown{}) }
+func (d *Dispatcher) AbortAll() { d.enqueue(shutdown{}) }
 
 // ProbeLiveness queues an event that calls done, which shows that the loop handles events. The function must not block.
-func (d *Dispatcher) ProbeLiveness(done func()) { d.post(livenessProbe{done}) }
+func (d *Dispatcher) ProbeLiveness(done func()) { d.enqueue(livenessProbe{done}) }
 
 // Pause queues an event that blocks the loop until resume is closed. It is used in tests of a stalled router.
-func (d *Dispatcher) Pause(resume <-chan struct{}) { d.post(pause{resume}) }
+func (d *Dispatcher) Pause(resume <-chan struct{}) { d.enqueue(pause{resume}) }
 
-// post queues an event. It blocks while the queue is full, and drops the event if the loop has stopped.
-func (d *Dispatcher) post(ev event) {
+// enqueue queues an event. It blocks while the queue is full, and drops the event if the loop has stopped.
+func (d *Dispatcher) enqueue(ev event) {
 	select {
 	case d.queue <- ev:
 	case <-d.stopped:
--- a/internal/dispatch/events_test.go
+++ b/internal/dispatch/events_test.go
@@ -43,7 +43,7 @@
 // disconnected, and the goroutine that reads a client's connection would block. Reporting a cancellation must not
 // block, and the Decider must get it before the queued events.
 func TestCancellationsBypassAFullQueue(t *testing.T) {
-	f := newFixture(t, startsAttempt())
+	f := newFixture(t, startAttemptOnArrival())
 	f.arrive(f.request)
 	for f.RequestArrived(&request.Request{ID: "cd", ResponseWriter: f.recorder}) {
 	}
--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "overwrite the golden files")
 
 // TestLogLinesKeepMessageAndKeys compares the message, level and keys of each kind of log line of this package with the
 // golden file.
--- a/internal/dispatch/helpers_test.go
+++ b/internal/dispatch/helpers_test.go
@@ -110,8 +110,8 @@
 	f.handle(upstreamEvent{upstream.AttemptEnded{Attempt: sent, End: end}})
 }
 
-// startsAttempt starts an attempt at c for a request that arrives, and returns no action for all other events.
-func startsAttempt() func(routing.Event) []routing.Action {
+// startAttemptOnArrival starts an attempt at c for a request that arrives, and returns no action for all other events.
+func startAttemptOnArrival() func(routing.Event) []routing.Action {
 	return func(ev routing.Event) []routing.Action {
 		if _, ok := ev.(routing.RequestArrived); ok {
 			return []routing.Action{routing.StartAttempt{Request: "ab", Endpoint: "c", Source: "o"}}
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -21,12 +21,12 @@
 	abandonmentPending bool // a reportAbandoned task was queued for the request
 }
 
-// requestState is the state of a request. The table lists all transitions; openRequest.move rejects any other:
+// requestState is the state of a request. The table lists all transitions; openRequest.transition rejects any other:
 //
 //	from      to         when
 //	open      answered   the request gets its final response (respond)
-//	open      cancelled  the client cancelled the request or disconnected (disconnect)
-//	answered  cancelled  the client cancelled or disconnected while attempts are in progress (disconnect)
+//	open      cancelled  the client cancelled the request or disconnected (handleDisconnect)
+//	answered  cancelled  the client cancelled or disconnected while attempts are in progress (handleDisconnect)
 //
 // The loop removes a request that is answered or cancelled when it has no attempt in progress (removeIfDone).
 type requestState uint8
@@ -44,9 +44,9 @@
 	requestAnswered: {requestCancelled: true},
 }
 
-// move changes the request's state if requestTransitions allows it, and reports whether it did. It returns false for a
-// second final response and for a second cancellation.
-func (o *openRequest) move(to requestState) bool {
+// transition changes the request's state if requestTransitions allows it, and reports whether it did. It returns false
+// for a second final response and for a second cancellation.
+func (o *openRequest) transition(to requestState) bool {
 	if !requestTransitions[o.state][to] {
 		return false
 	}
@@ -101,13 +101,13 @@
 func (d *Dispatcher) handleRequestCancelled(r *request.Request) {
 	d.advanceClock()
 	if o := d.requests[r.ID]; o != nil && o.request == r {
-		d.disconnect(o)
+		d.handleDisconnect(o)
 	}
 }
 
-// disconnect passes a ClientDisconnected event for a request to the Decider, once.
-func (d *Dispatcher) disconnect(o *openRequest) {
-	if !o.move(requestCancelled) {
+// handleDisconnect passes a ClientDisconnected event for a request to the Decider, once.
+func (d *Dispatcher) handleDisconnect(o *openRequest) {
+	if !o.transition(requestCancelled) {
 		return
 	}
 	d.decide(routing.ClientDisconnected{Request: o.id()}, o)
@@ -116,7 +116,7 @@
 
 // respond sends the final response to a request, or frees the response's body if the request is not open any more.
 func (d *Dispatcher) respond(o *openRequest, response request.Response) {
-	if !o.move(requestAnswered) {
+	if !o.transition(requestAnswered) {
 		response.Body.Free()
 		return
 	}
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -33,7 +33,7 @@
 // Guards against a request for which the Decider neither starts another attempt nor sends a response: it would stay
 // open, with its memory, forever. It must be aborted shortly after its deadline, and not before.
 func TestOverdueRequestIsAborted(t *testing.T) {
-	f := newFixture(t, startsAttempt())
+	f := newFixture(t, startAttemptOnArrival())
 	f.arrive(f.request)
 	f.setTime(105.01)
 	f.runDueTimers()
@@ -48,7 +48,7 @@
 // Guards against two open requests with the same id: their responses could be mixed up, and a cancel of one would end
 // the other. The second request must be rejected, and the first must stay open.
 func TestRequestWithDuplicateIDIsRejected(t *testing.T) {
-	f := newFixture(t, startsAttempt())
+	f := newFixture(t, startAttemptOnArrival())
 	f.arrive(f.request)
 	duplicate := *f.request
 	f.arrive(&duplicate)
@@ -99,7 +99,7 @@
 // attempts wait to be written. Attempts must be cancelled before their command line is written, and a request that
 // arrives after that must be rejected.
 func TestNoAttemptStartsAfterAbortAll(t *testing.T) {
-	f := newFixture(t, startsAttempt())
+	f := newFixture(t, startAttemptOnArrival())
 	f.arrive(f.request)
 	f.handle(shutdown{})
 	f.runDueTimers()
--- a/internal/dispatch/states_test.go
+++ b/internal/dispatch/states_test.go
@@ -13,14 +13,14 @@
 	for from := range sendStateCount {
 		for to := range sendStateCount {
 			a := &attempt{state: from}
-			assert.Equal(t, to > from, a.move(to), "attempt: %d to %d", from, to)
+			assert.Equal(t, to > from, a.transition(to), "attempt: %d to %d", from, to)
 			assert.Equal(t, max(from, to), a.state, "attempt: %d to %d", from, to)
 		}
 	}
 	for from := range requestStateCount {
 		for to := range requestStateCount {
 			o := &openRequest{state: from}
-			assert.Equal(t, to > from, o.move(to), "request: %d to %d", from, to)
+			assert.Equal(t, to > from, o.transition(to), "request: %d to %d", from, to)
 			assert.Equal(t, max(from, to), o.state, "request: %d to %d", from, to)
 		}
 	}
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -66,7 +66,7 @@
 
 func (t probeFinished) run(d *Dispatcher) { d.finishProbe(t.probe, t.end) }
 
-func (t requestDisconnected) run(d *Dispatcher) { d.disconnect(t.request) }
+func (t requestDisconnected) run(d *Dispatcher) { d.handleDisconnect(t.request) }
 
 func (t reportAbandoned) run(d *Dispatcher) {
 	d.decide(routing.ClientDisconnected{Request: t.request.id()}, t.request)
--- a/internal/dispatch/wallclock_test.go
+++ b/internal/dispatch/wallclock_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// wallSteps are sequences of steps of the wall clock, in seconds.
-var wallSteps = [][]float64{{-3600}, {-5}, {5}, {3600}, {-3600, -3600}, {3600, 3600}, {-3600, 3600}, {5, -3600}}
+// wallClockSteps are sequences of steps of the wall clock, in seconds.
+var wallClockSteps = [][]float64{{-3600}, {-5}, {5}, {3600}, {-3600, -3600}, {3600, 3600}, {-3600, 3600}, {5, -3600}}
 
 // steppedFixture is a fixture whose wall clock is offset seconds ahead of the monotonic clock.
 type steppedFixture struct {
@@ -46,7 +46,7 @@
 // invalidated would still be served (rule 5). The computed age must not exceed the true age, whether the purge time
 // was read from a clock that was stepped or from one that was not.
 func TestPurgeAgeIsNotOverestimatedAcrossWallClockSteps(t *testing.T) {
-	for _, steps := range wallSteps {
+	for _, steps := range wallClockSteps {
 		f := newSteppedFixture(t)
 		now := 10000.0
 		for _, step := range steps {
@@ -73,7 +73,7 @@
 // stepped around the start of the cache. The computed start must not be before the true start, and a start time that is
 // listed again must not count as a new start.
 func TestEndpointStartIsNotTooEarlyAcrossWallClockSteps(t *testing.T) {
-	for _, steps := range wallSteps {
+	for _, steps := range wallClockSteps {
 		f := newSteppedFixture(t)
 		now := 10000.0
 		for _, step := range steps {
