--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -2,7 +2,7 @@
 //
 // Deadlines, timeouts, time windows and grace periods are measured on the system's monotonic clock: an Instant is a
 // reading of it. The wall clock may be stepped at any time, forward or back, by seconds or by an hour. It is read only
-// where the protocol or stored data use Unix time, and a Wall translates such times to instants.
+// where the protocol or stored data use Unix time, and a WallClock translates such times to instants.
 //
 // No other package converts a time to Unix milliseconds, microseconds or nanoseconds itself; a test in codestyle
 // enforces that.
--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -36,24 +36,24 @@
 	lowest time.Duration // the lowest offset that slewing has caused since then
 }
 
-// Wall translates Unix times that other processes sent to instants. It remembers the wall clock's offsets since the
-// process started, because it is unknown whether a time was read before or after a step, and which of the clocks was
-// correct. It remembers up to maxOffsets offsets. It is not safe for concurrent use.
-type Wall struct {
+// WallClock translates Unix times that other processes sent to instants. It remembers the wall clock's offsets since
+// the process started, because it is unknown whether a time was read before or after a step, and which of the clocks
+// was correct. It remembers up to maxOffsets offsets. It is not safe for concurrent use.
+type WallClock struct {
 	read    func() Reading
 	offsets []wallOffset // without duplicates
 }
 
-// NewWall returns a Wall that reads the clocks with read, which is System in production.
-func NewWall(read func() Reading) *Wall {
-	w := &Wall{read: read, offsets: []wallOffset{{}}}
+// NewWall returns a WallClock that reads the clocks with read, which is System in production.
+func NewWall(read func() Reading) *WallClock {
+	w := &WallClock{read: read, offsets: []wallOffset{{}}}
 	w.Observe()
 	return w
 }
 
 // Observe reads the clocks and reports whether the wall clock was stepped. It should be called about once a second; the
 // methods that translate times call it too.
-func (w *Wall) Observe() (stepped bool) {
+func (w *WallClock) Observe() (stepped bool) {
 	reading := w.read()
 	offset := reading.UnixTime - time.Duration(reading.Instant)
 	for i := range w.offsets {
@@ -87,7 +87,7 @@
 // time that is ahead of the current time by less than minStep counts as read just now. If such a candidate were
 // skipped, only offsets with which the time is hours old would remain: a new purge would seem old, and copies from
 // before the purge would be served.
-func (w *Wall) LatestInstant(unixSeconds float64) (instantSeconds float64) {
+func (w *WallClock) LatestInstant(unixSeconds float64) (instantSeconds float64) {
 	w.Observe()
 	if len(w.offsets) == 1 {
 		return unixSeconds - w.offsets[0].lowest.Seconds()
@@ -108,7 +108,7 @@
 }
 
 // EarliestInstant returns the earliest instant that a Unix time may correspond to; both are in seconds.
-func (w *Wall) EarliestInstant(unixSeconds float64) (instantSeconds float64) {
+func (w *WallClock) EarliestInstant(unixSeconds float64) (instantSeconds float64) {
 	w.Observe()
 	highest := w.offsets[0].offset
 	for _, s := range w.offsets {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -40,7 +40,7 @@
 	Pool        *upstream.Pool
 	Metrics     *telemetry.Metrics
 	Clock       func() float64      // monotonic seconds, see clock.Instant
-	Wall        *clock.Wall         // translates the Unix times of discovery events
+	Wall        *clock.WallClock    // translates the Unix times of discovery events
 	RetryBudget *retrybudget.Budget // nil if retries are not limited by a budget
 
 	// OnAttemptEnd, if not nil, is called on the loop's goroutine for each attempt that ended. It must not block.
