--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -37,7 +37,7 @@
 // A translation that changes a time although no clock was set would make every purge too old or too new.
 func TestUnixTimesAreUnchangedWithoutAStep(t *testing.T) {
 	clocks := &steppedClock{monotonic: 1000 * time.Second, offset: 20 * time.Millisecond} // less than a step
-	wall := NewWall(clocks.read)
+	wall := NewWallClock(clocks.read)
 	assert.False(t, wall.Observe())
 	for _, unixSeconds := range []float64{-5, 0, 999.5, 1000, 1003} {
 		assert.InDelta(t, unixSeconds, wall.LatestInstant(unixSeconds), 0)
@@ -52,7 +52,7 @@
 func TestTrueTimeIsWithinTheTranslatedRangeAcrossSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clocks := &steppedClock{monotonic: 10000 * time.Second}
-		wall := NewWall(clocks.read)
+		wall := NewWallClock(clocks.read)
 		offsets := []time.Duration{0}
 		for range rapid.IntRange(1, 4).Draw(t, "steps") {
 			clocks.monotonic += time.Second
@@ -81,7 +81,7 @@
 func TestNewTimesStayNewOnASlewedClock(t *testing.T) {
 	for _, slew := range []time.Duration{-minStep + 1, -5 * time.Millisecond, 0, time.Millisecond, minStep - 1} {
 		clocks := &steppedClock{monotonic: 10000 * time.Second}
-		wall := NewWall(clocks.read)
+		wall := NewWallClock(clocks.read)
 		for _, offset := range []time.Duration{time.Hour, 0, slew} {
 			clocks.offset = offset
 			wall.Observe()
@@ -100,7 +100,7 @@
 func TestBackwardSlewMakesNoTimeEarlier(t *testing.T) {
 	for _, before := range [][]time.Duration{nil, {time.Hour}, {time.Hour, 0}} {
 		clocks := &steppedClock{monotonic: 10000 * time.Second}
-		wall := NewWall(clocks.read)
+		wall := NewWallClock(clocks.read)
 		for _, offset := range before {
 			clocks.offset = offset
 			wall.Observe()
@@ -120,7 +120,7 @@
 // Guards against memory that grows without limit on a machine whose clock is stepped again and again.
 func TestRememberedOffsetsAreBounded(t *testing.T) {
 	clocks := &steppedClock{}
-	wall := NewWall(clocks.read)
+	wall := NewWallClock(clocks.read)
 	for range 10 * maxOffsets {
 		clocks.offset += time.Hour
 		assert.True(t, wall.Observe())
--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -44,8 +44,8 @@
 	offsets []wallOffset // without duplicates
 }
 
-// NewWall returns a WallClock that reads the clocks with read, which is System in production.
-func NewWall(read func() Reading) *WallClock {
+// NewWallClock returns a WallClock that reads the clocks with read, which is System in production.
+func NewWallClock(read func() Reading) *WallClock {
 	w := &WallClock{read: read, offsets: []wallOffset{{}}}
 	w.Observe()
 	return w
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -73,7 +73,7 @@
 		Pool:             pool,
 		Metrics:          metrics,
 		Clock:            clock.NowSeconds,
-		Wall:             clock.NewWall(clock.System),
+		Wall:             clock.NewWallClock(clock.System),
 		queue:            make(chan event, queueCapacity),
 		stopped:          make(chan struct{}),
 		cancelledPending: make(chan struct{}, 1),
