--- a/cmd/cairnfront/serve.go
+++ b/cmd/cairnfront/serve.go
@@ -133,7 +133,7 @@
 		RequestLoadReports:       c.Settings[routing.SettingLoadReportSource] == routing.LoadFromProbes,
 	}
 	dispatcher := dispatch.New(routing.New(c.Seed, c.Settings), c.Settings, pool, metrics)
-	dispatcher.Wall = clock.NewWallClock(readClocks)
+	dispatcher.WallClock = clock.NewWallClock(readClocks)
 	pool.OnEvent = dispatcher.UpstreamEvent
 	classes := map[string]routing.ClassIndex{}
 	for i, name := range c.ClassNames {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -40,7 +40,7 @@
 	Pool        *upstream.Pool
 	Metrics     *telemetry.Metrics
 	Clock       func() float64      // monotonic seconds, see clock.Instant
-	Wall        *clock.WallClock    // translates the Unix times of discovery events
+	WallClock   *clock.WallClock    // translates the Unix times of discovery events
 	RetryBudget *retrybudget.Budget // nil if retries are not limited by a budget
 
 	// OnAttemptEnd, if not nil, is called on the loop's goroutine for each attempt that ended. It must not block.
@@ -73,7 +73,7 @@
 		Pool:             pool,
 		Metrics:          metrics,
 		Clock:            clock.NowSeconds,
-		Wall:             clock.NewWallClock(clock.System),
+		WallClock:        clock.NewWallClock(clock.System),
 		queue:            make(chan event, queueCapacity),
 		stopped:          make(chan struct{}),
 		cancelledPending: make(chan struct{}, 1),
@@ -120,7 +120,7 @@
 // closeIdleAndCheckClock closes idle connections and checks whether the wall clock was stepped.
 func (d *Dispatcher) closeIdleAndCheckClock() {
 	d.Pool.CloseIdle(clock.Now())
-	if d.Wall.Observe() {
+	if d.WallClock.Observe() {
 		d.Metrics.Log.Warn("wall clock stepped")
 	}
 }
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -23,7 +23,7 @@
 	case listed.StartedAt == previous.startedAtUnix:
 		entry.startedAt = previous.startedAt
 	default:
-		entry.startedAt = d.Wall.LatestInstant(listed.StartedAt)
+		entry.startedAt = d.WallClock.LatestInstant(listed.StartedAt)
 		if entry.startedAt <= previous.startedAt {
 			entry.startedAt = d.now
 		}
@@ -48,7 +48,7 @@
 func (d *Dispatcher) applyDiscovery(ev discovery.Event, kind routing.UpdateKind) {
 	if ev.IsPurge() {
 		d.decide(routing.Purge{
-			AgeSeconds:  purgeAge(d.Wall.LatestInstant(ev.Purge.PurgedAt), d.now),
+			AgeSeconds:  purgeAge(d.WallClock.LatestInstant(ev.Purge.PurgedAt), d.now),
 			ObjectGroup: ev.Purge.Group,
 			Object:      ev.Purge.Object,
 		}, nil)
--- a/internal/dispatch/wallclock_test.go
+++ b/internal/dispatch/wallclock_test.go
@@ -24,7 +24,7 @@
 func newSteppedFixture(t *testing.T) *steppedFixture {
 	t.Helper()
 	f := &steppedFixture{fixture: newFixture(t, nil)}
-	f.Wall = clock.NewWallClock(func() clock.Reading {
+	f.WallClock = clock.NewWallClock(func() clock.Reading {
 		now := f.Clock()
 		return clock.Reading{
 			Instant:  clock.FromSeconds(now),
