--- a/internal/bootstrap/settings.go
+++ b/internal/bootstrap/settings.go
@@ -10,8 +10,9 @@
 	"cairnfront/routing"
 )
 
-// flatten adds a JSON value to the settings in the form of the simulator's wire and under the names of the routing
-// module: objects become paths, lists of objects numbered paths, and lists of scalars one text.
+// flatten adds a JSON value to the settings, in the format of the simulator protocol and with the names of the routing
+// module. Objects become dotted paths, lists of objects become paths with indices, and lists of scalars become one
+// comma-separated string.
 func flatten(settings routing.Settings, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -25,15 +26,15 @@
 		}
 		texts := make([]string, len(value))
 		for i, item := range value {
-			texts[i] = plainText(item)
+			texts[i] = scalarText(item)
 		}
-		put(settings, path, strings.Join(texts, ","))
+		putSetting(settings, path, strings.Join(texts, ","))
 	default:
-		put(settings, path, plainText(value))
+		putSetting(settings, path, scalarText(value))
 	}
 }
 
-// isObjectList reports whether a list has objects with names. Lists that may be empty are recognized by their paths.
+// isObjectList reports whether a list contains named objects. Lists that may be empty are recognized by their paths.
 func isObjectList(path string, list []any) bool {
 	if path == settingClasses || path == settingTenants {
 		return true
@@ -42,7 +43,7 @@
 }
 
 func flattenObjectList(settings routing.Settings, path string, list []any) {
-	put(settings, joinPath(path, "count"), strconv.Itoa(len(list)))
+	putSetting(settings, joinPath(path, "count"), strconv.Itoa(len(list)))
 	for i, item := range list {
 		flatten(settings, joinPath(path, strconv.Itoa(i)), item)
 	}
@@ -55,16 +56,16 @@
 	return path + "." + key
 }
 
-func put(settings routing.Settings, path, text string) {
+func putSetting(settings routing.Settings, path, text string) {
 	name, value := wirenames.Setting(path, text)
 	settings[name] = value
 }
 
-// separators replaces the characters that separate values on the simulator's wire.
+// separators replaces the characters that separate values in the simulator protocol.
 var separators = strings.NewReplacer(" ", "_", ",", "_")
 
-// plainText returns the text of a scalar.
-func plainText(value any) string {
+// scalarText returns the string form of a scalar.
+func scalarText(value any) string {
 	switch value := value.(type) {
 	case nil:
 		return ""
--- a/internal/dispatch/deadline_test.go
+++ b/internal/dispatch/deadline_test.go
@@ -20,17 +20,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// deadlineSlack is by how much the deadline sent to an endpoint may exceed what the client has left, by the terms.
+// deadlineSlack is the tolerance in seconds that the protocol allows between the timeout sent to an endpoint and the
+// client's remaining time.
 const deadlineSlack = 0.15
 
-// receivedLine is an attempt's line as an endpoint got it.
+// receivedLine is the command line of an attempt as the endpoint received it.
 type receivedLine struct {
 	command cacheproto.Command
 	at      time.Time
 }
 
-// slowEndpoints dials endpoints c and d. A dial takes dialDelay, and the endpoint's side begins to read after
-// readDelay.
+// slowEndpoints dials the endpoints c and d. A dial takes dialDelay, and the endpoint starts to read from the new
+// connection after readDelay.
 type slowEndpoints struct {
 	dialDelay, readDelay time.Duration
 	received             chan receivedLine
@@ -42,10 +43,10 @@
 		return nil, ctx.Err()
 	case <-time.After(s.dialDelay):
 	}
-	near, far := net.Pipe()
+	clientSide, endpointSide := net.Pipe()
 	go func() {
 		time.Sleep(s.readDelay)
-		reader := bufio.NewReader(far)
+		reader := bufio.NewReader(endpointSide)
 		for {
 			line, err := reader.ReadBytes('\n')
 			if err != nil {
@@ -62,10 +63,10 @@
 			s.received <- receivedLine{command, time.Now()}
 		}
 	}()
-	return near, nil
+	return clientSide, nil
 }
 
-// startDispatcher runs a dispatcher on the system's clock with the endpoints c and d.
+// startDispatcher runs a dispatcher with the system clock and the endpoints c and d until the test ends.
 func startDispatcher(t *testing.T, decider routing.Decider, dial func(context.Context, string) (net.Conn, error),
 ) *Dispatcher {
 	t.Helper()
@@ -95,8 +96,8 @@
 	return d
 }
 
-// hedging starts an attempt at c when a request arrives, and one more at d shortly after.
-func hedging(ev routing.Event) []routing.Action {
+// startHedgedAttempts starts an attempt at c when a request arrives, and a hedged attempt at d 50 ms later.
+func startHedgedAttempts(ev routing.Event) []routing.Action {
 	switch ev := ev.(type) {
 	case routing.RequestArrived:
 		return []routing.Action{
@@ -109,29 +110,29 @@
 	return nil
 }
 
-// A connection comes up late, or takes nothing for a while, and the deadline in the line was computed before that. The
-// endpoint would work for a client that has given up. The deadline of each line is what the client has left as it
-// arrives, for a first attempt and a hedged one.
-func TestDeadlineToldToEndpointIsWhatTheClientHasLeft(t *testing.T) {
+// Guards against a timeout in the command line that was computed before a slow connect or a blocked write: the endpoint
+// would work for a client that has given up. The timeout in each line must be the client's remaining time when the line
+// arrives, for a first attempt and for a hedged one.
+func TestTimeoutSentToEndpointIsTheClientsRemainingTime(t *testing.T) {
 	for name, test := range map[string]struct {
 		endpoints slowEndpoints
-		left      time.Duration
+		remaining time.Duration
 		bodyBytes int
-		lines     int // at least; none may arrive after the client's deadline
+		lines     int // minimum number of lines; none may arrive after the client's deadline
 	}{
-		"a connect of 0.35 s": {slowEndpoints{dialDelay: 350 * time.Millisecond}, time.Second, 0, 2},
-		"and 0.2 s left":      {slowEndpoints{dialDelay: 350 * time.Millisecond}, 200 * time.Millisecond, 0, 0},
-		"nothing taken for 0.5 s": {
+		"slow connect":           {slowEndpoints{dialDelay: 350 * time.Millisecond}, time.Second, 0, 2},
+		"slow connect, too late": {slowEndpoints{dialDelay: 350 * time.Millisecond}, 200 * time.Millisecond, 0, 0},
+		"slow reads": {
 			slowEndpoints{readDelay: 500 * time.Millisecond}, time.Second, 0, 2,
 		},
-		"nothing taken of a body for 0.5 s": {
+		"slow reads of a body": {
 			slowEndpoints{readDelay: 500 * time.Millisecond}, time.Second, 40_000, 2,
 		},
-		"both": {
+		"slow connect and reads": {
 			slowEndpoints{dialDelay: 350 * time.Millisecond, readDelay: 500 * time.Millisecond},
 			1500 * time.Millisecond, 0, 2,
 		},
-		"both, and 0.5 s left": {
+		"slow connect and reads, too late": {
 			slowEndpoints{dialDelay: 350 * time.Millisecond, readDelay: 500 * time.Millisecond},
 			500 * time.Millisecond, 0, 0,
 		},
@@ -140,26 +141,26 @@
 			t.Parallel()
 			endpoints := test.endpoints
 			endpoints.received = make(chan receivedLine, 9)
-			d := startDispatcher(t, &scriptedDecider{respond: hedging}, endpoints.dial)
+			d := startDispatcher(t, &scriptedDecider{respond: startHedgedAttempts}, endpoints.dial)
 			startedAt := time.Now()
 			r := &request.Request{
 				ID: "9b1f03aa5c7e2d41", ClassName: "page", Object: "7f3a9c21e0b4d655", Part: "0",
 				ArrivedAt:      d.Clock(),
-				Deadline:       d.Clock() + test.left.Seconds(),
+				Deadline:       d.Clock() + test.remaining.Seconds(),
 				ResponseWriter: &responseRecorder{},
 			}
 			if test.bodyBytes > 0 {
 				r.Body = &request.Body{Bytes: make([]byte, test.bodyBytes)}
 			}
 			require.True(t, d.RequestArrived(r))
-			time.Sleep(test.left + 300*time.Millisecond)
+			time.Sleep(test.remaining + 300*time.Millisecond)
 			lines := 0
 			for ; len(endpoints.received) > 0; lines++ {
 				line := <-endpoints.received
-				left := test.left - line.at.Sub(startedAt)
-				assert.Positive(t, left, "nothing arrives after the client's deadline")
-				assert.LessOrEqual(t, line.command.TimeoutSeconds, left.Seconds()+deadlineSlack)
-				assert.Greater(t, line.command.TimeoutSeconds, left.Seconds()-deadlineSlack, "and not much less")
+				remaining := test.remaining - line.at.Sub(startedAt)
+				assert.Positive(t, remaining, "no line arrives after the client's deadline")
+				assert.LessOrEqual(t, line.command.TimeoutSeconds, remaining.Seconds()+deadlineSlack)
+				assert.Greater(t, line.command.TimeoutSeconds, remaining.Seconds()-deadlineSlack, "and not too short")
 			}
 			assert.GreaterOrEqual(t, lines, test.lines)
 		})
--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -13,9 +13,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "overwrite the golden files")
 
-// TestLogLinesKeepMessageAndKeys holds the message, level and keys of each kind of log line that this package writes.
+// TestLogLinesKeepMessageAndKeys compares the message, level and keys of each kind of log line of this package with the
+// golden file.
 func TestLogLinesKeepMessageAndKeys(t *testing.T) {
 	f := newFixture(t, func(ev routing.Event) []routing.Action {
 		switch ev := ev.(type) {
@@ -44,7 +45,7 @@
 	arrive("cd", 120)
 	arrive("ab", 120)
 	f.endAttempt(0, request.AttemptEnd{Result: routing.Overloaded})
-	f.recovering(func() { panic("beside the decisions") })
+	f.recoverPanics(func() { panic("beside the decisions") })
 	got := regexp.MustCompile(`(?m)^time=\S+ `).ReplaceAllString(f.log.String(), "")
 	got = regexp.MustCompile(`stack=".*"`).ReplaceAllString(got, "stack=...")
 	if *update {
--- a/internal/dispatch/probes.go
+++ b/internal/dispatch/probes.go
@@ -14,21 +14,21 @@
 	ended     bool
 }
 
-// OwnsUpstreamAttempt makes a probe an upstream.Owner.
+// OwnsUpstreamAttempt implements upstream.Owner.
 func (*probe) OwnsUpstreamAttempt() {}
 
-// startProbe sends a health probe. One that can't be sent fails after the event in hand.
+// startProbe sends a health probe. A probe that can't be sent ends as ConnectFailed after the current event.
 func (d *Dispatcher) startProbe(endpoint routing.EndpointID) {
 	p := &probe{endpoint: endpoint, startedAt: d.now}
 	p.sent = d.Pool.SendHealthCheck(endpoint, p)
 	if p.sent == nil {
-		d.runNext(probeFinished{p, request.AttemptEnd{Result: routing.ConnectFailed}})
+		d.runAfterEvent(probeFinished{p, request.AttemptEnd{Result: routing.ConnectFailed}})
 		return
 	}
 	d.schedule(d.now+d.Pool.ConnectTimeout.Seconds(), probeTimeout{p})
 }
 
-// finishProbe tells the decisions, once, how a probe ended.
+// finishProbe passes the result of a probe to the Decider, once.
 func (d *Dispatcher) finishProbe(p *probe, end request.AttemptEnd) {
 	if p.ended {
 		return
--- a/internal/dispatch/wallclock_test.go
+++ b/internal/dispatch/wallclock_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// wallSteps are series of steps of the wall clock, in seconds.
-var wallSteps = [][]float64{{-3600}, {-5}, {5}, {3600}, {-3600, -3600}, {3600, 3600}, {-3600, 3600}, {5, -3600}}
+// wallClockSteps are sequences of steps of the wall clock, in seconds.
+var wallClockSteps = [][]float64{{-3600}, {-5}, {5}, {3600}, {-3600, -3600}, {3600, 3600}, {-3600, 3600}, {5, -3600}}
 
-// steppedFixture is a fixture whose wall clock is ahead of the monotonic one by offset seconds.
+// steppedFixture is a fixture whose wall clock is offset seconds ahead of the monotonic clock.
 type steppedFixture struct {
 	*fixture
 	offset float64
@@ -24,7 +24,7 @@
 func newSteppedFixture(t *testing.T) *steppedFixture {
 	t.Helper()
 	f := &steppedFixture{fixture: newFixture(t, nil)}
-	f.Wall = clock.NewWall(func() clock.Reading {
+	f.WallClock = clock.NewWallClock(func() clock.Reading {
 		now := f.Clock()
 		return clock.Reading{
 			Instant:  clock.FromSeconds(now),
@@ -34,7 +34,7 @@
 	return f
 }
 
-// lastEvent returns the last event that the decisions got, which has to be of the type E.
+// lastEvent returns the last event that the Decider got and fails the test if it is not of type E.
 func lastEvent[E routing.Event](t *testing.T, f *steppedFixture) E {
 	t.Helper()
 	last, ok := f.decider.events[len(f.decider.events)-1].(E)
@@ -42,24 +42,24 @@
 	return last
 }
 
-// The wall clock is stepped around a purge. A purge that is taken for older than it is leaves copies in use that it has
-// invalidated (rule 5). The age of a purge is not more than the true one, whether its time came from a clock that was
-// stepped or from one that was not.
-func TestPurgeIsNeverTakenForOlderAcrossWallSteps(t *testing.T) {
-	for _, steps := range wallSteps {
+// Guards against a purge whose age is overestimated because the wall clock was stepped around it: copies that it has
+// invalidated would still be served (rule 5). The computed age must not exceed the true age, whether the purge time
+// was read from a clock that was stepped or from one that was not.
+func TestPurgeAgeIsNotOverestimatedAcrossWallClockSteps(t *testing.T) {
+	for _, steps := range wallClockSteps {
 		f := newSteppedFixture(t)
 		now := 10000.0
 		for _, step := range steps {
-			for _, tellerOffset := range []float64{0, f.offset, f.offset + step} {
+			for _, senderOffset := range []float64{0, f.offset, f.offset + step} {
 				f.setTime(now)
 				purgedAt := now - 3
 				f.offset += step
 				f.handle(discoveryEvent{discovery.Event{
 					Kind:  discovery.PurgeObject,
-					Purge: discovery.Purge{Object: "ff", PurgedAt: purgedAt + tellerOffset},
+					Purge: discovery.Purge{Object: "ff", PurgedAt: purgedAt + senderOffset},
 				}})
 				age := lastEvent[routing.Purge](t, f).AgeSeconds
-				assert.LessOrEqual(t, age, 3+1e-6, "steps %v, sent with %v", steps, tellerOffset)
+				assert.LessOrEqual(t, age, 3+1e-6, "steps %v, sent with %v", steps, senderOffset)
 				assert.GreaterOrEqual(t, age, 0.0)
 				f.offset -= step
 				now += 10
@@ -69,32 +69,32 @@
 	}
 }
 
-// The wall clock is stepped around the start of a cache. A cold cache would be taken for warm and get too many requests
-// (rule 4). Its start is not taken for earlier than it was, and the same start that is listed again does not count as a
-// new one.
-func TestStartIsNeverTakenForEarlierAcrossWallSteps(t *testing.T) {
-	for _, steps := range wallSteps {
+// Guards against a cold cache that counts as warm and gets too many requests (rule 4), because the wall clock was
+// stepped around the start of the cache. The computed start must not be before the true start, and a start time that is
+// listed again must not count as a new start.
+func TestEndpointStartIsNotTooEarlyAcrossWallClockSteps(t *testing.T) {
+	for _, steps := range wallClockSteps {
 		f := newSteppedFixture(t)
 		now := 10000.0
 		for _, step := range steps {
-			for _, tellerOffset := range []float64{0, f.offset, f.offset + step} {
+			for _, senderOffset := range []float64{0, f.offset, f.offset + step} {
 				f.setTime(now)
 				before := f.offset
 				f.offset += step
 				startedAt := now - 2
 				listed := discovery.Endpoint{Address: "c"}
-				listed.Endpoint = routing.Endpoint{ID: "c", StartedAt: startedAt + tellerOffset}
+				listed.Endpoint = routing.Endpoint{ID: "c", StartedAt: startedAt + senderOffset}
 				event := discovery.Event{Kind: discovery.Update, Endpoints: []discovery.Endpoint{listed}}
 				f.handle(discoveryEvent{event})
-				heard := lastEvent[routing.EndpointUpdate](t, f).Endpoints[0].StartedAt
-				assert.GreaterOrEqual(t, heard, startedAt-1e-6, "steps %v, sent with %v", steps, tellerOffset)
-				assert.LessOrEqual(t, heard, now)
+				firstStart := lastEvent[routing.EndpointUpdate](t, f).Endpoints[0].StartedAt
+				assert.GreaterOrEqual(t, firstStart, startedAt-1e-6, "steps %v, sent with %v", steps, senderOffset)
+				assert.LessOrEqual(t, firstStart, now)
 
 				f.setTime(now + 3)
-				f.offset = before // the list is sent again after a further step
+				f.offset = before // the list is sent again after another step of the wall clock
 				f.handle(discoveryEvent{event})
-				again := lastEvent[routing.EndpointUpdate](t, f).Endpoints[0].StartedAt
-				assert.InDelta(t, heard, again, 0, "the same start")
+				secondStart := lastEvent[routing.EndpointUpdate](t, f).Endpoints[0].StartedAt
+				assert.InDelta(t, firstStart, secondStart, 0, "the same start")
 				now += 10
 			}
 			f.offset += step
--- a/internal/telemetry/table_test.go
+++ b/internal/telemetry/table_test.go
@@ -16,10 +16,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// kindTexts are the kinds of metrics as the golden file has them.
+// kindTexts are the names of the kinds in the golden file.
 var kindTexts = map[kind]string{kindCounter: "counter", kindGauge: "gauge", kindMaximum: "maximum"}
 
-// TestTableHoldsThePublishedMetrics compares the table with the names, kinds and labels that operators rely on.
+// TestTableHoldsThePublishedMetrics compares the table with the published names, kinds and labels in the golden file.
 func TestTableHoldsThePublishedMetrics(t *testing.T) {
 	want, err := os.ReadFile("testdata/metrics.golden.txt")
 	require.NoError(t, err)
@@ -34,10 +34,10 @@
 	assert.Equal(t, string(want), got.String())
 }
 
-// snakeCase matches lower-case words that are joined by underscores.
+// snakeCase matches lower-case words joined by underscores.
 var snakeCase = regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)*$`)
 
-// baseUnits and otherUnits are words of names that stand for units. Only the first kind is used.
+// baseUnits and otherUnits are the words for units in names. Only base units are allowed.
 var (
 	baseUnits  = []string{"seconds", "bytes"}
 	otherUnits = []string{
@@ -46,12 +46,13 @@
 	}
 )
 
-// conventionFaults lists in what a metric breaks the conventions of Prometheus, beside what the types keep.
-func conventionFaults(metric *descriptor) []string {
-	var faults []string
-	add := func(broken bool, fault string) {
+// conventionViolations lists the naming conventions of Prometheus that a metric violates, except those ensured by the
+// types.
+func conventionViolations(metric *descriptor) []string {
+	var violations []string
+	add := func(broken bool, violation string) {
 		if broken {
-			faults = append(faults, fault)
+			violations = append(violations, violation)
 		}
 	}
 	words := strings.Split(metric.name, "_")
@@ -73,16 +74,16 @@
 		add(slices.Contains(metric.labels[:i], name), "two labels have one name")
 	}
 	add(!regexp.MustCompile(`^[A-Z][^\n]{10,}[^.]\.$`).MatchString(metric.help), "the help text is no sentence")
-	return faults
+	return violations
 }
 
-// A metric without a unit or a help text is read wrongly during an incident. Every metric of the table must follow the
-// conventions of names and have a help text.
+// Guards against a metric without a unit or a help text, which is misinterpreted during an incident. Every metric in
+// the table must follow the naming conventions and have a unique help text.
 func TestMetricsFollowTheConventions(t *testing.T) {
 	helpTexts := map[string]string{}
 	names := map[string]bool{}
 	for _, metric := range table {
-		assert.Empty(t, conventionFaults(metric), metric.name)
+		assert.Empty(t, conventionViolations(metric), metric.name)
 		assert.False(t, names[metric.name], "%s is defined twice", metric.name)
 		names[metric.name] = true
 		assert.Empty(t, helpTexts[metric.help], "%s has the help text of another metric", metric.name)
@@ -90,10 +91,10 @@
 	}
 }
 
-// TestBrokenConventionsAreFound shows that the check can fail.
-func TestBrokenConventionsAreFound(t *testing.T) {
+// TestConventionViolationsAreFound checks that conventionViolations detects each violation.
+func TestConventionViolationsAreFound(t *testing.T) {
 	const help = "Requests that were counted."
-	for fault, metric := range map[string]descriptor{
+	for violation, metric := range map[string]descriptor{
 		"the name is not in snake_case":      {name: "requests.open", kind: kindGauge, help: help},
 		"the unit is no base unit":           {name: "delay_ms_total", help: help},
 		"the unit is not at the end":         {name: "bytes_read_total", help: help},
@@ -104,13 +105,13 @@
 
 		"_total ends the names of counters and of nothing else": {name: "requests", help: help},
 	} {
-		assert.Equal(t, []string{fault}, conventionFaults(&metric))
+		assert.Equal(t, []string{violation}, conventionViolations(&metric))
 	}
 	gauge := descriptor{name: "requests_total", kind: kindGauge, help: help}
-	assert.Len(t, conventionFaults(&gauge), 1)
+	assert.Len(t, conventionViolations(&gauge), 1)
 }
 
-// TestSeriesHaveTheLabelsOfTheirMetric holds for each type of metric that a series has just the metric's labels.
+// TestSeriesHaveTheLabelsOfTheirMetric checks for each metric type that a series has exactly the labels of its metric.
 func TestSeriesHaveTheLabelsOfTheirMetric(t *testing.T) {
 	assert.Equal(t, "panics_total", Panics.String())
 	assert.Equal(t, "requests_open", RequestsOpen.String())
@@ -126,7 +127,7 @@
 	}
 }
 
-// TestCountersAreNamedOnlyInTheTable looks for names of counters in the source of all packages.
+// TestCountersAreNamedOnlyInTheTable checks that no package updates a counter by a string instead of a table entry.
 func TestCountersAreNamedOnlyInTheTable(t *testing.T) {
 	for _, dir := range []string{"../../internal", "../../cmd"} {
 		require.NoError(t, filepath.WalkDir(dir, func(path string, _ fs.DirEntry, err error) error {
@@ -138,15 +139,15 @@
 				return err
 			}
 			if file.Name.Name != "telemetry" {
-				assert.Empty(t, namedCounters(file), path)
+				assert.Empty(t, metricNameLiterals(file), path)
 			}
 			return nil
 		}))
 	}
 }
 
-// TestNamedCountersAreFound shows that the check can fail.
-func TestNamedCountersAreFound(t *testing.T) {
+// TestMetricNameLiteralsAreFound checks that metricNameLiterals detects strings in calls.
+func TestMetricNameLiteralsAreFound(t *testing.T) {
 	text := `package p
 
 func f(m *telemetry.Metrics) {
@@ -162,12 +163,12 @@
 	want := []string{
 		`"panics_total"`, `"cache_response_bytes_total"`, `"hit"`, `"response_delay_max_seconds"`, `"client"`,
 	}
-	assert.Equal(t, want, namedCounters(file))
+	assert.Equal(t, want, metricNameLiterals(file))
 }
 
-// namedCounters returns the strings that a file names counters or their labels with: those in the first argument of
-// Inc, IncBy and SetMax.
-func namedCounters(file *ast.File) []string {
+// metricNameLiterals returns the string literals that a file uses as names or labels of metrics: those in the first
+// argument of Inc, IncBy and SetMax.
+func metricNameLiterals(file *ast.File) []string {
 	var names []string
 	ast.Inspect(file, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
@@ -185,7 +186,7 @@
 	return names
 }
 
-// isMethod reports whether a call is one of a method with one of the names.
+// isMethod reports whether a call calls a method with one of the names.
 func isMethod(call *ast.CallExpr, names ...string) bool {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	return ok && slices.Contains(names, method.Sel.Name)
