--- a/internal/membership/swim/action.go
+++ b/internal/membership/swim/action.go
@@ -1,52 +1,52 @@
 package swim
 
-// Action is something that the caller of the core has to carry out: a Send, a StateChange or a NameConflict.
+// Action is an instruction that the core returns for its caller to execute: a Send, a StateChange or a NameConflict.
 type Action interface{ isAction() }
 
-// Send is a message to be sent. Records and accusations without a signed encoding are the member's own: the caller
-// signs them.
+// Send asks the caller to send a message. Records and accusations without a signed encoding are this member's own,
+// and the caller signs them before sending.
 type Send struct {
 	To MemberID
 	Message
 }
 
-// StateChange reports that a member's state changed in the view.
+// StateChange reports that a member's state changed in this router's membership view.
 type StateChange struct {
 	Member           MemberID
 	From, To         State
 	Reason           Reason
 	Incarnation      Incarnation
-	SuspectedSeconds float64 // from the first suspicion until the failure; 0 for other changes
+	SuspectedSeconds float64 // time from the first suspicion to the failure; 0 if To is not Failed
 }
 
-// NameConflict reports that a newer process runs under this member's name. The core is silent from then on.
+// NameConflict reports that a newer process runs under this member's name. After it, the core sends no messages.
 type NameConflict struct {
-	InstanceID uint64 // of the other process
+	InstanceID uint64 // instance ID of the other process
 }
 
 func (Send) isAction()         {}
 func (StateChange) isAction()  {}
 func (NameConflict) isAction() {}
 
-// Reason is why a member's state changed. Its text is the log's.
+// Reason is the cause of a member's state change. Its text is written to the log.
 type Reason uint8
 
-// The reasons.
+// The causes of state changes.
 const (
-	ReasonNotInRoster    Reason = iota + 1 // it was taken out of the roster
-	ReasonProbesFailed                     // own probes failed and it did not refute
-	ReasonManyAccusers                     // accused by more members than may be byzantine
+	ReasonNotInRoster    Reason = iota + 1 // the member was removed from the roster
+	ReasonProbesFailed                     // probes sent by this router failed and the member sent no refutation
+	ReasonManyAccusers                     // accused by more members than Config.MaxByzantine
 	ReasonFailureMessage                   // declared failed by another member; only with Config.PublishedSWIM
-	ReasonNoAck                            // no ack to an own probe
+	ReasonNoAck                            // no ack to a probe sent by this router
 	ReasonAccused                          // accused by another member
-	ReasonAcked                            // it acked a probe
-	ReasonRefuted                          // it refuted the accusations
-	ReasonNewerRecord                      // a newer record of it
-	ReasonLeft                             // its record says that it left
-	ReasonStuck                            // its record says that its event loop is stuck
-	ReasonOwnWork                          // this router's event loop is stuck, or runs again
-	ReasonLeaving                          // this router leaves
-	ReasonPreloaded                        // known from before the start
+	ReasonAcked                            // the member acknowledged a probe
+	ReasonRefuted                          // the member refuted the accusations
+	ReasonNewerRecord                      // a newer record of the member was received
+	ReasonLeft                             // the member's record states that it left
+	ReasonStuck                            // the member's record states that its event loop is stuck
+	ReasonOwnWork                          // this router's event loop got stuck or recovered
+	ReasonLeaving                          // this router is leaving the cluster
+	ReasonPreloaded                        // the record was loaded with Preload
 )
 
 var reasonTexts = [...]string{
--- a/internal/membership/swim/bounds_test.go
+++ b/internal/membership/swim/bounds_test.go
@@ -6,7 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawMessage draws a message of any kind from a member, with an accusation, an entry and mostly a record.
+// drawMessage draws a random message of any kind from a member. It has an accusation, an entry and, in most cases, a
+// record.
 func drawMessage(t *rapid.T, from MemberID) Message {
 	incarnation := Incarnation{
 		StartMillis: uint64(rapid.IntRange(90, 110).Draw(t, "start")),
@@ -31,7 +32,8 @@
 	return m
 }
 
-// TestQueuesAreBounded: whatever is received, what waits is bounded by the roster.
+// TestQueuesAreBounded checks that the sizes of queues and messages are bounded by the roster, whatever messages are
+// received.
 func TestQueuesAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newTestCore(5, Config{MaxByzantine: 1})
@@ -44,15 +46,15 @@
 				s, ok := action.(Send)
 				overGossip := len(s.Records) > maxRecords+1 || len(s.Accusations) > maxAccusations+1
 				if ok && (overGossip || len(s.Entries) > maxEntries) {
-					t.Fatalf("a message over its bounds: %+v", s)
+					t.Fatalf("a message exceeds its bounds: %+v", s)
 				}
 			}
 			p := &c.prober
 			if n := c.QueueLength(); n > 5*(1+maxAccusers+1) {
-				t.Fatalf("%d pieces of gossip waiting", n)
+				t.Fatalf("%d gossip items queued", n)
 			}
-			if len(p.probes) > maxProbes || len(p.suspectQueue) > maxSuspectProbes || len(p.missed) > maxProbes {
-				t.Fatalf("%d probes, %d suspects waiting, %d missed", len(p.probes), len(p.suspectQueue), len(p.missed))
+			if len(p.probes) > maxProbes || len(p.suspectQueue) > maxSuspectProbes || len(p.timedOut) > maxProbes {
+				t.Fatalf("%d probes, %d suspects queued, %d failed probes", len(p.probes), len(p.suspectQueue), len(p.timedOut))
 			}
 		}
 	})
--- a/internal/membership/swim/core.go
+++ b/internal/membership/swim/core.go
@@ -2,17 +2,17 @@
 
 import "math/rand/v2"
 
-// Core is the membership view of one router. Its methods belong to one goroutine.
+// Core is the membership view of one router. It is not safe for concurrent use.
 type Core struct {
 	config Config
 	self   MemberID
 	random *rand.Rand
 
-	members   []member
-	startedAt float64
-	lastTick  float64
-	dueTick   float64 // when the last tick asked to be called again
-	suspects  []MemberID
+	members     []member
+	startedAt   float64
+	lastTick    float64
+	nextTickDue float64 // deadline that the last tick requested for the next one
+	suspects    []MemberID
 
 	prober     prober
 	roundTrips roundTrips
@@ -25,38 +25,38 @@
 
 	viewHash      uint64
 	viewChangedAt float64
-	present       int // members present, this one among them
-	left          int // members of the roster, other than this one, that left
-	removed       int // members no longer in the roster
+	present       int // number of present members, including this one
+	left          int // number of other roster members that left
+	removed       int // number of members removed from the roster
 	stuck         int
 
-	refutedTotal   float64 // refuted accusations of all, decayed
+	refutedTotal   float64 // decayed count of refuted accusations by all members
 	refutedTotalAt float64
 
-	adoptedIncarnation bool // of an earlier start; at most once
-	conflicted         bool // another process has our name
+	adoptedIncarnation bool // an incarnation of an earlier start was adopted; happens at most once
+	hasNameConflict    bool // another process uses this member's name
 	leaving            bool
 
 	actions []Action
 }
 
-// member is what is held of one: about 140 bytes, its signed record of some 150 bytes, and a suspicion while there
-// is one.
+// member is the state of one roster member. It takes about 140 bytes, plus about 150 bytes for the signed record,
+// plus the suspicion if there is one.
 type member struct {
-	record     MemberRecord
-	state      State
-	since      float64 // of the state
-	suspicion  *suspicion
-	viewHash   uint64  // last heard from it
-	heardAt    float64 // when a view hash was heard; 0: never
-	reputation reputation
-	removed    bool // no longer in the roster
-	nameHash   uint64
+	record             MemberRecord
+	state              State
+	since              float64 // time of the last state change
+	suspicion          *suspicion
+	viewHash           uint64  // view hash that the member sent last
+	viewHashReceivedAt float64 // time at which viewHash was received; 0 if never
+	reputation         reputation
+	removed            bool // the member was removed from the roster
+	nameHash           uint64
 }
 
-// New makes the view of the member self of a roster, which is given by the hashes of its names (NameHash).
-// startMillis is the member's incarnation, instanceID a number that no other start has, now the time in seconds on
-// any monotonic clock.
+// New returns the membership view of the member self. The roster is a list of name hashes (see NameHash). startMillis
+// is the start time in the member's incarnation, instanceID is a number unique to this start, and now is the time in
+// seconds on any monotonic clock.
 func New(
 	config Config, self MemberID, roster []uint64, seed, startMillis, instanceID uint64, now float64,
 ) *Core {
@@ -64,16 +64,16 @@
 		config.ProbeIntervalSeconds = defaultProbeInterval
 	}
 	c := &Core{
-		config:    config,
-		self:      self,
-		random:    rand.New(rand.NewPCG(seed, uint64(self)+1)),
-		startedAt: now,
-		lastTick:  now,
-		dueTick:   now,
-		refutedAt: now - refuteInterval*config.ProbeIntervalSeconds,
-		prober:    prober{nextAt: now},
-		pushPull:  pushPullSchedule{nextAt: now},
-		gossip:    gossipQueue{newest: map[gossipSubject]*queuedGossip{}},
+		config:      config,
+		self:        self,
+		random:      rand.New(rand.NewPCG(seed, uint64(self)+1)),
+		startedAt:   now,
+		lastTick:    now,
+		nextTickDue: now,
+		refutedAt:   now - refuteInterval*config.ProbeIntervalSeconds,
+		prober:      prober{nextAt: now},
+		pushPull:    pushPullSchedule{nextAt: now},
+		gossip:      gossipQueue{newest: map[gossipSubject]*queuedGossip{}},
 	}
 	c.prober.lastNonce = c.random.Uint64()
 	c.Grow(roster)
@@ -90,14 +90,14 @@
 	return c
 }
 
-// Grow takes a longer roster; the members that were in it keep their places.
+// Grow extends the roster. The members that are already in it must have the same indexes in the longer roster.
 func (c *Core) Grow(roster []uint64) {
 	for i := len(c.members); i < len(roster); i++ {
 		c.members = append(c.members, member{record: MemberRecord{Member: MemberID(i)}, nameHash: roster[i]})
 	}
 }
 
-// SetRemoved takes a member out of the roster, or back into it.
+// SetRemoved removes a member from the roster, or adds a removed member again.
 func (c *Core) SetRemoved(now float64, id MemberID, removed bool) []Action {
 	m := &c.members[id]
 	if m.removed == removed || id == c.self {
@@ -112,7 +112,8 @@
 	return c.takeActions()
 }
 
-// Preload takes records as known from before, without passing them on: the view of a cluster that has run for long.
+// Preload loads records that are already known, without gossiping them. It sets up the view of a cluster that has
+// been running for a long time.
 func (c *Core) Preload(now float64, records []MemberRecord) []Action {
 	for _, record := range records {
 		if record.Member != c.self {
@@ -123,9 +124,9 @@
 	return c.takeActions()
 }
 
-// Tick does what is due at a time. It is to be called at NextDeadline; it may be called earlier.
+// Tick executes all work that is due at time now. Callers must call it at NextDeadline and may call it earlier.
 func (c *Core) Tick(now float64) []Action {
-	if c.conflicted {
+	if c.hasNameConflict {
 		c.lastTick = now
 		return c.takeActions()
 	}
@@ -138,20 +139,20 @@
 		c.startPushPull(now)
 	}
 	c.lastTick = now
-	c.dueTick = c.NextDeadline()
+	c.nextTickDue = c.NextDeadline()
 	return c.takeActions()
 }
 
-// conflictedTickSeconds is the time between two ticks of a member that a name conflict has silenced.
-const conflictedTickSeconds = 1.0
+// nameConflictTickSeconds is the time between two ticks of a member that stopped sending because of a name conflict.
+const nameConflictTickSeconds = 1.0
 
-// NextDeadline is when the next tick is due, in seconds.
+// NextDeadline returns the time in seconds at which the next tick is due.
 //
-// It guards against a member that a name conflict has silenced and that wakes all the time, for deadlines that have
-// passed and that nothing moves.
+// It guards against a busy loop in a member that is silenced by a name conflict: its deadlines have passed, and
+// nothing moves them any more.
 func (c *Core) NextDeadline() float64 {
-	if c.conflicted {
-		return c.lastTick + conflictedTickSeconds
+	if c.hasNameConflict {
+		return c.lastTick + nameConflictTickSeconds
 	}
 	next := min(c.prober.nextAt, c.pushPull.nextAt)
 	if len(c.prober.suspectQueue) > 0 {
@@ -163,7 +164,7 @@
 	return max(next, c.lastTick)
 }
 
-// setState is the only place where a member's state changes.
+// setState changes a member's state. All state changes go through it.
 func (c *Core) setState(now float64, id MemberID, to State, reason Reason) {
 	m := &c.members[id]
 	if m.state == to {
@@ -186,7 +187,7 @@
 	c.actions = append(c.actions, change)
 }
 
-// send adds gossip to a message and queues it as an action.
+// send adds gossip to a message and appends a Send action for it.
 func (c *Core) send(to MemberID, m Message) {
 	c.piggyback(to, &m)
 	c.actions = append(c.actions, Send{To: to, Message: m})
@@ -198,7 +199,7 @@
 	return actions
 }
 
-// size is the number of members present, as far as timeouts depend on it.
+// size returns the number of present members, but at least 2, for the calculation of timeouts.
 func (c *Core) size() float64 { return float64(max(c.present, 2)) }
 
 func (c *Core) inRoster(id MemberID) bool { return int(id) < len(c.members) }
--- a/internal/membership/swim/gossip.go
+++ b/internal/membership/swim/gossip.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	gossipFactor          = 2 // times log2 of the members: how often a piece is passed on
+	gossipFactor          = 2 // multiplied by log2 of the members: transmissions of one item
 	minTransmissions      = 3
-	maxEchoes             = 3 // receptions of what we pass on ourselves before we stop; push-pull finds who lacks it
-	maxRecords            = 5 // a message: with accusations and entries it stays under 1,400 bytes
-	maxRecordsWithEntries = 3 // a message that has entries
-	maxAccusations        = 3 // a message
+	maxDuplicates         = 3 // duplicates received before an item is dropped; push-pull repairs members that missed it
+	maxRecords            = 5 // per message, which with accusations and entries is below 1,400 bytes
+	maxRecordsWithEntries = 3 // per message that has entries
+	maxAccusations        = 3 // per message
 )
 
-// noAccuser marks the subject of a member's own record.
+// noAccuser is the accuser in the gossipSubject of a member record.
 const noAccuser MemberID = -1
 
-// gossipSubject is what a piece of gossip is about: one for a member's record, and one for each accuser of it. The
-// queue holds the newest piece of each, so that it is bounded by the roster.
+// gossipSubject identifies what a gossip item is about: a member's record, or the accusation of a member by one
+// accuser. The queue holds only the newest item of each subject, so its size is bounded by the roster.
 type gossipSubject struct{ member, accuser MemberID }
 
 func subjectOf(a Accusation) gossipSubject {
@@ -27,27 +27,28 @@
 
 func recordSubject(id MemberID) gossipSubject { return gossipSubject{member: id, accuser: noAccuser} }
 
-// gossip is a record or an accusation that is passed on. A record is looked up when it is sent.
+// gossip is a queued record or accusation. For a record, the member's newest record is looked up at the time of
+// sending.
 type gossip struct {
 	gossipSubject
 	accusation Accusation
 	number     uint64
 }
 
-// queuedGossip is the newest piece of a subject.
+// queuedGossip identifies the newest item of a subject and counts its duplicates.
 type queuedGossip struct {
-	number uint64
-	echoes int // receptions of the same from others since
+	number     uint64
+	duplicates int // copies received from other members since the item was queued
 }
 
-// gossipQueue holds what is to be passed on, the pieces that were sent least first.
+// gossipQueue holds the items to send, ordered by the number of times they were sent, the least first.
 type gossipQueue struct {
-	levels     [][]gossip // by how often they were sent
+	levels     [][]gossip // indexed by the number of transmissions so far
 	newest     map[gossipSubject]*queuedGossip
 	lastNumber uint64
 }
 
-// push queues a piece of gossip in place of an older one of the same subject.
+// push queues a gossip item and replaces an older one of the same subject.
 func (q *gossipQueue) push(g gossip) {
 	q.lastNumber++
 	g.number = q.lastNumber
@@ -58,28 +59,29 @@
 	q.levels[0] = append(q.levels[0], g)
 }
 
-// remove stops the gossip about a subject.
+// remove stops sending gossip about a subject.
 func (q *gossipQueue) remove(s gossipSubject) { delete(q.newest, s) }
 
-// isCurrent reports whether a piece is still to be sent: no newer one is queued and the subject was not removed.
+// isCurrent reports whether an item must still be sent: no newer one is queued and its subject was not removed.
 func (q *gossipQueue) isCurrent(g gossip) bool {
 	newest := q.newest[g.gossipSubject]
 	return newest != nil && newest.number == g.number
 }
 
-// countEcho notes that another member sent us what we pass on ourselves. After some echoes it is known well enough.
-func (q *gossipQueue) countEcho(s gossipSubject, config Config) {
+// countDuplicate records that another member sent an item that is also in this queue. After maxDuplicates the item is
+// dropped, because enough members know it.
+func (q *gossipQueue) countDuplicate(s gossipSubject, config Config) {
 	newest := q.newest[s]
 	if newest == nil || config.PublishedSWIM {
 		return
 	}
-	newest.echoes++
-	if newest.echoes >= maxEchoes {
+	newest.duplicates++
+	if newest.duplicates >= maxDuplicates {
 		q.remove(s)
 	}
 }
 
-// promote moves pieces that were sent from one level to the next; after the last transmission they are dropped.
+// promote moves items that were sent from one level to the next. After the last transmission they are dropped.
 func (q *gossipQueue) promote(level int, sent []gossip, transmissions int) {
 	if level+1 >= transmissions {
 		for _, g := range sent {
@@ -104,7 +106,7 @@
 	c.gossip.push(gossip{gossipSubject: subjectOf(a), accusation: a})
 }
 
-// piggyback adds the view hash and gossip to a message.
+// piggyback adds the view hash and gossip items to a message.
 func (c *Core) piggyback(to MemberID, m *Message) {
 	m.ViewHash = c.viewHash
 	c.addAccusationOfReceiver(to, m)
@@ -120,20 +122,21 @@
 		}
 		sent = append(sent, c.takeGossip(level, to, m, recordLimit))
 	}
-	// What was sent moves on only now, so that this message does not take it again from the next level.
+	// Items are promoted only after all levels were read, so that this message does not take them again from the
+	// next level.
 	for level, list := range sent {
 		c.gossip.promote(level, list, transmissions)
 	}
 }
 
-// gossipTransmissions is how often a piece of gossip is sent, by the number of members present: the published SWIM's
-// multiple of the logarithm, after which all have it with a high probability.
+// gossipTransmissions returns how often a gossip item is sent, by the number of present members. As in the SWIM paper
+// it is a multiple of the logarithm, after which all members have the item with high probability.
 func gossipTransmissions(present float64) int {
 	return max(int(gossipFactor*math.Ceil(math.Log2(present+1))), minTransmissions)
 }
 
-// addAccusationOfReceiver sends a suspected or failed receiver an accusation against itself, so that it can refute:
-// Lifeguard's buddy system.
+// addAccusationOfReceiver adds an accusation against the receiver to a message if the receiver is suspected or
+// failed, so that the receiver can refute it. This is the buddy system of Lifeguard.
 func (c *Core) addAccusationOfReceiver(to MemberID, m *Message) {
 	receiver := &c.members[to]
 	s := receiver.suspicion
@@ -150,13 +153,12 @@
 	}
 }
 
-// isFull reports whether a message has no room for further gossip.
+// isFull reports whether a message can take no further gossip.
 func (m *Message) isFull(recordLimit int) bool {
 	return len(m.Records) >= recordLimit && len(m.Accusations) >= maxAccusations
 }
 
-// takeGossip moves pieces of a level into a message and returns them. Pieces that are no longer current are
-// dropped.
+// takeGossip moves items of a level into a message and returns them. Items that are no longer current are dropped.
 func (c *Core) takeGossip(level int, to MemberID, m *Message, recordLimit int) (sent []gossip) {
 	list := c.gossip.levels[level]
 	var remaining []gossip
--- a/internal/membership/swim/health.go
+++ b/internal/membership/swim/health.go
@@ -1,30 +1,31 @@
 package swim
 
 const (
-	// maxHealthScore is Lifeguard's bound on the health multiplier.
+	// maxHealthScore is the upper bound of Lifeguard's local health multiplier.
 	maxHealthScore = 8
-	// pauseThreshold is how late a tick is, in seconds, for this process to count as stopped meanwhile.
+	// pauseThreshold is the delay of a tick, in seconds, from which the process is considered to have been paused.
 	pauseThreshold = 0.3
-	// pausePenalty is what a pause adds to the health score. It is more than one, for the process may stop again soon.
+	// pausePenalty is added to the health score after a pause. It is more than one, because the process may pause
+	// again soon.
 	pausePenalty = 2
-	// faultPenalty is what any other sign of an own fault adds to the health score.
+	// faultPenalty is added to the health score for any other sign of a local fault.
 	faultPenalty = 1
 )
 
-// healthScore is Lifeguard's measure of how likely a failed probe is this router's own fault, from 0 to
-// maxHealthScore. A router that is short of processor time or behind a bad network sees healthy members fail their
-// probes; with the score it waits longer for them.
+// healthScore is Lifeguard's measure of how likely a failed probe is caused by this router itself, from 0 to
+// maxHealthScore. A router that lacks processor time or has a bad network connection sees probes of healthy members
+// fail. With a higher score it waits longer for acks.
 type healthScore int
 
 func (h *healthScore) raise(by healthScore) { *h = min(*h+by, maxHealthScore) }
 
-// lower takes back one step, after an ack that came in time.
+// lower decreases the score by one, after an ack that arrived in time.
 func (h *healthScore) lower() { *h = max(*h-1, 0) }
 
-// multiplier is how many times longer this router waits than a healthy one.
+// multiplier returns the factor by which this router's timeouts and intervals exceed those of a healthy router.
 func (h *healthScore) multiplier() float64 { return float64(1 + *h) }
 
-// pausedSeconds is for how long this process was stopped, 0 for not. lateSeconds is how late a tick is.
+// pausedSeconds returns how long this process was paused, or 0 if it was not. lateSeconds is the delay of a tick.
 func pausedSeconds(lateSeconds float64) float64 {
 	if lateSeconds < pauseThreshold {
 		return 0
@@ -32,15 +33,15 @@
 	return lateSeconds
 }
 
-// detectPause finds out whether this process was stopped. The acks and refutations that arrived meanwhile were not
-// read: without this rule a router that resumes would declare every suspect failed. It shows as a tick that is late.
-// Probes under way are dropped and suspicions begin anew, so that only acks that stay away from now on count.
+// detectPause detects from a late tick that this process was paused. Acks and refutations that arrived during the
+// pause were not read, so without this rule a router that resumes would declare every suspect failed. After a pause,
+// probes in flight are dropped and suspicions restart, so that only acks missing from now on count.
 func (c *Core) detectPause(now float64) {
-	paused := pausedSeconds(now - max(c.dueTick, c.lastTick))
+	paused := pausedSeconds(now - max(c.nextTickDue, c.lastTick))
 	if c.config.PublishedSWIM || paused == 0 {
 		return
 	}
-	c.prober.forget()
+	c.prober.reset()
 	c.health.raise(pausePenalty)
 	c.prober.nextAt = now
 	c.pushPull.nextAt = max(c.pushPull.nextAt, now)
@@ -52,11 +53,11 @@
 	}
 }
 
-// relaysUnreachable says that most of the members that were asked to ping did not even accept. Then this router's
-// network or process is the likelier cause of a failed probe than its target.
+// relaysUnreachable reports whether most of the members that were asked for an indirect ping did not accept it. In
+// that case this router's network or process is a likelier cause of a failed probe than its target.
 func relaysUnreachable(asked, accepted int) bool {
 	return asked > 0 && accepted < (asked+1)/2
 }
 
-// HealthScore is Lifeguard's health multiplier, from 0 to 8: how much longer this member waits for others.
+// HealthScore returns Lifeguard's health score, from 0 to 8. The higher it is, the longer this member waits for acks.
 func (c *Core) HealthScore() int { return int(c.health) }
--- a/internal/membership/swim/helpers_test.go
+++ b/internal/membership/swim/helpers_test.go
@@ -4,7 +4,7 @@
 
 const testStart = 100 // StartMillis of all members in the tests
 
-// newTestCore makes the view of member 0 that holds all of n members alive.
+// newTestCore returns the view of member 0, in which all n members are alive.
 func newTestCore(n int, config Config) *Core {
 	c := New(config, 0, testRoster[:n], 1, testStart, 7, 0)
 	for id := MemberID(1); int(id) < n; id++ {
@@ -13,7 +13,7 @@
 	return c
 }
 
-// aliveRecord is a member's record at its first incarnation.
+// aliveRecord returns a member's record at its first incarnation.
 func aliveRecord(id MemberID) MemberRecord {
 	return MemberRecord{
 		Member:      id,
@@ -31,7 +31,7 @@
 	return Message{Kind: Push, Accusations: []Accusation{a}}
 }
 
-// accusation is one against a member's first incarnation.
+// accusation returns an accusation of a member's first incarnation.
 func accusation(accuser, id MemberID) Accusation {
 	return Accusation{Accuser: accuser, Member: id, Incarnation: Incarnation{StartMillis: testStart}}
 }
@@ -41,7 +41,8 @@
 	return state
 }
 
-// runUntil ticks a core from one time to another. Own pings for which acks returns true are acked after 1 ms.
+// runUntil ticks a core from one time to another. Pings sent by the core for which acks returns true are acked after
+// 1 ms.
 func runUntil(c *Core, from, to float64, acks func(Send) bool) (all []Action) {
 	for now := from; now < to; {
 		for _, action := range c.Tick(now) {
@@ -59,7 +60,8 @@
 
 func allAck(Send) bool { return true }
 
-// Reputation is how many accusations of a member were refuted and confirmed, decayed, and whether they are ignored.
+// Reputation returns the decayed counts of a member's refuted and confirmed accusations, and whether they are
+// ignored.
 func (c *Core) Reputation(id MemberID) (refuted, confirmed float64, ignored bool) {
 	r := &c.members[id].reputation
 	return r.refuted, r.confirmed, c.isIgnored(id)
--- a/internal/membership/swim/indirectprobe.go
+++ b/internal/membership/swim/indirectprobe.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Which members are asked to ping on our behalf.
+// Selection of the members that send indirect pings for this router.
 const (
-	indirectProbes     = 3 // members that are asked: SWIM's k
-	indirectCandidates = 9 // drawn, of which the indirectProbes heard last are asked
+	indirectProbes     = 3 // members asked per failed probe: k in the SWIM paper
+	indirectCandidates = 9 // members drawn at random; those heard from last are asked
 )
 
-// hasHonestAccuser says that more members accuse than may be byzantine, so that at least one of them is honest.
+// hasHonestAccuser reports whether more members accuse than may be byzantine, so that at least one of them is honest.
 func hasHonestAccuser(accusers, maxByzantine int) bool { return accusers > maxByzantine }
 
-// pickRelays draws members for indirect pings. Of some drawn at random it takes those heard last: in a partition
-// they are on this side.
+// pickRelays selects the members for indirect pings. Of indirectCandidates members drawn at random it takes those
+// heard from last: during a network partition they are on this router's side.
 func (c *Core) pickRelays(target MemberID) []MemberID {
 	var able []MemberID
 	for i := range c.members {
@@ -28,7 +28,7 @@
 	if !c.config.PublishedSWIM {
 		able = able[:min(len(able), indirectCandidates)]
 		slices.SortStableFunc(able, func(a, b MemberID) int {
-			return cmp.Compare(c.members[b].heardAt, c.members[a].heardAt)
+			return cmp.Compare(c.members[b].viewHashReceivedAt, c.members[a].viewHashReceivedAt)
 		})
 	}
 	return able[:min(len(able), indirectProbes)]
--- a/internal/membership/swim/interleaving_test.go
+++ b/internal/membership/swim/interleaving_test.go
@@ -7,51 +7,51 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cluster is three cores and the messages under way between them, for walking all interleavings.
+// cluster is three cores and the messages in flight between them, to explore all interleavings.
 type cluster struct {
 	cores    [3]*Core
 	now      float64
-	queues   [3][]Send // by sender
-	killed   int       // the member that no longer runs, -1 for none
+	queues   [3][]Send // messages in flight, by sender
+	killed   int       // index of the member that was killed, -1 if none
 	failedAt [3]Incarnation
-	failures bool // some member was declared failed
+	failures bool // whether any member was declared failed
 }
 
-// The choices of an interleaving. Between choiceTick and choiceKill, an odd number delivers the oldest message of
-// member (choice-1)/2, an even one loses it.
+// The choices at each step of an interleaving. Between choiceTick and choiceKill, an odd number delivers the oldest
+// message of member (choice-1)/2, and an even number drops it.
 const (
 	choiceTick = 0
 	choiceKill = 7
 	choices    = 8
-	partedID   = 2 // the member that is cut off or killed
+	isolatedID = 2 // the member that is isolated or killed
 )
 
 func choiceDeliver(id int) int { return 1 + 2*id }
 
-func choiceLose(id int) int { return 2 + 2*id }
+func choiceDrop(id int) int { return 2 + 2*id }
 
-// TestAllInterleavings walks every order in which messages of three members arrive or are lost, with one of them
-// killed at any step, to a depth of six choices: from the start, and from just before the first failure of a
-// member that is cut off. In each, a failed member comes back only by a higher incarnation, and none fails but on
-// own failed probes.
+// TestAllInterleavings explores every order in which the messages of three members arrive or are lost, with one
+// member killed at any step, to a depth of six choices. It starts from the initial state, and from just before an
+// isolated member is first declared failed. In each interleaving, a failed member becomes present only by a higher
+// incarnation, and no member is declared failed without failed probes by the observer.
 func TestAllInterleavings(t *testing.T) {
 	const depth = 6
-	brink := 0
-	for w := newCluster(t, 0); !w.failures; brink++ {
-		w = newCluster(t, brink+1)
+	roundsUntilFailure := 0
+	for w := newCluster(t, 0); !w.failures; roundsUntilFailure++ {
+		w = newCluster(t, roundsUntilFailure+1)
 	}
-	require.Greater(t, brink, 3)
-	for _, rounds := range []int{0, brink - 2} {
-		walked, withFailure := 0, 0
+	require.Greater(t, roundsUntilFailure, 3)
+	for _, rounds := range []int{0, roundsUntilFailure - 2} {
+		visited, withFailure := 0, 0
 		var walk func(path []int)
 		walk = func(path []int) {
 			w := newCluster(t, rounds)
 			for _, choice := range path {
 				if !w.step(t, choice) {
-					return // the last choice has no effect: the walk without it is another one
+					return // the last choice has no effect: the path without it is visited separately
 				}
 			}
-			walked++
+			visited++
 			if w.failures {
 				withFailure++
 			}
@@ -62,13 +62,13 @@
 			}
 		}
 		walk(nil)
-		t.Logf("after %d rounds of a partition: %d walks, %d with a failure", rounds, walked, withFailure)
-		assert.Greater(t, walked, 2_000)
+		t.Logf("after %d rounds of a partition: %d paths, %d with a failure", rounds, visited, withFailure)
+		assert.Greater(t, visited, 2_000)
 		assert.Equal(t, rounds > 0, withFailure > 0)
 	}
 }
 
-// newCluster makes three members that know each other, and cuts one off for some rounds.
+// newCluster returns three members that know each other, after one was isolated for the given number of rounds.
 func newCluster(t *testing.T, rounds int) *cluster {
 	t.Helper()
 	w := &cluster{killed: -1}
@@ -86,7 +86,7 @@
 	return w
 }
 
-// partitionedRound ticks all, and delivers what does not go to or come from the member that is cut off.
+// partitionedRound ticks all cores, and delivers all messages except those to or from the isolated member.
 func (w *cluster) partitionedRound(t *testing.T) {
 	t.Helper()
 	w.step(t, choiceTick)
@@ -94,8 +94,8 @@
 		for i := range w.queues {
 			switch {
 			case len(w.queues[i]) == 0:
-			case i == partedID || w.queues[i][0].To == partedID:
-				w.step(t, choiceLose(i))
+			case i == isolatedID || w.queues[i][0].To == isolatedID:
+				w.step(t, choiceDrop(i))
 			default:
 				w.step(t, choiceDeliver(i))
 			}
@@ -105,7 +105,7 @@
 
 func (w *cluster) pending() int { return len(w.queues[0]) + len(w.queues[1]) + len(w.queues[2]) }
 
-// step carries out a choice and reports whether it had an effect.
+// step executes a choice and reports whether it had an effect.
 func (w *cluster) step(t *testing.T, choice int) bool {
 	t.Helper()
 	switch choice {
@@ -113,14 +113,14 @@
 		w.now += 0.2
 		for i, c := range w.cores {
 			if i != w.killed {
-				w.carryOut(t, i, c.Tick(w.now))
+				w.execute(t, i, c.Tick(w.now))
 			}
 		}
 		return true
 	case choiceKill:
 		alive := w.killed < 0
 		if alive {
-			w.killed = partedID
+			w.killed = isolatedID
 		}
 		return alive
 	}
@@ -135,13 +135,13 @@
 	send := w.queues[from][0]
 	w.queues[from] = w.queues[from][1:]
 	if !lost && int(send.To) != w.killed {
-		w.carryOut(t, int(send.To), w.cores[send.To].HandleMessage(w.now, MemberID(from), send.Message))
+		w.execute(t, int(send.To), w.cores[send.To].HandleMessage(w.now, MemberID(from), send.Message))
 	}
 	return true
 }
 
-// carryOut queues the messages of a member and checks its state changes.
-func (w *cluster) carryOut(t *testing.T, member int, actions []Action) {
+// execute queues the messages of a member and checks its state changes.
+func (w *cluster) execute(t *testing.T, member int, actions []Action) {
 	t.Helper()
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -152,7 +152,7 @@
 		}
 	}
 	if n := w.cores[member].QueueLength(); n > 3*(1+maxAccusers+1) {
-		t.Fatalf("%d pieces of gossip waiting", n)
+		t.Fatalf("%d gossip items queued", n)
 	}
 }
 
@@ -167,6 +167,6 @@
 		}
 	}
 	if change.From == Failed && change.To.Present() && !w.failedAt[observer].Less(change.Incarnation) {
-		t.Fatalf("%d took %d back without a higher incarnation", observer, change.Member)
+		t.Fatalf("%d considers failed member %d present without a higher incarnation", observer, change.Member)
 	}
 }
--- a/internal/membership/swim/message.go
+++ b/internal/membership/swim/message.go
@@ -1,6 +1,6 @@
 package swim
 
-// MessageKind is the kind of a message. Its values are on the wire.
+// MessageKind is the kind of a message. Its values are sent in datagrams.
 type MessageKind uint8
 
 // The kinds of messages.
@@ -8,30 +8,31 @@
 	Ping                 MessageKind = iota + 1 // a probe
 	Ack                                         // the answer to a ping
 	IndirectPing                                // asks the receiver to ping Target on behalf of the sender
-	IndirectPingAccepted                        // the receiver of an IndirectPing does so; sent at once
-	IndirectAck                                 // Target's answer, passed on to who asked
-	PushPullRequest                             // a part of the sender's table
-	PushPullReply                               // what the receiver knows better, and what it asks for
-	Push                                        // records that nobody answers
+	IndirectPingAccepted                        // the receiver of an IndirectPing accepted it; sent immediately
+	IndirectAck                                 // Target's ack, relayed to the requester
+	PushPullRequest                             // a part of the sender's member table
+	PushPullReply                               // newer records, and entries whose newer records are requested
+	Push                                        // records to which no reply is sent
 )
 
-// PushPullEntry is what the sender of a push-pull message holds of a member.
+// PushPullEntry is a member's incarnation and state in the view of the sender of a push-pull message.
 type PushPullEntry struct {
 	Member      MemberID
 	Incarnation Incarnation
 	State       State
 }
 
-// Message is what one member sends another. The lists are bounded by the constants maxRecords, maxAccusations and
-// maxEntries.
+// Message is a protocol message from one member to another. The lengths of its lists are bounded by the constants
+// maxRecords, maxAccusations and maxEntries.
 type Message struct {
 	Kind      MessageKind
-	Nonce     uint64   // of the probe that the message belongs to
-	Requester MemberID // whose probe it is: the sender, or another on whose behalf the sender pings
-	Target    MemberID // IndirectPing and IndirectAck: the member that is probed
-	// Ack and IndirectAck: the target's signature over nonce and requester; made and verified by the caller
+	Nonce     uint64   // identifies the probe that the message belongs to
+	Requester MemberID // member that started the probe: the sender, or the member for which the sender pings
+	Target    MemberID // probed member of an IndirectPing or IndirectAck
+	// Proof is the target's signature over nonce and requester, in Ack and IndirectAck messages. The core's caller
+	// creates and verifies it.
 	Proof       []byte
-	ViewHash    uint64 // of the present members in the sender's view; 0: not given
+	ViewHash    uint64 // hash of the present members in the sender's view; 0 if absent
 	Records     []MemberRecord
 	Accusations []Accusation
 	Entries     []PushPullEntry
--- a/internal/membership/swim/probe.go
+++ b/internal/membership/swim/probe.go
@@ -5,47 +5,47 @@
 )
 
 const (
-	// retryTimeouts is how many ack timeouts the second ping and the indirect ones have: an indirect ack takes two
-	// round trips.
+	// retryTimeouts is the deadline of the second ping and the indirect pings, in ack timeouts. An indirect ack
+	// takes two round trips.
 	retryTimeouts = 2
-	maxProbes     = 64 // under way, and as many missed ones whose ack may still come
+	maxProbes     = 64 // limit of the probes in flight, and of the failed probes whose late ack is still accepted
 )
 
-// prober schedules probes and holds those under way.
+// prober schedules probes and holds those in flight.
 type prober struct {
-	nextAt         float64    // of the next probe in turn
-	count          int        // probes in turn so far
-	order          []MemberID // of the round, shuffled anew for each
-	position       int        // in the order
+	nextAt         float64    // time of the next scheduled probe
+	count          int        // number of scheduled probes so far
+	order          []MemberID // probe order of the current round; shuffled for each round
+	position       int        // index of the next member in order
 	probes         []probe
-	missed         []probe // probes that failed; a late ack still gives the round trip time
+	timedOut       []probe // failed probes; a late ack still provides a round-trip time
 	suspectQueue   []MemberID
-	nextSuspectsAt float64 // of the next probes of suspects
+	nextSuspectsAt float64 // time of the next probes of suspects
 	lastNonce      uint64
 }
 
-// probe is one probe of a member: a ping, and after the timeout a second one together with indirect pings.
+// probe is one probe of a member: a ping and, if it times out, a second ping together with indirect pings.
 type probe struct {
-	target        MemberID
-	nonce         uint64 // of the first ping
-	retryNonce    uint64 // of the second ping and the indirect ones
-	sentAt        float64
-	retriedAt     float64
-	deadline      float64
-	retried       bool
-	indirectAsked int // indirect pings sent
-	indirectTaken int // indirect pings accepted
+	target            MemberID
+	nonce             uint64 // nonce of the first ping
+	retryNonce        uint64 // nonce of the second ping and the indirect pings
+	sentAt            float64
+	retriedAt         float64
+	deadline          float64
+	retried           bool
+	indirectRequested int // number of indirect pings requested
+	indirectAccepted  int // number of indirect pings accepted
 }
 
-// acknowledgedBy reports whether an ack of a member with a nonce belongs to the probe.
+// acknowledgedBy reports whether an ack from a member with the given nonce belongs to the probe.
 func (p *probe) acknowledgedBy(id MemberID, nonce uint64) bool {
 	return p.target == id && (p.nonce == nonce || p.retried && p.retryNonce == nonce)
 }
 
-// forget drops all probes under way.
-func (p *prober) forget() {
+// reset drops all probes in flight.
+func (p *prober) reset() {
 	p.probes = p.probes[:0]
-	p.missed = p.missed[:0]
+	p.timedOut = p.timedOut[:0]
 	p.suspectQueue = p.suspectQueue[:0]
 }
 
@@ -55,8 +55,8 @@
 }
 
 func (c *Core) startProbe(now float64, id MemberID) {
-	underWay := slices.ContainsFunc(c.prober.probes, func(p probe) bool { return p.target == id })
-	if underWay || len(c.prober.probes) >= maxProbes {
+	inFlight := slices.ContainsFunc(c.prober.probes, func(p probe) bool { return p.target == id })
+	if inFlight || len(c.prober.probes) >= maxProbes {
 		return
 	}
 	nonce := c.ping(id)
@@ -68,8 +68,8 @@
 	})
 }
 
-// ping sends a ping and returns its nonce. A member that is not present gets our record with it, for it may not
-// know us.
+// ping sends a ping and returns its nonce. To a member that is not present it also sends this router's record,
+// because that member may not have it.
 func (c *Core) ping(id MemberID) uint64 {
 	m := Message{Kind: Ping, Nonce: c.prober.nextNonce(), Requester: c.self}
 	if !c.members[id].state.Present() {
@@ -79,7 +79,7 @@
 	return m.Nonce
 }
 
-// checkProbeDeadlines retries probes whose first ping timed out, and ends those whose second one did.
+// checkProbeDeadlines retries probes whose first ping timed out, and fails probes whose retry timed out.
 func (c *Core) checkProbeDeadlines(now float64) {
 	for i := 0; i < len(c.prober.probes); {
 		p := &c.prober.probes[i]
@@ -97,7 +97,7 @@
 	}
 }
 
-// retryProbe pings once more, because one lost datagram is no reason for a suspicion, and asks others to ping.
+// retryProbe sends a second ping, because one lost datagram must not cause a suspicion, and requests indirect pings.
 func (c *Core) retryProbe(now float64, p *probe) {
 	p.retried = true
 	p.retryNonce = c.prober.nextNonce()
@@ -107,44 +107,45 @@
 		c.send(p.target, Message{Kind: Ping, Nonce: p.retryNonce, Requester: c.self})
 		s := c.members[p.target].suspicion
 		if s != nil && hasHonestAccuser(c.trustedAccusers(s), c.config.MaxByzantine) {
-			return // that accuser has asked others already: our own pings are enough
+			return // an honest accuser already requested indirect pings: the direct pings are enough
 		}
 	}
 	for _, id := range c.pickRelays(p.target) {
 		c.send(id, Message{Kind: IndirectPing, Nonce: p.retryNonce, Requester: c.self, Target: p.target})
-		p.indirectAsked++
+		p.indirectRequested++
 	}
 }
 
-// probeFailed takes a probe that nobody acked.
+// probeFailed handles a probe without any ack.
 func (c *Core) probeFailed(now float64, p probe) {
 	m := &c.members[p.target]
 	if !m.state.Present() {
 		return
 	}
-	if len(c.prober.missed) >= maxProbes {
-		c.prober.missed = slices.Delete(c.prober.missed, 0, 1)
+	if len(c.prober.timedOut) >= maxProbes {
+		c.prober.timedOut = slices.Delete(c.prober.timedOut, 0, 1)
 	}
-	c.prober.missed = append(c.prober.missed, p)
-	if relaysUnreachable(p.indirectAsked, p.indirectTaken) {
+	c.prober.timedOut = append(c.prober.timedOut, p)
+	if relaysUnreachable(p.indirectRequested, p.indirectAccepted) {
 		c.health.raise(faultPenalty)
 	}
 	c.accuse(now, Accusation{Accuser: c.self, Member: p.target, Incarnation: m.record.Incarnation})
 	if m.suspicion != nil {
 		m.suspicion.nextProbeAt = now
-		// A probe whose timeout was long because of our health score says how the member was when it pinged.
+		// A probe whose timeout was long because of a high health score shows the member's state when the pings
+		// were sent, so the failure is dated at most one retry timeout after them.
 		m.suspicion.lastFailedAt = min(now, p.retriedAt+retryTimeouts*c.ackTimeout())
 	}
 }
 
-// acknowledge takes the proof that a member received a ping of ours. A late one proves the same, and gives the
-// round trip time. It reports whether the ack belongs to a probe.
+// acknowledge handles the proof that a member received a ping from this router. A late ack is as valid as a timely
+// one and also provides the round-trip time. It reports whether the ack belongs to a probe.
 func (c *Core) acknowledge(now float64, id MemberID, nonce uint64) bool {
 	matches := func(p probe) bool { return p.acknowledgedBy(id, nonce) }
 	list, late := &c.prober.probes, false
 	i := slices.IndexFunc(*list, matches)
 	if i < 0 {
-		list, late = &c.prober.missed, true
+		list, late = &c.prober.timedOut, true
 		i = slices.IndexFunc(*list, matches)
 	}
 	if i < 0 {
@@ -164,13 +165,13 @@
 	return true
 }
 
-// proveAlive ends a suspicion of a member that proved that it received a ping. A failed or unknown member stays so:
-// the ack may be older than the failure, and others would go on holding the member failed. Only a newer record, which
-// spreads as gossip, brings it back everywhere.
-func (c *Core) proveAlive(now float64, id MemberID) {
+// confirmAlive ends the suspicion of a member that proved that it received a ping. A failed or unknown member remains
+// in its state: the ack may be older than the failure, and the other members would still consider the member failed.
+// Only a newer record, which spreads as gossip, makes it present again at all members.
+func (c *Core) confirmAlive(now float64, id MemberID) {
 	m := &c.members[id]
 	if m.state == Failed || m.state == Unknown {
-		return // only a newer record brings it back
+		return // only a newer record makes the member present again
 	}
 	c.clearSuspicion(now, id, ReasonAcked)
 }
--- a/internal/membership/swim/probeorder.go
+++ b/internal/membership/swim/probeorder.go
@@ -4,31 +4,32 @@
 	"slices"
 )
 
-// Which member is probed next, and when.
+// Order and spacing of probes.
 const (
-	absentPingEvery = 2  // probes between pings of a member that is not present: the way back after a partition
-	leftPingEvery   = 16 // probes between pings that may go to a member that left
-	// minSpacingDivisor of the probe interval is the shortest time between two probes, after one that was late.
+	absentPingEvery = 2  // one ping of an absent member per this many probes, to rejoin after a partition
+	leftPingEvery   = 16 // one ping may go to a member that left per this many probes
+	// minSpacingDivisor divides the probe interval to give the shortest time between two probes, after one that was
+	// late.
 	minSpacingDivisor        = 2
-	suspectProbesPerInterval = 3  // more would make the failure of many members a storm
-	maxSuspectProbes         = 64 // waiting
+	suspectProbesPerInterval = 3  // limits the probe traffic when many members fail at once
+	maxSuspectProbes         = 64 // limit of the queue of suspects to probe
 )
 
-// enqueueSuspect has a suspect probed soon, out of turn.
+// enqueueSuspect queues a suspect for a probe outside the regular order.
 func (p *prober) enqueueSuspect(id MemberID) {
 	if len(p.suspectQueue) < maxSuspectProbes && !slices.Contains(p.suspectQueue, id) {
 		p.suspectQueue = append(p.suspectQueue, id)
 	}
 }
 
-// probeNext probes the next member in turn if it is time, and now and then pings one that is not present.
+// probeNext probes the next member of the regular order if a probe is due, and periodically pings an absent member.
 func (c *Core) probeNext(now float64) {
 	if now < c.prober.nextAt {
 		return
 	}
 	interval := c.probeInterval()
 	if c.prober.count == 0 {
-		c.prober.nextAt = now + interval*c.random.Float64() // routers that start together do not probe together
+		c.prober.nextAt = now + interval*c.random.Float64() // spreads the probes of routers that start together
 	} else {
 		c.prober.nextAt = nextProbeAt(now, c.prober.nextAt, interval)
 	}
@@ -38,12 +39,12 @@
 			c.ping(id)
 		}
 	}
-	if id, ok := c.pickInTurn(); ok {
+	if id, ok := c.pickRoundRobin(); ok {
 		c.startProbe(now, id)
 	}
 }
 
-// probeInterval is the time between two probes in turn, in seconds, longer with our health score.
+// probeInterval returns the time between two scheduled probes, in seconds. It grows with this router's health score.
 func (c *Core) probeInterval() float64 {
 	if c.config.PublishedSWIM {
 		return c.config.ProbeIntervalSeconds
@@ -51,13 +52,14 @@
 	return c.config.ProbeIntervalSeconds * c.health.multiplier()
 }
 
-// nextProbeAt is when the next probe in turn is due. After a late one it catches up, without a burst.
+// nextProbeAt returns when the next scheduled probe is due. After a late probe the schedule catches up without a
+// burst.
 func nextProbeAt(now, previousDue, interval float64) float64 {
 	return max(previousDue+interval, now+interval/minSpacingDivisor)
 }
 
-// pickInTurn is the next present member of the round. It begins a new round at the end of one.
-func (c *Core) pickInTurn() (MemberID, bool) {
+// pickRoundRobin returns the next present member of the round, and starts a new round at the end of one.
+func (c *Core) pickRoundRobin() (MemberID, bool) {
 	for range 2 {
 		for c.prober.position < len(c.prober.order) {
 			id := c.prober.order[c.prober.position]
@@ -78,8 +80,8 @@
 	return 0, false
 }
 
-// pickAbsent draws a member of the roster that is not present. After a partition both sides hold each other failed and
-// probe only their own: without these pings they would never meet again.
+// pickAbsent selects a random roster member that is not present. After a network partition both sides consider each
+// other failed and probe only their own members; without these pings they would never rejoin.
 func (c *Core) pickAbsent() (MemberID, bool) {
 	first := c.random.IntN(len(c.members))
 	for i := range c.members {
@@ -95,13 +97,14 @@
 	return 0, false
 }
 
-// mayPingAbsent says whether a member that is not present may be pinged. One that left is pinged more rarely: it
-// comes back by itself.
+// mayPingAbsent reports whether a member that is not present may be pinged. A member that left is pinged less often,
+// because it announces its return itself.
 func mayPingAbsent(state State, probeCount int) bool {
 	return state == Failed || state == Unknown || state == Left && probeCount%leftPingEvery == 0
 }
 
-// probeSuspects probes some of the suspects that wait, at any health score: an ack is what saves a suspect.
+// probeSuspects probes some of the queued suspects. It ignores the health score, because only an ack can clear a
+// suspect.
 func (c *Core) probeSuspects(now float64) {
 	p := &c.prober
 	if now < p.nextSuspectsAt || len(p.suspectQueue) == 0 {
--- a/internal/membership/swim/pushpull.go
+++ b/internal/membership/swim/pushpull.go
@@ -1,23 +1,24 @@
 package swim
 
-// Times in seconds unless a constant says otherwise.
+// Times are in seconds unless a comment states another unit.
 const (
-	pushPullInterval          = 4.0  // while all views agree
-	pushPullIntervalDiffering = 0.5  // while some view differs
-	viewSettleFor             = 0.75 // after an own change, before a different view is worth a push-pull
-	pushPullJitterMin         = 0.75 // of the interval
-	pushPullJitterRange       = 0.5  // of the interval
-	maxPingsPerPushPull       = 3    // of members that we hold failed and the sender holds present
-	maxEntries                = 24   // a message
+	pushPullInterval          = 4.0  // if all views agree
+	pushPullIntervalDiffering = 0.5  // if the view of another member differs
+	viewSettleDelay           = 0.75 // delay after a local view change before a differing view causes a push-pull
+	pushPullJitterMin         = 0.75 // fraction of the interval
+	pushPullJitterRange       = 0.5  // fraction of the interval
+	maxPingsPerPushPull       = 3    // pings of members that are failed in this view and present in the sender's
+	maxEntries                = 24   // per message
 )
 
-// pushPullSchedule says when the next push-pull is due and where in the table it begins.
+// pushPullSchedule holds the time of the next push-pull and the table position at which it starts.
 type pushPullSchedule struct {
 	nextAt float64
 	cursor int
 }
 
-// startPushPull sends a part of the table to a member, preferably and sooner to one whose view differs from ours.
+// startPushPull sends a part of the member table to another member. Members whose view differs from this router's are
+// preferred and shorten the interval.
 func (c *Core) startPushPull(now float64) {
 	var present, differing []MemberID
 	for i := range c.members {
@@ -26,7 +27,7 @@
 			continue
 		}
 		present = append(present, id)
-		if m.viewHash != c.viewHash && isViewComparable(now, m.heardAt, c.viewChangedAt) {
+		if m.viewHash != c.viewHash && isViewComparable(now, m.viewHashReceivedAt, c.viewChangedAt) {
 			differing = append(differing, id)
 		}
 	}
@@ -42,14 +43,14 @@
 	c.send(to, Message{Kind: PushPullRequest, Entries: c.nextEntries()})
 }
 
-// isViewComparable says whether a view that was heard at a time can be compared with ours, which changed last at
-// another. One heard before an own change has settled differs because the news is under way, not because a message was
-// lost.
-func isViewComparable(now, heardAt, ownChangedAt float64) bool {
-	return heardAt > ownChangedAt+viewSettleFor && now-heardAt < pushPullInterval
+// isViewComparable reports whether a view hash received at viewHashReceivedAt can be compared with the own view,
+// which last changed at ownViewChangedAt. A hash received before that change has propagated differs because gossip is
+// in flight, not because a message was lost.
+func isViewComparable(now, viewHashReceivedAt, ownViewChangedAt float64) bool {
+	return viewHashReceivedAt > ownViewChangedAt+viewSettleDelay && now-viewHashReceivedAt < pushPullInterval
 }
 
-// nextEntries is the next part of the table.
+// nextEntries returns the next part of the member table.
 func (c *Core) nextEntries() []PushPullEntry {
 	var entries []PushPullEntry
 	for n := 0; n < len(c.members) && len(entries) < maxEntries; n++ {
@@ -64,7 +65,7 @@
 	return PushPullEntry{Member: id, Incarnation: m.record.Incarnation, State: m.state}
 }
 
-// handlePushPullRequest answers with newer records, and with entries of members of which the sender has newer
+// handlePushPullRequest replies with newer records, and with entries of the members for which the sender has newer
 // records.
 func (c *Core) handlePushPullRequest(now float64, from MemberID, entries []PushPullEntry) {
 	reply := Message{Kind: PushPullReply}
@@ -72,7 +73,7 @@
 	c.send(from, reply)
 }
 
-// handlePushPullReply sends the records that the other asked for.
+// handlePushPullReply sends the records that the peer requested.
 func (c *Core) handlePushPullReply(now float64, from MemberID, entries []PushPullEntry) {
 	push := Message{Kind: Push}
 	c.compareEntries(now, from, entries, &push)
@@ -81,9 +82,9 @@
 	}
 }
 
-// compareEntries adds to an answer our newer records and, in a PushPullReply, our entries of members of which the
-// sender has newer records. It takes failures that the sender holds as accusations, and pings members that we alone
-// hold failed.
+// compareEntries adds this view's newer records to an answer and, in a PushPullReply, its entries of the members for
+// which the sender has newer records. It handles members that are failed in the sender's view as accusations, and
+// pings members that are failed only in this view.
 func (c *Core) compareEntries(now float64, from MemberID, entries []PushPullEntry, answer *Message) {
 	pings := 0
 	for _, e := range entries {
@@ -101,7 +102,7 @@
 				answer.Entries = append(answer.Entries, c.entryOf(e.Member))
 			}
 		case e.State == Failed && m.state.Present():
-			// The sender signed the message with its entries: an entry is its accusation.
+			// The sender signed the message with its entries, so an entry counts as its accusation.
 			c.handleAccusation(now, Accusation{
 				Accuser:      from,
 				Member:       e.Member,
@@ -110,7 +111,7 @@
 			})
 		case e.State.Present() && m.state == Failed && e.Member != c.self && pings < maxPingsPerPushPull:
 			pings++
-			c.ping(e.Member) // the ping tells the member that we hold it failed, and it refutes
+			c.ping(e.Member) // the ping carries an accusation, which the member refutes
 		}
 	}
 }
--- a/internal/membership/swim/receive.go
+++ b/internal/membership/swim/receive.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// HandleMessage takes a message of a member whose signature, counter and proof the caller has verified.
+// HandleMessage handles a message from a member. The caller must have verified its signature, counter and proof.
 func (c *Core) HandleMessage(now float64, from MemberID, msg Message) []Action {
-	if c.conflicted || from == c.self || !c.inRoster(from) || c.members[from].removed {
+	if c.hasNameConflict || from == c.self || !c.inRoster(from) || c.members[from].removed {
 		return c.takeActions()
 	}
 	for _, record := range msg.Records {
@@ -15,7 +15,7 @@
 	}
 	if msg.ViewHash != 0 {
 		sender := &c.members[from]
-		sender.viewHash, sender.heardAt = msg.ViewHash, now
+		sender.viewHash, sender.viewHashReceivedAt = msg.ViewHash, now
 	}
 	switch msg.Kind {
 	case Ping:
@@ -28,19 +28,19 @@
 		c.handleIndirectPingAccepted(msg.Nonce)
 	case IndirectAck:
 		if msg.Requester == c.self && c.inRoster(msg.Target) && c.acknowledge(now, msg.Target, msg.Nonce) {
-			c.proveAlive(now, msg.Target)
+			c.confirmAlive(now, msg.Target)
 		}
 	case PushPullRequest:
 		c.handlePushPullRequest(now, from, msg.Entries)
 	case PushPullReply:
 		c.handlePushPullReply(now, from, msg.Entries)
-	case Push: // its records were taken above
+	case Push: // its records were handled above
 	}
 	return c.takeActions()
 }
 
-// handlePing acks to the sender. If the sender pings on behalf of a requester, the caller adds a proof for that
-// one.
+// handlePing sends an ack to the sender of a ping. If the sender pings on behalf of a requester, the core's caller
+// adds a proof for that requester.
 func (c *Core) handlePing(from MemberID, ping Message) {
 	ack := Message{Kind: Ack, Nonce: ping.Nonce, Requester: ping.Requester}
 	if sender := &c.members[from]; !sender.state.Present() || sender.state == Suspect {
@@ -49,11 +49,11 @@
 	c.send(from, ack)
 }
 
-// handleAck takes an ack to a ping of our own, or passes on one to a ping on behalf of another.
+// handleAck handles an ack to a ping of this router, or relays an ack to a ping on behalf of another member.
 func (c *Core) handleAck(now float64, from MemberID, ack Message) {
 	if ack.Requester == c.self {
 		if c.acknowledge(now, from, ack.Nonce) {
-			c.proveAlive(now, from)
+			c.confirmAlive(now, from)
 		}
 		return
 	}
@@ -78,11 +78,11 @@
 func (c *Core) handleIndirectPingAccepted(nonce uint64) {
 	i := slices.IndexFunc(c.prober.probes, func(p probe) bool { return p.retried && p.retryNonce == nonce })
 	if i >= 0 {
-		c.prober.probes[i].indirectTaken++
+		c.prober.probes[i].indirectAccepted++
 	}
 }
 
-// handleRecord takes what a member says of itself. The caller has verified the signature of a newer record.
+// handleRecord handles a member's record. The caller must have verified the signature of a newer record.
 func (c *Core) handleRecord(now float64, record MemberRecord) {
 	id := record.Member
 	if !c.inRoster(id) {
@@ -94,14 +94,14 @@
 	}
 	m := &c.members[id]
 	if m.record.Incarnation == record.Incarnation {
-		c.gossip.countEcho(recordSubject(id), c.config)
+		c.gossip.countDuplicate(recordSubject(id), c.config)
 	}
 	if m.removed || !c.IsNewer(id, record.Incarnation) {
 		return
 	}
 	m.record = record
 	c.queueRecord(id)
-	if m.state == Unknown { // a member that joins has records that we lack
+	if m.state == Unknown { // a joining member has records that this one lacks
 		soon := now + c.config.ProbeIntervalSeconds*c.random.Float64()
 		c.pushPull.nextAt = min(c.pushPull.nextAt, soon)
 	}
@@ -112,12 +112,12 @@
 		reason = ReasonLeft
 	case Stuck:
 		reason = ReasonStuck
-	case Unknown, Alive, Suspect, Failed: // the record alone says it
+	case Unknown, Alive, Suspect, Failed: // ReasonNewerRecord applies
 	}
 	c.setState(now, id, record.State, reason)
 }
 
-// handleAccusation takes an accusation of another member against a third one or against us.
+// handleAccusation handles an accusation by another member, against a third member or against this one.
 func (c *Core) handleAccusation(now float64, a Accusation) {
 	if !c.inRoster(a.Member) || !c.inRoster(a.Accuser) || c.members[a.Accuser].removed || a.Accuser == c.self {
 		return
--- a/internal/membership/swim/reputation.go
+++ b/internal/membership/swim/reputation.go
@@ -3,12 +3,12 @@
 import "math"
 
 const (
-	minRefuted         = 4.0  // refuted accusations before an accuser may be ignored
-	refutedOverMean    = 4.0  // times the mean of all members: with loss everybody errs
-	reputationHalfLife = 60.0 // of the counts, s
+	minRefuted         = 4.0  // refuted accusations that an accuser must exceed to be ignored
+	refutedMeanFactor  = 4.0  // multiple of the mean, because packet loss causes wrong accusations by all members
+	reputationHalfLife = 60.0 // s, of the counts
 )
 
-// reputation counts what became of a member's accusations. The counts decay with reputationHalfLife.
+// reputation counts the refuted and confirmed accusations of a member. The counts decay with reputationHalfLife.
 type reputation struct {
 	refuted   float64
 	confirmed float64
@@ -24,7 +24,7 @@
 
 func reputationDecay(seconds float64) float64 { return math.Exp2(-seconds / reputationHalfLife) }
 
-// countOutcome notes that an accusation was refuted or confirmed.
+// countOutcome records that an accusation was refuted or confirmed.
 func (c *Core) countOutcome(now float64, accuser MemberID, refuted bool) {
 	if accuser == c.self {
 		return
@@ -41,14 +41,15 @@
 	}
 }
 
-// isIgnored reports whether a member's accusations no longer count.
+// isIgnored reports whether a member's accusations are ignored because of its reputation.
 func (c *Core) isIgnored(id MemberID) bool {
 	return !c.config.PublishedSWIM && isUnreliable(c.members[id].reputation, c.refutedTotal/c.size())
 }
 
-// isUnreliable says that accusations were refuted so much more often than those of others that they are lies, or the
-// accuser's own network is at fault. Without this rule such an accuser has every member probed again and again. It is
-// compared with the mean, because under loss the accusations of all members are refuted at times.
+// isUnreliable reports whether accusations were refuted so much more often than those of other members that the
+// accuser lies or its own network is faulty. Without this rule, such an accuser causes repeated probes of every
+// member. The count is compared with the mean, because under packet loss the accusations of all members are sometimes
+// refuted.
 func isUnreliable(r reputation, meanRefuted float64) bool {
-	return r.refuted > r.confirmed && r.refuted > minRefuted+refutedOverMean*meanRefuted
+	return r.refuted > r.confirmed && r.refuted > minRefuted+refutedMeanFactor*meanRefuted
 }
--- a/internal/membership/swim/roundtrip.go
+++ b/internal/membership/swim/roundtrip.go
@@ -4,22 +4,22 @@
 
 // Times in seconds.
 const (
-	minAckTimeout       = 0.08 // a pause of the garbage collector or of the scheduler is shorter
-	maxAckTimeout       = 2.0  // a member with a longer round trip is no help in a probe
-	initialAckTimeout   = 0.15 // until a round trip time is known
-	maxScaledAckTimeout = 2.0  // with the health score: a probe must not outlast a short failure
-
-	deviationsOfTimeout = 4        // deviations over the mean round trip time: TCP's factor
-	rttGain             = 1.0 / 8  // of a sample: TCP's
-	deviationGain       = 1.0 / 4  // of a sample: TCP's
-	lossGain            = 1.0 / 32 // of a sample
+	minAckTimeout       = 0.08 // longer than a pause of the garbage collector or the scheduler
+	maxAckTimeout       = 2.0  // a member with a longer round-trip time is of no use for probes
+	initialAckTimeout   = 0.15 // before the first round-trip time sample
+	maxScaledAckTimeout = 2.0  // limit of the scaling by health score, so that probes detect short failures
+
+	timeoutDeviations = 4        // deviations above the mean round-trip time, as in TCP
+	rttGain           = 1.0 / 8  // weight of a sample, as in TCP
+	deviationGain     = 1.0 / 4  // weight of a sample, as in TCP
+	lossGain          = 1.0 / 32 // weight of a sample
 )
 
-// roundTrips estimates from own probes how long an ack takes and how many are lost.
+// roundTrips estimates the round-trip time and the loss rate from the probes of this router.
 type roundTrips struct {
-	mean      float64 // smoothed time from ping to ack, s; 0: unknown
-	deviation float64 // s
-	lossRate  float64 // smoothed share of first pings that were lost, at members that acked the second
+	mean      float64 // smoothed time from ping to ack, s; 0 if unknown
+	deviation float64 // smoothed mean deviation of that time, s
+	lossRate  float64 // smoothed fraction of probes whose first ping was lost and whose second one was acked
 }
 
 func (r *roundTrips) sampleTime(seconds float64) {
@@ -36,8 +36,8 @@
 	r.lossRate += (float64(boolToInt(lost)) - r.lossRate) * lossGain
 }
 
-// ackTimeout is how long an ack may take, in seconds: the smoothed round trip time and four deviations, longer with
-// our health score.
+// ackTimeout returns the ack timeout in seconds: the smoothed round-trip time plus four deviations, scaled by this
+// router's health score.
 func (c *Core) ackTimeout() float64 {
 	timeout := unscaledAckTimeout(c.roundTrips)
 	if c.config.PublishedSWIM {
@@ -50,10 +50,11 @@
 	if r.mean <= 0 {
 		return initialAckTimeout
 	}
-	return min(max(r.mean+deviationsOfTimeout*r.deviation, minAckTimeout), maxAckTimeout)
+	return min(max(r.mean+timeoutDeviations*r.deviation, minAckTimeout), maxAckTimeout)
 }
 
-// scaledAckTimeout never shortens a timeout: one over maxScaledAckTimeout stays as it is.
+// scaledAckTimeout scales a timeout by the health score up to maxScaledAckTimeout. It never shortens a timeout: one
+// above that limit is returned unchanged.
 func scaledAckTimeout(timeout float64, health healthScore) float64 {
 	return max(timeout, min(timeout*health.multiplier(), maxScaledAckTimeout))
 }
--- a/internal/membership/swim/self.go
+++ b/internal/membership/swim/self.go
@@ -2,28 +2,28 @@
 
 import "slices"
 
-// Times in seconds unless a constant says otherwise.
+// Times are in seconds unless a comment states another unit.
 const (
-	selfAccusationsFor = 5.0  // for which an accusation against us counts towards our health score
-	refuteInterval     = 1.0  // probe intervals between two refutations: a byzantine member must not make us gossip
-	adoptWithin        = 20.0 // after the start, in which the incarnation of an earlier start is adopted
-	leaveFanout        = 6    // members that a leaving one tells at once
+	selfAccusationWindow = 5.0  // time for which an accusation against this member affects its health score
+	refuteInterval       = 1.0  // min. probe intervals between refutations; limits gossip caused by byzantine members
+	adoptionWindow       = 20.0 // time after the start in which the incarnation of an earlier start is adopted
+	leaveFanout          = 6    // members that a leaving member notifies directly
 )
 
-// selfAccusation notes who accused us and when.
+// selfAccusation records who accused this member and when.
 type selfAccusation struct {
 	accuser MemberID
 	at      float64
 }
 
-// handleOwnRecord takes a record under our own name: of this start, of an earlier one, or of another process with
-// our key.
+// handleOwnRecord handles a record under this member's own name. Its author is this process, an earlier start of it,
+// or another process with the same key.
 func (c *Core) handleOwnRecord(now float64, record MemberRecord) {
 	if !c.members[c.self].record.Incarnation.Less(record.Incarnation) {
 		return
 	}
 	if !c.mayAdoptIncarnation(now) {
-		c.conflicted = true
+		c.hasNameConflict = true
 		c.actions = append(c.actions, NameConflict{InstanceID: record.InstanceID})
 		return
 	}
@@ -31,26 +31,28 @@
 	c.announce(now, Incarnation{StartMillis: record.Incarnation.StartMillis + 1})
 }
 
-// mayAdoptIncarnation says whether a higher incarnation under our name is taken for that of an earlier start. Where the
-// clock was set back between two starts, all others refuse our datagrams as stale: this router would be alone. It
-// shows as our own record with a higher incarnation, shortly after the start, and one adoption ends it. A second one,
-// or a late one, is another process under this name.
+// mayAdoptIncarnation reports whether a higher incarnation under this member's name is attributed to its own earlier
+// start. If the clock was set back between two starts, all other members refuse this router's datagrams as stale, and
+// it would be isolated. It then receives its own record with a higher incarnation shortly after the start, and
+// adopting that incarnation once solves the problem. A second or a late one means that another process uses this
+// name.
 func (c *Core) mayAdoptIncarnation(now float64) bool {
-	return !c.adoptedIncarnation && now <= c.startedAt+adoptWithin
+	return !c.adoptedIncarnation && now <= c.startedAt+adoptionWindow
 }
 
-// announce raises our incarnation and queues our record as gossip.
+// announce increases this member's incarnation and queues its record as gossip.
 func (c *Core) announce(now float64, incarnation Incarnation) {
 	c.members[c.self].record.Incarnation = incarnation
 	c.refutedAt = now
 	c.queueRecord(c.self)
 }
 
-// handleSelfAccusation refutes an accusation against our present incarnation, at most once in refuteInterval.
+// handleSelfAccusation refutes an accusation against this member's current incarnation, at most once per
+// refuteInterval.
 func (c *Core) handleSelfAccusation(now float64, a Accusation) {
 	current := c.members[c.self].record.Incarnation
 	if a.Incarnation != current {
-		return // an earlier incarnation, or one that never was
+		return // an earlier incarnation, or one that never existed
 	}
 	c.countSelfAccuser(now, a.Accuser)
 	if c.leaving || now < c.nextRefutationAt() {
@@ -60,16 +62,16 @@
 	c.announce(now, current.next())
 }
 
-// nextRefutationAt is from when on an accusation against us is refuted again.
+// nextRefutationAt returns the earliest time of the next refutation.
 func (c *Core) nextRefutationAt() float64 {
 	return c.refutedAt + refuteInterval*c.config.ProbeIntervalSeconds
 }
 
-// countSelfAccuser raises our health score when more members than may be byzantine accuse us: then our acks are
-// late. Fewer accusers change nothing, for a byzantine member could slow us down.
+// countSelfAccuser increases the health score when more members than may be byzantine accuse this one, because its
+// acks are probably late. Fewer accusers have no effect, or a byzantine member could slow this router down.
 func (c *Core) countSelfAccuser(now float64, accuser MemberID) {
 	c.selfAccusers = slices.DeleteFunc(c.selfAccusers, func(a selfAccusation) bool {
-		return a.accuser == accuser || now-a.at > selfAccusationsFor
+		return a.accuser == accuser || now-a.at > selfAccusationWindow
 	})
 	c.selfAccusers = append(c.selfAccusers, selfAccusation{accuser: accuser, at: now})
 	if hasHonestAccuser(len(c.selfAccusers), c.config.MaxByzantine) && !c.config.PublishedSWIM {
@@ -78,14 +80,15 @@
 	}
 }
 
-// SetWorking takes whether this router's event loop makes progress. The record says Stuck while it does not.
+// SetWorking sets whether this router's event loop makes progress. If it does not, the member's record has the state
+// Stuck.
 func (c *Core) SetWorking(now float64, working bool) []Action {
 	record := &c.members[c.self].record
 	state := Alive
 	if !working {
 		state = Stuck
 	}
-	if record.State != state && !c.leaving && !c.conflicted {
+	if record.State != state && !c.leaving && !c.hasNameConflict {
 		record.State = state
 		c.setState(now, c.self, state, ReasonOwnWork)
 		c.announce(now, record.Incarnation.next())
@@ -93,9 +96,10 @@
 	return c.takeActions()
 }
 
-// Leave announces that this member leaves: to some members at once, which pass it on.
+// Leave announces that this member leaves the cluster. It notifies up to leaveFanout members directly, which gossip
+// the record.
 func (c *Core) Leave(now float64) []Action {
-	if c.conflicted || c.leaving {
+	if c.hasNameConflict || c.leaving {
 		return c.takeActions()
 	}
 	c.leaving = true
--- a/internal/membership/swim/self_test.go
+++ b/internal/membership/swim/self_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestAccusedMemberRefutesWithinRateLimit accuses a member many times, and once in an incarnation that it never had.
-// A refutation for each would let one accuser have it gossip without end, or use up its incarnations. It must refute
-// once an interval, and only real incarnations.
+// TestAccusedMemberRefutesWithinRateLimit accuses a member many times, and once in an incarnation that never existed.
+// If it refuted each accusation, one accuser could make it gossip endlessly or use up its incarnation numbers. It
+// must refute at most once per interval, and only its real incarnation.
 func TestAccusedMemberRefutesWithinRateLimit(t *testing.T) {
 	c := newTestCore(3, Config{})
 	for i := range 10 {
@@ -18,27 +18,27 @@
 	assert.EqualValues(t, 1, c.SelfRecord().Incarnation.Refutations)
 	invented := Incarnation{StartMillis: testStart, Refutations: 4_000_000}
 	c.HandleMessage(5, 1, pushAccusation(Accusation{Accuser: 1, Member: 0, Incarnation: invented}))
-	assert.EqualValues(t, 1, c.SelfRecord().Incarnation.Refutations, "an incarnation that it never had is not refuted")
+	assert.EqualValues(t, 1, c.SelfRecord().Incarnation.Refutations, "an incarnation that never existed is not refuted")
 }
 
-// TestNameConflictSilencesAfterOneAdoption shows a member a newer start of its own name twice. Two processes of one
-// name refute each other for ever and look alive in turn. It must adopt the first one, which a clock that was set
-// back explains, and fall silent at the second.
+// TestNameConflictSilencesAfterOneAdoption sends a member a record of a newer start under its own name twice. Two
+// processes with one name would refute each other endlessly and alternately look alive. The member must adopt the
+// first incarnation, which a clock that was set back explains, and stop sending at the second.
 func TestNameConflictSilencesAfterOneAdoption(t *testing.T) {
 	c := newTestCore(3, Config{})
 	other := MemberRecord{Member: 0, Incarnation: Incarnation{StartMillis: 200}, InstanceID: 9, State: Alive}
 	c.HandleMessage(1, 1, pushRecord(other))
 	assert.Equal(t, Incarnation{StartMillis: 201}, c.SelfRecord().Incarnation,
-		"it may be its own earlier start, by a clock that was set back")
+		"it may be its own earlier start, if the clock was set back")
 	other.Incarnation.StartMillis = 300
 	actions := c.HandleMessage(2, 1, pushRecord(other))
 	assert.Contains(t, actions, NameConflict{InstanceID: 9})
 	assert.Empty(t, c.Tick(10))
 }
 
-// TestStuckAndLeftAreReportedByTheMemberItself hears from a member that it is stuck, and then that it left. A stuck
-// one that is taken for working counts for a majority; one that left and is suspected looks like a failure. Each
-// must count as what it says.
+// TestStuckAndLeftAreReportedByTheMemberItself receives a record that a member is stuck, and then one that it left. A
+// stuck member that counts as working would count for a majority; a suspected member that left would look like a
+// failure. Each must have the state of its record.
 func TestStuckAndLeftAreReportedByTheMemberItself(t *testing.T) {
 	c := newTestCore(3, Config{})
 	record := aliveRecord(2)
@@ -59,9 +59,10 @@
 	assert.NotEmpty(t, actions)
 }
 
-// TestConflictedMemberWakesSeldom silences a member by a name conflict. Its deadlines had passed and nothing moved
-// them, so its node woke each millisecond until its end. It must be due about once a second.
-func TestConflictedMemberWakesSeldom(t *testing.T) {
+// TestConflictedMemberTicksOncePerSecond silences a member by a name conflict. Before the fix, its deadlines had
+// passed and were not moved, so its node ticked every millisecond until it ended. It must be due about once per
+// second.
+func TestConflictedMemberTicksOncePerSecond(t *testing.T) {
 	c := newTestCore(3, Config{})
 	other := MemberRecord{Member: 0, Incarnation: Incarnation{StartMillis: 200}, InstanceID: 9, State: Alive}
 	c.HandleMessage(1, 1, pushRecord(other))
--- a/internal/membership/swim/snapshot.go
+++ b/internal/membership/swim/snapshot.go
@@ -1,20 +1,20 @@
 package swim
 
-// MemberInfo is what the view holds of a member, for operators.
+// MemberInfo describes a member of the view in reports for operators.
 type MemberInfo struct {
 	Member               MemberID
 	State                State
 	Incarnation          Incarnation
-	Since                float64 // of the state, on the core's clock
+	Since                float64 // time of the last state change, on the core's clock
 	Accusers             []MemberID
-	FailedProbes         int // own ones, in the present suspicion
+	FailedProbes         int // failed probes by this router during the current suspicion
 	RefutedAccusations   float64
 	ConfirmedAccusations float64
-	Silenced             bool // its accusations are ignored
+	Silenced             bool // the member's accusations are ignored
 	ViewDiffers          bool
 }
 
-// Snapshot is what the view holds of each member, in the order of the roster.
+// Snapshot returns the view of each member that is in the roster, in roster order.
 func (c *Core) Snapshot(now float64) []MemberInfo {
 	var list []MemberInfo
 	for i := range c.members {
@@ -46,36 +46,36 @@
 	return info
 }
 
-// Lookup is the state of a member and its newest record.
+// Lookup returns the state of a member and its newest record.
 func (c *Core) Lookup(id MemberID) (State, MemberRecord) {
 	m := &c.members[id]
 	return m.state, m.record
 }
 
-// Counts are the members present, this one among them; those of the roster that did not leave; and those that are
-// stuck.
+// Counts returns the number of present members including this one, the number of roster members that did not leave,
+// and the number of stuck members.
 func (c *Core) Counts() (present, roster, stuck int) {
 	return c.present, len(c.members) - c.removed - c.left, c.stuck
 }
 
-// ViewDiffers reports whether a present member was lately heard to have another view than ours.
+// ViewDiffers reports whether a present member's view, by the hash that it sent recently, differs from this one's.
 func (c *Core) ViewDiffers(now float64, id MemberID) bool {
 	m := &c.members[id]
-	recent := m.heardAt > 0 && now-m.heardAt < 2*pushPullInterval
+	recent := m.viewHashReceivedAt > 0 && now-m.viewHashReceivedAt < 2*pushPullInterval
 	return id != c.self && m.state.Present() && recent && m.viewHash != c.viewHash
 }
 
-// QueueLength is the number of pieces of gossip that wait, for tests of its bound.
+// QueueLength returns the number of queued gossip items. Tests check its bound.
 func (c *Core) QueueLength() int { return len(c.gossip.newest) }
 
-// IsNewer reports whether a record of a member would be news, so that its signature has to be verified.
+// IsNewer reports whether a record of a member would change the view, so that its signature has to be verified.
 func (c *Core) IsNewer(id MemberID, incarnation Incarnation) bool {
 	m := &c.members[id]
 	return m.record.Incarnation.Less(incarnation) || m.state == Unknown && m.record.Incarnation == incarnation
 }
 
-// ViewHash is the hash of the members present.
+// ViewHash returns the hash of the present members.
 func (c *Core) ViewHash() uint64 { return c.viewHash }
 
-// SelfRecord is this member's own record.
+// SelfRecord returns this member's own record.
 func (c *Core) SelfRecord() MemberRecord { return c.members[c.self].record }
--- a/internal/membership/swim/suspicion.go
+++ b/internal/membership/swim/suspicion.go
@@ -5,41 +5,41 @@
 	"slices"
 )
 
-// Times in seconds unless a constant says otherwise; "intervals" are probe intervals.
+// Times are in seconds unless a comment states another unit. An "interval" is a probe interval.
 const (
-	suspicionFactor          = 3.5  // intervals times log10 of the members: until a refutation reached all
-	suspicionRange           = 6    // times the shortest, while nobody else suspects: Lifeguard's beta
-	confirmations            = 3    // independent accusers that bring the timeout down to the shortest: Lifeguard's K
-	publishedSuspicionFactor = 5    // PublishedSWIM: intervals times log2 of the members
-	roundTripsOfTimeout      = 2    // round trips in the shortest timeout: an indirect ack takes two
-	accusersOnlyFactor       = 2    // times the longest timeout, after which accusers alone suffice
-	minFailedProbes          = 2    // own failed probes, each direct and indirect, before a member is declared failed
-	maxFailedProbes          = 8    // own failed probes that suffice at any loss rate
-	chanceThreshold          = 1e-3 // probability below which failed probes are no longer put down to loss
-	maxLossRate              = 0.9  // of round trips, in calculations
-	failureFreshFor          = 1.5  // for which a failed probe may end in a failure; later the member is probed again
-	maxAccusers              = 8    // held of a suspect
+	suspicionFactor          = 3.5  // shortest timeout, for a refutation to reach all: intervals × log10(members)
+	longestTimeoutFactor     = 6    // ratio of the longest timeout (one accuser) to the shortest: Lifeguard's beta
+	confirmations            = 3    // independent accusers that reduce the timeout to the shortest: Lifeguard's K
+	publishedSuspicionFactor = 5    // with PublishedSWIM: intervals × log2(members)
+	minTimeoutRoundTrips     = 2    // round trips in the shortest timeout; an indirect ack takes two
+	accusersOnlyFactor       = 2    // number of longest timeouts after which accusers alone suffice
+	minFailedProbes          = 2    // failed probes, each direct and indirect, required to declare a member failed
+	maxFailedProbes          = 8    // failed probes that suffice at any loss rate
+	chanceThreshold          = 1e-3 // probability below which packet loss does not explain failed probes
+	maxLossRate              = 0.9  // upper bound of the round-trip loss rate in calculations
+	maxFailedProbeAge        = 1.5  // maximum age of the last failed probe; a suspect with an older one is probed again
+	maxAccusers              = 8    // accusers stored per suspect
 )
 
-// suspicion is what is held against a member: about 200 bytes, and 200 bytes an accusation with its signed
-// encoding.
+// suspicion is the state of a suspected member. It takes about 200 bytes, plus about 200 bytes for each accusation
+// with its signed encoding.
 type suspicion struct {
 	startedAt    float64
-	failedProbes int     // own ones since the start
-	lastFailedAt float64 // of the last own failed probe
-	announced    bool    // our own accusation has been queued as gossip
+	failedProbes int     // failed probes by this router since startedAt
+	lastFailedAt float64 // time of this router's last failed probe
+	announced    bool    // this member's accusation was queued as gossip
 	accusations  []Accusation
 	nextProbeAt  float64
 }
 
-// accuse takes an accusation of another member, or our own after a failed probe.
+// accuse handles an accusation by another member, or this member's own accusation after a failed probe.
 func (c *Core) accuse(now float64, a Accusation) {
 	m := &c.members[a.Member]
 	if a.Member == c.self || m.removed || !m.state.Present() {
 		return
 	}
 	if a.Incarnation != m.record.Incarnation {
-		return // against an incarnation that no signed record has shown, or one that was refuted
+		return // no signed record has this incarnation, or it was refuted
 	}
 	if c.config.PublishedSWIM && a.Dead {
 		c.endSuspicion(a.Member)
@@ -72,13 +72,13 @@
 	c.prober.enqueueSuspect(id)
 }
 
-// countFailedProbe counts an own failed probe, and announces our accusation once chance no longer explains the
-// failures. Where enough members have accused, one more accuser changes nothing.
+// countFailedProbe counts a failed probe by this router. It gossips this member's accusation once packet loss no
+// longer explains the failures, unless enough members have accused already.
 func (c *Core) countFailedProbe(now float64, s *suspicion, a Accusation) {
 	s.failedProbes++
 	s.lastFailedAt = now
-	explained := s.failedProbes < c.requiredFailures()
-	if !s.announced && !explained && len(s.accusations) <= confirmations {
+	explainedByLoss := s.failedProbes < c.requiredFailures()
+	if !s.announced && !explainedByLoss && len(s.accusations) <= confirmations {
 		s.announced = true
 		c.queueAccusation(a)
 	}
@@ -86,7 +86,7 @@
 
 func (c *Core) addAccuser(s *suspicion, a Accusation) {
 	if slices.ContainsFunc(s.accusations, func(other Accusation) bool { return other.Accuser == a.Accuser }) {
-		c.gossip.countEcho(subjectOf(a), c.config)
+		c.gossip.countDuplicate(subjectOf(a), c.config)
 		return
 	}
 	if len(s.accusations) >= maxAccusers {
@@ -112,7 +112,7 @@
 	}
 }
 
-// endSuspicion forgets a suspicion and stops the gossip about it.
+// endSuspicion deletes a suspicion and stops the gossip about it.
 func (c *Core) endSuspicion(id MemberID) {
 	m := &c.members[id]
 	if m.suspicion != nil {
@@ -125,29 +125,29 @@
 	c.suspects = slices.DeleteFunc(c.suspects, func(other MemberID) bool { return other == id })
 }
 
-// suspicionDecision is what becomes of a suspicion.
+// suspicionDecision is the result of checking a suspicion.
 type suspicionDecision uint8
 
 const (
-	keepSuspecting suspicionDecision = iota // its timeout is not over, or too few own probes failed
-	probeAgain                              // enough own probes failed, but the last one is too old
+	keepSuspecting suspicionDecision = iota // the timeout has not expired, or too few probes failed
+	probeAgain                              // enough probes failed, but the last failure is too old
 	declareFailure
 )
 
-// suspicionEvidence is what the decision on a suspicion depends on. Times are in seconds of the core's clock.
+// suspicionEvidence is the input of the decision on a suspicion. Times are in seconds of the core's clock.
 type suspicionEvidence struct {
 	startedAt      float64
 	deadline       float64 // when the suspicion times out
 	longestTimeout float64 // s
-	failedProbes   int     // own ones
-	requiredProbes int     // own failed probes that chance does not explain
-	lastFailedAt   float64 // of the last own failed probe
-	accusers       int     // independent ones, this router among them
+	failedProbes   int     // failed probes by this router
+	requiredProbes int     // failed probes that packet loss does not explain
+	lastFailedAt   float64 // time of this router's last failed probe
+	accusers       int     // independent accusers, including this router
 }
 
-// decideSuspicion decides on a suspicion. A byzantine accuser, or one with a bad network, must not have a healthy
-// member declared failed: it takes own failed probes, of which the last one is recent, or more accusers than may be
-// byzantine over a long time. The latter is the way for a router that is too busy to probe by itself.
+// decideSuspicion decides on a suspicion. An accuser that is byzantine, or that has a bad network, must not get a
+// healthy member declared failed. The decision therefore requires failed probes by this router, the last one recent,
+// or more accusers than may be byzantine for a long time. The latter covers a router that is too busy to probe.
 func decideSuspicion(now float64, config Config, e suspicionEvidence) suspicionDecision {
 	switch {
 	case now < e.deadline:
@@ -158,13 +158,13 @@
 		return declareFailure
 	case e.failedProbes < max(minFailedProbes, e.requiredProbes):
 		return keepSuspecting
-	case now > e.lastFailedAt+failureFreshFor:
+	case now > e.lastFailedAt+maxFailedProbeAge:
 		return probeAgain
 	}
 	return declareFailure
 }
 
-// checkSuspicions decides on each suspicion, and has the suspects probed at the probe interval.
+// checkSuspicions decides on each suspicion, and queues the suspects for probes at the probe interval.
 func (c *Core) checkSuspicions(now float64) {
 	for _, id := range slices.Clone(c.suspects) {
 		s := c.members[id].suspicion
@@ -212,21 +212,21 @@
 	}
 }
 
-// suspicionTimeouts are the shortest and the longest time of a suspicion, in seconds, by the number of members present
-// and the mean round trip time.
+// suspicionTimeouts returns the shortest and the longest suspicion timeout in seconds, by the number of present
+// members and the mean round-trip time.
 func suspicionTimeouts(config Config, size, roundTripSeconds float64) (shortest, longest float64) {
 	if config.PublishedSWIM {
 		t := publishedSuspicionFactor * math.Log2(size) * config.ProbeIntervalSeconds
 		return t, t
 	}
 	scale := max(math.Log10(size), 1)
-	shortest = suspicionFactor*scale*config.ProbeIntervalSeconds + roundTripsOfTimeout*max(roundTripSeconds, 0)
-	return shortest, suspicionRange * shortest
+	shortest = suspicionFactor*scale*config.ProbeIntervalSeconds + minTimeoutRoundTrips*max(roundTripSeconds, 0)
+	return shortest, longestTimeoutFactor * shortest
 }
 
-// suspicionTimeout is the time of a suspicion, in seconds: the longest for one accuser, less for each further
-// independent one, as in Lifeguard. A member that only one router cannot reach has time to refute; one that nobody
-// reaches is failed soon.
+// suspicionTimeout returns the timeout of a suspicion in seconds: the longest for one accuser, and less for each
+// further independent accuser, as in Lifeguard. A member that only one router cannot reach has time to refute; a
+// member that no router reaches is declared failed soon.
 func suspicionTimeout(shortest, longest float64, present, accusers int) float64 {
 	k := float64(min(confirmations, max(present-2, 1)))
 	n := min(float64(accusers), k+1)
@@ -236,7 +236,7 @@
 	return max(shortest, longest-(longest-shortest)*math.Log(n)/math.Log(k+1))
 }
 
-// requiredFailures is how many own probes have to fail before we accuse or declare a failure.
+// requiredFailures returns how many probes by this router must fail before it accuses a member or declares it failed.
 func (c *Core) requiredFailures() int {
 	if c.config.PublishedSWIM {
 		return 1
@@ -244,10 +244,10 @@
 	return failuresBeyondChance(c.roundTrips.lossRate)
 }
 
-// failuresBeyondChance is the number of failed probes that at a loss rate chance alone gives with a probability under
-// chanceThreshold. On a network with loss, members would else be suspected all the time. A probe fails by chance if two
-// pings and the indirect ones are lost, each of the latter over two round trips. Lifeguard's health score does the same
-// for late acks.
+// failuresBeyondChance returns the number of failed probes that packet loss alone causes with a probability below
+// chanceThreshold. Without this rule, a network with packet loss would cause constant suspicions. A probe fails by
+// chance if two pings and the indirect pings are lost, each of the latter over two round trips. Lifeguard's health
+// score has the same purpose for late acks.
 func failuresBeyondChance(lossRate float64) int {
 	if lossRate <= 0 {
 		return 1
@@ -257,7 +257,7 @@
 	return min(max(int(math.Ceil(math.Log(chanceThreshold)/math.Log(chance))), 1), maxFailedProbes)
 }
 
-// independentAccusers counts those who hold a suspicion independently, this member among them.
+// independentAccusers counts the members that independently suspect a member, including this one.
 func (c *Core) independentAccusers(s *suspicion) int {
 	n := c.trustedAccusers(s)
 	if s.failedProbes >= c.requiredFailures() {
@@ -266,7 +266,7 @@
 	return n
 }
 
-// trustedAccusers counts the other accusers that are not ignored.
+// trustedAccusers counts the other accusers whose accusations are not ignored.
 func (c *Core) trustedAccusers(s *suspicion) (n int) {
 	for _, a := range s.accusations {
 		if !c.isIgnored(a.Accuser) {
--- a/internal/membership/swim/suspicion_test.go
+++ b/internal/membership/swim/suspicion_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestByzantineAccuserFailsNobodyThatAcks has one member accuse all others over and over while they ack. If
-// accusations alone could fail a member, one liar would end the cluster. All must stay present, and the accuser must
-// be ignored.
-func TestByzantineAccuserFailsNobodyThatAcks(t *testing.T) {
+// TestByzantineAccuserCannotFailRespondingMembers has one member accuse all others repeatedly while they ack. If
+// accusations alone could fail a member, one byzantine member could take down the cluster. All members must stay
+// present, and the accuser must be ignored.
+func TestByzantineAccuserCannotFailRespondingMembers(t *testing.T) {
 	c := newTestCore(5, Config{MaxByzantine: 1})
 	now := 1.0
 	for range 50 {
@@ -24,15 +24,15 @@
 		assert.True(t, stateOf(c, id).Present(), "member %d is %v", id, stateOf(c, id))
 	}
 	_, _, ignored := c.Reputation(4)
-	assert.True(t, ignored, "an accuser that is refuted that often is ignored")
+	assert.True(t, ignored, "an accuser whose accusations are refuted this often is ignored")
 	c.HandleMessage(now, 4, pushAccusation(accusation(4, 1)))
 	assert.NotEqual(t, Suspect, stateOf(c, 1))
 }
 
-// TestSilentMemberFailsAndOnlyNewerIncarnationBringsItBack takes a member away. It must be failed, after indirect
-// pings. A late ack or an old record must not bring it back: others would go on holding it failed, and the views
-// would differ for ever.
-func TestSilentMemberFailsAndOnlyNewerIncarnationBringsItBack(t *testing.T) {
+// TestUnresponsiveMemberFailsUntilNewerIncarnation stops the acks of a member. It must be declared failed after
+// indirect pings. A late ack or an old record must not make it present again: other members would still consider it
+// failed, and the views would differ permanently.
+func TestUnresponsiveMemberFailsUntilNewerIncarnation(t *testing.T) {
 	c := newTestCore(4, Config{MaxByzantine: 1})
 	actions := runUntil(c, 0.1, 12, func(s Send) bool { return s.To != 2 })
 	require.Equal(t, Failed, stateOf(c, 2))
@@ -47,14 +47,14 @@
 	record := aliveRecord(2)
 	c.HandleMessage(13, 2, Message{Kind: Ack, Nonce: 1, Requester: 0})
 	c.HandleMessage(13, 1, pushRecord(record))
-	assert.Equal(t, Failed, stateOf(c, 2), "an old record does not bring it back")
+	assert.Equal(t, Failed, stateOf(c, 2), "an old record does not make it present again")
 	record.Incarnation = record.Incarnation.next()
 	c.HandleMessage(13, 1, pushRecord(record))
 	assert.Equal(t, Alive, stateOf(c, 2))
 }
 
-// TestLateAckEndsSuspicion delivers an ack after its timeout. A member that answers slowly, because of a pause of
-// the collector, would be failed. The late ack must end its suspicion.
+// TestLateAckEndsSuspicion delivers an ack after its timeout. Without this rule, a member that answers slowly because
+// of a garbage collection pause would be declared failed. The late ack must end its suspicion.
 func TestLateAckEndsSuspicion(t *testing.T) {
 	c := newTestCore(3, Config{})
 	var ping Send
@@ -70,9 +70,9 @@
 	assert.Equal(t, Alive, stateOf(c, 1))
 }
 
-// TestStoppedMemberSuspectsNobody stops a router for a minute. When it resumes, all its probes are overdue, and it
-// would declare every member failed. It must suspect nobody, and wait longer for others for a while.
-func TestStoppedMemberSuspectsNobody(t *testing.T) {
+// TestNoSuspicionsAfterProcessPause pauses a router for a minute. When it resumes, all its probes are overdue, and it
+// could declare every member failed. It must suspect no member, and use longer timeouts for a while.
+func TestNoSuspicionsAfterProcessPause(t *testing.T) {
 	c := newTestCore(4, Config{})
 	runUntil(c, 0.1, 1, allAck)
 	c.Tick(1.1)
@@ -80,11 +80,11 @@
 	for id := MemberID(1); id < 4; id++ {
 		assert.Equal(t, Alive, stateOf(c, id))
 	}
-	assert.Positive(t, c.HealthScore(), "and it waits longer for others for a while")
+	assert.Positive(t, c.HealthScore(), "timeouts are longer for a while")
 }
 
-// TestDecisionOnSuspicion holds each rule of the decision: the timeout, own failed probes of which the last one is
-// recent, or more accusers than may be byzantine for twice the longest timeout.
+// TestDecisionOnSuspicion checks each rule of the decision: the timeout, failed probes by this router of which the
+// last one is recent, and more accusers than may be byzantine for twice the longest timeout.
 func TestDecisionOnSuspicion(t *testing.T) {
 	const startedAt, deadline, longest = 100.0, 102.0, 6.0
 	base := suspicionEvidence{
@@ -113,10 +113,10 @@
 	}{
 		"before the deadline":           {deadline - 0.1, Config{}, base, keepSuspecting},
 		"own probes failed":             {deadline, Config{}, base, declareFailure},
-		"chance explains the failures":  {deadline, Config{}, tooFew, keepSuspecting},
+		"packet loss explains them":     {deadline, Config{}, tooFew, keepSuspecting},
 		"one failed probe":              {deadline, Config{}, oneProbe, keepSuspecting},
-		"the last failure is recent":    {deadline + failureFreshFor, Config{}, base, declareFailure},
-		"the last failure is too old":   {deadline + failureFreshFor + 0.1, Config{}, base, probeAgain},
+		"the last failure is recent":    {deadline + maxFailedProbeAge, Config{}, base, declareFailure},
+		"the last failure is too old":   {deadline + maxFailedProbeAge + 0.1, Config{}, base, probeAgain},
 		"accusers alone, early":         {startedAt + 2*longest - 1, Config{MaxByzantine: 1}, accused, keepSuspecting},
 		"accusers alone, late":          {startedAt + 2*longest, Config{MaxByzantine: 1}, accused, declareFailure},
 		"as many as may be byzantine":   {startedAt + 2*longest, Config{MaxByzantine: 1}, accusedOnce, keepSuspecting},
--- a/internal/membership/swim/trace_test.go
+++ b/internal/membership/swim/trace_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// traceReasons numbers the reasons of state changes, so that the trace does not depend on their texts.
+// traceReasons assigns numbers to the reasons of state changes, so that the trace does not depend on their texts.
 var traceReasons = map[Reason]int{
 	ReasonNotInRoster:    1,
 	ReasonProbesFailed:   2,
@@ -33,14 +33,14 @@
 }
 
 const (
-	traceMembers   = 8     // instances; the last one joins late
-	traceLasts     = 150.0 // s of the played time
-	traceGrowAt    = 40.0  // s at which the roster grows by the last instance
-	traceByzantine = 6     // the instance that accuses others without a reason
-	traceFirstRun  = 1_000_000
+	traceMembers          = 8     // instances; the last one joins late
+	traceSeconds          = 150.0 // duration of the simulation, s
+	traceGrowAt           = 40.0  // time at which the last instance is added to the roster, s
+	traceByzantine        = 6     // the instance that sends false accusations
+	traceFirstStartMillis = 1_000_000
 )
 
-// traceDelivery is a message under way.
+// traceDelivery is a message in flight.
 type traceDelivery struct {
 	at       float64
 	order    int
@@ -48,23 +48,23 @@
 	message  Message
 }
 
-// tracePlay plays several cores against each other with losses, cuts, kills, stops and a lying instance, all drawn
-// from a seed, and hashes every action that any core asks for.
-type tracePlay struct {
-	t       *testing.T
-	config  Config
-	random  *rand.Rand
-	cores   []*Core
-	running []bool
-	stopped []float64 // until when an instance does not run
-	cut     float64   // until when even and odd instances do not hear each other
-	flight  []traceDelivery
-	order   int
-	now     float64
-	log     strings.Builder
-	events  int
-	kinds   map[MessageKind]int
-	reasons map[int]int
+// traceRun simulates several cores with message loss, partitions, kills, pauses and a byzantine instance, all drawn
+// from a seed, and hashes every action that any core returns.
+type traceRun struct {
+	t                *testing.T
+	config           Config
+	random           *rand.Rand
+	cores            []*Core
+	running          []bool
+	pausedUntil      []float64 // end of the pause of each instance
+	partitionedUntil float64   // end of the partition between even and odd instances
+	inFlight         []traceDelivery
+	order            int
+	now              float64
+	log              strings.Builder
+	events           int
+	kinds            map[MessageKind]int
+	reasons          map[int]int
 }
 
 func traceRoster(n int) (out []uint64) {
@@ -74,17 +74,17 @@
 	return out
 }
 
-func newTracePlay(t *testing.T, config Config, seed uint64) *tracePlay {
+func newTraceRun(t *testing.T, config Config, seed uint64) *traceRun {
 	t.Helper()
-	p := &tracePlay{
-		t:       t,
-		config:  config,
-		random:  rand.New(rand.NewPCG(seed, 99)),
-		cores:   make([]*Core, traceMembers),
-		running: make([]bool, traceMembers),
-		stopped: make([]float64, traceMembers),
-		kinds:   map[MessageKind]int{},
-		reasons: map[int]int{},
+	p := &traceRun{
+		t:           t,
+		config:      config,
+		random:      rand.New(rand.NewPCG(seed, 99)),
+		cores:       make([]*Core, traceMembers),
+		running:     make([]bool, traceMembers),
+		pausedUntil: make([]float64, traceMembers),
+		kinds:       map[MessageKind]int{},
+		reasons:     map[int]int{},
 	}
 	for i := range traceMembers - 1 {
 		p.start(i, traceMembers-1)
@@ -92,13 +92,13 @@
 	return p
 }
 
-func (p *tracePlay) start(i, roster int) {
-	first := uint64(traceFirstRun + p.now*1000)
+func (p *traceRun) start(i, roster int) {
+	first := uint64(traceFirstStartMillis + p.now*1000)
 	p.cores[i] = New(p.config, MemberID(i), traceRoster(roster), uint64(i)+5, first, p.random.Uint64(), p.now)
-	p.running[i], p.stopped[i] = true, 0
+	p.running[i], p.pausedUntil[i] = true, 0
 }
 
-func (p *tracePlay) emit(i int, actions []Action) {
+func (p *traceRun) emit(i int, actions []Action) {
 	for _, a := range actions {
 		fmt.Fprintf(&p.log, "%.9f %d %s\n", p.now, i, p.text(a))
 		send, ok := a.(Send)
@@ -108,14 +108,14 @@
 		p.order++
 		lost := p.random.Float64() < 0.1
 		delay := 0.001 + 0.03*p.random.Float64()
-		if lost || p.now < p.cut && i%2 != int(send.To)%2 {
+		if lost || p.now < p.partitionedUntil && i%2 != int(send.To)%2 {
 			continue
 		}
-		p.flight = append(p.flight, traceDelivery{p.now + delay, p.order, MemberID(i), send.To, send.Message})
+		p.inFlight = append(p.inFlight, traceDelivery{p.now + delay, p.order, MemberID(i), send.To, send.Message})
 	}
 }
 
-func (p *tracePlay) text(a Action) string {
+func (p *traceRun) text(a Action) string {
 	switch a := a.(type) {
 	case Send:
 		p.kinds[a.Kind]++
@@ -136,7 +136,7 @@
 		return b.String()
 	case StateChange:
 		reason := traceReasons[a.Reason]
-		require.NotZero(p.t, reason, "a reason that the trace does not know: %v", a.Reason)
+		require.NotZero(p.t, reason, "reason is missing in traceReasons: %v", a.Reason)
 		p.reasons[reason]++
 		at := a.Incarnation
 		return fmt.Sprintf("C %d %d %d %d %d %d %.9f",
@@ -144,31 +144,31 @@
 	case NameConflict:
 		return fmt.Sprintf("N %d", a.InstanceID)
 	}
-	p.t.Fatalf("an action that the trace does not know: %T", a)
+	p.t.Fatalf("unsupported action type: %T", a)
 	return ""
 }
 
-// advance lets time pass until a given time: deliveries and ticks in the order of their times.
-func (p *tracePlay) advance(until float64) {
+// advance runs the simulation until a given time: deliveries and ticks in the order of their times.
+func (p *traceRun) advance(until float64) {
 	for {
-		at, instance, flight := until, -1, -1
+		at, instance, deliveryIndex := until, -1, -1
 		for i, c := range p.cores {
 			if c != nil && p.running[i] {
-				if due := max(c.NextDeadline(), p.stopped[i], p.now+0.0005); due < at {
+				if due := max(c.NextDeadline(), p.pausedUntil[i], p.now+0.0005); due < at {
 					at, instance = due, i
 				}
 			}
 		}
-		for i, d := range p.flight {
-			if d.at < at || d.at == at && flight >= 0 && d.order < p.flight[flight].order {
-				at, instance, flight = d.at, -1, i
+		for i, d := range p.inFlight {
+			if d.at < at || d.at == at && deliveryIndex >= 0 && d.order < p.inFlight[deliveryIndex].order {
+				at, instance, deliveryIndex = d.at, -1, i
 			}
 		}
 		p.now = max(p.now, at)
 		switch {
-		case flight >= 0:
-			d := p.flight[flight]
-			p.flight = slices.Delete(p.flight, flight, flight+1)
+		case deliveryIndex >= 0:
+			d := p.inFlight[deliveryIndex]
+			p.inFlight = slices.Delete(p.inFlight, deliveryIndex, deliveryIndex+1)
 			p.deliver(d)
 		case instance >= 0:
 			p.events++
@@ -179,17 +179,17 @@
 	}
 }
 
-func (p *tracePlay) deliver(d traceDelivery) {
+func (p *traceRun) deliver(d traceDelivery) {
 	c := p.cores[d.to]
-	if c == nil || !p.running[d.to] || p.now < p.stopped[d.to] {
+	if c == nil || !p.running[d.to] || p.now < p.pausedUntil[d.to] {
 		return
 	}
 	p.events++
 	p.emit(int(d.to), c.HandleMessage(p.now, d.from, d.message))
 }
 
-// act is one drawn act of the script.
-func (p *tracePlay) act() {
+// randomFault executes one random fault or call.
+func (p *traceRun) randomFault() {
 	i := p.random.IntN(traceMembers)
 	c := p.cores[i]
 	if c == nil {
@@ -202,15 +202,15 @@
 			p.start(i, len(c.Snapshot(p.now)))
 		}
 	case 1:
-		p.stopped[i] = p.now + 2*p.random.Float64()
+		p.pausedUntil[i] = p.now + 2*p.random.Float64()
 	case 2:
-		p.cut = p.now + 12*p.random.Float64()
+		p.partitionedUntil = p.now + 12*p.random.Float64()
 	case 3, 4:
 		if p.running[i] {
 			p.emit(i, c.SetWorking(p.now, p.random.IntN(2) == 0))
 		}
 	case 5:
-		p.lie(i)
+		p.sendFalseAccusations(i)
 	case 6:
 		if p.running[i] && p.random.IntN(4) == 0 {
 			p.emit(i, c.Leave(p.now))
@@ -222,9 +222,9 @@
 	}
 }
 
-// lie makes the lying instance accuse every member that another instance holds, and at times forge a record of that
-// instance from a later start.
-func (p *tracePlay) lie(to int) {
+// sendFalseAccusations makes the byzantine instance accuse every member in the view of another instance and,
+// occasionally, forge a record of that instance from a later start.
+func (p *traceRun) sendFalseAccusations(to int) {
 	if to == traceByzantine || !p.running[to] {
 		return
 	}
@@ -239,7 +239,7 @@
 		})
 	}
 	if p.random.IntN(12) == 0 {
-		start := uint64(traceFirstRun + 2000*p.now)
+		start := uint64(traceFirstStartMillis + 2000*p.now)
 		m.Records = append(m.Records, MemberRecord{
 			Member:      MemberID(to),
 			Incarnation: Incarnation{StartMillis: start},
@@ -250,9 +250,9 @@
 	p.emit(to, p.cores[to].HandleMessage(p.now, traceByzantine, m))
 }
 
-func (p *tracePlay) play() string {
+func (p *traceRun) run() string {
 	grown := false
-	for p.now < traceLasts {
+	for p.now < traceSeconds {
 		if !grown && p.now >= traceGrowAt {
 			grown = true
 			for _, c := range p.cores[:traceMembers-1] {
@@ -262,7 +262,7 @@
 			p.emit(traceMembers-1, p.cores[traceMembers-1].Preload(p.now, []MemberRecord{p.cores[0].SelfRecord()}))
 		}
 		p.advance(p.now + 2*p.random.Float64())
-		p.act()
+		p.randomFault()
 	}
 	for i, c := range p.cores {
 		for _, m := range c.Snapshot(p.now) {
@@ -274,9 +274,9 @@
 	return fmt.Sprintf("%x", sha256.Sum256([]byte(p.log.String())))
 }
 
-// TestActionsMatchRecordedTrace compares every action of a drawn play of several cores with the hash recorded from
-// the code before its files were reshaped. The play itself is checked to reach each kind of message and the reasons
-// of changes.
+// TestActionsMatchRecordedTrace compares every action of a simulation of several cores with a hash recorded from the
+// code before its files were restructured. It also checks that the simulation covers each kind of message and the
+// reasons of state changes.
 func TestActionsMatchRecordedTrace(t *testing.T) {
 	for name, config := range map[string]Config{
 		"one-byzantine":  {MaxByzantine: 1},
@@ -284,8 +284,8 @@
 		"published-swim": {MaxByzantine: 1, PublishedSWIM: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newTracePlay(t, config, 7)
-			got := p.play()
+			p := newTraceRun(t, config, 7)
+			got := p.run()
 			t.Logf("%d events, messages %v, reasons %v", p.events, p.kinds, p.reasons)
 			assert.Greater(t, p.events, 4000)
 			assert.Len(t, p.kinds, 8)
