--- a/internal/membership/observation/doubt.go
+++ b/internal/membership/observation/doubt.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	sameZoneFactor = 0.5 // of a witness's weight for each earlier one of its zone: they share a switch
-	doubtPerWeight = 2.0 // halvings of the remaining trust by a witness of weight 1
-	minDoubtChange = 0.1 // that is given
-	minUntilChange = 2.5 // that is given, s
+	sameZoneFactor = 0.5 // factor on a witness's weight for each earlier one of its zone, as they share a switch
+	doubtPerWeight = 2.0 // number of times that a witness of weight 1 halves the remaining trust
+	minDoubtChange = 0.1 // minimum change of the level that is reported
+	minUntilChange = 2.5 // minimum extension of the expiry that is reported, s
 )
 
-// updateDoubt computes the doubt about an endpoint and gives it if it changed. Byzantine witnesses alone raise
-// none, however many observations they make.
+// updateDoubt computes the doubt about an endpoint and returns it if it changed. Byzantine witnesses alone cause no
+// doubt, however many observations they send.
 func (t *Tracker) updateDoubt(now float64, endpoint routing.EndpointID) []Doubt {
 	doubt := t.doubtFrom(t.trustedFailures(now, endpoint), endpoint)
 	last := t.doubts[endpoint]
@@ -33,23 +33,24 @@
 	return []Doubt{doubt}
 }
 
-// trustedFailures are the failures observed by witnesses that are not ignored, the weightiest first.
-func (t *Tracker) trustedFailures(now float64, endpoint routing.EndpointID) []heldObservation {
-	var failures []heldObservation
-	for _, h := range t.held[endpoint] {
+// trustedFailures returns the failures observed by witnesses that are not ignored, sorted by descending weight.
+func (t *Tracker) trustedFailures(now float64, endpoint routing.EndpointID) []storedObservation {
+	var failures []storedObservation
+	for _, h := range t.stored[endpoint] {
 		if now < h.expiresAt && h.Health == Failing && t.witnesses[h.Witness].weight() > 0 {
 			failures = append(failures, h)
 		}
 	}
-	slices.SortFunc(failures, func(a, b heldObservation) int {
+	slices.SortFunc(failures, func(a, b storedObservation) int {
 		byWeight := cmp.Compare(t.witnesses[b.Witness].weight(), t.witnesses[a.Witness].weight())
 		return cmp.Or(byWeight, cmp.Compare(a.Witness, b.Witness))
 	})
 	return failures
 }
 
-// doubtFrom weighs failures. The weightiest maxByzantine witnesses may be the byzantine ones and do not count.
-func (t *Tracker) doubtFrom(failures []heldObservation, endpoint routing.EndpointID) Doubt {
+// doubtFrom computes a doubt from failures. The maxByzantine witnesses with the highest weights are skipped, because
+// they may be the byzantine ones.
+func (t *Tracker) doubtFrom(failures []storedObservation, endpoint routing.EndpointID) Doubt {
 	perZone := map[string]int{}
 	weight, until := 0.0, 0.0
 	for _, h := range failures[min(len(failures), t.maxByzantine):] {
--- a/internal/membership/observation/gossip.go
+++ b/internal/membership/observation/gossip.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	gossipFactor     = 2.0 // times log2 of the members: how often an observation is passed on
+	gossipFactor     = 2.0 // multiplied by log2 of the members: transmissions of one observation
 	minTransmissions = 2
-	maxQueue         = 256 // observations that wait to be passed on
-	maxPerDatagram   = 3   // observations
+	maxQueue         = 256 // queued observations
+	maxPerDatagram   = 3   // observations per datagram
 )
 
-// queuedObservation is an observation that is passed on, and how often it was sent.
+// queuedObservation is an observation queued for gossip, with the number of times it was sent.
 type queuedObservation struct {
 	Observation
 	sent int
 }
 
-// tokenBucket bounds the rate of own observations.
+// tokenBucket limits the rate of observations by this router.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt float64
@@ -37,16 +37,16 @@
 	return true
 }
 
-// TakeUnsigned returns the own observations that wait for a signature. The caller signs each and hands it to
-// Enqueue.
+// TakeUnsigned removes and returns the observations by this router that are not signed yet. The caller must sign each
+// and pass it to Enqueue.
 func (t *Tracker) TakeUnsigned() []Observation {
 	unsigned := t.unsigned
 	t.unsigned = nil
 	return unsigned
 }
 
-// Enqueue queues a signed observation to be passed on, in place of an older one of its witness on the endpoint. If
-// the queue is full, the one that was sent most goes.
+// Enqueue queues a signed observation for gossip. It replaces an older one by the same witness of the same endpoint.
+// If the queue is full, the observation that was sent most often is dropped.
 func (t *Tracker) Enqueue(o Observation) {
 	older := slices.IndexFunc(t.queue, func(q queuedObservation) bool {
 		return q.Witness == o.Witness && q.Endpoint == o.Endpoint
@@ -71,8 +71,8 @@
 	t.queue = slices.Delete(t.queue, most, most+1)
 }
 
-// Piggyback returns observations for a datagram to a member, the least sent first. The number of present members
-// decides how often an observation is sent.
+// Piggyback returns the observations to include in a datagram to a member, the least often sent first. The number of
+// present members determines how often an observation is sent.
 func (t *Tracker) Piggyback(to swim.MemberID, present int) (list []Observation) {
 	transmissions := max(int(gossipFactor*math.Ceil(math.Log2(float64(present+1)))), minTransmissions)
 	slices.SortStableFunc(t.queue, func(a, b queuedObservation) int { return cmp.Compare(a.sent, b.sent) })
--- a/internal/membership/observation/observation.go
+++ b/internal/membership/observation/observation.go
@@ -5,14 +5,14 @@
 	"cairnfront/routing"
 )
 
-// Health is what a witness saw of an endpoint. Its values are on the wire.
+// Health is the health of an endpoint as observed by a witness. Its values are sent in datagrams.
 type Health uint8
 
-// The kinds of health.
+// The values of Health.
 const (
 	Failing Health = iota + 1 // errors, refused connections and timeouts
-	Slow                      // late answers; operators see them, but they raise no doubt: under a burst all are slow
-	Healthy                   // takes either back
+	Slow                      // late responses; only shown to operators, because all endpoints are slow during a burst
+	Healthy                   // revokes an earlier Failing or Slow
 )
 
 var healthNames = [...]string{Failing: "failing", Slow: "slow", Healthy: "well"}
@@ -26,27 +26,27 @@
 	return healthNames[h]
 }
 
-// Observation is what one witness observed of one endpoint.
+// Observation is one witness's observation of one endpoint.
 type Observation struct {
 	Witness            swim.MemberID
-	WitnessStartMillis uint64 // the start of the witness, Unix ms
-	Sequence           uint32 // of the witness's observations since that start
+	WitnessStartMillis uint64 // start time of the witness, Unix ms
+	Sequence           uint32 // sequence number among the witness's observations since that start
 	Endpoint           routing.EndpointID
 	Health             Health
-	Zone               string // of the witness
-	Signed             []byte // the signed encoding, opaque to this package; nil for an own one
+	Zone               string // zone of the witness
+	Signed             []byte // signed encoding, opaque to this package; nil in observations by this router
 }
 
-// Doubt is how much an endpoint's health is doubted. It is given where it changes.
+// Doubt is the degree to which an endpoint's health is doubted. The tracker returns a doubt when it changes.
 type Doubt struct {
 	Endpoint routing.EndpointID
-	Level    float64 // from 0, which ends a doubt, to 1
-	Until    float64 // on the tracker's clock, s
+	Level    float64 // 0 to 1; 0 ends the doubt
+	Until    float64 // expiry time on the tracker's clock, s
 }
 
-// Classify is what the end of an attempt says about its endpoint, if anything. An answer is late after the
-// latency objective of its request. What the request or its client caused says nothing; an overloaded endpoint is
-// slow, not failing.
+// Classify returns the health of an endpoint that the result of an attempt implies, and false if it implies none. A
+// response is late if it exceeds the latency objective of its request. A result caused by the request or its client
+// implies nothing about the endpoint. An overloaded endpoint is slow, not failing.
 func Classify(result routing.AttemptResult, late bool) (health Health, ok bool) {
 	switch result {
 	case routing.Completed, routing.CacheMiss:
@@ -58,7 +58,7 @@
 		return Slow, true
 	case routing.ServerError, routing.ConnectFailed, routing.ConnectionBroken, routing.TimedOut:
 		return Failing, true
-	case routing.Cancelled, routing.NotSent: // the request's or this router's doing
+	case routing.Cancelled, routing.NotSent: // caused by the client or this router
 	}
 	return 0, false
 }
--- a/internal/membership/observation/receive.go
+++ b/internal/membership/observation/receive.go
@@ -8,23 +8,25 @@
 )
 
 const (
-	// maxSequenceAhead is by how much a witness may advance with one observation: the numbers of a start are not used
-	// up at once.
+	// maxSequenceAhead limits how far one observation may advance its witness's sequence number, so that the
+	// numbers of one start are not exhausted at once.
 	maxSequenceAhead = 100000
-	// maxSequenceBehind is by how many observations of its witness one may arrive late.
+	// maxSequenceBehind limits how far a delayed observation may be behind the latest sequence number of its
+	// witness.
 	maxSequenceBehind = 64
 )
 
-// HandleObservation takes an observation whose signature the caller has verified. It is not fresh, and ignored, if
-// its witness said something later, or if it is from an earlier start of the witness.
+// HandleObservation handles an observation whose signature the caller has verified. fresh is false, and the
+// observation is ignored, if a later one by the same witness is known, or if it is from an earlier start of the
+// witness.
 func (t *Tracker) HandleObservation(now float64, o Observation) (doubts []Doubt, fresh bool) {
 	if o.Witness == t.self || !o.Health.valid() || o.Endpoint == "" {
 		return nil, false
 	}
-	if !t.makeRoom(now, o.Endpoint) { // before its number is used up: a later copy may find room
+	if !t.ensureCapacity(now, o.Endpoint) { // before the number is recorded: a later copy may be accepted
 		return nil, false
 	}
-	if !t.acceptSequence(now, o) || !t.hold(now, o) {
+	if !t.acceptSequence(now, o) || !t.store(now, o) {
 		return nil, false
 	}
 	t.Enqueue(o)
@@ -34,9 +36,9 @@
 	return t.updateDoubt(now, o.Endpoint), true
 }
 
-// acceptSequence checks an observation's number against the latest of its witness and advances that. A number that
-// is a little late is accepted if no observation of the witness is held on that endpoint: they can arrive in any
-// order.
+// acceptSequence checks an observation's sequence number against the latest of its witness and advances the latter.
+// Because observations can arrive in any order, a slightly older number is accepted if no observation of that
+// endpoint by the witness is stored.
 func (t *Tracker) acceptSequence(now float64, o Observation) bool {
 	w := t.witnesses[o.Witness]
 	if w == nil {
@@ -50,7 +52,7 @@
 	case o.Sequence == w.sequence:
 		return false
 	case o.Sequence < w.sequence:
-		return w.sequence-o.Sequence <= maxSequenceBehind && !t.holdsFrom(o.Endpoint, o.Witness)
+		return w.sequence-o.Sequence <= maxSequenceBehind && !t.hasObservationFrom(o.Endpoint, o.Witness)
 	case w.startMillis != 0 && o.Sequence-w.sequence > maxSequenceAhead:
 		return false
 	}
@@ -58,27 +60,27 @@
 	return true
 }
 
-func (t *Tracker) holdsFrom(endpoint routing.EndpointID, witness swim.MemberID) bool {
-	return slices.ContainsFunc(t.held[endpoint], func(h heldObservation) bool { return h.Witness == witness })
+func (t *Tracker) hasObservationFrom(endpoint routing.EndpointID, witness swim.MemberID) bool {
+	return slices.ContainsFunc(t.stored[endpoint], func(h storedObservation) bool { return h.Witness == witness })
 }
 
-// makeRoom expires observations if the bounds are reached, and reports whether one more fits.
-func (t *Tracker) makeRoom(now float64, endpoint routing.EndpointID) bool {
-	if t.hasRoom(endpoint) {
+// ensureCapacity expires observations if the limits are reached, and reports whether another one can be stored.
+func (t *Tracker) ensureCapacity(now float64, endpoint routing.EndpointID) bool {
+	if t.hasCapacity(endpoint) {
 		return true
 	}
 	t.expire(now)
-	return t.hasRoom(endpoint)
+	return t.hasCapacity(endpoint)
 }
 
-func (t *Tracker) hasRoom(endpoint routing.EndpointID) bool {
-	return (t.held[endpoint] != nil || len(t.held) < maxEndpoints) && t.heldCount < maxHeld
+func (t *Tracker) hasCapacity(endpoint routing.EndpointID) bool {
+	return (t.stored[endpoint] != nil || len(t.stored) < maxEndpoints) && t.storedCount < maxStored
 }
 
-// hold keeps an observation in place of an older one of its witness on the endpoint.
-func (t *Tracker) hold(now float64, o Observation) bool {
-	list := t.held[o.Endpoint]
-	older := slices.IndexFunc(list, func(h heldObservation) bool { return h.Witness == o.Witness })
+// store stores an observation and replaces an older one by the same witness of the same endpoint.
+func (t *Tracker) store(now float64, o Observation) bool {
+	list := t.stored[o.Endpoint]
+	older := slices.IndexFunc(list, func(h storedObservation) bool { return h.Witness == o.Witness })
 	if older >= 0 {
 		h := &list[older]
 		sameStart := h.WitnessStartMillis == o.WitnessStartMillis
@@ -86,13 +88,13 @@
 			return false
 		}
 		list = slices.Delete(list, older, older+1)
-		t.heldCount--
+		t.storedCount--
 	}
 	if len(list) >= maxPerEndpoint {
 		list = slices.Delete(list, 0, 1)
-		t.heldCount--
+		t.storedCount--
 	}
-	t.held[o.Endpoint] = append(list, heldObservation{Observation: o, expiresAt: now + expiry})
-	t.heldCount++
+	t.stored[o.Endpoint] = append(list, storedObservation{Observation: o, expiresAt: now + observationTTL})
+	t.storedCount++
 	return true
 }
--- a/internal/membership/observation/trace_test.go
+++ b/internal/membership/observation/trace_test.go
@@ -16,39 +16,39 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// isHeard says whether an observation of a witness is still held.
-func isHeard(list []EndpointEvidence, witness swim.MemberID) bool {
+// isStored reports whether an observation by a witness is still stored.
+func isStored(list []EndpointEvidence, witness swim.MemberID) bool {
 	return slices.ContainsFunc(list, func(e EndpointEvidence) bool { return slices.Contains(e.Witnesses, witness) })
 }
 
 const (
 	traceEvents    = 8000
-	traceMembers   = 9 // members that are drawn as witnesses and receivers
+	traceMembers   = 9 // number of members used as witnesses and receivers
 	traceEndpoints = 12
 )
 
-// tracePlay draws calls of a tracker from a seed and writes what each returns.
-type tracePlay struct {
+// traceRun makes random calls of a tracker, drawn from a seed, and logs the results.
+type traceRun struct {
 	tracker   *Tracker
 	random    *rand.Rand
 	now       float64
 	sequences map[swim.MemberID]uint32
 	log       strings.Builder
-	doubts    int // in the results so far
-	signed    int // own observations so far
+	doubts    int // number of doubts returned so far
+	signed    int // number of this router's observations so far
 }
 
-func (p *tracePlay) drawMember() swim.MemberID { return swim.MemberID(p.random.IntN(traceMembers)) }
+func (p *traceRun) drawMember() swim.MemberID { return swim.MemberID(p.random.IntN(traceMembers)) }
 
-func (p *tracePlay) writeDoubts(list []Doubt) {
+func (p *traceRun) writeDoubts(list []Doubt) {
 	p.doubts += len(list)
 	for _, d := range list {
 		fmt.Fprintf(&p.log, "D %s %.9f %.9f\n", d.Endpoint, d.Level, d.Until)
 	}
 }
 
-// step makes one drawn call, or a few that belong together.
-func (p *tracePlay) step() {
+// step makes one random call, or a few that belong together.
+func (p *traceRun) step() {
 	p.now += 0.05 * p.random.Float64()
 	endpoint := routing.EndpointID(fmt.Sprint("e-", p.random.IntN(traceEndpoints)))
 	health := Health(1 + min(p.random.IntN(4), 2))
@@ -59,14 +59,14 @@
 	case 2, 3:
 		p.receive(endpoint, health)
 	case 4:
-		p.passOn()
+		p.gossip()
 	case 5:
 		p.inspect()
 	}
 }
 
-// receive hands the tracker an observation of a drawn witness.
-func (p *tracePlay) receive(endpoint routing.EndpointID, health Health) {
+// receive passes an observation by a random witness to the tracker.
+func (p *traceRun) receive(endpoint routing.EndpointID, health Health) {
 	witness := p.drawMember()
 	p.sequences[witness] += uint32(p.random.IntN(3))
 	o := Observation{
@@ -82,8 +82,8 @@
 	fmt.Fprintf(&p.log, "F %t\n", fresh)
 }
 
-// passOn queues the own observations, and takes what goes with a message to a drawn member.
-func (p *tracePlay) passOn() {
+// gossip queues the tracker's own observations, and takes those for a datagram to a random member.
+func (p *traceRun) gossip() {
 	for _, o := range p.tracker.TakeUnsigned() {
 		p.signed++
 		fmt.Fprintf(&p.log, "U %d %d %d %s %d %s\n",
@@ -95,25 +95,25 @@
 	}
 }
 
-// inspect lets observations expire, at times forgets a witness, and writes what the tracker holds.
-func (p *tracePlay) inspect() {
+// inspect expires observations, occasionally removes a witness, and logs the state of the tracker.
+func (p *traceRun) inspect() {
 	p.writeDoubts(p.tracker.Tick(p.now))
 	forgotten := p.drawMember()
-	if p.random.IntN(10) == 0 && !isHeard(p.tracker.Snapshot(p.now), forgotten) {
+	if p.random.IntN(10) == 0 && !isStored(p.tracker.Snapshot(p.now), forgotten) {
 		p.tracker.ForgetWitness(forgotten)
 	}
 	for _, l := range p.tracker.Snapshot(p.now) {
 		fmt.Fprintf(&p.log, "L %s %.9f %v %d\n", l.Endpoint, l.Doubt, l.Witnesses, len(l.Healths))
 	}
 	right, wrong, trusted := p.tracker.Reputation(p.drawMember())
-	held, waiting := p.tracker.Sizes()
-	fmt.Fprintf(&p.log, "R %.9f %.9f %t %d %d\n", right, wrong, trusted, held, waiting)
+	stored, queued := p.tracker.Sizes()
+	fmt.Fprintf(&p.log, "R %.9f %.9f %t %d %d\n", right, wrong, trusted, stored, queued)
 }
 
-// TestResultsMatchRecordedTrace compares the results of some thousands of drawn calls with the hash recorded from
-// an earlier version. A change of structure that changes a decision, or the order of results, shows as another hash.
+// TestResultsMatchRecordedTrace compares the results of several thousand random calls with a hash recorded from an
+// earlier version. A refactoring that changes a decision, or the order of the results, gives another hash.
 func TestResultsMatchRecordedTrace(t *testing.T) {
-	p := &tracePlay{
+	p := &traceRun{
 		tracker:   New(0, "zone-0", 1, 100),
 		random:    rand.New(rand.NewPCG(5, 6)),
 		sequences: map[swim.MemberID]uint32{},
--- a/internal/membership/observation/tracker.go
+++ b/internal/membership/observation/tracker.go
@@ -9,54 +9,54 @@
 	"cairnfront/routing"
 )
 
-// What is held. Times in seconds unless a constant says otherwise.
+// Limits of the stored observations. Times are in seconds unless a comment states another unit.
 const (
-	expiry         = 10.0 // of an observation: an endpoint that still fails is observed again by then
-	localExpiry    = 60.0 // of own evidence, after the last attempt
-	maxEndpoints   = 1024 // with observations, and with own evidence
-	maxPerEndpoint = 24   // observations
-	maxHeld        = 4096 // observations in all, about 300 bytes each with their signed encodings
+	observationTTL   = 10.0 // s; an endpoint that still fails is observed again within this time
+	localEvidenceTTL = 60.0 // s since the last attempt
+	maxEndpoints     = 1024 // limit of the endpoints with observations, and of those with local evidence
+	maxPerEndpoint   = 24   // observations per endpoint
+	maxStored        = 4096 // observations in total, about 300 bytes each with their signed encodings
 )
 
-// Own observations. Times in seconds unless a constant says otherwise.
+// Reporting of observations by this router. Times are in seconds unless a comment states another unit.
 const (
-	failuresToReport  = 2    // failed attempts in a row: one is chance
-	slowToReport      = 4    // late attempts in a row
-	successesToReport = 3    // good attempts in a row before an own report is taken back
-	repeatAfter       = 6.0  // after which an observation that still holds is reported again
-	reportsPerSecond  = 4.0  // own ones: more is a storm
-	reportBurst       = 16.0 // own ones
+	failuresToReport  = 2    // consecutive failed attempts; a single one may be chance
+	slowToReport      = 4    // consecutive late attempts
+	successesToReport = 3    // consecutive successful attempts before a report is revoked
+	repeatInterval    = 6.0  // interval after which an unchanged observation is reported again
+	reportsPerSecond  = 4.0  // limits the traffic when many endpoints fail at once
+	reportBurst       = 16.0 // reports that may be sent at once
 )
 
-// heldObservation is an observation until it expires.
-type heldObservation struct {
+// storedObservation is an observation with its expiry time.
+type storedObservation struct {
 	Observation
 	expiresAt float64
-	verified  bool // confirmed or refuted by an own attempt
+	verified  bool // confirmed or refuted by an attempt of this router
 }
 
-// localEvidence is what this router's own attempts showed of an endpoint.
+// localEvidence is what the attempts of this router showed about an endpoint's health.
 type localEvidence struct {
 	last          Health
-	run           int // attempts in a row with that health
+	consecutive   int // number of consecutive attempts with that health
 	reported      Health
 	reportedAt    float64
 	lastSuccessAt float64
 	lastFailureAt float64
 }
 
-// Tracker holds the observations of one router. It belongs to one goroutine.
+// Tracker holds the observations known to one router. It is not safe for concurrent use.
 type Tracker struct {
 	self         swim.MemberID
 	zone         string
 	maxByzantine int
 	startMillis  uint64
 
-	held      map[routing.EndpointID][]heldObservation // in the order in which they came
-	heldCount int
-	witnesses map[swim.MemberID]*witness
-	local     map[routing.EndpointID]*localEvidence
-	doubts    map[routing.EndpointID]Doubt
+	stored      map[routing.EndpointID][]storedObservation // in order of arrival
+	storedCount int
+	witnesses   map[swim.MemberID]*witness
+	local       map[routing.EndpointID]*localEvidence
+	doubts      map[routing.EndpointID]Doubt
 
 	lastSequence uint32
 	unsigned     []Observation
@@ -64,15 +64,15 @@
 	queue        []queuedObservation
 }
 
-// New makes the tracker of a member, with its zone and its incarnation. At most maxByzantine members are taken to
-// be byzantine.
+// New returns the tracker of a member with the given zone and start time. maxByzantine is the maximum number of
+// byzantine members.
 func New(self swim.MemberID, zone string, maxByzantine int, startMillis uint64) *Tracker {
 	return &Tracker{
 		self:         self,
 		zone:         zone,
 		maxByzantine: maxByzantine,
 		startMillis:  startMillis,
-		held:         map[routing.EndpointID][]heldObservation{},
+		stored:       map[routing.EndpointID][]storedObservation{},
 		witnesses:    map[swim.MemberID]*witness{},
 		local:        map[routing.EndpointID]*localEvidence{},
 		doubts:       map[routing.EndpointID]Doubt{},
@@ -80,8 +80,8 @@
 	}
 }
 
-// AttemptEnded takes how an own attempt at an endpoint ended. It confirms or refutes the endpoint's witnesses, and
-// may make an own observation, which TakeUnsigned returns.
+// AttemptEnded records the outcome of an attempt by this router at an endpoint. It confirms or refutes the
+// observations by other witnesses, and may create an observation by this router, which TakeUnsigned returns.
 func (t *Tracker) AttemptEnded(now float64, endpoint routing.EndpointID, health Health) []Doubt {
 	evidence := t.localOf(now, endpoint)
 	if evidence == nil {
@@ -89,7 +89,7 @@
 	}
 	evidence.add(now, health)
 	t.verifyWitnesses(now, endpoint, evidence)
-	if evidence.worthReporting(now) && t.reports.take(now) {
+	if evidence.shouldReport(now) && t.reports.take(now) {
 		evidence.reported, evidence.reportedAt = health, now
 		t.lastSequence++
 		t.unsigned = append(t.unsigned, Observation{
@@ -104,7 +104,8 @@
 	return t.updateDoubt(now, endpoint)
 }
 
-// localOf is the evidence of an endpoint, made if need be; nil if there are too many endpoints.
+// localOf returns the local evidence of an endpoint and creates it if necessary. It returns nil if there are too many
+// endpoints.
 func (t *Tracker) localOf(now float64, endpoint routing.EndpointID) *localEvidence {
 	if evidence := t.local[endpoint]; evidence != nil {
 		return evidence
@@ -122,9 +123,9 @@
 
 func (e *localEvidence) add(now float64, health Health) {
 	if e.last != health {
-		e.last, e.run = health, 0
+		e.last, e.consecutive = health, 0
 	}
-	e.run++
+	e.consecutive++
 	if health == Failing {
 		e.lastFailureAt = now
 	} else {
@@ -132,19 +133,19 @@
 	}
 }
 
-// worthReporting reports whether enough attempts in a row agree and the same was not reported lately. Good health
-// is worth reporting only to take back another report.
-func (e *localEvidence) worthReporting(now float64) bool {
-	if e.reported == e.last && now < e.reportedAt+repeatAfter {
+// shouldReport reports whether enough consecutive attempts agree and the same health was not reported recently. Good
+// health is only reported to revoke another report.
+func (e *localEvidence) shouldReport(now float64) bool {
+	if e.reported == e.last && now < e.reportedAt+repeatInterval {
 		return false
 	}
 	if e.last == Healthy && (e.reported == 0 || e.reported == Healthy) {
 		return false
 	}
-	return e.run >= attemptsToReport(e.last)
+	return e.consecutive >= attemptsToReport(e.last)
 }
 
-// attemptsToReport is how many attempts in a row have to agree before they are reported.
+// attemptsToReport returns the number of consecutive attempts that must agree before a health is reported.
 func attemptsToReport(health Health) int {
 	switch health {
 	case Failing:
@@ -157,7 +158,7 @@
 	return math.MaxInt
 }
 
-// Tick drops what has expired and gives the doubts that changed by it, in the order of their endpoints.
+// Tick removes expired observations and returns the doubts that changed as a result, sorted by endpoint.
 func (t *Tracker) Tick(now float64) (changed []Doubt) {
 	endpoints := slices.Sorted(maps.Keys(t.doubts))
 	t.expire(now)
@@ -168,41 +169,41 @@
 }
 
 func (t *Tracker) expire(now float64) {
-	t.dropHeld(func(h heldObservation) bool { return now >= h.expiresAt })
+	t.removeStored(func(h storedObservation) bool { return now >= h.expiresAt })
 	for endpoint, e := range t.local {
-		if now > max(e.lastSuccessAt, e.lastFailureAt)+localExpiry {
+		if now > max(e.lastSuccessAt, e.lastFailureAt)+localEvidenceTTL {
 			delete(t.local, endpoint)
 		}
 	}
 }
 
-// dropHeld drops the observations that meet a condition.
-func (t *Tracker) dropHeld(condition func(heldObservation) bool) {
-	for endpoint, list := range t.held {
+// removeStored removes the observations that match a condition.
+func (t *Tracker) removeStored(condition func(storedObservation) bool) {
+	for endpoint, list := range t.stored {
 		before := len(list)
 		list = slices.DeleteFunc(list, condition)
-		t.heldCount -= before - len(list)
+		t.storedCount -= before - len(list)
 		if len(list) == 0 {
-			delete(t.held, endpoint)
+			delete(t.stored, endpoint)
 		} else {
-			t.held[endpoint] = list
+			t.stored[endpoint] = list
 		}
 	}
 }
 
-// EndpointEvidence is what is held of an endpoint, for operators.
+// EndpointEvidence lists the stored observations of an endpoint, in reports for operators.
 type EndpointEvidence struct {
 	Endpoint  routing.EndpointID
 	Doubt     float64
 	Witnesses []swim.MemberID
-	Healths   []Health // what each witness observed
+	Healths   []Health // the health observed by each witness
 }
 
-// Snapshot lists the observations that have not expired, by endpoint.
+// Snapshot returns the observations that have not expired, sorted by endpoint.
 func (t *Tracker) Snapshot(now float64) (list []EndpointEvidence) {
-	for _, endpoint := range slices.Sorted(maps.Keys(t.held)) {
+	for _, endpoint := range slices.Sorted(maps.Keys(t.stored)) {
 		evidence := EndpointEvidence{Endpoint: endpoint, Doubt: t.doubts[endpoint].Level}
-		for _, h := range t.held[endpoint] {
+		for _, h := range t.stored[endpoint] {
 			if now < h.expiresAt {
 				evidence.Witnesses = append(evidence.Witnesses, h.Witness)
 				evidence.Healths = append(evidence.Healths, h.Health)
--- a/internal/membership/observation/tracker_test.go
+++ b/internal/membership/observation/tracker_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// failing is an observation that the endpoint e fails.
+// failing returns an observation that the endpoint e is failing.
 func failing(witness swim.MemberID, sequence uint32, zone string) Observation {
 	return Observation{
 		Witness:            witness,
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestByzantineWitnessesAloneRaiseNoDoubt lets one byzantine witness report, from many zones, that an endpoint
-// fails. Were that enough, a single wrong router would take an endpoint from all others. A doubt must need more
+// TestByzantineWitnessesAloneRaiseNoDoubt has one byzantine witness report, from many zones, that an endpoint fails.
+// If that were enough, a single faulty router could make all others avoid an endpoint. A doubt must require more
 // witnesses than may be byzantine, and must expire.
 func TestByzantineWitnessesAloneRaiseNoDoubt(t *testing.T) {
 	tracker := New(0, "z", 1, 1)
@@ -38,15 +38,15 @@
 	require.True(t, fresh)
 	require.Len(t, doubts, 1)
 	assert.InDelta(t, 0.75, doubts[0].Level, 1e-9)
-	ended := tracker.Tick(2 + expiry + 1)
+	ended := tracker.Tick(2 + observationTTL + 1)
 	require.Len(t, ended, 1)
-	assert.Zero(t, ended[0].Level, "it expires")
-	assert.Empty(t, tracker.Tick(2+expiry+2))
+	assert.Zero(t, ended[0].Level, "the doubt expires")
+	assert.Empty(t, tracker.Tick(2+observationTTL+2))
 }
 
-// TestWitnessesOfOneZoneCountLess compares doubts of the same number of witnesses. A broken switch makes all routers
-// of a zone report failures of an endpoint that others reach. Witnesses of several zones must raise more doubt than
-// those of one.
+// TestWitnessesOfOneZoneCountLess compares doubts caused by the same number of witnesses. A broken switch makes all
+// routers of a zone report failures of an endpoint that other zones reach. Witnesses in several zones must cause a
+// higher doubt than witnesses in one.
 func TestWitnessesOfOneZoneCountLess(t *testing.T) {
 	doubt := func(zones ...string) float64 {
 		tracker := New(0, "z", 0, 1)
@@ -59,9 +59,9 @@
 	assert.Greater(t, doubt("a", "a"), doubt("a"))
 }
 
-// TestOftenRefutedWitnessIsIgnored has a witness report failures of an endpoint that answers this router. Its
-// reports would keep a healthy endpoint doubted for ever. It must lose its trust, and a witness whose reports are
-// confirmed must keep it.
+// TestOftenRefutedWitnessIsIgnored has a witness report failures of an endpoint that responds to this router. Without
+// a reputation, its reports would keep a healthy endpoint in doubt permanently. It must lose its trust, and a witness
+// whose reports are confirmed must stay trusted.
 func TestOftenRefutedWitnessIsIgnored(t *testing.T) {
 	tracker := New(0, "z", 0, 1)
 	now := 0.0
@@ -86,8 +86,8 @@
 }
 
 // TestOldObservationsAndOldStartsAreRefused replays observations, and sends some from an earlier start of the
-// witness, in our name and far ahead. Taken as news they would undo what was learnt since. Each must be refused, and
-// one that arrives out of order must not.
+// witness, in this router's name, and with a sequence number far ahead. If accepted, they would override newer
+// observations. Each must be refused, and one that arrives out of order must be accepted.
 func TestOldObservationsAndOldStartsAreRefused(t *testing.T) {
 	tracker := New(0, "z", 0, 5)
 	_, fresh := tracker.HandleObservation(1, Observation{
@@ -109,16 +109,16 @@
 	_, fresh = tracker.HandleObservation(2, Observation{
 		Witness: 1, WitnessStartMillis: 5, Sequence: 7, Endpoint: "other", Health: Failing,
 	})
-	assert.True(t, fresh, "one on another endpoint that arrived out of order")
+	assert.True(t, fresh, "an observation of another endpoint that arrived out of order")
 }
 
-// TestOwnObservationsAreFewAndTrue ends many attempts with failures. If each were reported, a failing endpoint would
-// flood all routers with reports. One failure must not be reported, many only once, a recovery too, and all of them
-// within the burst.
-func TestOwnObservationsAreFewAndTrue(t *testing.T) {
+// TestOwnObservationsAreRateLimited records many failed attempts. If each were reported, a failing endpoint would
+// flood all routers with reports. One failure must not be reported, many must be reported once, a recovery must be
+// reported too, and the total must stay within the burst.
+func TestOwnObservationsAreRateLimited(t *testing.T) {
 	tracker := New(0, "z", 0, 1)
 	tracker.AttemptEnded(1, "e", Failing)
-	assert.Empty(t, tracker.TakeUnsigned(), "one failure is chance")
+	assert.Empty(t, tracker.TakeUnsigned(), "a single failure is not reported")
 	for range 100 {
 		tracker.AttemptEnded(1, "e", Failing)
 	}
@@ -130,7 +130,7 @@
 	for range 100 {
 		sent += len(tracker.Piggyback(3, 20))
 	}
-	assert.Equal(t, int(gossipFactor*5), sent, "sent by the logarithm of the members")
+	assert.Equal(t, int(gossipFactor*5), sent, "transmissions by the logarithm of the members")
 	for range successesToReport {
 		tracker.AttemptEnded(2, "e", Healthy)
 	}
@@ -143,13 +143,13 @@
 	assert.LessOrEqual(t, len(tracker.TakeUnsigned()), int(reportBurst))
 }
 
-// Sizes are how many observations are held and how many wait to be passed on.
-func (t *Tracker) Sizes() (held, queued int) { return t.heldCount, len(t.queue) }
+// Sizes returns the number of stored observations and the number of queued ones.
+func (t *Tracker) Sizes() (stored, queued int) { return t.storedCount, len(t.queue) }
 
-// TestHeldObservationsAreBounded receives observations of many endpoints from many witnesses. A byzantine member can
-// invent endpoints without end, and memory would grow with them. What is held and queued must stay within its
-// bounds.
-func TestHeldObservationsAreBounded(t *testing.T) {
+// TestStoredObservationsAreBounded receives observations of many endpoints from many witnesses. A byzantine member
+// can invent any number of endpoints, which would exhaust memory. The numbers of stored and queued observations must
+// stay within their limits.
+func TestStoredObservationsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := New(0, "z", 1, 1)
 		now := 0.0
@@ -159,15 +159,15 @@
 			o.Endpoint = routing.EndpointID(strconv.Itoa(i % 1500))
 			tracker.HandleObservation(now, o)
 		}
-		held, queued := tracker.Sizes()
-		if held > maxHeld || queued > maxQueue || len(tracker.held) > maxEndpoints {
-			t.Fatalf("%d observations, %d queued, %d endpoints", held, queued, len(tracker.held))
+		stored, queued := tracker.Sizes()
+		if stored > maxStored || queued > maxQueue || len(tracker.stored) > maxEndpoints {
+			t.Fatalf("%d observations, %d queued, %d endpoints", stored, queued, len(tracker.stored))
 		}
 	})
 }
 
-// TestClassify holds what each result says of its endpoint. A request that its client cancelled, or that was never
-// sent, must say nothing: it would be the client's fault taken for the endpoint's.
+// TestClassify checks the health that each attempt result implies. A request that its client cancelled, or that was
+// never sent, must imply nothing: otherwise a fault of the client would count as one of the endpoint.
 func TestClassify(t *testing.T) {
 	for result, want := range map[routing.AttemptResult]Health{
 		routing.Completed:        Healthy,
@@ -185,9 +185,10 @@
 	assert.Equal(t, Slow, got)
 }
 
-// TestForgottenWitnessLeavesNothingHeld removes a witness from the roster while its observations are held. Weighed
-// without it they panicked, for up to ten seconds after a SIGHUP. Its doubt must end, and another witness must count.
-func TestForgottenWitnessLeavesNothingHeld(t *testing.T) {
+// TestForgetWitnessRemovesItsObservations removes a witness from the roster while its observations are stored.
+// Weighing them without a witness used to panic, for up to ten seconds after a SIGHUP. The doubt caused by the
+// witness must end, and another witness must count.
+func TestForgetWitnessRemovesItsObservations(t *testing.T) {
 	tracker := New(0, "z", 0, 1)
 	doubts, _ := tracker.HandleObservation(1, failing(1, 1, "z1"))
 	require.Len(t, doubts, 1)
@@ -195,18 +196,18 @@
 	ended := tracker.Tick(1.1)
 	require.Len(t, ended, 1)
 	assert.Zero(t, ended[0].Level)
-	held, _ := tracker.Sizes()
-	assert.Zero(t, held)
+	stored, _ := tracker.Sizes()
+	assert.Zero(t, stored)
 	doubts, fresh := tracker.HandleObservation(2, failing(2, 1, "z2"))
 	assert.True(t, fresh)
 	assert.Len(t, doubts, 1)
 	tracker.AttemptEnded(2.1, "e", Failing)
 }
 
-// TestObservationRefusedForRoomMayComeAgain sends an observation while the tracker is full, and a copy of it once there
-// is room. With its number used up the copy counted as replayed, and nothing was ever known of that endpoint from its
-// witness. The copy must be taken.
-func TestObservationRefusedForRoomMayComeAgain(t *testing.T) {
+// TestObservationRefusedWhenFullIsAcceptedLater sends an observation while the tracker is full, and a copy of it once
+// there is capacity. When the first one used up its sequence number, the copy counted as replayed, and no observation
+// of that endpoint by its witness was ever stored. The copy must be accepted.
+func TestObservationRefusedWhenFullIsAcceptedLater(t *testing.T) {
 	tracker := New(0, "z", 0, 1)
 	for i := range maxEndpoints {
 		o := failing(1, uint32(i+1), "z1")
@@ -215,7 +216,7 @@
 		require.True(t, fresh)
 	}
 	_, fresh := tracker.HandleObservation(1, failing(2, 1, "z2"))
-	assert.False(t, fresh, "there is no room")
-	_, fresh = tracker.HandleObservation(1+expiry, failing(2, 1, "z2"))
-	assert.True(t, fresh, "there is room")
+	assert.False(t, fresh, "the tracker is full")
+	_, fresh = tracker.HandleObservation(1+observationTTL, failing(2, 1, "z2"))
+	assert.True(t, fresh, "the tracker has capacity")
 }
--- a/internal/membership/observation/witness.go
+++ b/internal/membership/observation/witness.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	witnessVerifiedWith = 3.0   // the age in seconds up to which an own attempt confirms or refutes a witness
-	trustHalfLife       = 120.0 // of the counts, s
-	minRefuted          = 2.5   // refuted observations before a witness may be ignored
-	refutedOverTrue     = 2.0   // times the confirmed ones
+	verificationWindow = 3.0   // s; maximum age of a local attempt that confirms or refutes a witness
+	trustHalfLife      = 120.0 // s, of the counts
+	minRefuted         = 2.5   // refuted observations from which a witness may be ignored
+	maxRefutedRatio    = 2.0   // ratio of refuted to confirmed observations above which a witness is ignored
 )
 
-// witness is what is known of a member as a witness: 40 bytes. The counts decay with trustHalfLife.
+// witness is the state of a member as a witness: 40 bytes. The counts decay with trustHalfLife.
 type witness struct {
 	startMillis uint64
-	sequence    uint32 // of its latest observation
+	sequence    uint32 // sequence number of the witness's latest observation
 	confirmed   float64
 	refuted     float64
 	decayedAt   float64
@@ -30,54 +30,55 @@
 	w.decayedAt = now
 }
 
-// weight is what an observation of the witness is worth, from 0 for one that is often refuted to 1.
+// weight returns the weight of the witness's observations, from 0 if they are often refuted to 1.
 func (w *witness) weight() float64 {
-	if w.refuted >= minRefuted && w.refuted > refutedOverTrue*w.confirmed {
+	if w.refuted >= minRefuted && w.refuted > maxRefutedRatio*w.confirmed {
 		return 0
 	}
 	return (w.confirmed + 1) / (w.confirmed + w.refuted + 1)
 }
 
-// verifyWitnesses compares the failures that are held of an endpoint with recent own attempts. Slowness is not
-// compared: it depends on the place of the observer.
+// verifyWitnesses compares the stored failures of an endpoint with recent attempts by this router. Slow is not
+// compared, because latency depends on the location of the observer.
 func (t *Tracker) verifyWitnesses(now float64, endpoint routing.EndpointID, e *localEvidence) {
-	for i := range t.held[endpoint] {
-		h := &t.held[endpoint][i]
+	for i := range t.stored[endpoint] {
+		h := &t.stored[endpoint][i]
 		if h.verified || now >= h.expiresAt || h.Health != Failing {
 			continue
 		}
 		w := t.witnesses[h.Witness]
 		w.decay(now)
 		switch {
-		case e.failedLately(now):
+		case e.failedRecently(now):
 			h.verified = true
 			w.confirmed++
-		case e.succeedsLately(now):
+		case e.succeededRecently(now):
 			h.verified = true
 			w.refuted++
 		}
 	}
 }
 
-func (e *localEvidence) failedLately(now float64) bool {
-	return e.lastFailureAt > 0 && now-e.lastFailureAt < witnessVerifiedWith
+func (e *localEvidence) failedRecently(now float64) bool {
+	return e.lastFailureAt > 0 && now-e.lastFailureAt < verificationWindow
 }
 
-func (e *localEvidence) succeedsLately(now float64) bool {
-	return e.lastSuccessAt > 0 && now-e.lastSuccessAt < witnessVerifiedWith &&
-		e.last != Failing && e.run >= successesToReport
+func (e *localEvidence) succeededRecently(now float64) bool {
+	return e.lastSuccessAt > 0 && now-e.lastSuccessAt < verificationWindow &&
+		e.last != Failing && e.consecutive >= successesToReport
 }
 
-// ForgetWitness drops the record of a member that is no longer in the roster, and what is held of its observations. The
-// next Tick brings the doubts that follow.
+// ForgetWitness removes the state of a member that is no longer in the roster, and its stored observations. The next
+// Tick returns the doubts that change as a result.
 //
-// It guards against observations without a witness to weigh them by, which panic.
+// It guards against a panic when an observation is weighed whose witness is not known any more.
 func (t *Tracker) ForgetWitness(id swim.MemberID) {
 	delete(t.witnesses, id)
-	t.dropHeld(func(h heldObservation) bool { return h.Witness == id })
+	t.removeStored(func(h storedObservation) bool { return h.Witness == id })
 }
 
-// Reputation is how many observations of a member were confirmed and refuted, decayed, and whether it is trusted.
+// Reputation returns the decayed counts of a member's confirmed and refuted observations, and whether the member is
+// trusted.
 func (t *Tracker) Reputation(id swim.MemberID) (confirmed, refuted float64, trusted bool) {
 	w := t.witnesses[id]
 	if w == nil {
--- a/internal/membership/partition/state.go
+++ b/internal/membership/partition/state.go
@@ -1,24 +1,24 @@
 package partition
 
-// State is how much of the cluster a router sees. The states are ordered by what they allow: a later one allows
-// more.
+// State describes how much of the cluster a router can reach. The states are ordered by what they permit: a higher
+// state permits more.
 type State uint8
 
-// The states. docs/membership.md says what each part of a router may do in which.
+// The partition states. docs/membership.md describes what each part of a router may do in each state.
 const (
 	Alone       State = iota // no other member is present
 	Minority                 // at most half of the roster is present and working
-	Disagreeing              // more members than may be byzantine have another view
+	Disagreeing              // more members than may be byzantine have a different view
 	Majority                 // most of the roster is present and working
-	Complete                 // all of the roster is present and working
+	Complete                 // all members of the roster are present and working
 )
 
 var stateNames = [...]string{"alone", "minority", "disagreeing", "majority", "complete"}
 
-// String is the state's name in logs, counters and printed text.
+// String returns the state's name in logs, counters and command output.
 func (s State) String() string { return stateNames[s] }
 
-// WireName is the state's name in the JSON of reports. It is String, except for
+// WireName returns the state's name in the JSON of reports. It equals String, except for
 //
 //	complete: whole
 func (s State) WireName() string {
@@ -28,7 +28,7 @@
 	return s.String()
 }
 
-// ParseWireName returns the state with a name in the JSON of reports, and false for an unknown name.
+// ParseWireName returns the state that has a given name in the JSON of reports, and false for an unknown name.
 func ParseWireName(name string) (State, bool) {
 	for state := Alone; state <= Complete; state++ {
 		if state.WireName() == name {
@@ -38,7 +38,8 @@
 	return Alone, false
 }
 
-// MayGossip reports whether the router's own observations of endpoints are passed on. Alone there is no receiver.
+// MayGossip reports whether the router gossips its own observations of endpoints. In the state Alone there is no
+// receiver.
 func (s State) MayGossip() bool { return s > Alone }
 
 // TrustsReports reports whether the router acts on other members' observations of endpoints.
--- a/internal/membership/partition/tracker.go
+++ b/internal/membership/partition/tracker.go
@@ -1,44 +1,46 @@
-// Package partition derives from the membership view whether a router is on the larger side of a network partition,
-// on the smaller one, alone, or among members with other views. It owns the partition state and its epoch. It has
-// no I/O and no clock: the same calls at the same times give the same states.
+// Package partition derives the partition state of a router from its membership view: whether the router is on the
+// majority side of a network partition, on the minority side, alone, or among members with different views. It owns
+// the state and its epoch. It performs no I/O, reads no clock, and is deterministic: the same calls at the same times
+// produce the same states.
 package partition
 
 import "cairnfront/internal/membership/swim"
 
 // Times in seconds.
 const (
-	improveAfter  = 1.0 // a better state has to last before it counts: a partition that heals and returns must not flap
-	disagreeAfter = 4.0 // a member has to have another view: a change takes about 1.5 s to reach all
-	reportExpiry  = 3.0 // after which a member's last report on its view is stale
+	improvementDelay  = 1.0 // time that a better state must last, so that an unstable partition does not cause flapping
+	disagreementDelay = 4.0 // time that a view must differ; a change reaches all members in about 1.5 s
+	reportExpiry      = 3.0 // age from which a member's last report on its view is stale
 )
 
-// View is what the membership view shows at a given time.
+// View summarizes the membership view at a given time.
 type View struct {
-	Roster  int // members that should be present, this one among them
-	Present int // members that are, this one among them
-	Stuck   int // of the present ones, those whose event loop makes no progress
+	Roster  int // number of members that should be present, including this one
+	Present int // number of members that are present, including this one
+	Stuck   int // number of present members whose event loop makes no progress
 }
 
-// disagreement is since when a member has had another view, and when it last said so: 16 bytes a member.
+// disagreement records since when a member's view has differed, and when the member last reported it: 16 bytes per
+// member.
 type disagreement struct{ since, lastReport float64 }
 
-// candidate is a better state that has to last before it counts.
+// candidate is a better state that must last for improvementDelay before it takes effect.
 type candidate struct {
 	state State
 	since float64
 }
 
-// Tracker is the partition state of one router. It belongs to one goroutine.
+// Tracker tracks the partition state of one router. It is not safe for concurrent use.
 type Tracker struct {
 	maxByzantine  int
 	state         State
 	epoch         uint64
 	since         float64
-	candidate     *candidate                     // nil while no better state waits
+	candidate     *candidate                     // nil if no better state is pending
 	disagreements map[swim.MemberID]disagreement // by member; bounded by the roster
 }
 
-// New begins in the state Alone and the epoch 1. At most maxByzantine members are taken to be byzantine.
+// New returns a tracker in the state Alone and the epoch 1. maxByzantine is the maximum number of byzantine members.
 func New(maxByzantine int, now float64) *Tracker {
 	return &Tracker{
 		maxByzantine:  maxByzantine,
@@ -48,7 +50,7 @@
 	}
 }
 
-// RecordViewComparison notes whether the view of a present member differs from ours.
+// RecordViewComparison records whether the view of a present member differs from this router's.
 func (t *Tracker) RecordViewComparison(now float64, member swim.MemberID, differs bool) {
 	if !differs {
 		delete(t.disagreements, member)
@@ -62,26 +64,26 @@
 	t.disagreements[member] = d
 }
 
-// Forget drops what is known of a member's view, because the member is no longer present.
+// Forget deletes what is recorded of a member's view, because the member is no longer present.
 func (t *Tracker) Forget(member swim.MemberID) { delete(t.disagreements, member) }
 
-// DissentingMembers counts the members that have had another view for disagreeAfter.
+// DissentingMembers counts the members whose view has differed for at least disagreementDelay.
 func (t *Tracker) DissentingMembers(now float64) (n int) {
 	for _, d := range t.disagreements {
-		if now-d.lastReport <= reportExpiry && now-d.since >= disagreeAfter {
+		if now-d.lastReport <= reportExpiry && now-d.since >= disagreementDelay {
 			n++
 		}
 	}
 	return n
 }
 
-// Update takes the view and reports whether the state changed. A worse state counts at once, a better one once it
-// has lasted for improveAfter.
+// Update evaluates a view and reports whether the state changed. A worse state takes effect immediately, a better one
+// after it has lasted for improvementDelay.
 func (t *Tracker) Update(now float64, v View) bool {
 	state := t.classify(now, v)
 	if state > t.state {
-		t.considerBetter(now, state)
-		if now-t.candidate.since < improveAfter {
+		t.updateCandidate(now, state)
+		if now-t.candidate.since < improvementDelay {
 			return false
 		}
 		state = t.candidate.state
@@ -95,15 +97,16 @@
 	return true
 }
 
-// considerBetter keeps the least of the better states seen since the first one: it has lasted throughout.
-func (t *Tracker) considerBetter(now float64, state State) {
+// updateCandidate sets the candidate to the lowest of the better states seen since the first one, because only that
+// one has lasted throughout.
+func (t *Tracker) updateCandidate(now float64, state State) {
 	if t.candidate == nil {
 		t.candidate = &candidate{state: state, since: now}
 	}
 	t.candidate.state = min(t.candidate.state, state)
 }
 
-// classify is the state that a view shows. Byzantine members alone cannot make a router disagree with the cluster.
+// classify returns the state that a view implies. Byzantine members alone cannot cause the state Disagreeing.
 func (t *Tracker) classify(now float64, v View) State {
 	working := v.Present - v.Stuck
 	switch {
@@ -119,15 +122,15 @@
 	return Complete
 }
 
-// NextDeadline is when Update is to be called again although nothing was received; 0 for never.
+// NextDeadline returns when Update must be called again even if nothing was received, or 0 if there is no deadline.
 func (t *Tracker) NextDeadline() float64 {
 	if t.candidate == nil {
 		return 0
 	}
-	return t.candidate.since + improveAfter
+	return t.candidate.since + improvementDelay
 }
 
-// Current is the state, its epoch, which counts changes from 1, and since when it holds.
+// Current returns the state, its epoch (the number of state changes plus 1), and the time of the last change.
 func (t *Tracker) Current() (state State, epoch uint64, since float64) {
 	return t.state, t.epoch, t.since
 }
