--- a/internal/membership/actions.go
+++ b/internal/membership/actions.go
@@ -9,8 +9,8 @@
 	"cairnfront/internal/telemetry"
 )
 
-// carryOut does what the swim core asks for, and then updates the partition state.
-func (n *Node) carryOut(actions []swim.Action) {
+// executeActions executes the actions that the swim core requests, and then updates the partition state.
+func (n *Node) executeActions(actions []swim.Action) {
 	now := n.now()
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -19,8 +19,9 @@
 		case swim.StateChange:
 			n.recordStateChange(action)
 		case swim.NameConflict:
-			// Two processes that answer under one name would end each other's suspicions: only the newer one sends.
-			n.silent = true
+			// Two processes with the same name would refute each other's accusations and end each other's
+			// suspicions, so only the newer process continues to send.
+			n.hasNameConflict = true
 			n.metrics.Inc(telemetry.PeerNameConflicts)
 			n.metrics.Log.Error("peer name conflict", "instance_id", action.InstanceID)
 		}
@@ -30,7 +31,7 @@
 
 func (n *Node) updatePartition(now float64) {
 	present, roster, stuck := n.view.Counts()
-	if n.silent {
+	if n.hasNameConflict {
 		present = 1
 	}
 	before, _, _ := n.partition.Current()
@@ -59,7 +60,7 @@
 		"refutations", c.Incarnation.Refutations,
 	}
 	if c.To == swim.Failed && c.SuspectedSeconds > 0 {
-		_ = n.detectionTimes.RecordValue(int64(c.SuspectedSeconds * 1000)) // over the bound it is not counted
+		_ = n.detectionTimes.RecordValue(int64(c.SuspectedSeconds * 1000)) // values above the maximum are not counted
 		attributes = append(attributes, "duration_seconds", roundToHundredth(c.SuspectedSeconds))
 	}
 	if !c.To.Present() {
@@ -68,11 +69,11 @@
 	n.metrics.Log.Info("peer state changed", attributes...)
 }
 
-// roundToHundredth rounds a figure for the log: its further digits say nothing.
+// roundToHundredth rounds a value for the log to two decimal places; further digits are irrelevant.
 func roundToHundredth(figure float64) float64 { return math.Round(figure*100) / 100 }
 
-// handleDoubts passes doubts to the routing module, where the partition state lets it act on other members'
-// observations, and signs own observations that wait.
+// handleDoubts passes doubts to the routing module if the partition state allows the router to act on other members'
+// observations. It also signs and gossips the pending observations of this router.
 func (n *Node) handleDoubts(doubts []observation.Doubt) {
 	now := n.now()
 	state, _, _ := n.partition.Current()
@@ -92,13 +93,13 @@
 	}
 	for _, o := range n.observations.TakeUnsigned() {
 		if state.MayGossip() {
-			n.passOnOwn(o)
+			n.gossipOwnObservation(o)
 		}
 	}
 }
 
-// passOnOwn signs an own observation and queues it for the other members.
-func (n *Node) passOnOwn(o observation.Observation) {
+// gossipOwnObservation signs an observation by this router and queues it as gossip.
+func (n *Node) gossipOwnObservation(o observation.Observation) {
 	signed, err := n.codec.SignObservation(o)
 	if err != nil {
 		n.metrics.Log.Error("datagram encode failed", "error", err.Error())
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -9,36 +9,36 @@
 	"cairnfront/internal/membership/swim"
 )
 
-// Bounds and intervals of the node. Those of the protocol are in the cores.
+// Limits and intervals of the node. Those of the protocol are in packages swim, partition and observation.
 const (
-	receiveQueue       = 1024                   // datagrams received and not yet handled
-	attemptQueue       = 1024                   // ends of attempts not yet handled
-	requestQueue       = 16                     // requests of operators not yet handled
-	receiveBufferBytes = 1 << 20                // of the socket: a flood must not push out what other members send
-	eventLoopProbeEach = 500 * time.Millisecond // between probes of the router's event loop
-	eventLoopStuckAt   = 2 * time.Second        // without an answer to a probe the event loop is stuck
-	expireEach         = time.Second            // between checks for expired observations
-	staleAnswerEach    = time.Second            // between answers to a member that sends as of an earlier start
-	minTimer           = time.Millisecond
-	longestDetection   = 600_000 // ms, the bound of the histogram
-	detectionDigits    = 2       // significant digits of the histogram
+	receiveQueueCapacity       = 1024                   // capacity of the queue of received datagrams
+	attemptQueueCapacity       = 1024                   // capacity of the queue of attempt outcomes
+	requestQueueCapacity       = 16                     // capacity of the queue of operator requests
+	receiveBufferBytes         = 1 << 20                // large, so that a flood does not displace other members' datagrams
+	eventLoopProbeInterval     = 500 * time.Millisecond // time between probes of the router's event loop
+	eventLoopStuckAfter        = 2 * time.Second        // the event loop is stuck if a probe is unanswered for longer
+	expireInterval             = time.Second            // time between checks for expired observations
+	staleAnswerInterval        = time.Second            // time between answers to a member with a stale incarnation
+	minTimerDelay              = time.Millisecond
+	maxDetectionMillis         = 600_000 // ms, maximum value of the detection time histogram
+	detectionSignificantDigits = 2       // significant digits of the detection time histogram
 )
 
-// ClockOffsetVariable names the environment variable that shifts the clock of a router's incarnation, in seconds.
-// Only the lab sets it.
+// ClockOffsetVariable names the environment variable with an offset, in seconds, that is added to the clock from
+// which a router's incarnation is derived. Only the lab sets it.
 const ClockOffsetVariable = "CAIRNFRONT_LAB_CLOCK_S"
 
 // RosterEntry is a member of the roster in the configuration file.
 type RosterEntry struct {
 	Name    string
 	Key     ed25519.PublicKey
-	Address string // where it is reached; empty: as its own record says
+	Address string // configured address; if empty, the address in the member's record is used
 }
 
-// Config is what an installation sets.
+// Config holds the membership settings of a router.
 type Config struct {
 	Name, Zone        string
-	Listen, Advertise string // UDP addresses; an empty Advertise is the one listened on
+	Listen, Advertise string // UDP addresses; if Advertise is empty, the address of the socket is advertised
 	Key               ed25519.PrivateKey
 	Roster            []RosterEntry
 	MaxByzantine      int
--- a/internal/membership/datagram/codec.go
+++ b/internal/membership/datagram/codec.go
@@ -10,31 +10,31 @@
 	"cairnfront/internal/membership/swim"
 )
 
-// maxVerified bounds the signed texts that are remembered as verified.
+// maxVerified limits the number of signed parts that are remembered as verified.
 const maxVerified = 4096
 
-// Why a codec cannot be made, or a roster cannot be taken: each is a fault of the configuration.
+// Errors of New and SetRoster. Each is a configuration error.
 var (
-	// ErrKeyMismatch means that a codec's private key does not belong to the public key in the roster.
+	// ErrKeyMismatch means that the codec's private key does not match this router's public key in the roster.
 	ErrKeyMismatch = errors.New("datagram codec: the private key is not that of this router in the roster")
-	// ErrInvalidLocation means that this router's address or zone does not fit into its member record.
+	// ErrInvalidLocation means that this router's address or zone is too long for its member record.
 	ErrInvalidLocation = errors.New("datagram codec: address or zone is too long")
-	// ErrInvalidIdentity means that an entry of the roster has no usable name or key.
+	// ErrInvalidIdentity means that a roster entry has an invalid name or key.
 	ErrInvalidIdentity = errors.New("invalid name or key")
-	// ErrRosterOrder means that a member is listed twice, or no longer in its place.
+	// ErrRosterOrder means that a member is listed twice, or not at its previous index.
 	ErrRosterOrder = errors.New("invalid place in the roster")
 )
 
-// ErrTooLong means that a message exceeds MaxSize though all that may be left out was.
+// ErrTooLong means that a message exceeds MaxSize even without its optional parts.
 var ErrTooLong = errors.New("datagram: message is too long")
 
-// Identity is a member of the roster.
+// Identity is the name and the public key of a roster member.
 type Identity struct {
 	Name string
 	Key  ed25519.PublicKey
 }
 
-// Codec encodes and decodes the datagrams of one member. It belongs to one goroutine.
+// Codec encodes and decodes the datagrams of one member. It is not safe for concurrent use.
 type Codec struct {
 	self         swim.MemberID
 	key          ed25519.PrivateKey
@@ -42,20 +42,20 @@
 	zone         string
 	identities   []Identity
 	byName       map[string]swim.MemberID
-	sendCounters []uint64 // by receiver
+	sendCounters []uint64 // by recipient
 	replayGuards []replayGuard
 	ownRecord    signedRecord
-	verified     map[string]bool // signed texts of others whose signature verifies
+	verified     map[string]bool // signed parts by other members whose signature is valid
 }
 
-// signedRecord is our own record as it was signed last.
+// signedRecord is the most recently signed version of this member's own record.
 type signedRecord struct {
 	incarnation swim.Incarnation
 	state       swim.State
 	signed      []byte
 }
 
-// New makes the codec of the member self, with its private key, the address at which it is reached, and its zone.
+// New returns the codec of the member self, with its private key, its reachable address, and its zone.
 func New(self swim.MemberID, key ed25519.PrivateKey, address, zone string, roster []Identity) (*Codec, error) {
 	if len(address) > maxAddressBytes || len(zone) > maxNameBytes {
 		return nil, fmt.Errorf("%w: address %q, zone %q: over %d or %d bytes",
@@ -79,8 +79,8 @@
 	return c, nil
 }
 
-// SetRoster takes a longer roster; the members that were in it keep their places. Its error is ErrInvalidIdentity or
-// ErrRosterOrder.
+// SetRoster sets the roster. The members that are already in it must have the same indexes in the new roster, which
+// may be longer. It returns ErrInvalidIdentity or ErrRosterOrder.
 func (c *Codec) SetRoster(roster []Identity) error {
 	for i, identity := range roster {
 		if err := c.checkIdentity(i, identity); err != nil {
@@ -104,7 +104,7 @@
 		return fmt.Errorf("peer %q: %w: its key has %d bytes, not %d",
 			identity.Name, ErrInvalidIdentity, len(identity.Key), ed25519.PublicKeySize)
 	case i < len(c.identities) && c.identities[i].Name != identity.Name:
-		return fmt.Errorf("peer %q: %w: in the place of %q", identity.Name, ErrRosterOrder, c.identities[i].Name)
+		return fmt.Errorf("peer %q: %w: expected %q at this index", identity.Name, ErrRosterOrder, c.identities[i].Name)
 	}
 	if other, known := c.byName[identity.Name]; known && int(other) != i {
 		return fmt.Errorf("peer %q: %w: listed more than once", identity.Name, ErrRosterOrder)
@@ -112,15 +112,15 @@
 	return nil
 }
 
-// Name is a member's name.
+// Name returns a member's name.
 func (c *Codec) Name(id swim.MemberID) string { return c.identities[id].Name }
 
-// sign puts the signature over a purpose and a text before the text.
+// sign returns the signature over a purpose and a message, followed by the message.
 func (c *Codec) sign(purpose string, text []byte) []byte {
 	return append(ed25519.Sign(c.key, append([]byte(purpose), text...)), text...)
 }
 
-// verify reports whether a member signed a text for a purpose.
+// verify reports whether signed is a message with a member's valid signature for a purpose.
 func (c *Codec) verify(purpose string, signer swim.MemberID, signed []byte) bool {
 	if len(signed) < signatureSize {
 		return false
@@ -129,8 +129,8 @@
 	return ed25519.Verify(c.identities[signer].Key, message, signed[:signatureSize])
 }
 
-// verifyOnce is verify for texts that are received again and again.
-func (c *Codec) verifyOnce(purpose string, signer swim.MemberID, signed []byte) bool {
+// verifyCached is verify with a cache, for parts that are received repeatedly.
+func (c *Codec) verifyCached(purpose string, signer swim.MemberID, signed []byte) bool {
 	if c.verified[string(signed)] {
 		return true
 	}
@@ -144,7 +144,7 @@
 	return true
 }
 
-// proofMessage is what a member signs to prove to a requester that it received a ping.
+// proofMessage returns the message that a member signs to prove to a requester that it received a ping.
 func proofMessage(nonce uint64, requester string) []byte {
 	return append(binary.BigEndian.AppendUint64([]byte(purposeProof), nonce), requester...)
 }
--- a/internal/membership/datagram/codec_test.go
+++ b/internal/membership/datagram/codec_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testCodecs are the codecs of three members with keys that are the same in each run.
+// testCodecs returns the codecs of three members with fixed keys.
 func testCodecs(tb testing.TB) [3]*Codec {
 	tb.Helper()
 	var roster []Identity
@@ -37,9 +37,9 @@
 
 func allNewer(swim.MemberID, swim.Incarnation) bool { return true }
 
-// TestMessageSurvivesEncodingAndBeingPassedOn encodes a message with each list, decodes it at the second member and
-// passes its parts on to the third. Each part must verify with its author's key at both.
-func TestMessageSurvivesEncodingAndBeingPassedOn(t *testing.T) {
+// TestMessageRoundTripAndRelay encodes a message with each kind of list, decodes it at the second member and relays
+// its parts to the third. The signature of each part must be valid at both.
+func TestMessageRoundTripAndRelay(t *testing.T) {
 	c := testCodecs(t)
 	m := swim.Message{
 		Kind:      swim.Ping,
@@ -83,9 +83,9 @@
 	assert.Equal(t, routing.EndpointID("s-00000001"), r.Observations[0].Endpoint)
 	address, zone := RecordLocation(r.Message.Records[0].Signed)
 	assert.Equal(t, []string{"127.0.0.1:1000", "zone"}, []string{address, zone})
-	// The receiver passes all on, and the next one verifies it with its author's key.
-	passedOn := swim.Message{Kind: swim.Push, Records: r.Message.Records, Accusations: r.Message.Accusations}
-	raw, err = c[1].Encode(1, 2, passedOn, [][]byte{r.Observations[0].Signed})
+	// The recipient relays all parts, and the third member verifies them with the keys of their authors.
+	relayed := swim.Message{Kind: swim.Push, Records: r.Message.Records, Accusations: r.Message.Accusations}
+	raw, err = c[1].Encode(1, 2, relayed, [][]byte{r.Observations[0].Signed})
 	require.NoError(t, err)
 	r, err = c[2].Decode(raw, allNewer)
 	require.NoError(t, err)
@@ -95,14 +95,14 @@
 	assert.Len(t, r.Observations, 1)
 }
 
-// TestForgeriesAreRefused changes a bit, a recipient, a name or a signature of datagrams, and sends one twice. A
-// forged datagram that is taken lets anybody in the network remove a router. Each must be refused for its own
-// reason, and the genuine one taken.
+// TestForgeriesAreRefused changes a bit, a recipient, a name or a signature of datagrams, and sends one twice. If
+// forged datagrams were accepted, anyone in the network could remove a router. Each must be refused for its own
+// reason, and the genuine one accepted.
 func TestForgeriesAreRefused(t *testing.T) {
 	c := testCodecs(t)
 	raw, err := c[0].Encode(9, 1, swim.Message{Kind: swim.Ping, Requester: 0}, nil)
 	require.NoError(t, err)
-	for i := range raw { // one wrong bit anywhere
+	for i := range raw { // a wrong bit in each byte
 		bad := append([]byte(nil), raw...)
 		bad[i] ^= 1
 		_, err := c[1].Decode(bad, allNewer)
@@ -116,7 +116,7 @@
 	require.ErrorIs(t, err, ErrReplayed)
 	_, err = c[1].Decode(make([]byte, MaxSize+1), allNewer)
 	require.ErrorIs(t, err, ErrMalformed)
-	// The third member says in the first one's name that it is alive.
+	// The third member sends a record in the first member's name.
 	record, err := c[2].signRecord(swim.MemberRecord{
 		Member:      2,
 		Incarnation: swim.Incarnation{StartMillis: 1 << 60},
@@ -136,14 +136,14 @@
 	raw, err = c[2].Encode(1, 1, unproven, nil)
 	require.NoError(t, err)
 	_, err = c[1].Decode(raw, allNewer)
-	assert.ErrorIs(t, err, ErrBadSignature, "an ack for a member that sent none")
+	assert.ErrorIs(t, err, ErrBadSignature, "an ack on behalf of a member that sent none")
 }
 
-// TestProofIsPassedOnAndHoldsForOneNonce passes on the proof of an indirect ack. A proof that held for any nonce
-// would let a member vouch for one that is dead. It must verify for the nonce of the ping alone.
-func TestProofIsPassedOnAndHoldsForOneNonce(t *testing.T) {
+// TestIndirectAckProofIsValidForOneNonce relays the proof of an indirect ack. If a proof were valid for any nonce, a
+// member could confirm that a dead member is alive. The proof must be valid only for the nonce of the ping.
+func TestIndirectAckProofIsValidForOneNonce(t *testing.T) {
 	c := testCodecs(t)
-	ack, err := c[2].Encode(1, 1, swim.Message{Kind: swim.Ack, Nonce: 77, Requester: 0}, nil) // pinged by b for a
+	ack, err := c[2].Encode(1, 1, swim.Message{Kind: swim.Ack, Nonce: 77, Requester: 0}, nil) // b pinged c for a
 	require.NoError(t, err)
 	r, err := c[1].Decode(ack, allNewer)
 	require.NoError(t, err)
@@ -156,10 +156,10 @@
 	}
 }
 
-// TestReplayGuardTellsStartsAndCountersApart walks counters in and out of the window, and starts back and forth. A
-// datagram that is taken twice would end a suspicion that it is older than. Each must be taken once, in any order
-// within the window, and only from the latest start.
-func TestReplayGuardTellsStartsAndCountersApart(t *testing.T) {
+// TestReplayGuardAcceptsEachCounterOnce passes counters inside and outside of the window, and alternating starts. A
+// datagram that is accepted twice could end a suspicion that began after it was sent. Each counter must be accepted
+// once, in any order within the window, and only from the latest start.
+func TestReplayGuardAcceptsEachCounterOnce(t *testing.T) {
 	var g replayGuard
 	for _, test := range []struct {
 		start, counter uint64
@@ -186,8 +186,8 @@
 	}
 }
 
-// TestDatagramsStayWithinMaxSize encodes more than fits. A datagram over the size is fragmented, and many networks
-// drop fragments, so that a member with much to say would seem dead. Parts must be left out instead.
+// TestDatagramsStayWithinMaxSize encodes a message that exceeds MaxSize. A datagram over this size is fragmented, and
+// many networks drop fragments, so that a member with much gossip would seem dead. Parts must be left out instead.
 func TestDatagramsStayWithinMaxSize(t *testing.T) {
 	c := testCodecs(t)
 	m := swim.Message{Kind: swim.PushPullRequest}
@@ -206,8 +206,8 @@
 	assert.LessOrEqual(t, len(raw), MaxSize)
 }
 
-// TestPartsOfLaterVersionsAreSkipped: a datagram with keys, kinds and states that this version does not know is
-// accepted and the known parts count; another version of the envelope is refused.
+// TestPartsOfLaterVersionsAreSkipped checks that a datagram with keys, kinds and states unknown to this version is
+// accepted and its known parts are used, and that another version of the envelope is refused.
 func TestPartsOfLaterVersionsAreSkipped(t *testing.T) {
 	c := testCodecs(t)
 	entry := map[int]any{1: "router-c", 4: 77}
@@ -236,10 +236,10 @@
 	assert.Empty(t, r.Message.Entries)
 }
 
-// TestRostersThatCannotBeTakenSayWhy gives a codec rosters and locations with one fault each. An operator who reads
-// only that the roster is invalid looks for the fault in hundreds of lines. Each kind must be an error of its own that
-// names the peer, and the old roster must stay in use.
-func TestRostersThatCannotBeTakenSayWhy(t *testing.T) {
+// TestInvalidRosterErrorsNameCauseAndPeer gives a codec rosters and locations with one fault each. If an error states
+// only that the roster is invalid, operators must search hundreds of lines for the fault. Each kind of fault must
+// have its own error that names the peer, and the old roster must stay in use.
+func TestInvalidRosterErrorsNameCauseAndPeer(t *testing.T) {
 	c := testCodecs(t)[0]
 	known := c.identities
 	for name, test := range map[string]struct {
@@ -263,8 +263,8 @@
 	require.ErrorIs(t, err, ErrKeyMismatch)
 }
 
-// FuzzDecode decodes any bytes as a datagram, signed and unsigned: a byzantine member can sign anything. It may not
-// end the process, name a member outside the roster or exceed the bounds of lists.
+// FuzzDecode decodes arbitrary bytes as a datagram, signed and unsigned, because a byzantine member can sign
+// anything. Decoding must not end the process, return a member outside the roster or exceed the limits of the lists.
 func FuzzDecode(f *testing.F) {
 	c := testCodecs(f)
 	text, err := c[0].Encode(9, 1, swim.Message{
@@ -297,7 +297,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c[1].replayGuards[0] = replayGuard{}
 		_, _ = c[1].Decode(text, allNewer)
-		// Signed by a member all the same: a byzantine one can sign anything.
+		// The same bytes with a valid signature: a byzantine member can sign anything.
 		r, err := c[1].Decode(c[0].sign(purposeDatagram, text), allNewer)
 		if err == nil && (int(r.From) >= 3 || len(r.Message.Records) > maxListLength) {
 			t.Fatal(r)
--- a/internal/membership/datagram/decode.go
+++ b/internal/membership/datagram/decode.go
@@ -9,18 +9,19 @@
 	"cairnfront/routing"
 )
 
-// Received is a datagram that was accepted.
+// Received is a datagram that was decoded and accepted.
 type Received struct {
 	From         swim.MemberID
 	StartMillis  uint64
 	Message      swim.Message
 	Observations []observation.Observation
-	Skipped      int // parts that were left out because they do not verify or name unknown members
+	Skipped      int // number of parts left out because of an invalid signature or an unknown member
 }
 
-// Decode verifies a datagram: it has to be addressed to us by another member of the roster, signed, of its present
-// start and not replayed. isNewer reports whether a record would be news; the signature of one that would not be is
-// not verified. With ErrStaleIncarnation the result names the sender.
+// Decode verifies and decodes a datagram. It must be addressed to this member by another member of the roster,
+// validly signed, from the sender's latest start, and not replayed. isNewer reports whether a record would change the
+// view; the signature of a record that would not is not verified. If the error is ErrStaleIncarnation, the result has
+// the sender in From.
 func (c *Codec) Decode(raw []byte, isNewer func(swim.MemberID, swim.Incarnation) bool) (Received, error) {
 	from, e, err := c.openEnvelope(raw)
 	if err != nil {
@@ -42,7 +43,8 @@
 	return r, nil
 }
 
-// openEnvelope verifies that a datagram is for us and signed by its sender, and that it is not of an earlier start.
+// openEnvelope verifies that a datagram is addressed to this member, signed by its sender, and not from an earlier
+// start of the sender.
 func (c *Codec) openEnvelope(raw []byte) (swim.MemberID, *envelope, error) {
 	if len(raw) < signatureSize || len(raw) > MaxSize {
 		return 0, nil, ErrMalformed
@@ -70,11 +72,11 @@
 	return from, &e, nil
 }
 
-// decodeHeader takes all of a message but its lists, and verifies the proof of an IndirectAck.
+// decodeHeader decodes all fields of a message except its lists, and verifies the proof of an IndirectAck.
 func (c *Codec) decodeHeader(p *payload, m *swim.Message) error {
 	m.Kind, m.Nonce, m.ViewHash = p.Kind, p.Nonce, p.ViewHash
 	if m.Kind < swim.Ping || m.Kind > swim.Push {
-		m.Kind = 0 // of a later version: its lists count
+		m.Kind = 0 // kind of a later version; only its lists are used
 	}
 	var known bool
 	if hasRequester(m.Kind) {
@@ -91,15 +93,15 @@
 		m.Proof = p.Proof
 	}
 	if m.Kind == swim.IndirectAck {
-		proven := ed25519.Verify(c.identities[m.Target].Key, proofMessage(m.Nonce, c.Name(c.self)), p.Proof)
-		if !proven {
+		proofValid := ed25519.Verify(c.identities[m.Target].Key, proofMessage(m.Nonce, c.Name(c.self)), p.Proof)
+		if !proofValid {
 			return ErrBadSignature
 		}
 	}
 	return nil
 }
 
-// decodeSigned takes the parts that their authors signed, and counts those that do not verify.
+// decodeSigned decodes the parts that are signed by their authors, and counts those with an invalid signature.
 func (c *Codec) decodeSigned(p *payload, r *Received, isNewer func(swim.MemberID, swim.Incarnation) bool) {
 	for _, signed := range p.Records {
 		if record, ok := c.openRecord(signed, isNewer); ok {
@@ -124,7 +126,7 @@
 	}
 }
 
-// decodeEntries takes the entries of members of the roster with states that this version knows.
+// decodeEntries decodes the entries of roster members whose state is known to this version.
 func (c *Codec) decodeEntries(entries []wireEntry, m *swim.Message) {
 	for _, e := range entries {
 		id, known := c.byName[e.Member]
@@ -139,7 +141,7 @@
 	}
 }
 
-// unmarshalSigned decodes the text behind a signature.
+// unmarshalSigned decodes the message that follows a signature.
 func unmarshalSigned(signed []byte, into any) bool {
 	return len(signed) > signatureSize && len(signed) <= maxSignedBytes &&
 		decMode.Unmarshal(signed[signatureSize:], into) == nil
@@ -153,8 +155,8 @@
 		return swim.MemberRecord{}, false
 	}
 	id, known := c.byName[w.Member]
-	ofItself := w.State == swim.Alive || w.State == swim.Stuck || w.State == swim.Left
-	if !known || !ofItself || len(w.Address) > maxAddressBytes || len(w.Zone) > maxNameBytes {
+	isSelfReported := w.State == swim.Alive || w.State == swim.Stuck || w.State == swim.Left
+	if !known || !isSelfReported || len(w.Address) > maxAddressBytes || len(w.Zone) > maxNameBytes {
 		return swim.MemberRecord{}, false
 	}
 	record := swim.MemberRecord{
@@ -165,9 +167,9 @@
 		Signed:      slices.Clone(signed),
 	}
 	if !isNewer(id, record.Incarnation) {
-		return record, true // it changes nothing, whoever signed it
+		return record, true // the record has no effect, so its signature does not matter
 	}
-	return record, c.verifyOnce(purposeRecord, id, signed)
+	return record, c.verifyCached(purposeRecord, id, signed)
 }
 
 func (c *Codec) openAccusation(signed []byte) (swim.Accusation, bool) {
@@ -177,7 +179,7 @@
 	}
 	accuser, accuserKnown := c.byName[w.Accuser]
 	id, known := c.byName[w.Member]
-	if !accuserKnown || !known || accuser == id || !c.verifyOnce(purposeAccusation, accuser, signed) {
+	if !accuserKnown || !known || accuser == id || !c.verifyCached(purposeAccusation, accuser, signed) {
 		return swim.Accusation{}, false
 	}
 	return swim.Accusation{
@@ -198,7 +200,7 @@
 	if !known || witness == c.self || len(w.Endpoint) > maxNameBytes || len(w.Zone) > maxNameBytes {
 		return observation.Observation{}, false
 	}
-	if !c.verifyOnce(purposeObservation, witness, signed) {
+	if !c.verifyCached(purposeObservation, witness, signed) {
 		return observation.Observation{}, false
 	}
 	return observation.Observation{
@@ -212,7 +214,7 @@
 	}, true
 }
 
-// RecordLocation is the address and the zone of a member in its signed record.
+// RecordLocation returns the address and the zone in a member's signed record.
 func RecordLocation(signed []byte) (address, zone string) {
 	var w wireRecord
 	if len(signed) > signatureSize && decMode.Unmarshal(signed[signatureSize:], &w) == nil {
--- a/internal/membership/datagram/encode.go
+++ b/internal/membership/datagram/encode.go
@@ -8,8 +8,9 @@
 	"cairnfront/internal/membership/swim"
 )
 
-// Encode makes a datagram. startMillis is the sender's incarnation. What exceeds MaxSize is left out: observations
-// first, then accusations, records and entries. Its error is ErrTooLong where that is not enough.
+// Encode encodes and signs a datagram. startMillis is the start time in the sender's incarnation. To stay within
+// MaxSize, it leaves out parts: observations first, then accusations, records and entries. It returns ErrTooLong if
+// that is not enough.
 func (c *Codec) Encode(
 	startMillis uint64, to swim.MemberID, m swim.Message, observations [][]byte,
 ) ([]byte, error) {
@@ -48,7 +49,7 @@
 	})
 }
 
-// shrink leaves something out and reports whether there was anything.
+// shrink removes an optional part and reports whether there was one.
 func (p *payload) shrink() bool {
 	switch {
 	case len(p.Observations) > 0:
@@ -73,7 +74,7 @@
 	if hasTarget(m.Kind) {
 		p.Target, p.Proof = c.Name(m.Target), m.Proof
 	}
-	if m.Kind == swim.Ack && m.Requester != to { // the receiver passes the ack on to the requester
+	if m.Kind == swim.Ack && m.Requester != to { // the recipient relays the ack to the requester
 		p.Proof = ed25519.Sign(c.key, proofMessage(m.Nonce, p.Requester))
 	}
 	if err := c.addSigned(p, m); err != nil {
@@ -90,7 +91,7 @@
 	return p, nil
 }
 
-// hasRequester and hasTarget tell which kinds of messages carry these members.
+// hasRequester and hasTarget report whether messages of a kind have a requester and a target.
 func hasRequester(kind swim.MessageKind) bool {
 	return kind == swim.Ping || kind == swim.Ack || kind == swim.IndirectPing || kind == swim.IndirectAck
 }
@@ -99,7 +100,8 @@
 	return kind == swim.IndirectPing || kind == swim.IndirectAck
 }
 
-// addSigned adds the records and accusations of a message. Those of others without a signed encoding are left out.
+// addSigned adds the records and accusations of a message. Those of other members without a signed encoding are left
+// out.
 func (c *Codec) addSigned(p *payload, m swim.Message) error {
 	for _, record := range m.Records {
 		signed, err := c.signRecord(record)
@@ -122,7 +124,8 @@
 	return nil
 }
 
-// signRecord is the signed encoding of a record: of another member as it was received, of our own signed once.
+// signRecord returns the signed encoding of a record. The record of another member is returned as received; this
+// member's own record is signed once per version.
 func (c *Codec) signRecord(record swim.MemberRecord) ([]byte, error) {
 	if record.Member != c.self {
 		return record.Signed, nil
@@ -155,7 +158,8 @@
 	})
 }
 
-// signAccusation is the signed encoding of an accusation: of another member as it was received.
+// signAccusation returns the signed encoding of an accusation. An accusation by another member is returned as
+// received.
 func (c *Codec) signAccusation(a swim.Accusation) ([]byte, error) {
 	if a.Accuser != c.self {
 		return a.Signed, nil
@@ -172,7 +176,7 @@
 	return c.sign(purposeAccusation, text), nil
 }
 
-// SignObservation is the signed encoding of an own observation.
+// SignObservation returns the signed encoding of an observation by this member.
 func (c *Codec) SignObservation(o observation.Observation) ([]byte, error) {
 	text, err := encMode.Marshal(wireObservation{
 		Witness:     c.Name(c.self),
@@ -188,8 +192,8 @@
 	return c.sign(purposeObservation, text), nil
 }
 
-// ForgeRecord makes a record in another's name under our own signature, as a byzantine member might. The lab and
-// the tests use it.
+// ForgeRecord returns a record of another member under this member's signature, as a byzantine member could send.
+// Only the lab and the tests use it.
 func (c *Codec) ForgeRecord(id swim.MemberID, incarnation swim.Incarnation, state swim.State) []byte {
 	text, err := c.encodeRecord(swim.MemberRecord{
 		Member:      id,
--- a/internal/membership/datagram/golden_test.go
+++ b/internal/membership/datagram/golden_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenMessages has one message of each kind, from router-a to router-b.
+// goldenMessages returns one message of each kind, from router-a to router-b.
 func goldenMessages(t *testing.T, c [3]*Codec) map[string]swim.Message {
 	t.Helper()
 	at := swim.Incarnation{StartMillis: 1_700_000_000_123, Refutations: 2}
@@ -77,8 +77,8 @@
 	}
 }
 
-// printed gives the values of a decoded datagram, by positions and numbers alone.
-func printed(h Received) string {
+// formatReceived formats the values of a decoded datagram. Members, kinds and states are written as numbers.
+func formatReceived(h Received) string {
 	var b strings.Builder
 	m := h.Message
 	fmt.Fprintf(&b, "from %d start %d skipped %d\n", h.From, h.StartMillis, h.Skipped)
@@ -104,14 +104,14 @@
 	return b.String()
 }
 
-// TestGoldenDatagrams holds the bytes of a datagram of each kind, and the values that are decoded from them.
+// TestGoldenDatagrams checks the bytes of a datagram of each kind, and the values that are decoded from them.
 func TestGoldenDatagrams(t *testing.T) {
 	c := testCodecs(t)
 	messages := goldenMessages(t, c)
 	require.Len(t, messages, 9)
 	for name, m := range messages {
 		t.Run(name, func(t *testing.T) {
-			c := testCodecs(t) // counters begin anew
+			c := testCodecs(t) // new codecs, whose counters start at 1
 			o := observation.Observation{
 				Witness:            0,
 				WitnessStartMillis: 9,
@@ -131,12 +131,12 @@
 			require.NoError(t, err)
 			h, err := c[1].Decode(raw, allNewer)
 			require.NoError(t, err)
-			golden.Compare(t, filepath.Join("golden", name+".txt"), printed(h))
+			golden.Compare(t, filepath.Join("golden", name+".txt"), formatReceived(h))
 		})
 	}
 }
 
-// TestGoldenKeys holds the form of the keys in the configuration file.
+// TestGoldenKeys checks the format of the keys in the configuration file.
 func TestGoldenKeys(t *testing.T) {
 	key, err := ParsePrivateKey("YWFhYWFhYWFhYWFhYWFhYWFhYWFhYWFhYWFhYWFhYWE=")
 	require.NoError(t, err)
--- a/internal/membership/datagram/keys.go
+++ b/internal/membership/datagram/keys.go
@@ -8,10 +8,10 @@
 	"fmt"
 )
 
-// ErrMalformedKey reports a text that is no key as GenerateKey gives it.
+// ErrMalformedKey means that a text is not a key in the format of GenerateKey.
 var ErrMalformedKey = errors.New("malformed key")
 
-// GenerateKey makes a key pair in base64, as key files and rosters hold them.
+// GenerateKey returns a new key pair in base64, the format of key files and rosters.
 func GenerateKey() (seed, public string, err error) {
 	publicKey, privateKey, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -20,7 +20,8 @@
 	return base64.StdEncoding.EncodeToString(privateKey.Seed()), base64.StdEncoding.EncodeToString(publicKey), nil
 }
 
-// ParsePrivateKey reads a private key as GenerateKey gives it. Its error is ErrMalformedKey.
+// ParsePrivateKey parses a private key in the format of GenerateKey. It returns ErrMalformedKey if the key is
+// invalid.
 func ParsePrivateKey(text string) (ed25519.PrivateKey, error) {
 	seed, err := parseBase64(text, ed25519.SeedSize)
 	if err != nil {
@@ -29,7 +30,7 @@
 	return ed25519.NewKeyFromSeed(seed), nil
 }
 
-// ParsePublicKey reads a public key as GenerateKey gives it. Its error is ErrMalformedKey.
+// ParsePublicKey parses a public key in the format of GenerateKey. It returns ErrMalformedKey if the key is invalid.
 func ParsePublicKey(text string) (ed25519.PublicKey, error) {
 	return parseBase64(text, ed25519.PublicKeySize)
 }
--- a/internal/membership/datagram/replay.go
+++ b/internal/membership/datagram/replay.go
@@ -1,16 +1,18 @@
 package datagram
 
-// replayWindow is how many counters behind the highest are still distinguished.
+// replayWindow is the number of counters, up to the highest, whose reception is tracked.
 const replayWindow = 256
 
-// replayGuard remembers which counters were seen since a sender's start: 48 bytes a member.
+// replayGuard tracks the counters received since a sender's start, to detect replayed datagrams. It takes 48 bytes
+// per member.
 type replayGuard struct {
 	startMillis uint64
 	highest     uint64
 	seen        [replayWindow / 64]uint64
 }
 
-// accept notes a counter of a start. It returns ErrStaleIncarnation or ErrReplayed if it is not new.
+// accept records a counter received with the given start time. It returns ErrStaleIncarnation if the start is not the
+// latest, and ErrReplayed if the counter was received before or is too old for the window.
 func (g *replayGuard) accept(startMillis, counter uint64) error {
 	if startMillis < g.startMillis {
 		return ErrStaleIncarnation
@@ -31,7 +33,7 @@
 	return nil
 }
 
-// advance moves the window up to a counter. The places of the counters in between become free.
+// advance moves the window up to a counter and clears the bits of the counters in between.
 func (g *replayGuard) advance(counter uint64) {
 	if counter-g.highest >= replayWindow {
 		clear(g.seen[:])
--- a/internal/membership/datagram/wire.go
+++ b/internal/membership/datagram/wire.go
@@ -10,23 +10,24 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version is that of the envelope. Another version is refused; what is added to this one gets new keys.
+// Version is the version of the envelope. Datagrams of other versions are refused; additions to this version use new
+// keys.
 const Version = 1
 
-// MaxSize of a datagram, in bytes: with any headers it fits an Ethernet frame.
+// MaxSize is the maximum size of a datagram in bytes. It fits an Ethernet frame with any headers.
 const MaxSize = 1400
 
-// Bounds of what a datagram may hold, in bytes unless noted.
+// Limits of the contents of a datagram, in bytes unless noted.
 const (
 	maxNameBytes    = 32
 	maxAddressBytes = 64
-	maxSignedBytes  = 400 // of a record, an accusation or an observation with its signature
-	maxListLength   = 32  // records, accusations, entries or observations
+	maxSignedBytes  = 400 // a record, accusation or observation including its signature
+	maxListLength   = 32  // number of records, accusations, entries or observations
 	signatureSize   = ed25519.SignatureSize
 )
 
-// What is signed begins with its purpose, so that a signature for one purpose does not hold for another. The texts
-// are part of the wire format: "claim" is a record, "charge" an accusation, "rumour" an observation.
+// Each signed message begins with its purpose, so that a signature for one purpose is invalid for another. The
+// purposes are part of the wire format: "claim" is a record, "charge" an accusation, "rumour" an observation.
 const (
 	purposeDatagram    = "cairnfront peers 1 datagram\x00"
 	purposeRecord      = "cairnfront peers 1 claim\x00"
@@ -35,7 +36,7 @@
 	purposeObservation = "cairnfront peers 1 rumour\x00"
 )
 
-// Why a datagram is refused.
+// Reasons for refusing a datagram.
 var (
 	ErrMalformed          = errors.New("datagram: malformed")
 	ErrUnsupportedVersion = errors.New("datagram: unsupported version")
@@ -60,7 +61,7 @@
 	Payload     cbor.RawMessage `cbor:"6,keyasint"`
 }
 
-// payload is the message with the names of members in place of their places in the roster.
+// payload is a message in which members are identified by their names instead of their roster indexes.
 type payload struct {
 	Kind         swim.MessageKind `cbor:"1,keyasint"`
 	Nonce        uint64           `cbor:"2,keyasint,omitempty"`
@@ -74,7 +75,7 @@
 	Observations [][]byte         `cbor:"10,keyasint,omitempty"`
 }
 
-// withinBounds reports whether the lists have lengths that this protocol allows.
+// withinBounds reports whether the lengths of the lists are within the limits of this protocol.
 func (p *payload) withinBounds() bool {
 	return max(len(p.Records), len(p.Accusations), len(p.Entries), len(p.Observations)) <= maxListLength
 }
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -6,11 +6,12 @@
 	"cairnfront/internal/membership/datagram"
 )
 
-// refusalReason says why a datagram was refused. Its text is a label of the counter of refused datagrams.
+// refusalReason is the reason for which a datagram was refused. Its text is a label of the counter of refused
+// datagrams.
 type refusalReason uint8
 
 const (
-	refusedOther refusalReason = iota // an error that refusalReasons does not list
+	refusedOther refusalReason = iota // an error that is not in refusalReasons
 	refusedMalformed
 	refusedUnsupportedVersion
 	refusedUnknownMember
@@ -34,10 +35,10 @@
 	refusedStaleIncarnation:   {datagram.ErrStaleIncarnation, "stale_incarnation"},
 }
 
-// String returns the reason's text.
+// String returns the reason's label.
 func (r refusalReason) String() string { return refusalReasons[r].text }
 
-// classifyRefusal returns the reason for an error of decoding a datagram.
+// classifyRefusal returns the refusal reason for an error from decoding a datagram.
 func classifyRefusal(err error) refusalReason {
 	for reason := refusedMalformed; int(reason) < len(refusalReasons); reason++ {
 		if errors.Is(err, refusalReasons[reason].err) {
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -23,47 +23,48 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Node is one router in the group. Its methods may be called from any goroutine.
+// Node is one router in the cluster. Its methods are safe for concurrent use.
 type Node struct {
-	// ProbeEventLoop asks the router's event loop to call done. OnDoubt receives how much an endpoint's health is
-	// doubted, and for how many seconds. Both are set before Run and called from goroutines of the node.
+	// ProbeEventLoop schedules a call of done on the router's event loop. OnDoubt receives the level of doubt about
+	// an endpoint's health and its duration in seconds. Both must be set before Run, and are called from goroutines
+	// of the node.
 	ProbeEventLoop func(done func())
 	OnDoubt        func(endpoint routing.EndpointID, level, seconds float64)
 
-	config  Config // its roster is the one followed at present
+	config  Config // Roster is the current roster
 	metrics *telemetry.Metrics
 	created time.Time
 	self    swim.MemberID
 	conn    *net.UDPConn
 
 	received         chan []byte
-	attempts         chan attemptEnd
+	attempts         chan attemptOutcome
 	requests         chan request
 	eventLoopAnswers chan struct{}
 	stopped          chan struct{} // closed when Run returns
 
-	// What follows belongs to the goroutine of runCores.
+	// The following fields may only be accessed by the goroutine of runCores.
 	codec             *datagram.Codec
 	view              *swim.Core
 	partition         *partition.Tracker
 	observations      *observation.Tracker
 	sendLimiter       *ratelimit.Limiter
-	locations         []location // by member
-	eventLoopProbedAt time.Time  // zero while no probe is unanswered
-	silent            bool       // another process has our name; nothing is sent any more
+	locations         []location // indexed by member ID
+	eventLoopProbedAt time.Time  // time of the unanswered probe; zero if there is none
+	hasNameConflict   bool       // another process uses this router's name; nothing is sent any more
 	detectionTimes    *hdrhistogram.Histogram
 	receivedTotal     traffic
 	sentTotal         traffic
 	sendsDropped      int64
 }
 
-// attemptEnd is how an attempt at an endpoint ended.
-type attemptEnd struct {
+// attemptOutcome is the outcome of an attempt at an endpoint.
+type attemptOutcome struct {
 	endpoint routing.EndpointID
 	health   observation.Health
 }
 
-// New opens the node's socket. Nothing is sent before Run.
+// New creates a node and opens its socket. Nothing is sent before Run.
 func New(config Config, metrics *telemetry.Metrics) (*Node, error) {
 	self := slices.IndexFunc(config.Roster, func(entry RosterEntry) bool { return entry.Name == config.Name })
 	if self < 0 {
@@ -90,9 +91,9 @@
 		created:          time.Now(),
 		self:             id,
 		conn:             conn,
-		received:         make(chan []byte, receiveQueue),
-		attempts:         make(chan attemptEnd, attemptQueue),
-		requests:         make(chan request, requestQueue),
+		received:         make(chan []byte, receiveQueueCapacity),
+		attempts:         make(chan attemptOutcome, attemptQueueCapacity),
+		requests:         make(chan request, requestQueueCapacity),
 		eventLoopAnswers: make(chan struct{}, 1),
 		stopped:          make(chan struct{}),
 		codec:            codec,
@@ -100,13 +101,13 @@
 		partition:        partition.New(config.MaxByzantine, 0),
 		observations:     observation.New(id, config.Zone, config.MaxByzantine, start),
 		sendLimiter:      ratelimit.New(config.SendLimits),
-		detectionTimes:   hdrhistogram.New(1, longestDetection, detectionDigits),
+		detectionTimes:   hdrhistogram.New(1, maxDetectionMillis, detectionSignificantDigits),
 	}
 	n.growLocations(config.Roster)
 	return n, nil
 }
 
-// startMillis is the incarnation of this start: the wall clock, which the lab may shift.
+// startMillis returns the start time of this process for its incarnation: the wall clock, which the lab may shift.
 func startMillis() uint64 {
 	wall := time.Now()
 	if offset, err := strconv.ParseFloat(os.Getenv(ClockOffsetVariable), 64); err == nil {
@@ -115,35 +116,35 @@
 	return uint64(clock.UnixMillis(wall))
 }
 
-// newInstanceID draws a number by which this process differs from others of the same name.
+// newInstanceID returns a number that distinguishes this process from others with the same name.
 func newInstanceID() uint64 {
-	const pidShift = 44 // above the bits of the clock that differ between two starts
+	const pidShift = 44 // places the process ID above the clock bits that differ between two starts
 	return uint64(clock.Now()) ^ uint64(os.Getpid())<<pidShift
 }
 
-// Addr is where the node listens.
+// Addr returns the address on which the node listens.
 func (n *Node) Addr() string { return n.conn.LocalAddr().String() }
 
-// now is the node's clock: seconds since it was made, monotonic.
+// now returns the time of the node's monotonic clock: seconds since the node was created.
 func (n *Node) now() float64 { return time.Since(n.created).Seconds() }
 
-// ReportAttempt reports how an attempt at an endpoint ended. It never waits.
+// ReportAttempt reports the outcome of an attempt at an endpoint. It never blocks.
 func (n *Node) ReportAttempt(endpoint routing.EndpointID, health observation.Health) {
 	select {
-	case n.attempts <- attemptEnd{endpoint: endpoint, health: health}:
+	case n.attempts <- attemptOutcome{endpoint: endpoint, health: health}:
 	default:
 		n.metrics.Inc(telemetry.PeerAttemptsDropped)
 	}
 }
 
-// Run takes part in the group until the context ends; then the node leaves. It owns the node's goroutines and returns
-// when they have ended.
+// Run participates in the cluster until the context is cancelled, and then leaves it. It starts the node's goroutines
+// and returns when they have ended.
 func (n *Node) Run(ctx context.Context) error {
 	defer close(n.stopped)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
 		<-ctx.Done()
-		return n.conn.SetReadDeadline(time.Unix(1, 0)) // ends the pending read
+		return n.conn.SetReadDeadline(time.Unix(1, 0)) // unblocks the pending read
 	})
 	g.Go(func() error { return n.receive(ctx) })
 	g.Go(func() error { return n.runCores(ctx) })
@@ -151,40 +152,40 @@
 	return errors.Join(err, n.conn.Close())
 }
 
-// runCores is the goroutine that owns the cores.
+// runCores runs the event loop that owns the cores.
 func (n *Node) runCores(ctx context.Context) error {
 	deadline := time.NewTimer(0)
-	expire := time.NewTicker(expireEach)
-	probe := time.NewTicker(eventLoopProbeEach)
+	expire := time.NewTicker(expireInterval)
+	probe := time.NewTicker(eventLoopProbeInterval)
 	defer deadline.Stop()
 	defer expire.Stop()
 	defer probe.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			n.recovering(n.leave)
+			n.withRecovery(n.leave)
 			return nil
 		case raw := <-n.received:
-			n.recovering(func() { n.handleDatagram(raw) })
-		case end := <-n.attempts:
-			n.recovering(func() { n.handleAttemptEnd(end) })
+			n.withRecovery(func() { n.handleDatagram(raw) })
+		case outcome := <-n.attempts:
+			n.withRecovery(func() { n.handleAttemptOutcome(outcome) })
 		case r := <-n.requests:
-			n.recovering(func() { n.handleRequest(r) })
+			n.withRecovery(func() { n.handleRequest(r) })
 		case <-probe.C:
-			n.recovering(n.probeEventLoop)
+			n.withRecovery(n.probeEventLoop)
 		case <-n.eventLoopAnswers:
-			n.recovering(n.eventLoopAnswered)
+			n.withRecovery(n.eventLoopAnswered)
 		case <-expire.C:
-			n.recovering(n.expireObservations)
+			n.withRecovery(n.expireObservations)
 		case <-deadline.C:
-			n.recovering(n.tick)
+			n.withRecovery(n.tick)
 		}
 		deadline.Reset(n.untilDeadline())
 	}
 }
 
-// recovering calls f and logs a panic: neither it nor its cause ends the process.
-func (n *Node) recovering(f func()) {
+// withRecovery calls f and logs a panic in it, so that the panic does not end the process.
+func (n *Node) withRecovery(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			n.metrics.RecordPanic(telemetry.ComponentMembership, p)
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -18,9 +18,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-const testPatience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// testNodes opens two nodes on loopback that know each other; the address of the second is learnt from its record.
+// testNodes opens two nodes on loopback that know each other. The first learns the second's address from its record.
 func testNodes(t *testing.T) (first, second *Node) {
 	t.Helper()
 	limits := ratelimit.Limits{PerPeerDatagrams: 1000, PerPeerBytes: 1e6, TotalDatagrams: 1000, TotalBytes: 1e6}
@@ -55,12 +55,12 @@
 	return first, second
 }
 
-// TestNodesFindEachOtherAndLeave runs two nodes on loopback. They must see each other with address and zone, refuse
-// a roster that changes a key or leaves them out, and answer with an error once they have stopped: a caller must not
-// wait for ever.
-func TestNodesFindEachOtherAndLeave(t *testing.T) {
+// TestNodesDiscoverEachOtherAndLeave runs two nodes on loopback. They must see each other with address and zone,
+// refuse a roster that changes a key or does not list them, and answer requests with an error after they stopped: a
+// caller must not wait forever.
+func TestNodesDiscoverEachOtherAndLeave(t *testing.T) {
 	first, second := testNodes(t)
-	ctx, cancel := context.WithTimeout(t.Context(), testPatience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	done := make(chan error, 2)
 	for _, n := range []*Node{first, second} {
@@ -72,7 +72,7 @@
 		return r
 	}
 	isComplete := func() bool { return report().PartitionState == partition.Complete.WireName() }
-	require.Eventually(t, isComplete, testPatience, 10*time.Millisecond)
+	require.Eventually(t, isComplete, testTimeout, 10*time.Millisecond)
 	require.Len(t, report().Members, 2)
 	assert.Equal(t, "zone-1", report().Members[1].Zone)
 	assert.Equal(t, second.Addr(), report().Members[1].Address, "learnt from its record")
@@ -86,7 +86,7 @@
 	require.ErrorIs(t, first.UpdateRoster(ctx, roster[1:1]), ErrNotInRoster)
 
 	require.NoError(t, second.Leave(ctx))
-	require.Eventually(t, func() bool { return report().Roster == 1 }, testPatience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return report().Roster == 1 }, testTimeout, 10*time.Millisecond)
 	cancel()
 	require.NoError(t, <-done)
 	require.NoError(t, <-done)
@@ -97,7 +97,7 @@
 	assert.Error(t, second.Leave(expired))
 }
 
-// TestLogLinesOfNode holds the lines that a node writes of a peer, of the partition state and of a name conflict.
+// TestLogLinesOfNode checks the log lines of a node about a peer, the partition state, a name conflict and a panic.
 func TestLogLinesOfNode(t *testing.T) {
 	first, second := testNodes(t)
 	require.NoError(t, second.conn.Close())
@@ -106,7 +106,7 @@
 	first.metrics = telemetry.New(&log, "")
 	record := second.view.SelfRecord()
 	message := swim.Message{Kind: swim.Push, Records: []swim.MemberRecord{record}}
-	first.carryOut(first.view.HandleMessage(0, second.self, message))
+	first.executeActions(first.view.HandleMessage(0, second.self, message))
 	first.updatePartition(first.now() + 2)
 	assert.Contains(t, log.String(), fmt.Sprintf(`msg="peer state changed" peer=router-1 state=alive `+
 		`previous_state=unknown reason=newer_record incarnation=%d refutations=0`, record.Incarnation.StartMillis))
@@ -120,13 +120,13 @@
 		SuspectedSeconds: 1.23456,
 	})
 	assert.Contains(t, log.String(), "reason=probes_failed incarnation=0 refutations=0 duration_seconds=1.23\n")
-	first.carryOut([]swim.Action{swim.NameConflict{InstanceID: 5}})
+	first.executeActions([]swim.Action{swim.NameConflict{InstanceID: 5}})
 	assert.Contains(t, log.String(), `msg="peer name conflict" instance_id=5`)
-	first.recovering(func() { panic("on purpose") })
+	first.withRecovery(func() { panic("on purpose") })
 	assert.Contains(t, log.String(), `msg="panic recovered" component=membership error="on purpose" stack=`)
 }
 
-// TestReasonsOfStateChangesAreDistinct holds that each reason has a text in snake_case that no other has.
+// TestReasonsOfStateChangesAreDistinct checks that each reason has a unique text in snake_case.
 func TestReasonsOfStateChangesAreDistinct(t *testing.T) {
 	seen := map[string]bool{}
 	for reason := swim.ReasonNotInRoster; reason <= swim.ReasonPreloaded; reason++ {
@@ -138,8 +138,8 @@
 	assert.Len(t, seen, 14)
 }
 
-// TestRefusalReasonsAreDistinct holds that each refusal of a datagram has a reason and a label of its own. Two
-// refusals under one label would hide an attack behind a wrong clock.
+// TestRefusalReasonsAreDistinct checks that each reason for refusing a datagram has its own error and label. If two
+// reasons shared a label, an attack could look like a wrong clock.
 func TestRefusalReasonsAreDistinct(t *testing.T) {
 	seen := map[string]bool{}
 	for i, entry := range refusalReasons {
@@ -154,7 +154,7 @@
 	assert.Equal(t, refusedOther, classifyRefusal(io.EOF))
 }
 
-// TestRefusalReasonsAreThePublishedLabels holds the texts that operators read in the dump of the counters.
+// TestRefusalReasonsAreThePublishedLabels checks the labels that operators see in the dump of the counters.
 func TestRefusalReasonsAreThePublishedLabels(t *testing.T) {
 	var texts []string
 	for i := range refusalReasons {
@@ -166,7 +166,7 @@
 	}, texts)
 }
 
-// TestPartitionStatesAreThePublishedLabels holds the texts in log lines and in the dump of the counters.
+// TestPartitionStatesAreThePublishedLabels checks the state names in log lines and in the dump of the counters.
 func TestPartitionStatesAreThePublishedLabels(t *testing.T) {
 	for state, want := range []string{"alone", "minority", "disagreeing", "majority", "complete"} {
 		assert.Equal(t, want, partition.State(state).String())
--- a/internal/membership/ratelimit/limiter.go
+++ b/internal/membership/ratelimit/limiter.go
@@ -1,5 +1,6 @@
-// Package ratelimit bounds the datagrams and bytes a second that a member sends to others and takes from them, for
-// each and for all together. It owns the token buckets. It has no clock and no I/O: each call brings the time.
+// Package ratelimit limits the datagrams and bytes per second that a member sends to and receives from other members,
+// per peer and in total. It owns the token buckets. It reads no clock and performs no I/O: the caller passes the time
+// to each call.
 package ratelimit
 
 import (
@@ -11,22 +12,22 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits are rates a second.
+// Limits are rates per second.
 type Limits struct {
-	// For one member when sending, for one source address when receiving.
+	// The limits per peer apply to each recipient when sending, and to each source address when receiving.
 	PerPeerDatagrams, PerPeerBytes float64
 	TotalDatagrams, TotalBytes     float64
 }
 
 const (
-	burstSeconds      = 1.0  // of the rate that may come at once
-	maxSources        = 4096 // source addresses distinguished; 150 bytes each
-	reservedShare     = 0.3  // of the total that only probes and acks may use: push-pull has to yield to the detection
-	minBurstDatagrams = 3.0  // of the longest size, which always fit a burst
+	burstSeconds      = 1.0  // size of a full bucket, in seconds of the rate
+	maxSources        = 4096 // source addresses with their own buckets; 150 bytes each
+	reservedShare     = 0.3  // share of the total for probes and acks only, as failure detection has priority
+	minBurstDatagrams = 3.0  // datagrams of maxDatagramBytes that always fit a burst
 	maxDatagramBytes  = 1400
 )
 
-// buckets are the token buckets of one sender, one receiver, or the total.
+// buckets are the token buckets of one recipient, one source address, or the total.
 type buckets struct{ datagrams, bytes *rate.Limiter }
 
 func newBuckets(datagrams, bytes float64) buckets {
@@ -38,7 +39,7 @@
 	}
 }
 
-// allows reports whether a datagram of a size passes and leaves a share of the burst.
+// allows reports whether there are tokens for a datagram of the given size beyond a reserved share of the burst.
 func (b buckets) allows(at time.Time, size int, reserve float64) bool {
 	return b.datagrams.TokensAt(at) >= 1+reserve*float64(b.datagrams.Burst()) &&
 		b.bytes.TokensAt(at) >= float64(size)+reserve*float64(b.bytes.Burst())
@@ -49,15 +50,15 @@
 	b.bytes.AllowN(at, size)
 }
 
-// Limiter bounds one direction. It belongs to one goroutine.
+// Limiter limits one direction of the traffic. It is not safe for concurrent use.
 type Limiter struct {
 	limits  Limits
 	total   buckets
-	members map[swim.MemberID]buckets  // when sending
-	sources map[netip.AddrPort]buckets // when receiving
+	members map[swim.MemberID]buckets  // used for sending
+	sources map[netip.AddrPort]buckets // used for receiving
 }
 
-// New makes a limiter with full buckets.
+// New returns a limiter with full buckets.
 func New(limits Limits) *Limiter {
 	return &Limiter{
 		limits:  limits,
@@ -67,11 +68,11 @@
 	}
 }
 
-// timeOf turns seconds of any clock into the time that the buckets expect.
+// timeOf converts seconds of any clock to the time type of the buckets.
 func timeOf(now float64) time.Time { return time.Unix(0, int64(now*float64(time.Second))) }
 
-// AllowSend reports whether a datagram may be sent to a member. One of low priority must leave the reserved share
-// of the total.
+// AllowSend reports whether a datagram may be sent to a member. A datagram of low priority must not use the reserved
+// share of the total.
 func (l *Limiter) AllowSend(now float64, member swim.MemberID, size int, lowPriority bool) bool {
 	b, ok := l.members[member]
 	if !ok {
@@ -85,8 +86,8 @@
 	return l.take(timeOf(now), b, size, reserve)
 }
 
-// AllowReceive reports whether a datagram from an address is looked into. An address that floods uses up only its
-// own share.
+// AllowReceive reports whether a datagram from an address may be processed. An address that floods exhausts only its
+// own limit.
 func (l *Limiter) AllowReceive(now float64, source netip.AddrPort, size int) bool {
 	b, ok := l.sources[source]
 	if !ok {
@@ -99,7 +100,7 @@
 	return l.take(timeOf(now), b, size, 0)
 }
 
-// dropAnySource forgets one source; it begins with full buckets if it comes again.
+// dropAnySource deletes the buckets of one arbitrary source, which gets full buckets if it sends again.
 func (l *Limiter) dropAnySource() {
 	for source := range l.sources {
 		delete(l.sources, source)
@@ -107,7 +108,7 @@
 	}
 }
 
-// take takes a datagram from both buckets if both allow it.
+// take takes the tokens for a datagram from the peer's buckets and from the total if both allow it.
 func (l *Limiter) take(at time.Time, own buckets, size int, reserve float64) bool {
 	if !own.allows(at, size, 0) || !l.total.allows(at, size, reserve) {
 		return false
--- a/internal/membership/ratelimit/limiter_test.go
+++ b/internal/membership/ratelimit/limiter_test.go
@@ -7,19 +7,19 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestFloodingSourceUsesUpOnlyItsOwnShare has one source send far over its limit beside a calm one. With one common
-// limit the flood would push out the probes of healthy members. The flood must be cut to its share, and the calm
-// source must lose nothing.
+// TestFloodingSourceUsesUpOnlyItsOwnShare has one source send far more than its limit next to a well-behaved one.
+// With a single shared limit, the flood would displace the probes of healthy members. The flood must be limited to
+// its share, and no datagram of the other source may be refused.
 func TestFloodingSourceUsesUpOnlyItsOwnShare(t *testing.T) {
 	l := New(Limits{PerPeerDatagrams: 50, PerPeerBytes: 50_000, TotalDatagrams: 1000, TotalBytes: 1e6})
-	flooding, calm := netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
+	flooding, wellBehaved := netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
 	taken, refused := 0, 0
 	for i := range 100_000 {
 		now := float64(i) / 10_000
 		if l.AllowReceive(now, flooding, 500) {
 			taken++
 		}
-		if i%1000 == 0 && !l.AllowReceive(now, calm, 500) {
+		if i%1000 == 0 && !l.AllowReceive(now, wellBehaved, 500) {
 			refused++
 		}
 	}
@@ -27,8 +27,8 @@
 	assert.Zero(t, refused)
 }
 
-// TestManySourcesStayWithinTheTotal sends from thousands of forged addresses. Each is within its own limit, and
-// together they would take all the processor time. The total must hold, and so must the bound of the table of
+// TestManySourcesStayWithinTheTotal sends from thousands of forged addresses. Each stays within its own limit, and
+// together they would use all the processor time. The total limit must apply, and so must the limit of the table of
 // sources.
 func TestManySourcesStayWithinTheTotal(t *testing.T) {
 	l := New(Limits{PerPeerDatagrams: 50, PerPeerBytes: 50_000, TotalDatagrams: 100, TotalBytes: 1e6})
@@ -43,8 +43,8 @@
 	assert.LessOrEqual(t, len(l.sources), maxSources)
 }
 
-// TestLowPriorityLeavesTheReservedShare sends push-pull exchanges until they are refused. Exchanges that take the
-// entire limit would delay probes, and healthy members would be suspected. A share must be left for probes.
+// TestLowPriorityLeavesTheReservedShare sends push-pull messages until they are refused. If they used the entire
+// limit, probes would be delayed and healthy members suspected. A share must remain for probes.
 func TestLowPriorityLeavesTheReservedShare(t *testing.T) {
 	l := New(Limits{PerPeerDatagrams: 1000, PerPeerBytes: 1e6, TotalDatagrams: 100, TotalBytes: 1e6})
 	n := 0
@@ -52,5 +52,5 @@
 		n++
 	}
 	assert.InDelta(t, 100*(1-reservedShare), n, 1)
-	assert.True(t, l.AllowSend(1, 2, 100, false), "a probe still passes")
+	assert.True(t, l.AllowSend(1, 2, 100, false), "a probe is still allowed")
 }
--- a/internal/membership/report.go
+++ b/internal/membership/report.go
@@ -8,11 +8,11 @@
 	"cairnfront/internal/membership/swim"
 )
 
-// MemberReport is a member as operators see it. Its JSON keys are those of the first version:
+// MemberReport describes a member in reports for operators. Its JSON keys are those of the first version:
 //
-//	life, beat: the incarnation (start and refutations); own_fails: own failed probes;
-//	wrong, right: refuted and confirmed accusations; words_wrong, words_right: the same of observations;
-//	voice: whether its observations count; differs: whether its view is another one
+//	life, beat: the incarnation (start and refutations); own_fails: failed probes by this router;
+//	wrong, right: refuted and confirmed accusations; words_wrong, words_right: the same for observations;
+//	voice: whether its observations are used; differs: whether its view differs from this router's
 type MemberReport struct {
 	Name                  string   `json:"name"`
 	State                 string   `json:"state"`
@@ -23,26 +23,27 @@
 	Zone                  string   `json:"zone"`
 	Accusers              []string `json:"accusers"`
 	FailedProbes          int      `json:"own_fails"`
-	RefutedAccusations    float64  `json:"wrong"` // decayed counts
+	RefutedAccusations    float64  `json:"wrong"` // decayed count, as ConfirmedAccusations
 	ConfirmedAccusations  float64  `json:"right"`
-	Silenced              bool     `json:"silenced"` // its accusations are ignored
+	Silenced              bool     `json:"silenced"` // the member's accusations are ignored
 	ViewDiffers           bool     `json:"differs"`
-	RefutedObservations   float64  `json:"words_wrong"` // decayed counts
+	RefutedObservations   float64  `json:"words_wrong"` // decayed count, as ConfirmedObservations
 	ConfirmedObservations float64  `json:"words_right"`
-	Trusted               bool     `json:"voice"` // its observations count
+	Trusted               bool     `json:"voice"` // the member's observations are used
 }
 
-// EndpointDoubt is a doubt about an endpoint, with what each witness observed. The JSON key "member" is the endpoint.
+// EndpointDoubt is a doubt about an endpoint, with the observation of each witness. The JSON key "member" is the
+// endpoint.
 type EndpointDoubt struct {
 	Endpoint  string   `json:"member"`
 	Level     float64  `json:"doubt"`
 	Witnesses []string `json:"witnesses"`
 }
 
-// Report is what a node knows. Its JSON keys are those of the first version:
+// Report is the state of a node in reports for operators. Its JSON keys are those of the first version:
 //
-//	standing: the partition state; there: the members present; held_back: datagrams dropped by the limit on sending;
-//	detected, detect_p50_s, detect_p99_s: failures, and the times from suspicion to failure
+//	standing: the partition state; there: number of members present; held_back: datagrams dropped by the send limit;
+//	detected, detect_p50_s, detect_p99_s: number of failures, and percentiles of the time from suspicion to failure
 type Report struct {
 	Name                string          `json:"name"`
 	PartitionState      string          `json:"standing"`
@@ -51,7 +52,7 @@
 	Present             int             `json:"there"`
 	Roster              int             `json:"roster"`
 	Health              int             `json:"health"`
-	Silent              bool            `json:"silent"` // another process has this router's name
+	Silent              bool            `json:"silent"` // another process uses this router's name
 	UptimeSeconds       float64         `json:"up_s"`
 	InBytes             int64           `json:"in_bytes"`
 	InDatagrams         int64           `json:"in_datagrams"`
@@ -77,7 +78,7 @@
 		Present:             present,
 		Roster:              roster,
 		Health:              n.view.HealthScore(),
-		Silent:              n.silent,
+		Silent:              n.hasNameConflict,
 		UptimeSeconds:       now,
 		InBytes:             n.receivedTotal.bytes,
 		InDatagrams:         n.receivedTotal.datagrams,
@@ -96,7 +97,7 @@
 	return float64(n.detectionTimes.ValueAtQuantile(percentile)) / 1000
 }
 
-// memberReports lists the members by name.
+// memberReports returns the reports on all members, sorted by name.
 func (n *Node) memberReports(now float64) []MemberReport {
 	list := []MemberReport{}
 	for _, info := range n.view.Snapshot(now) {
--- a/internal/membership/requests.go
+++ b/internal/membership/requests.go
@@ -10,19 +10,19 @@
 	"cairnfront/internal/membership/swim"
 )
 
-// Why a request to the node failed.
+// Errors of requests to the node.
 var (
 	ErrStopped  = errors.New("membership: the node has stopped")
 	ErrNoAnswer = errors.New("membership: the node did not answer in time")
 )
 
-// Why a roster is refused.
+// Reasons for refusing a roster.
 var (
 	ErrNotInRoster = errors.New("this router's name is not in the roster")
-	ErrKeyChanged  = errors.New("its key cannot change while the router runs: give the machine a new name")
+	ErrKeyChanged  = errors.New("a member's key cannot change while the router runs: give the machine a new name")
 )
 
-// request is a call from another goroutine, handled by the one that owns the cores.
+// request is a request from another goroutine to the goroutine that owns the cores.
 type request interface{ isRequest() }
 
 type reportRequest struct{ reply chan Report }
@@ -38,28 +38,28 @@
 func (leaveRequest) isRequest()  {}
 func (rosterRequest) isRequest() {}
 
-// Report is what the node knows, for operators.
+// Report returns the state of the node, for operators.
 func (n *Node) Report(ctx context.Context) (Report, error) {
 	r := reportRequest{reply: make(chan Report, 1)}
 	return call(ctx, n, r, r.reply)
 }
 
-// Leave makes the node leave the group; it takes part again after the router's next start.
+// Leave makes the node leave the cluster. It joins again at the router's next start.
 func (n *Node) Leave(ctx context.Context) error {
 	r := leaveRequest{reply: make(chan struct{}, 1)}
 	_, err := call(ctx, n, r, r.reply)
 	return err
 }
 
-// UpdateRoster takes a roster that was read again. Added members get places behind the others; missing ones are
-// removed.
+// UpdateRoster applies a roster that was read again from the configuration. New members are appended, and missing
+// ones are removed.
 func (n *Node) UpdateRoster(ctx context.Context, roster []RosterEntry) error {
 	r := rosterRequest{roster: roster, reply: make(chan error, 1)}
 	result, err := call(ctx, n, r, r.reply)
 	return errors.Join(err, result)
 }
 
-// call hands a request to the node and waits for its answer.
+// call sends a request to the node and waits for its reply.
 func call[T any](ctx context.Context, n *Node, r request, reply chan T) (answer T, err error) {
 	select {
 	case n.requests <- r:
@@ -71,12 +71,12 @@
 	select {
 	case answer = <-reply:
 		return answer, nil
-	case <-n.stopped: // a node that stopped leaves the requests in its queue unanswered
+	case <-n.stopped: // a stopped node does not reply to queued requests
 	case <-ctx.Done():
 		return answer, ErrNoAnswer
 	}
 	select {
-	case answer = <-reply: // it was answered just before
+	case answer = <-reply: // the node replied just before it stopped
 		return answer, nil
 	default:
 		return answer, ErrStopped
@@ -118,7 +118,7 @@
 		if address, err := netip.ParseAddrPort(entry.Address); err == nil {
 			n.locations[i].address, n.locations[i].configured = address, true
 		}
-		n.carryOut(n.view.SetRemoved(n.now(), id, !listed[entry.Name]))
+		n.executeActions(n.view.SetRemoved(n.now(), id, !listed[entry.Name]))
 		if !listed[entry.Name] {
 			n.observations.ForgetWitness(id)
 		}
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// mergeRosters is the old roster with the addresses of the new one, and behind it the members that were added.
+// mergeRosters returns the old roster with the addresses of the new one, followed by the members that were added.
 func mergeRosters(old, updated []RosterEntry) ([]RosterEntry, error) {
 	merged := slices.Clone(old)
 	for _, entry := range updated {
--- a/internal/membership/socket.go
+++ b/internal/membership/socket.go
@@ -14,12 +14,12 @@
 	"cairnfront/internal/telemetry"
 )
 
-// location is where a member is reached.
+// location is the address of a member and its origin.
 type location struct {
 	address         netip.AddrPort
 	configured      bool             // the address is from the configuration file
-	incarnation     swim.Incarnation // of the record that the address is from
-	staleAnsweredAt time.Time        // when a datagram of an earlier start was answered last
+	incarnation     swim.Incarnation // incarnation of the record with this address
+	staleAnsweredAt time.Time        // time of the last answer to a datagram with a stale incarnation
 }
 
 func listen(address string) (*net.UDPConn, error) {
@@ -31,11 +31,11 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = conn.SetReadBuffer(receiveBufferBytes) // a smaller buffer works too
+	_ = conn.SetReadBuffer(receiveBufferBytes) // best effort: a smaller buffer works too
 	return conn, nil
 }
 
-// growLocations adds the locations of the members behind the known ones.
+// growLocations adds the locations of the members that were appended to the roster.
 func (n *Node) growLocations(roster []RosterEntry) {
 	for i := len(n.locations); i < len(roster); i++ {
 		address, err := netip.ParseAddrPort(roster[i].Address)
@@ -43,15 +43,16 @@
 	}
 }
 
-// receive takes datagrams from the socket as long as their senders keep within the limits. Run owns its goroutine, and
-// ends its last read by a deadline once the context ends.
+// receive reads datagrams from the socket and queues those within the receive limits. Run starts its goroutine and,
+// when the context is cancelled, unblocks the last read with a deadline.
 func (n *Node) receive(ctx context.Context) error {
 	limiter := ratelimit.New(n.config.ReceiveLimits)
 	buffer := make([]byte, datagram.MaxSize+1)
 	for ctx.Err() == nil {
 		size, from, err := n.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
-			// The context ended, or an ICMP error answers something sent: the next read does not depend on that.
+			// The context was cancelled, or an ICMP error was reported for a sent datagram, which does not affect
+			// the next read.
 			continue
 		}
 		if size > datagram.MaxSize || !limiter.AllowReceive(n.now(), from, size) {
@@ -68,7 +69,7 @@
 }
 
 func (n *Node) handleDatagram(raw []byte) {
-	if n.silent {
+	if n.hasNameConflict {
 		return
 	}
 	n.receivedTotal.add(len(raw))
@@ -84,13 +85,13 @@
 		n.metrics.IncBy(telemetry.PeerRecordsRefused, int64(r.Skipped))
 	}
 	now := n.now()
-	n.carryOut(n.view.HandleMessage(now, r.From, r.Message))
+	n.executeActions(n.view.HandleMessage(now, r.From, r.Message))
 	if n.isPresent(r.From) {
 		n.partition.RecordViewComparison(now, r.From, n.view.ViewDiffers(now, r.From))
 	}
 	for _, o := range r.Observations {
 		if n.isPresent(o.Witness) {
-			doubts, _ := n.observations.HandleObservation(now, o) // an old one has no doubts
+			doubts, _ := n.observations.HandleObservation(now, o) // a stale observation returns no doubts
 			n.handleDoubts(doubts)
 		}
 	}
@@ -102,23 +103,23 @@
 }
 
 // answerStale sends a member its own record of a later start. A member whose clock was set back between two starts
-// does not know of that record: its datagrams are refused as stale by all, until it adopts a higher incarnation.
+// does not have that record: all other members refuse its datagrams as stale until it adopts a higher incarnation.
 func (n *Node) answerStale(id swim.MemberID) {
 	l := &n.locations[id]
-	if time.Since(l.staleAnsweredAt) <= staleAnswerEach {
+	if time.Since(l.staleAnsweredAt) <= staleAnswerInterval {
 		return
 	}
 	l.staleAnsweredAt = time.Now()
 	_, record := n.view.Lookup(id)
-	n.carryOut([]swim.Action{swim.Send{To: id, Message: swim.Message{
+	n.executeActions([]swim.Action{swim.Send{To: id, Message: swim.Message{
 		Kind:     swim.Push,
 		ViewHash: n.view.ViewHash(),
 		Records:  []swim.MemberRecord{record},
 	}}})
 }
 
-// addressOf is a member's address: from the configuration file, or else from its record. It is invalid while none is
-// known.
+// addressOf returns the address of a member: the configured one, or else the one in the member's record. The address
+// is invalid if neither is known.
 func (n *Node) addressOf(id swim.MemberID) netip.AddrPort {
 	l := &n.locations[id]
 	if l.configured {
@@ -126,7 +127,7 @@
 	}
 	_, record := n.view.Lookup(id)
 	if l.incarnation != record.Incarnation && record.Signed != nil {
-		text, _ := datagram.RecordLocation(record.Signed) // the zone counts elsewhere
+		text, _ := datagram.RecordLocation(record.Signed) // the zone is not needed here
 		if address, err := netip.ParseAddrPort(text); err == nil {
 			l.address, l.incarnation = address, record.Incarnation
 		}
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// untilDeadline is the time until a core has to be called again.
+// untilDeadline returns the time until a core must be called again.
 func (n *Node) untilDeadline() time.Duration {
 	next := n.view.NextDeadline()
 	if at := n.partition.NextDeadline(); at > 0 {
 		next = min(next, at)
 	}
-	return max(time.Duration((next-n.now())*float64(time.Second)), minTimer)
+	return max(time.Duration((next-n.now())*float64(time.Second)), minTimerDelay)
 }
 
-func (n *Node) tick() { n.carryOut(n.view.Tick(n.now())) }
+func (n *Node) tick() { n.executeActions(n.view.Tick(n.now())) }
 
 func (n *Node) expireObservations() { n.handleDoubts(n.observations.Tick(n.now())) }
 
-func (n *Node) handleAttemptEnd(end attemptEnd) {
-	n.handleDoubts(n.observations.AttemptEnded(n.now(), end.endpoint, end.health))
+func (n *Node) handleAttemptOutcome(outcome attemptOutcome) {
+	n.handleDoubts(n.observations.AttemptEnded(n.now(), outcome.endpoint, outcome.health))
 }
 
-// probeEventLoop asks the router's event loop for an answer, or reports it stuck when the last answer is overdue. The
-// goroutine that asks belongs to nobody: there is one at a time, it ends when the event loop takes or refuses the
-// call, and its answer has room in a queue of its own.
+// probeEventLoop sends a probe to the router's event loop, or reports the loop as stuck if the answer to the last
+// probe is overdue. The goroutine that sends the probe is not waited for. There is one at a time, it ends when the
+// event loop accepts or refuses the call, and its answer has space in a channel of its own.
 func (n *Node) probeEventLoop() {
 	if n.ProbeEventLoop == nil {
 		return
 	}
 	if !n.eventLoopProbedAt.IsZero() {
-		if time.Since(n.eventLoopProbedAt) > eventLoopStuckAt {
-			n.carryOut(n.view.SetWorking(n.now(), false))
+		if time.Since(n.eventLoopProbedAt) > eventLoopStuckAfter {
+			n.executeActions(n.view.SetWorking(n.now(), false))
 		}
 		return
 	}
 	n.eventLoopProbedAt = time.Now()
-	// The queue of the event loop may be full, so that the call waits for long.
+	// The call may block for a long time if the queue of the event loop is full.
 	go n.ProbeEventLoop(func() {
 		select {
 		case n.eventLoopAnswers <- struct{}{}:
@@ -44,11 +44,11 @@
 
 func (n *Node) eventLoopAnswered() {
 	n.eventLoopProbedAt = time.Time{}
-	n.carryOut(n.view.SetWorking(n.now(), true))
+	n.executeActions(n.view.SetWorking(n.now(), true))
 }
 
 func (n *Node) leave() {
-	if !n.silent {
-		n.carryOut(n.view.Leave(n.now()))
+	if !n.hasNameConflict {
+		n.executeActions(n.view.Leave(n.now()))
 	}
 }
