--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -14,7 +14,7 @@
 	receiveQueueCapacity       = 1024                   // capacity of the queue of received datagrams
 	attemptQueueCapacity       = 1024                   // capacity of the queue of attempt outcomes
 	requestQueueCapacity       = 16                     // capacity of the queue of operator requests
-	receiveBufferBytes         = 1 << 20                // large, so that a flood does not displace other members' datagrams
+	receiveBufferBytes         = 1 << 20                // large, so that a flood does not displace other datagrams
 	eventLoopProbeInterval     = 500 * time.Millisecond // time between probes of the router's event loop
 	eventLoopStuckAfter        = 2 * time.Second        // the event loop is stuck if a probe is unanswered for longer
 	expireInterval             = time.Second            // time between checks for expired observations
--- a/internal/membership/observation/trace_test.go
+++ b/internal/membership/observation/trace_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// step makes one random call, or a few that belong together.
+// step makes one random call, or a few related ones.
 func (p *traceRun) step() {
 	p.now += 0.05 * p.random.Float64()
 	endpoint := routing.EndpointID(fmt.Sprint("e-", p.random.IntN(traceEndpoints)))
--- a/internal/membership/swim/action.go
+++ b/internal/membership/swim/action.go
@@ -44,7 +44,7 @@
 	ReasonNewerRecord                      // a newer record of the member was received
 	ReasonLeft                             // the member's record states that it left
 	ReasonStuck                            // the member's record states that its event loop is stuck
-	ReasonOwnWork                          // this router's event loop got stuck or recovered
+	ReasonEventLoop                        // this router's event loop got stuck or recovered
 	ReasonLeaving                          // this router is leaving the cluster
 	ReasonPreloaded                        // the record was loaded with Preload
 )
@@ -61,7 +61,7 @@
 	ReasonNewerRecord:    "newer_record",
 	ReasonLeft:           "left",
 	ReasonStuck:          "stuck",
-	ReasonOwnWork:        "own_work",
+	ReasonEventLoop:      "own_work",
 	ReasonLeaving:        "leaving",
 	ReasonPreloaded:      "preloaded",
 }
--- a/internal/membership/swim/bounds_test.go
+++ b/internal/membership/swim/bounds_test.go
@@ -54,7 +54,7 @@
 				t.Fatalf("%d gossip items queued", n)
 			}
 			if len(p.probes) > maxProbes || len(p.suspectQueue) > maxSuspectProbes || len(p.timedOut) > maxProbes {
-				t.Fatalf("%d probes, %d suspects queued, %d failed probes", len(p.probes), len(p.suspectQueue), len(p.timedOut))
+				t.Fatalf("%d probes, %d suspects, %d timed out", len(p.probes), len(p.suspectQueue), len(p.timedOut))
 			}
 		}
 	})
--- a/internal/membership/swim/gossip.go
+++ b/internal/membership/swim/gossip.go
@@ -9,7 +9,7 @@
 	gossipFactor          = 2 // multiplied by log2 of the members: transmissions of one item
 	minTransmissions      = 3
 	maxDuplicates         = 3 // duplicates received before an item is dropped; push-pull repairs members that missed it
-	maxRecords            = 5 // per message, which with accusations and entries is below 1,400 bytes
+	maxRecords            = 5 // per message; with accusations and entries, a message is below 1,400 bytes
 	maxRecordsWithEntries = 3 // per message that has entries
 	maxAccusations        = 3 // per message
 )
@@ -142,7 +142,7 @@
 	s := receiver.suspicion
 	switch {
 	case s == nil && receiver.state != Failed:
-	case s == nil || s.announced:
+	case s == nil || s.accusationQueued:
 		own := Accusation{Accuser: c.self, Member: to, Incarnation: receiver.record.Incarnation}
 		m.Accusations = append(m.Accusations, own)
 	default:
--- a/internal/membership/swim/probe.go
+++ b/internal/membership/swim/probe.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// retryTimeouts is the deadline of the second ping and the indirect pings, in ack timeouts. An indirect ack
-	// takes two round trips.
+	// retryTimeouts is the time limit of the second ping and the indirect pings, as a multiple of the ack timeout.
+	// It covers the two round trips of an indirect ack.
 	retryTimeouts = 2
 	maxProbes     = 64 // limit of the probes in flight, and of the failed probes whose late ack is still accepted
 )
--- a/internal/membership/swim/probeorder.go
+++ b/internal/membership/swim/probeorder.go
@@ -8,8 +8,8 @@
 const (
 	absentPingEvery = 2  // one ping of an absent member per this many probes, to rejoin after a partition
 	leftPingEvery   = 16 // one ping may go to a member that left per this many probes
-	// minSpacingDivisor divides the probe interval to give the shortest time between two probes, after one that was
-	// late.
+	// minSpacingDivisor divides the probe interval. The quotient is the shortest time between a probe that was late
+	// and the next one.
 	minSpacingDivisor        = 2
 	suspectProbesPerInterval = 3  // limits the probe traffic when many members fail at once
 	maxSuspectProbes         = 64 // limit of the queue of suspects to probe
--- a/internal/membership/swim/reputation.go
+++ b/internal/membership/swim/reputation.go
@@ -5,7 +5,7 @@
 const (
 	minRefuted         = 4.0  // refuted accusations that an accuser must exceed to be ignored
 	refutedMeanFactor  = 4.0  // multiple of the mean, because packet loss causes wrong accusations by all members
-	reputationHalfLife = 60.0 // s, of the counts
+	reputationHalfLife = 60.0 // s, half-time of the decay of refuted and confirmed
 )
 
 // reputation counts the refuted and confirmed accusations of a member. The counts decay with reputationHalfLife.
@@ -24,8 +24,8 @@
 
 func reputationDecay(seconds float64) float64 { return math.Exp2(-seconds / reputationHalfLife) }
 
-// countOutcome records that an accusation was refuted or confirmed.
-func (c *Core) countOutcome(now float64, accuser MemberID, refuted bool) {
+// countAccusationOutcome records that an accusation was refuted or confirmed.
+func (c *Core) countAccusationOutcome(now float64, accuser MemberID, refuted bool) {
 	if accuser == c.self {
 		return
 	}
--- a/internal/membership/swim/self.go
+++ b/internal/membership/swim/self.go
@@ -54,11 +54,11 @@
 	if a.Incarnation != current {
 		return // an earlier incarnation, or one that never existed
 	}
-	c.countSelfAccuser(now, a.Accuser)
+	c.recordSelfAccuser(now, a.Accuser)
 	if c.leaving || now < c.nextRefutationAt() {
 		return
 	}
-	c.countOutcome(now, a.Accuser, true)
+	c.countAccusationOutcome(now, a.Accuser, true)
 	c.announce(now, current.next())
 }
 
@@ -67,9 +67,9 @@
 	return c.refutedAt + refuteInterval*c.config.ProbeIntervalSeconds
 }
 
-// countSelfAccuser increases the health score when more members than may be byzantine accuse this one, because its
+// recordSelfAccuser increases the health score when more members than may be byzantine accuse this one, because its
 // acks are probably late. Fewer accusers have no effect, or a byzantine member could slow this router down.
-func (c *Core) countSelfAccuser(now float64, accuser MemberID) {
+func (c *Core) recordSelfAccuser(now float64, accuser MemberID) {
 	c.selfAccusers = slices.DeleteFunc(c.selfAccusers, func(a selfAccusation) bool {
 		return a.accuser == accuser || now-a.at > selfAccusationWindow
 	})
@@ -90,7 +90,7 @@
 	}
 	if record.State != state && !c.leaving && !c.hasNameConflict {
 		record.State = state
-		c.setState(now, c.self, state, ReasonOwnWork)
+		c.setState(now, c.self, state, ReasonEventLoop)
 		c.announce(now, record.Incarnation.next())
 	}
 	return c.takeActions()
--- a/internal/membership/swim/suspicion.go
+++ b/internal/membership/swim/suspicion.go
@@ -24,12 +24,12 @@
 // suspicion is the state of a suspected member. It takes about 200 bytes, plus about 200 bytes for each accusation
 // with its signed encoding.
 type suspicion struct {
-	startedAt    float64
-	failedProbes int     // failed probes by this router since startedAt
-	lastFailedAt float64 // time of this router's last failed probe
-	announced    bool    // this member's accusation was queued as gossip
-	accusations  []Accusation
-	nextProbeAt  float64
+	startedAt        float64
+	failedProbes     int     // failed probes by this router since startedAt
+	lastFailedAt     float64 // time of this router's last failed probe
+	accusationQueued bool    // this member's accusation was queued as gossip
+	accusations      []Accusation
+	nextProbeAt      float64
 }
 
 // accuse handles an accusation by another member, or this member's own accusation after a failed probe.
@@ -78,8 +78,8 @@
 	s.failedProbes++
 	s.lastFailedAt = now
 	explainedByLoss := s.failedProbes < c.requiredFailures()
-	if !s.announced && !explainedByLoss && len(s.accusations) <= confirmations {
-		s.announced = true
+	if !s.accusationQueued && !explainedByLoss && len(s.accusations) <= confirmations {
+		s.accusationQueued = true
 		c.queueAccusation(a)
 	}
 }
@@ -103,7 +103,7 @@
 	m := &c.members[id]
 	if m.suspicion != nil {
 		for _, a := range m.suspicion.accusations {
-			c.countOutcome(now, a.Accuser, true)
+			c.countAccusationOutcome(now, a.Accuser, true)
 		}
 		c.endSuspicion(id)
 	}
@@ -199,7 +199,7 @@
 func (c *Core) declareFailed(now float64, id MemberID) {
 	m := &c.members[id]
 	for _, a := range m.suspicion.accusations {
-		c.countOutcome(now, a.Accuser, false)
+		c.countAccusationOutcome(now, a.Accuser, false)
 	}
 	reason := ReasonProbesFailed
 	if m.suspicion.failedProbes < minFailedProbes {
--- a/internal/membership/swim/trace_test.go
+++ b/internal/membership/swim/trace_test.go
@@ -27,7 +27,7 @@
 	ReasonNewerRecord:    9,
 	ReasonLeft:           10,
 	ReasonStuck:          11,
-	ReasonOwnWork:        12,
+	ReasonEventLoop:      12,
 	ReasonLeaving:        13,
 	ReasonPreloaded:      14,
 }
@@ -35,7 +35,7 @@
 const (
 	traceMembers          = 8     // instances; the last one joins late
 	traceSeconds          = 150.0 // duration of the simulation, s
-	traceGrowAt           = 40.0  // time at which the last instance is added to the roster, s
+	traceRosterGrowthAt   = 40.0  // time at which the last instance is added to the roster, s
 	traceByzantine        = 6     // the instance that sends false accusations
 	traceFirstStartMillis = 1_000_000
 )
@@ -253,7 +253,7 @@
 func (p *traceRun) run() string {
 	grown := false
 	for p.now < traceSeconds {
-		if !grown && p.now >= traceGrowAt {
+		if !grown && p.now >= traceRosterGrowthAt {
 			grown = true
 			for _, c := range p.cores[:traceMembers-1] {
 				c.Grow(traceRoster(traceMembers))
