--- a/internal/membership/swim/self.go
+++ b/internal/membership/swim/self.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// SetWorking sets whether this router's event loop makes progress. If it does not, the member's record has the state
-// Stuck.
-func (c *Core) SetWorking(now float64, working bool) []Action {
+// SetEventLoopWorking sets whether this router's event loop makes progress. If it does not, the member's record has
+// the state Stuck.
+func (c *Core) SetEventLoopWorking(now float64, working bool) []Action {
 	record := &c.members[c.self].record
 	state := Alive
 	if !working {
--- a/internal/membership/swim/trace_test.go
+++ b/internal/membership/swim/trace_test.go
@@ -207,7 +207,7 @@
 		p.partitionedUntil = p.now + 12*p.random.Float64()
 	case 3, 4:
 		if p.running[i] {
-			p.emit(i, c.SetWorking(p.now, p.random.IntN(2) == 0))
+			p.emit(i, c.SetEventLoopWorking(p.now, p.random.IntN(2) == 0))
 		}
 	case 5:
 		p.sendFalseAccusations(i)
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -28,7 +28,7 @@
 	}
 	if !n.eventLoopProbedAt.IsZero() {
 		if time.Since(n.eventLoopProbedAt) > eventLoopStuckAfter {
-			n.executeActions(n.view.SetWorking(n.now(), false))
+			n.executeActions(n.view.SetEventLoopWorking(n.now(), false))
 		}
 		return
 	}
@@ -44,7 +44,7 @@
 
 func (n *Node) eventLoopAnswered() {
 	n.eventLoopProbedAt = time.Time{}
-	n.executeActions(n.view.SetWorking(n.now(), true))
+	n.executeActions(n.view.SetEventLoopWorking(n.now(), true))
 }
 
 func (n *Node) leave() {
--- a/internal/sim/membership/instance.go
+++ b/internal/sim/membership/instance.go
@@ -87,7 +87,7 @@
 			s.pauseOrResume(i, transition.IsEnd)
 		case faults.Stall:
 			if i.up && !i.paused {
-				s.carryOut(i, i.core.SetWorking(s.scheduler.Now(), transition.IsEnd))
+				s.carryOut(i, i.core.SetEventLoopWorking(s.scheduler.Now(), transition.IsEnd))
 			}
 		case faults.ClockSkew:
 			i.clockOffset = transition.Fault.Seconds
