--- a/internal/membership/observation/witness.go
+++ b/internal/membership/observation/witness.go
@@ -9,7 +9,7 @@
 
 const (
 	verificationWindow = 3.0   // s; maximum age of a local attempt that confirms or refutes a witness
-	trustHalfLife      = 120.0 // s, half-time of the decay of confirmed and refuted
+	trustHalfLife      = 120.0 // s in which confirmed and refuted decay by half
 	minRefuted         = 2.5   // refuted observations from which a witness may be ignored
 	maxRefutedRatio    = 2.0   // ratio of refuted to confirmed observations above which a witness is ignored
 )
--- a/internal/membership/swim/reputation.go
+++ b/internal/membership/swim/reputation.go
@@ -5,7 +5,7 @@
 const (
 	minRefuted         = 4.0  // refuted accusations that an accuser must exceed to be ignored
 	refutedMeanFactor  = 4.0  // multiple of the mean, because packet loss causes wrong accusations by all members
-	reputationHalfLife = 60.0 // s, half-time of the decay of refuted and confirmed
+	reputationHalfLife = 60.0 // s in which refuted and confirmed decay by half
 )
 
 // reputation counts the refuted and confirmed accusations of a member. The counts decay with reputationHalfLife.
