--- a/internal/membership/swim/suspicion_test.go
+++ b/internal/membership/swim/suspicion_test.go
@@ -113,7 +113,7 @@
 	}{
 		"before the deadline":           {deadline - 0.1, Config{}, base, keepSuspecting},
 		"own probes failed":             {deadline, Config{}, base, declareFailure},
-		"packet loss explains them":     {deadline, Config{}, tooFew, keepSuspecting},
+		"packet loss explains failures": {deadline, Config{}, tooFew, keepSuspecting},
 		"one failed probe":              {deadline, Config{}, oneProbe, keepSuspecting},
 		"the last failure is recent":    {deadline + maxFailedProbeAge, Config{}, base, declareFailure},
 		"the last failure is too old":   {deadline + maxFailedProbeAge + 0.1, Config{}, base, probeAgain},
