--- a/internal/lab/cluster/bootstrap_file.go
+++ b/internal/lab/cluster/bootstrap_file.go
@@ -9,13 +9,14 @@
 	"cairnfront/internal/lab/verify"
 )
 
-// endpointTypeNames are the names of the kinds of endpoints on the wire and in a router's settings.
+// endpointTypeNames maps the kinds of endpoints to their names on the wire and in a router's settings.
 var endpointTypeNames = [...]string{KindEdge: "box", KindParent: "parent", KindOrigin: "origin"}
 
-// linkKilobytesPerSecond is the speed of the links into the zones, more than loopback carries in a scenario.
+// linkKilobytesPerSecond is the configured bandwidth of the links into the zones. It exceeds the loopback traffic of
+// any scenario.
 const linkKilobytesPerSecond = 1e6
 
-// routerSettings are the bootstrap settings of a router of a zone, in the form of the users' bootstrap file.
+// routerSettings returns the bootstrap settings of a router in a zone, in the format of the users' bootstrap file.
 func (cluster *Cluster) routerSettings(router *Router, zone int) map[string]any {
 	zones := cluster.zoneNames()
 	firstEvent := map[string]any{
@@ -44,7 +45,7 @@
 	}
 }
 
-// zoneNames are the names of the parent zone and of the others.
+// zoneNames returns the name of the parent zone, followed by those of the other zones.
 func (cluster *Cluster) zoneNames() []string {
 	zones := []string{"parent-zone"}
 	for i := range cluster.ZoneCount {
@@ -53,10 +54,10 @@
 	return zones
 }
 
-// zoneName is the name of a zone, counted from 1.
+// zoneName returns the name of a zone. Zones are numbered from 1.
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// endpointSettings is the endpoint list that a router starts with.
+// endpointSettings returns the initial endpoint list of a router.
 func (cluster *Cluster) endpointSettings(zones []string) []map[string]any {
 	var list []map[string]any
 	for _, endpoint := range cluster.Endpoints {
@@ -74,7 +75,7 @@
 	return list
 }
 
-// classSettings are the request classes of a cluster.
+// classSettings returns the settings of the cluster's request classes.
 func (cluster *Cluster) classSettings() []any {
 	classes := []any{
 		classSetting(standin.ClassVideoPart, "retryable", 6, 2),
@@ -102,7 +103,8 @@
 	}
 }
 
-// cachingSettings say how caches store and purge, and how zones are linked. The lists by class have four entries.
+// cachingSettings returns the settings for storing and purging objects and for the links between zones. Per-class lists
+// have four entries.
 func cachingSettings(zones int) map[string]any {
 	routersPerZone, parentZone, links := make([]int, zones), make([]int, zones), make([]float64, zones)
 	for i := range zones {
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -15,20 +15,21 @@
 	"cairnfront/internal/lab/verify"
 )
 
-// Bounds of a test cluster, as its edge caches and its routers are configured.
+// Freshness and purge limits of a test cluster, used in the configuration of its edge caches and its routers.
 const (
-	pageFreshSeconds    = 12.0 // for which a page asset may be served without asking
-	pageStaleSeconds    = 10.0 // beyond that for which it may still be served
-	purgeSettledSeconds = 6.0  // after which running edge caches have dropped what was purged
+	pageFreshSeconds    = 12.0 // a page asset is fresh, and served without revalidation, for this long
+	pageStaleSeconds    = 10.0 // an expired page asset may be served stale for this long
+	purgeSettledSeconds = 6.0  // time after which running edge caches have dropped purged objects
 )
 
-// EnvironmentVariable is set for the processes that a cluster starts. It allows what only the laboratory may ask for.
+// EnvironmentVariable is set for the processes that a cluster starts. It enables features that only the laboratory may
+// use.
 const EnvironmentVariable = "CAIRNFRONT_LAB"
 
-// purgePublishDelay is the time in which the origin serves the new version before the purge event is published.
+// purgePublishDelay is how long the origin already serves the new version before the purge event is published.
 const purgePublishDelay = 2 * time.Millisecond
 
-// clusterClasses are the classes in the configuration of the edge caches.
+// clusterClasses are the request classes in the configuration of the edge caches.
 var clusterClasses = []config.Class{
 	{Name: standin.ClassVideoPart, Cacheable: true, Effect: config.EffectIdempotent},
 	{
@@ -41,14 +42,14 @@
 	{Name: standin.ClassPrintOrder, Cacheable: false, Effect: config.EffectIdempotencyKey},
 }
 
-// Options say how a cluster is run.
+// Options configures a cluster.
 type Options struct {
 	Seed      uint64
 	Program   string // path of the product's program
-	Directory string // for configurations, disks and logs
+	Directory string // directory for configuration files, disk caches and logs
 }
 
-// Cluster is a discovery service, an origin, parents, edge caches, routers and clients on loopback.
+// Cluster is a discovery service, an origin, parent caches, edge caches, routers and clients on loopback.
 type Cluster struct {
 	options   Options
 	Discovery *standin.DiscoveryServer
@@ -56,23 +57,23 @@
 
 	mu             sync.Mutex
 	Endpoints      []*Endpoint
-	objectVersions map[uint64]uint64 // of objects
-	groupVersions  map[uint64]uint64 // of groups
+	objectVersions map[uint64]uint64 // current version by object
+	groupVersions  map[uint64]uint64 // current version by purge group
 	lastVersion    uint64
 	purges         []verify.Purge
-	executions     map[string]int // runs by idempotency key
+	executions     map[string]int // number of executions by idempotency key
 	requests       []verify.Request
 	served         []verify.Served
 	responses      responseLog
 	Routers        []*Router
 	ZoneCount      int
 
-	ConfigFile         string // of the routers; empty for none
-	NonIdempotentClass bool   // the cluster has a non-idempotent class too
+	ConfigFile         string // configuration file of the routers; empty if they have none
+	NonIdempotentClass bool   // adds a non-idempotent request class
 }
 
-// New starts the discovery server of a cluster with a number of zones beside the parent zone. Endpoints
-// and routers are added to it.
+// New creates a cluster with the given number of zones in addition to the parent zone, and starts its discovery server.
+// The caller adds endpoints and routers.
 func New(options Options, zoneCount int) (*Cluster, error) {
 	server, err := standin.NewDiscoveryServer()
 	if err != nil {
@@ -100,14 +101,14 @@
 	return cluster, nil
 }
 
-// versionOf is the current version of an object.
+// versionOf returns the current version of an object.
 func (cluster *Cluster) versionOf(object uint64) uint64 {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	return max(cluster.objectVersions[object], cluster.groupVersions[object%uint64(cluster.Content.Groups)])
 }
 
-// Purge publishes a new version of an object, or of all objects of its purge group, and then the purge event.
+// Purge creates a new version of an object, or of all objects of its purge group, and then publishes the purge event.
 func (cluster *Cluster) Purge(object uint64, ofGroup bool) {
 	cluster.mu.Lock()
 	cluster.lastVersion++
@@ -138,20 +139,20 @@
 	cluster.mu.Unlock()
 }
 
-// Close ends all that the cluster started: routers by SIGTERM, as an operator would. A router that does not end well
-// breaks the report, where one is given.
+// Close stops everything that the cluster started. Routers get SIGTERM, as an operator would send it. A router that
+// fails to shut down cleanly is recorded as a violation in r, unless r is nil.
 func (cluster *Cluster) Close(r *report.Report) {
 	for _, router := range cluster.Routers {
 		if router.cmd != nil {
-			_ = router.cmd.Process.Signal(syscall.SIGTERM) // it may have ended by itself; awaitEnd says how
+			_ = router.cmd.Process.Signal(syscall.SIGTERM) // the process may have exited already; awaitExit reports how
 		}
 	}
 	for _, router := range cluster.Routers {
 		if router.cmd == nil {
 			continue
 		}
-		if problem := router.awaitEnd(); problem != "" && r != nil {
-			r.Broke("%s", problem)
+		if problem := router.awaitExit(); problem != "" && r != nil {
+			r.AddViolation("%s", problem)
 		}
 	}
 	for _, endpoint := range cluster.Endpoints {
--- a/internal/lab/cluster/doc.go
+++ b/internal/lab/cluster/doc.go
@@ -2,5 +2,5 @@
 // and parent caches, and groups of routers that are peers of each other.
 //
 // It owns the processes that it starts, their configuration, ports and logs, and the records of what clients and
-// endpoints observed. What is done to them is a scenario's choice.
+// endpoints observed. Scenarios decide which faults and which load to apply.
 package cluster
--- a/internal/lab/cluster/endpoint.go
+++ b/internal/lab/cluster/endpoint.go
@@ -22,7 +22,7 @@
 	"cairnfront/routing"
 )
 
-// The kinds of endpoints, as the endpoint list names them.
+// Kinds of endpoints. The endpoint list contains these numbers.
 const (
 	KindEdge = iota
 	KindParent
@@ -30,18 +30,19 @@
 )
 
 const (
-	endpointIDPrefix = "s-"
-	endpointWeight   = 8
-	fillPrefixLength = 8 // characters of a fill's id that come from the id of the cache that fills
+	endpointIDPrefix   = "s-"
+	endpointWeight     = 8
+	fillIDPrefixLength = 8 // a fill's request id starts with this many characters of its cache's id
 )
 
-// endpointRoles are the names of the kinds in the configuration file of an edge cache.
+// endpointRoles maps the kinds of endpoints to roles in the configuration file of an edge cache.
 var endpointRoles = [...]string{KindEdge: "cache", KindParent: "parent", KindOrigin: "origin"}
 
-// EndpointID is the id of the nth endpoint.
+// EndpointID returns the id of the nth endpoint.
 func EndpointID(n int) string { return fmt.Sprintf(endpointIDPrefix+"%08x", n) }
 
-// ZoneOf is where endpoints of a kind stand in a cluster of one zone: edge caches in zone 1, others in the parent zone.
+// ZoneOf returns the zone of endpoints of a kind in a cluster of one zone: 1 for edge caches, 0 (the parent zone) for
+// others.
 func ZoneOf(kind int) int {
 	if kind == KindEdge {
 		return 1
@@ -49,29 +50,29 @@
 	return 0
 }
 
-// Endpoint is an endpoint of a test cluster. It runs in this process or as a program of its own.
+// Endpoint is an endpoint of a test cluster. It runs in this process or as a separate program.
 type Endpoint struct {
 	ID        string
 	Kind      int
 	Zone      int // 0 is the parent zone
 	Addr      string
-	StartedAt float64 // Unix s; 0 for long ago
+	StartedAt float64 // Unix time in seconds; 0 means that the endpoint is not in its warm-up
 	status    routing.EndpointStatus
 
-	Stop func() // of one that runs in this process
+	Stop func() // stops an endpoint that runs in this process; nil otherwise
 
-	// Of one that runs as a program:
+	// Set for an endpoint that runs as a separate program:
 	cmd *exec.Cmd
 	log *os.File
 }
 
-// endpointPlace is the kind of an endpoint and the zone in which it stands.
-type endpointPlace struct {
+// endpointPlacement is the kind of an endpoint and its zone.
+type endpointPlacement struct {
 	kind int
 	zone int
 }
 
-// AddEndpoint makes an endpoint with an address of its own. It does not start it.
+// AddEndpoint creates an endpoint with its own address, without starting it.
 func (cluster *Cluster) AddEndpoint(kind, zone int) (*Endpoint, error) {
 	listener, err := listenReusableTCP()
 	if err != nil {
@@ -83,12 +84,12 @@
 		Zone: zone,
 		Addr: listener.Addr().String(),
 	}
-	_ = listener.Close() // nobody connected; the port stays free for the endpoint
+	_ = listener.Close() // no connection was accepted; the port stays free for the endpoint
 	cluster.Endpoints = append(cluster.Endpoints, endpoint)
 	return endpoint, nil
 }
 
-// discoveryEntry is an endpoint as the discovery server lists it.
+// discoveryEntry returns the endpoint as an entry of the discovery server's list.
 func (endpoint *Endpoint) discoveryEntry() discovery.Endpoint {
 	return discovery.Endpoint{
 		Address: endpoint.Addr,
@@ -103,7 +104,7 @@
 	}
 }
 
-// PublishStatus publishes the status of an endpoint.
+// PublishStatus sets the status of an endpoint and publishes it.
 func (cluster *Cluster) PublishStatus(endpoint *Endpoint, status routing.EndpointStatus) {
 	endpoint.status = status
 	cluster.Discovery.Publish(discovery.Event{
@@ -112,11 +113,11 @@
 	})
 }
 
-// edgeCacheConfig is the configuration of an endpoint. Without a directory it has no disk cache.
+// edgeCacheConfig returns the configuration of an endpoint. Without a directory the endpoint has no disk cache.
 func (cluster *Cluster) edgeCacheConfig(endpoint *Endpoint, directory string) config.File {
 	file, err := config.Parse("lab", nil)
 	if err != nil {
-		panic(err) // the product's own defaults
+		panic(err) // not reached: the default configuration of the product is valid
 	}
 	cache := &file.EdgeCache
 	cache.ID = endpoint.ID
@@ -143,8 +144,9 @@
 	return file
 }
 
-// StartInProcess starts an endpoint in this process. What it is asked and serves is recorded. The endpoint's goroutine
-// does not end with the context: it ends by Stop, which waits for it, or by the cluster's Close.
+// StartInProcess starts an endpoint in this process and records the commands that it receives and the responses that it
+// sends. The endpoint's goroutine does not stop with the context: Stop, or the cluster's Close, stops it and waits for
+// it.
 func (cluster *Cluster) StartInProcess(ctx context.Context, endpoint *Endpoint) error {
 	var listen net.ListenConfig
 	listener, err := listen.Listen(ctx, "tcp", endpoint.Addr)
@@ -178,7 +180,7 @@
 	serveCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	ended := make(chan struct{})
 	go func() {
-		_ = server.Run(serveCtx, listener) // clients and routers see an endpoint that ended too early
+		_ = server.Run(serveCtx, listener) // clients and routers notice an endpoint that stopped too early
 		close(ended)
 	}()
 	endpoint.Stop = func() {
@@ -188,10 +190,10 @@
 	return nil
 }
 
-// StartProgram starts an endpoint as a program of its own, with a disk cache in a directory, and waits until it
+// StartProgram starts an endpoint as a separate program, with a disk cache in the given directory, and waits until it
 // listens. A restarted program appends to its log.
 func (cluster *Cluster) StartProgram(endpoint *Endpoint, directory string) error {
-	text, err := json.Marshal(cluster.edgeCacheConfig(endpoint, directory)) // JSON is YAML
+	text, err := json.Marshal(cluster.edgeCacheConfig(endpoint, directory)) // JSON is valid YAML
 	if err != nil {
 		return err
 	}
@@ -212,15 +214,15 @@
 		return fmt.Errorf("start edge cache %s: %w", endpoint.ID, err)
 	}
 	endpoint.StartedAt = timing.UnixSeconds(time.Now())
-	if err := timing.WaitUntil(startTimeout, endpoint.listens); err != nil {
+	if err := timing.WaitUntil(startTimeout, endpoint.isListening); err != nil {
 		tail := logTail(endpoint.log.Name())
 		return fmt.Errorf("edge cache %s does not listen: %w; its log: %s", endpoint.ID, err, tail)
 	}
 	return nil
 }
 
-// listens says whether an endpoint takes connections.
-func (endpoint *Endpoint) listens() bool {
+// listens reports whether an endpoint accepts connections.
+func (endpoint *Endpoint) isListening() bool {
 	conn, err := net.Dial("tcp", endpoint.Addr) //nolint:noctx // on loopback; the caller limits the time
 	if err != nil {
 		return false
@@ -229,27 +231,27 @@
 	return true
 }
 
-// Kill ends a program by SIGKILL. It does nothing for an endpoint in this process.
+// Kill terminates an endpoint's program by SIGKILL. It does nothing for an endpoint in this process.
 func (endpoint *Endpoint) Kill() {
 	if endpoint.cmd != nil {
-		_ = endpoint.cmd.Process.Kill() // it may have ended by itself
-		_ = endpoint.cmd.Wait()         // says that it was killed
-		_ = endpoint.log.Close()        // the program wrote it, not this process
+		_ = endpoint.cmd.Process.Kill() // the process may have exited already
+		_ = endpoint.cmd.Wait()         // always an error, as the process was killed
+		_ = endpoint.log.Close()        // no buffered data to lose: only the program wrote to the log
 		endpoint.cmd = nil
 	}
 }
 
-// startEndpoints adds endpoints of the kinds and zones that are given, starts them in this process and lists them as
-// ready. It returns the edge caches among them.
+// startEndpoints adds endpoints of the given kinds and zones, starts them in this process and publishes them as ready.
+// It returns the edge caches among them.
 func (cluster *Cluster) startEndpoints(
-	ctx context.Context, places []endpointPlace,
+	ctx context.Context, placements []endpointPlacement,
 ) (edgeCaches []*Endpoint, err error) {
-	for _, place := range places {
-		endpoint, err := cluster.AddEndpoint(place.kind, place.zone)
+	for _, placement := range placements {
+		endpoint, err := cluster.AddEndpoint(placement.kind, placement.zone)
 		if err != nil {
 			return nil, err
 		}
-		if place.kind == KindEdge {
+		if placement.kind == KindEdge {
 			edgeCaches = append(edgeCaches, endpoint)
 		}
 	}
@@ -262,9 +264,9 @@
 	return edgeCaches, nil
 }
 
-// StartOneZone starts an origin, a parent cache and two edge caches in one zone.
+// StartOneZone starts an origin, a parent cache, and two edge caches in one zone.
 func (cluster *Cluster) StartOneZone(ctx context.Context) error {
-	_, err := cluster.startEndpoints(ctx, []endpointPlace{
+	_, err := cluster.startEndpoints(ctx, []endpointPlacement{
 		{KindOrigin, 0},
 		{KindParent, 0},
 		{KindEdge, 1},
@@ -273,9 +275,9 @@
 	return err
 }
 
-// StartTwoZones starts an origin, a parent cache and two edge caches in each of two zones.
+// StartTwoZones starts an origin, a parent cache, and two edge caches in each of two zones.
 func (cluster *Cluster) StartTwoZones(ctx context.Context) (edgeCaches []*Endpoint, err error) {
-	return cluster.startEndpoints(ctx, []endpointPlace{
+	return cluster.startEndpoints(ctx, []endpointPlacement{
 		{KindOrigin, 0},
 		{KindParent, 0},
 		{KindEdge, 1},
--- a/internal/lab/cluster/in_process_peers.go
+++ b/internal/lab/cluster/in_process_peers.go
@@ -27,7 +27,7 @@
 	peerMaxByzantine  = 1
 )
 
-// Rate limits of the peers in this process. They let a router hear from hundreds of them.
+// Rate limits of the peers in this process, high enough for a router with hundreds of peers.
 var (
 	peerReceiveLimits = ratelimit.Limits{
 		TotalDatagrams:   2000,
@@ -43,8 +43,8 @@
 	}
 )
 
-// StartInProcessPeers starts peers in this process and writes the configuration file of a router among them. The
-// function that it returns ends them and waits.
+// StartInProcessPeers starts peers in this process and writes the configuration file of a router that is a peer of
+// them. The returned function stops the peers and waits for them.
 func StartInProcessPeers(
 	ctx context.Context, options Options, router *Router, peers int,
 ) (stop func(), err error) {
@@ -71,12 +71,13 @@
 			stop()
 			return nil, err
 		}
-		running.Go(func() { _ = node.Run(peersCtx) }) // a peer that does not run is missed by AwaitPeers
+		running.Go(func() { _ = node.Run(peersCtx) }) // AwaitPeers fails if a peer does not run
 	}
 	return stop, nil
 }
 
-// makeRoster makes keys and ports of peers with names. The ports are held until all have theirs.
+// makeRoster generates a key and reserves a port for each named peer. The ports stay bound until all peers have one, so
+// that no port is assigned twice.
 func makeRoster(names []string) (roster []membership.RosterEntry, seeds []string, err error) {
 	for _, name := range names {
 		seed, publicKey, err := datagram.GenerateKey()
@@ -91,7 +92,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		defer func() { _ = conn.Close() }() // nothing was sent
+		defer func() { _ = conn.Close() }() // an error is harmless: the socket sent nothing
 		entry := membership.RosterEntry{Name: name, Key: key, Address: conn.LocalAddr().String()}
 		roster = append(roster, entry)
 		seeds = append(seeds, seed)
@@ -99,7 +100,7 @@
 	return roster, seeds, nil
 }
 
-// writePeersFile writes the key and the configuration file of a router, which is the roster's last entry.
+// writePeersFile writes the key file and the configuration file of a router, which is the last entry of the roster.
 func writePeersFile(directory string, router *Router, roster []membership.RosterEntry, seed string) error {
 	keyFile := filepath.Join(directory, peerKeyFileName)
 	if err := os.WriteFile(keyFile, []byte(seed), 0o600); err != nil {
@@ -124,7 +125,7 @@
 	})
 }
 
-// newInProcessPeer makes the peer of an entry of the roster.
+// newInProcessPeer creates the peer of a roster entry.
 func newInProcessPeer(
 	roster []membership.RosterEntry, index int, seed string, randomSeed uint64,
 ) (*membership.Node, error) {
@@ -147,7 +148,7 @@
 	)
 }
 
-// QueryMembership asks a router on its admin socket for its membership view.
+// QueryMembership requests a router's membership view over its admin socket.
 func QueryMembership(ctx context.Context, router *Router) (state membership.Report, err error) {
 	file, err := config.Read(router.configFile)
 	if err != nil {
@@ -160,16 +161,16 @@
 	return state, json.Unmarshal(data, &state)
 }
 
-// AwaitPeers waits until a router sees all its peers.
+// AwaitPeers waits until a router sees all its peers as present.
 func AwaitPeers(ctx context.Context, router *Router, peers int) error {
 	err := timing.WaitUntil(peersFoundTimeout, func() bool {
-		state, _ := QueryMembership(ctx, router) // a router that does not answer yet is asked again
+		state, _ := QueryMembership(ctx, router) // if the router does not answer yet, the next poll queries it again
 		return state.PartitionState == partition.Complete.WireName()
 	})
 	if err == nil {
 		return nil
 	}
-	state, _ := QueryMembership(ctx, router) // without an answer the error below names no peers
+	state, _ := QueryMembership(ctx, router) // if the query fails, the message below contains zero values
 	return fmt.Errorf(
 		"router sees %d of %d peers, partition state %s: %w", state.Present, peers, state.PartitionState, err,
 	)
--- a/internal/lab/cluster/ports.go
+++ b/internal/lab/cluster/ports.go
@@ -7,43 +7,43 @@
 	"sync"
 )
 
-// Ports that are released and taken again, as by a process that is killed and restarted, lie below the range from
-// which the system takes ports for outgoing connections. Otherwise another connection could have the port meanwhile.
+// Ports that are released and bound again, for example by a process that is killed and restarted, are below the range
+// of ephemeral ports. Otherwise the system could assign the port to an outgoing connection in the meantime.
 const (
 	firstReusablePort = 20000
-	reusablePorts     = 12000
+	reusablePortCount = 12000
 	maxPortAttempts   = 200
 )
 
-// drawnPorts are the ports that this process has drawn. One that was drawn belongs to its first owner, also while that
-// does not listen on it.
-var drawnPorts struct {
+// assignedPorts records the ports that randomReusablePort returned in this process. A port stays assigned to its first
+// owner, even while the owner does not listen on it.
+var assignedPorts struct {
 	sync.Mutex
 	ports map[int]bool
 }
 
-// randomReusablePort draws a port that was not drawn before. Another process may use it.
+// randomReusablePort returns a random port that this process has not assigned before. Another process may be using it.
 func randomReusablePort() int {
-	drawnPorts.Lock()
-	defer drawnPorts.Unlock()
-	if drawnPorts.ports == nil || len(drawnPorts.ports) > reusablePorts/2 { // the oldest owners are long gone
-		drawnPorts.ports = map[int]bool{}
+	assignedPorts.Lock()
+	defer assignedPorts.Unlock()
+	if assignedPorts.ports == nil || len(assignedPorts.ports) > reusablePortCount/2 { // the first owners have exited
+		assignedPorts.ports = map[int]bool{}
 	}
 	for {
-		port := firstReusablePort + rand.IntN(reusablePorts)
-		if !drawnPorts.ports[port] {
-			drawnPorts.ports[port] = true
+		port := firstReusablePort + rand.IntN(reusablePortCount)
+		if !assignedPorts.ports[port] {
+			assignedPorts.ports[port] = true
 			return port
 		}
 	}
 }
 
-// listenReusableTCP listens on a loopback port that stays free while nobody listens on it.
+// listenReusableTCP listens on a loopback TCP port that the system does not assign to others after it is closed.
 func listenReusableTCP() (net.Listener, error) {
 	var lastErr error
 	for range maxPortAttempts {
 		address := fmt.Sprintf("127.0.0.1:%d", randomReusablePort())
-		listener, err := net.Listen("tcp", address) //nolint:noctx // an IP address: there is nothing to wait for
+		listener, err := net.Listen("tcp", address) //nolint:noctx // an IP address: no lookup that could block
 		if err == nil {
 			return listener, nil
 		}
@@ -52,7 +52,7 @@
 	return nil, fmt.Errorf("no port from %d on is free: %w", firstReusablePort, lastErr)
 }
 
-// listenReusableUDP is the same for datagrams.
+// listenReusableUDP opens a loopback UDP socket whose port the system does not assign to others after it is closed.
 func listenReusableUDP() (*net.UDPConn, error) {
 	var lastErr error
 	for range maxPortAttempts {
--- a/internal/lab/cluster/ports_test.go
+++ b/internal/lab/cluster/ports_test.go
@@ -6,12 +6,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestReusablePortsAreDrawnOnce: a process that restarts takes its port again. If another process had it meanwhile, the
-// restart fails for a reason that the scenario did not cause. No port is drawn twice.
-func TestReusablePortsAreDrawnOnce(t *testing.T) {
-	drawn := map[int]bool{}
+// TestReusablePortsAreAssignedOnce: a restarted process binds its previous port again. If another process got that port
+// in the meantime, the restart fails for a reason that the scenario did not cause. No port is assigned twice.
+func TestReusablePortsAreAssignedOnce(t *testing.T) {
+	assigned := map[int]bool{}
 	for range 1000 {
-		drawn[randomReusablePort()] = true
+		assigned[randomReusablePort()] = true
 	}
-	assert.Len(t, drawn, 1000)
+	assert.Len(t, assigned, 1000)
 }
--- a/internal/lab/cluster/records.go
+++ b/internal/lab/cluster/records.go
@@ -15,13 +15,14 @@
 	"cairnfront/internal/lab/verify"
 )
 
-// responseLog is what all clients of a cluster observed.
+// responseLog holds the responses that all clients of a cluster observed.
 type responseLog struct {
 	mu  sync.Mutex
 	all []verify.Response
 }
 
-// RecordResponse checks a body against the origin's seed, from which every byte follows, and records the rest.
+// RecordResponse records a response without its body. It first compares the body with the expected content, which is
+// derived from the origin's seed.
 func (cluster *Cluster) RecordResponse(response standin.ClientResponse) {
 	observed := verify.Response{ClientResponse: response, Bytes: len(response.Body)}
 	if response.Code == standin.CodeCompleted && response.HasContent() {
@@ -33,26 +34,26 @@
 	cluster.responses.all = append(cluster.responses.all, observed)
 }
 
-// Responses is a copy of what the clients observed so far.
+// Responses returns a copy of the responses that clients have observed so far.
 func (cluster *Cluster) Responses() []verify.Response {
 	cluster.responses.mu.Lock()
 	defer cluster.responses.mu.Unlock()
 	return slices.Clone(cluster.responses.all)
 }
 
-// Requests is a copy of what the endpoints in this process received so far.
+// Requests returns a copy of the requests that the endpoints in this process have received so far.
 func (cluster *Cluster) Requests() []verify.Request {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	return slices.Clone(cluster.requests)
 }
 
-// Verify checks the rules from what clients, origin and the endpoints in this process recorded.
+// Verify checks the rules against the records of the clients, the origin and the endpoints in this process.
 func (cluster *Cluster) Verify(r *report.Report, groups []*standin.ClientGroup) {
 	cluster.collectEvidence(groups).Verify(r)
 }
 
-// collectEvidence gathers the records of a run. The groups must have ended.
+// collectEvidence gathers the records of a run. The client groups must have stopped.
 func (cluster *Cluster) collectEvidence(groups []*standin.ClientGroup) *verify.Evidence {
 	e := &verify.Evidence{Responses: cluster.Responses(), Groups: cluster.Content.Groups}
 	cluster.mu.Lock()
@@ -70,7 +71,8 @@
 	return e
 }
 
-// checkBody reads the version of a body and says whether the body differs from the origin's of that version.
+// checkBody returns the version of a body and reports whether the body differs from the origin's content of that
+// version.
 func (cluster *Cluster) checkBody(response *standin.ClientResponse) (version uint64, corrupt bool) {
 	if len(response.Body) < edgecache.SyntheticHeaderBytes {
 		return 0, true
@@ -87,8 +89,8 @@
 	return version, !bytes.Equal(want, response.Body)
 }
 
-// LocalByteShare is the share of the bytes that clients got between two times, Unix s, which did not come from
-// outside their zones.
+// LocalByteShare returns the share of the bytes that clients received between two Unix times, in seconds, and that did
+// not come from outside their zones.
 func (cluster *Cluster) LocalByteShare(from, to float64) float64 {
 	received := cluster.bytesReceived(from, to)
 	if received == 0 {
@@ -97,7 +99,7 @@
 	return max(1-float64(cluster.bytesFromOutside(from, to))/float64(received), 0)
 }
 
-// LocalByteShareLine is the share second by second between two times, Unix s.
+// LocalByteShareLine returns LocalByteShare for each second between two Unix times, in seconds, as a line of a plot.
 func (cluster *Cluster) LocalByteShareLine(name string, from, to float64) report.Line {
 	line := report.Line{Name: name}
 	for at := from; at+1 < to; at++ {
@@ -106,7 +108,7 @@
 	return line
 }
 
-// bytesReceived counts the bytes that clients got between two times, Unix s.
+// bytesReceived counts the bytes that clients received between two Unix times, in seconds.
 func (cluster *Cluster) bytesReceived(from, to float64) int {
 	cluster.responses.mu.Lock()
 	defer cluster.responses.mu.Unlock()
@@ -119,16 +121,16 @@
 	return received
 }
 
-// bytesFromOutside counts the bytes that parents and origin sent to zones between two times, Unix s.
+// bytesFromOutside counts the bytes that parent caches and the origin sent to zones between two Unix times, in seconds.
 func (cluster *Cluster) bytesFromOutside(from, to float64) int {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	kinds := map[string]int{}
-	parentFill := map[string]bool{} // prefixes of the ids of parents' own fills, which do not go to a zone
+	parentFillPrefixes := map[string]bool{} // id prefixes of parent caches' own fills, not sent to a zone
 	for _, endpoint := range cluster.Endpoints {
 		kinds[endpoint.ID] = endpoint.Kind
 		if endpoint.Kind == KindParent {
-			parentFill[endpoint.ID[len(endpointIDPrefix):]] = true
+			parentFillPrefixes[endpoint.ID[len(endpointIDPrefix):]] = true
 		}
 	}
 	outside := 0
@@ -136,14 +138,14 @@
 		if kinds[s.Endpoint] == KindEdge || s.At < from || s.At >= to {
 			continue
 		}
-		if len(s.RequestID) < fillPrefixLength || !parentFill[s.RequestID[:fillPrefixLength]] {
+		if len(s.RequestID) < fillIDPrefixLength || !parentFillPrefixes[s.RequestID[:fillIDPrefixLength]] {
 			outside += s.Bytes
 		}
 	}
 	return outside
 }
 
-// NewClientGroup makes the clients of a router. Their responses are recorded in the cluster.
+// NewClientGroup creates a group of clients of a router. The cluster records their responses.
 func (cluster *Cluster) NewClientGroup(
 	router *Router, clients int, meanPause time.Duration,
 ) *standin.ClientGroup {
--- a/internal/lab/cluster/records_test.go
+++ b/internal/lab/cluster/records_test.go
@@ -14,9 +14,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// verifiedCluster is the report on a test cluster in which one request of object 5 got a part of a version, some time
-// after a purge to version 2 was delivered.
-func verifiedCluster(t *testing.T, change func(*Cluster, *standin.ClientResponse)) *report.Report {
+// verifyCluster returns the report on a test cluster in which one request for object 5 received a chunk of version 2,
+// some time after the purge to that version was delivered. The change function may modify the cluster and the response
+// before they are verified.
+func verifyCluster(t *testing.T, change func(*Cluster, *standin.ClientResponse)) *report.Report {
 	t.Helper()
 	cluster, err := New(Options{Seed: 3}, 1)
 	require.NoError(t, err)
@@ -39,26 +40,26 @@
 	}
 	change(cluster, &response)
 	cluster.RecordResponse(response)
-	rep := &report.Report{Counts: map[string]int64{}}
-	cluster.Verify(rep, []*standin.ClientGroup{{SecondResponses: cluster.responses.all[0].RetryAfter.Nanoseconds()}})
-	return rep
+	result := &report.Report{Counts: map[string]int64{}}
+	cluster.Verify(result, []*standin.ClientGroup{{SecondResponses: cluster.responses.all[0].RetryAfter.Nanoseconds()}})
+	return result
 }
 
-// TestChecksSeeWhatIsBroken: a verdict whose check finds nothing says that all rules held, whatever the router did.
-// Each check must fail where its rule is broken, and hold where it is not.
-func TestChecksSeeWhatIsBroken(t *testing.T) {
+// TestChecksDetectViolations: a check that never fails reports every run as correct, whatever the router did. Each
+// check must fail when its rule is violated, and pass when it is not.
+func TestChecksDetectViolations(t *testing.T) {
 	old := func(cluster *Cluster, r *standin.ClientResponse) {
 		content := &cluster.Content
 		r.Body = edgecache.SyntheticBody(3, eviction.Key{Object: 5}, 1, content.MinBytes, content.MaxBytes)
 	}
 	for name, c := range map[string]struct {
-		change func(*Cluster, *standin.ClientResponse)
-		want   report.Rules
-		wrong  int64
+		change  func(*Cluster, *standin.ClientResponse)
+		want    report.Rules
+		corrupt int64
 	}{
-		"all well":           {func(*Cluster, *standin.ClientResponse) {}, report.Rules{}, 0},
+		"no violation":       {func(*Cluster, *standin.ClientResponse) {}, report.Rules{}, 0},
 		"older than a purge": {old, report.Rules{Purge: 1}, 0},
-		"within the grace": {func(cluster *Cluster, r *standin.ClientResponse) {
+		"within the grace period": {func(cluster *Cluster, r *standin.ClientResponse) {
 			old(cluster, r)
 			r.SentAt -= 0.2
 		}, report.Rules{}, 0},
@@ -66,7 +67,7 @@
 			cluster.purges[0].OfGroup, cluster.purges[0].Group, cluster.purges[0].Version = true, 5, 9
 		}, report.Rules{Purge: 1}, 0},
 		"a flipped bit": {func(_ *Cluster, r *standin.ClientResponse) { r.Body[500] ^= 1 }, report.Rules{}, 1},
-		"cut short":     {func(_ *Cluster, r *standin.ClientResponse) { r.Body = r.Body[:10] }, report.Rules{}, 1},
+		"truncated":     {func(_ *Cluster, r *standin.ClientResponse) { r.Body = r.Body[:10] }, report.Rules{}, 1},
 		"no answer": {func(_ *Cluster, r *standin.ClientResponse) {
 			r.Code = standin.NoAnswer
 		}, report.Rules{Lost: 1}, 0},
@@ -80,8 +81,8 @@
 			cluster.executions["k"] = 2
 		}, report.Rules{SecondEffects: 1}, 0},
 	} {
-		rep := verifiedCluster(t, c.change)
-		assert.Equal(t, c.want, rep.Rules, name)
-		assert.Equal(t, c.wrong, rep.Counts[report.ChunksCorrupt], name)
+		result := verifyCluster(t, c.change)
+		assert.Equal(t, c.want, result.Rules, name)
+		assert.Equal(t, c.corrupt, result.Counts[report.ChunksCorrupt], name)
 	}
 }
--- a/internal/lab/cluster/router.go
+++ b/internal/lab/cluster/router.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	startTimeout       = 10 * time.Second // until a program has to be ready
-	terminationTimeout = 10 * time.Second // until a router has to end on SIGTERM
-	clockTicks         = 100              // a second of CPU time, on Linux
-	cpuTimeFields      = 2                // utime and stime, proc(5)
-	firstCPUTimeField  = 11               // after the command's name in /proc/PID/stat
-	logTailBytes       = 600              // of a log that an error quotes
+	startTimeout       = 10 * time.Second // limit for a program to become ready
+	terminationTimeout = 10 * time.Second // limit for a router to exit after SIGTERM
+	clockTicks         = 100              // ticks per second of CPU time, on Linux
+	cpuTimeFields      = 2                // utime and stime, see proc(5)
+	firstCPUTimeField  = 11               // index of utime among the fields after the command name in /proc/PID/stat
+	logTailBytes       = 600              // length of the log excerpt in an error
 )
 
-// Router is a router that runs as a program of its own.
+// Router is a router that runs as a separate program.
 type Router struct {
 	name         string
 	addr         string
-	settingsPath string   // of its bootstrap file
-	configFile   string   // empty for none
-	extraEnv     []string // beside the laboratory's environment
+	settingsPath string   // path of its bootstrap file
+	configFile   string   // empty if it has none
+	extraEnv     []string // added to the environment of the laboratory's process
 	cmd          *exec.Cmd
 	log          *os.File
 }
 
-// AddRouter starts a router of a zone. All endpoints must be in the cluster before.
+// AddRouter prepares and starts a router of a zone. The cluster must already contain all endpoints.
 func (cluster *Cluster) AddRouter(zone int) error {
 	router, err := cluster.PrepareRouter(zone)
 	if err != nil {
@@ -47,15 +47,15 @@
 	return cluster.StartRouter(router)
 }
 
-// PrepareRouter writes the bootstrap file of a router of a zone and adds it to the cluster's routers. It does not
-// start it.
+// PrepareRouter writes the bootstrap file of a router of a zone and adds the router to the cluster, without starting
+// it.
 func (cluster *Cluster) PrepareRouter(zone int) (*Router, error) {
 	listener, err := listenReusableTCP()
 	if err != nil {
 		return nil, err
 	}
 	router := &Router{name: fmt.Sprintf("n%d", len(cluster.Routers)+1), addr: listener.Addr().String()}
-	_ = listener.Close() // nobody connected; the port stays free for the router
+	_ = listener.Close() // no connection was accepted; the port stays free for the router
 	text, err := json.Marshal(cluster.routerSettings(router, zone))
 	if err != nil {
 		return nil, err
@@ -68,8 +68,8 @@
 	return router, nil
 }
 
-// StartRouter starts a router's process, also again after it was killed, and waits until it is ready. A restarted
-// router appends to its log.
+// StartRouter starts a router's process, for the first time or after it was killed, and waits until it is ready. A
+// restarted router appends to its log.
 func (cluster *Cluster) StartRouter(router *Router) error {
 	if err := cluster.spawnRouter(router); err != nil {
 		return err
@@ -77,7 +77,7 @@
 	return cluster.awaitRouter(router)
 }
 
-// spawnRouter starts a router's process and does not wait.
+// spawnRouter starts a router's process without waiting until it is ready.
 func (cluster *Cluster) spawnRouter(router *Router) (err error) {
 	if router.log == nil {
 		if router.log, err = os.Create(filepath.Join(cluster.options.Directory, router.name+".log")); err != nil {
@@ -98,25 +98,25 @@
 
 // awaitRouter waits until a router is ready.
 func (cluster *Cluster) awaitRouter(router *Router) error {
-	if err := timing.WaitUntil(startTimeout, func() bool { return routerReady(router.addr) }); err != nil {
+	if err := timing.WaitUntil(startTimeout, func() bool { return isRouterReady(router.addr) }); err != nil {
 		return fmt.Errorf("router %s is not ready: %w; its log: %s", router.name, err, logTail(router.log.Name()))
 	}
 	return nil
 }
 
-// kill ends a router by SIGKILL.
+// kill terminates a router by SIGKILL.
 func (router *Router) kill() {
 	if router.cmd != nil {
-		_ = router.cmd.Process.Kill() // it may have ended by itself
-		_ = router.cmd.Wait()         // says that it was killed
+		_ = router.cmd.Process.Kill() // the process may have exited already
+		_ = router.cmd.Wait()         // always an error, as the process was killed
 		router.cmd = nil
 	}
 }
 
-// awaitEnd waits until a router that got SIGTERM has ended, and kills one that does not. It returns what went wrong,
-// after its goroutine, which waits for the process, has ended.
-func (router *Router) awaitEnd() (problem string) {
-	defer func() { _ = router.log.Close() }() // the router wrote it, not this process
+// awaitExit waits until a router that got SIGTERM has exited, and kills it after a timeout. It returns a description of
+// the problem, or "" after a clean exit. Its goroutine, which waits for the process, has ended by then.
+func (router *Router) awaitExit() (problem string) {
+	defer func() { _ = router.log.Close() }() // no buffered data to lose: only the router wrote to the log
 	var waitErr error
 	ended := make(chan struct{})
 	go func() {
@@ -130,39 +130,39 @@
 		}
 		return ""
 	case <-time.After(terminationTimeout):
-		_ = router.cmd.Process.Kill() // it may have ended meanwhile
+		_ = router.cmd.Process.Kill() // the process may have exited in the meantime
 		<-ended
 		return fmt.Sprintf("router %s did not end on SIGTERM", router.name)
 	}
 }
 
-// Usage is the CPU time that a router has used, s, and its resident memory, MB, as the system counts them. Both are 0
-// for a router that does not run.
+// Usage returns a router's total CPU time in seconds and its resident memory in MB, as the system reports them. Both
+// are 0 if the router does not run.
 func (router *Router) Usage() (cpuSeconds, memoryMB float64) {
 	pid := router.cmd.Process.Pid
 	if stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
 		afterName := string(stat[strings.LastIndexByte(string(stat), ')')+1:])
 		times := strings.Fields(afterName)[firstCPUTimeField:]
 		for _, text := range times[:cpuTimeFields] {
-			ticks, _ := strconv.ParseFloat(text, 64) // proc(5): a number
+			ticks, _ := strconv.ParseFloat(text, 64) // always a number, see proc(5)
 			cpuSeconds += ticks / clockTicks
 		}
 	}
 	if statm, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid)); err == nil {
-		pages, _ := strconv.ParseFloat(strings.Fields(string(statm))[1], 64) // proc(5): a number
+		pages, _ := strconv.ParseFloat(strings.Fields(string(statm))[1], 64) // always a number, see proc(5)
 		memoryMB = pages * float64(os.Getpagesize()) / (1 << 20)
 	}
 	return cpuSeconds, memoryMB
 }
 
-// routerReady asks a router whether it takes requests.
-func routerReady(addr string) bool {
+// isRouterReady reports whether a router answers a readiness query with "ready".
+func isRouterReady(addr string) bool {
 	conn, err := net.Dial("tcp", addr) //nolint:noctx // on loopback; the caller limits the time
 	if err != nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }()               // the answer counts, not the close
-	_ = conn.SetDeadline(time.Now().Add(time.Second)) // fails on a closed connection alone; then the write does too
+	defer func() { _ = conn.Close() }()               // the reply matters, not an error of the close
+	_ = conn.SetDeadline(time.Now().Add(time.Second)) // fails only on a closed connection; then the write fails too
 	query := append(clientproto.AppendHeader(nil, clientproto.TypeReadinessQuery, 0, 1), 0)
 	if _, err := conn.Write(query); err != nil {
 		return false
@@ -175,13 +175,13 @@
 	return isReply && reply[clientproto.HeaderSize] == 1
 }
 
-// ConfigFileName is the name of a configuration file in a directory of its own.
+// ConfigFileName is the file name of a router's configuration file in its directory.
 const ConfigFileName = "operators.yaml"
 
-// adminSocketName is the name of a router's admin socket.
+// adminSocketName is the file name of a router's admin socket.
 const adminSocketName = "admin.sock"
 
-// WriteConfigFile writes settings as a configuration file. JSON is YAML.
+// WriteConfigFile writes settings as a configuration file. It writes JSON, which is valid YAML.
 func WriteConfigFile(path string, settings map[string]any) error {
 	text, err := json.Marshal(settings)
 	if err != nil {
@@ -190,8 +190,8 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// logTail is the end of a log.
+// logTail returns the end of a log file.
 func logTail(path string) string {
-	text, _ := os.ReadFile(path) // the error that quotes the log is worth more than one about the log
+	text, _ := os.ReadFile(path) // the caller's error matters more than a failure to read the log
 	return string(text[max(len(text)-logTailBytes, 0):])
 }
--- a/internal/lab/cluster/router_group.go
+++ b/internal/lab/cluster/router_group.go
@@ -18,17 +18,17 @@
 	"cairnfront/internal/sim/faults"
 )
 
-// RouterCount is the number of routers of a group.
+// RouterCount is the number of routers in a RouterGroup.
 const RouterCount = 20
 
-// peerRouter is one router of a group.
+// peerRouter is one router of a RouterGroup.
 type peerRouter struct {
 	*Router
 	index int
 }
 
-// RouterGroup is routers of the program that are peers of each other, hostile peers among them, and a small test
-// cluster around them. All datagrams between two of them pass a fault proxy.
+// RouterGroup is a set of router processes that are peers of each other, hostile peers in the same roster, and a small
+// test cluster. All datagrams between two peers pass through a fault proxy.
 type RouterGroup struct {
 	options      Options
 	Cluster      *Cluster
@@ -39,22 +39,23 @@
 	HostilePeers []*standin.HostilePeer
 	ClientGroups []*standin.ClientGroup
 	edgeCaches   []*Endpoint
-	names        []string      // of routers and hostile peers, by index
-	Marks        []report.Mark // the faults that began
+	names        []string      // names of the routers and the hostile peers, by index
+	Marks        []report.Mark // one for each fault that has begun
 
-	mu          sync.Mutex // guards scriptStart while clients run
-	scriptStart time.Time  // zero before the script begins
+	mu          sync.Mutex // guards scriptStart
+	scriptStart time.Time  // zero until the script starts
 }
 
-// clusterMember is what a router or a hostile peer needs to join the others.
+// clusterMember is the identity, key and socket of a router or a hostile peer.
 type clusterMember struct {
 	datagram.Identity
-	seed      string       // of the private key
-	publicKey string       // in text
-	conn      *net.UDPConn // holds the port until the member takes it
+	seed      string       // seed of the private key
+	publicKey string       // public key in its text encoding
+	conn      *net.UDPConn // reserves the port until the member binds it
 }
 
-// NewRouterGroup starts a cluster of two zones, its routers and the hostile peers, and waits until all are ready.
+// NewRouterGroup starts a cluster of two zones, the routers and the hostile peers, and waits until the routers are
+// ready.
 func NewRouterGroup(
 	ctx context.Context, options Options, script faults.Script, hostilePeers int,
 ) (_ *RouterGroup, err error) {
@@ -101,7 +102,7 @@
 	return g, nil
 }
 
-// makeMembers makes names, keys and ports of the members.
+// makeMembers assigns a name, a key and a port to each of n members.
 func (g *RouterGroup) makeMembers(n int) ([]clusterMember, error) {
 	members := make([]clusterMember, n)
 	for i := range members {
@@ -122,7 +123,8 @@
 	return members, nil
 }
 
-// makeRoutes opens a fault proxy for each direction between two members: i sends to j at the address routes[i][j].
+// makeRoutes opens a fault proxy for each direction between two members: member i sends to member j at the address
+// routes[i][j].
 func (g *RouterGroup) makeRoutes(members []clusterMember) ([][]netip.AddrPort, error) {
 	routes := make([][]netip.AddrPort, len(members))
 	for i := range members {
@@ -145,7 +147,7 @@
 	return routes, nil
 }
 
-// prepareRouter writes the bootstrap file, the configuration file and the key of a router.
+// prepareRouter writes the bootstrap file, the configuration file and the key file of a router.
 func (g *RouterGroup) prepareRouter(
 	i int, members []clusterMember, routes []netip.AddrPort, maxByzantine int,
 ) error {
@@ -184,12 +186,12 @@
 	if err := WriteConfigFile(router.configFile, settings); err != nil {
 		return err
 	}
-	router.extraEnv = []string{environmentVariable}
+	router.extraEnv = []string{environmentEntry}
 	g.routers = append(g.routers, &peerRouter{Router: router, index: i})
 	return nil
 }
 
-// addHostilePeer makes a hostile peer. It starts to act with the script's g.
+// addHostilePeer creates a hostile peer. Its attacks start when RouterGroup.Run runs the peer.
 func (g *RouterGroup) addHostilePeer(i int, members []clusterMember, routes []netip.AddrPort) error {
 	key, err := datagram.ParsePrivateKey(members[i].seed)
 	if err != nil {
@@ -219,10 +221,10 @@
 	return nil
 }
 
-// startRouters starts all routers at once and waits until they are ready. Each gets a client.
+// startRouters starts all routers in parallel and waits until they are ready. It creates one client for each.
 func (g *RouterGroup) startRouters(members []clusterMember) error {
 	for i, router := range g.routers {
-		_ = members[i].conn.Close() // the router takes the port
+		_ = members[i].conn.Close() // frees the port for the router
 		if err := g.Cluster.spawnRouter(router.Router); err != nil {
 			return err
 		}
@@ -239,11 +241,12 @@
 	return nil
 }
 
-// Close ends all processes and the fault proxies. Paused processes are continued, as they could not end otherwise.
+// Close stops all processes and the fault proxies. It resumes paused processes first, as a paused process does not
+// react to SIGTERM.
 func (g *RouterGroup) Close(r *report.Report) {
 	for _, router := range g.routers {
 		if router.cmd != nil {
-			_ = router.cmd.Process.Signal(syscall.SIGCONT) // it may have ended by itself
+			_ = router.cmd.Process.Signal(syscall.SIGCONT) // the process may have exited already
 		}
 	}
 	g.Cluster.Close(r)
--- a/internal/lab/cluster/router_group_script.go
+++ b/internal/lab/cluster/router_group_script.go
@@ -18,31 +18,32 @@
 )
 
 const (
-	joinSeconds         = 5.0  // after the start, before the script begins
-	clientWaitSeconds   = 0.6  // beyond the deadline in which a response may still be on its way
-	workingStepSeconds  = 0.05 // between two checks whether a router worked
-	environmentVariable = EnvironmentVariable + "=1"
+	joinSeconds             = 5.0  // time between the start of the load and the start of the script
+	lateResponseSeconds     = 0.6  // time after the deadline in which a late response is still received
+	workingCheckStepSeconds = 0.05 // interval between two checks whether the script let a router run
+	environmentEntry        = EnvironmentVariable + "=1"
 )
 
-// recordResponse keeps a client's response, unless it is missing or late because the script had its router killed,
-// paused or stalled meanwhile: such a client has to ask elsewhere.
+// recordResponse records a client's response, unless the response is missing or late because the script had the router
+// killed, paused or stalled at that time. Such failures are expected: the client has to use another router.
 func (g *RouterGroup) recordResponse(router *peerRouter, response standin.ClientResponse) {
 	late := response.Code == standin.NoAnswer || response.DoneAt > response.SentAt+response.Deadline.Seconds()
-	if late && !g.workedThroughout(router, response.SentAt, response.Deadline.Seconds()+clientWaitSeconds) {
+	if late && !g.wasWorkingThroughout(router, response.SentAt, response.Deadline.Seconds()+lateResponseSeconds) {
 		return
 	}
 	g.Cluster.RecordResponse(response)
 }
 
-// workedThroughout says whether the script let a router work for some seconds from a time on, Unix s.
-func (g *RouterGroup) workedThroughout(router *peerRouter, from, seconds float64) bool {
+// wasWorkingThroughout reports whether the script let a router run without interruption for some seconds from a Unix
+// time on, in seconds.
+func (g *RouterGroup) wasWorkingThroughout(router *peerRouter, from, seconds float64) bool {
 	g.mu.Lock()
 	scriptStart := g.scriptStart
 	g.mu.Unlock()
 	if scriptStart.IsZero() {
 		return true
 	}
-	for at := from; at < from+seconds; at += workingStepSeconds {
+	for at := from; at < from+seconds; at += workingCheckStepSeconds {
 		if !g.Script.IsWorking(router.index, at-timing.UnixSeconds(scriptStart)) {
 			return false
 		}
@@ -50,9 +51,9 @@
 	return true
 }
 
-// Run starts clients and hostile peers and carries out the script. Each of the hostile peers sends its part of a flood
-// of datagrams once the script begins. Progress is called with each transition. It returns once all that it started has
-// ended.
+// Run starts the clients and the hostile peers and executes the script. When the script starts, each hostile peer sends
+// its share of a flood of datagrams. Run calls progress for each transition, and returns after everything that it
+// started has stopped.
 func (g *RouterGroup) Run(ctx context.Context, floodDatagrams int64, progress func(format string, args ...any)) error {
 	loadCtx, stop := context.WithCancel(ctx)
 	var load sync.WaitGroup
@@ -76,7 +77,7 @@
 	return g.runScript(ctx, floodDatagrams, progress)
 }
 
-// runScript carries out the script's transitions at their times.
+// runScript executes the script's transitions at their times.
 func (g *RouterGroup) runScript(
 	ctx context.Context, floodDatagrams int64, progress func(format string, args ...any),
 ) error {
@@ -103,12 +104,12 @@
 	return timing.Sleep(ctx, time.Until(start.Add(timing.Seconds(g.Script.Duration))))
 }
 
-// applyTransition begins or ends a fault of processes. Faults of the network are the fault proxy's.
+// applyTransition starts or ends a fault of processes. The fault proxy applies the faults of the network.
 func (g *RouterGroup) applyTransition(transition faults.Transition) error {
 	var restarts errgroup.Group
 	for _, i := range transition.Fault.From {
 		if i >= len(g.routers) {
-			continue // a hostile peer, which is no process
+			continue // a hostile peer, which is not a separate process
 		}
 		router := g.routers[i]
 		switch transition.Fault.Kind {
@@ -122,13 +123,13 @@
 			router.signalFault(transition)
 		case faults.ClockSkew:
 			router.setClockSkew(transition)
-		case faults.Cut, faults.Loss, faults.Delay, faults.Reorder, faults.Duplicate, faults.Corrupt: // of the network
+		case faults.Cut, faults.Loss, faults.Delay, faults.Reorder, faults.Duplicate, faults.Corrupt: // by the proxies
 		}
 	}
 	return restarts.Wait()
 }
 
-// signalFault stops or continues a router's process, or tells it to stall its peers' loop.
+// signalFault pauses or resumes a router's process, or makes it stall its membership loop.
 func (router *peerRouter) signalFault(transition faults.Transition) {
 	if router.cmd == nil {
 		return
@@ -140,19 +141,20 @@
 	case transition.IsEnd:
 		signal = syscall.SIGCONT
 	}
-	_ = router.cmd.Process.Signal(signal) // it may have ended by itself, which the verdicts find
+	_ = router.cmd.Process.Signal(signal) // the process may have exited already, which the checks report
 }
 
-// setClockSkew sets by how much the clock of a router's next process is off.
+// setClockSkew sets the clock offset of a router's next process, or removes it at the end of the fault.
 func (router *peerRouter) setClockSkew(transition faults.Transition) {
-	router.extraEnv = []string{environmentVariable}
+	router.extraEnv = []string{environmentEntry}
 	if !transition.IsEnd {
 		offset := fmt.Sprintf("%s=%g", membership.ClockOffsetVariable, transition.Fault.Seconds)
 		router.extraEnv = append(router.extraEnv, offset)
 	}
 }
 
-// DatagramRate is the datagrams that a router sent, by the second of the script, and the bytes that it sent per second.
+// DatagramRate returns the mean number of datagrams that a router sent in each second of the script, and the mean
+// number of bytes that a router sent per second.
 func (g *RouterGroup) DatagramRate() (rate report.Line, bytesPerSecond float64) {
 	rate.Name = "datagrams per second and router"
 	offset := g.scriptStart.Sub(g.networkStart).Seconds()
--- a/internal/lab/cluster/standins.go
+++ b/internal/lab/cluster/standins.go
@@ -10,13 +10,13 @@
 	"cairnfront/routing"
 )
 
-// StandInKinds are the kinds of the stand-ins that take the place of all endpoints of a cluster with one zone.
+// StandInKinds are the kinds of the stand-ins that replace all endpoints of a cluster with one zone.
 var StandInKinds = []int{KindOrigin, KindParent, KindEdge, KindEdge}
 
-// FaultyStandIn is the index of the first edge cache in standInKinds.
-const FaultyStandIn = 2
+// FaultyStandInIndex is the index of the first edge cache in StandInKinds.
+const FaultyStandInIndex = 2
 
-// AddStandIn starts a stand-in and lists it as ready. Body answers its commands.
+// AddStandIn starts a stand-in and publishes it as ready. The function body returns the response body for a command.
 func (cluster *Cluster) AddStandIn(kind int, body func(cacheproto.Command) []byte) (*standin.Endpoint, error) {
 	id := EndpointID(len(cluster.Endpoints) + 1)
 	standIn, err := standin.NewEndpoint(id, cluster.options.Directory, time.Millisecond)
@@ -36,7 +36,7 @@
 	return standIn, nil
 }
 
-// SyntheticBody is the origin's first version of what a command asks for.
+// SyntheticBody returns the first version of the object chunk that a command requests.
 func (cluster *Cluster) SyntheticBody(command cacheproto.Command) []byte {
 	return edgecache.SyntheticBody(
 		cluster.Content.Seed,
--- a/internal/lab/report/html.go
+++ b/internal/lab/report/html.go
@@ -12,10 +12,10 @@
 
 var page = template.Must(template.New("report").Funcs(pageFunctions).Parse(pageText))
 
-// pageFunctions are the functions that the page's template calls.
+// pageFunctions are the functions available in the page's template.
 var pageFunctions = template.FuncMap{"keys": templateKeys, "countLabel": CountLabel, "figureLabel": FigureLabel}
 
-// templateKeys returns the ordered keys of a report's counts or figures.
+// templateKeys returns the sorted keys of a report's counts or figures.
 func templateKeys(values any) []string {
 	switch values := values.(type) {
 	case map[string]int64:
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// WriteHTML writes one page that needs no other file.
+// WriteHTML writes the report as one HTML page without external files.
 func (r *Report) WriteHTML(w io.Writer) error {
 	var plots []template.HTML
 	for _, p := range r.Plots {
--- a/internal/lab/report/keys.go
+++ b/internal/lab/report/keys.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Names of scenarios and simulations in JSON reports that differ from those that text and HTML show.
+// Names of scenarios and simulations in JSON reports that differ from their names in text and HTML.
 const (
 	ScenarioDiskAdmission         = "disk-admit"
 	ScenarioHealthObservations    = "rumours"
@@ -17,16 +17,16 @@
 	ScenarioMembershipSimulation  = "sim-peers"
 	ScenarioReplicationSimulation = "sim-ledger"
 
-	// SizeOneScript is the size of a simulation of one script, which runs twice.
+	// SizeOneScript is the size of a simulation that runs one script twice.
 	SizeOneScript = "one script, played twice"
 )
 
-// Keys of counts in the JSON report. Reports of earlier versions have the same keys, so a key stays when the term that
-// it stands for is renamed; the label is what text and HTML show. Keys may have suffixes, as Key appends them.
+// Keys of counts in the JSON report. They are the same as in reports of earlier versions, so a key stays when its term
+// is renamed; text and HTML show the label instead. Key appends suffixes to keys.
 const (
 	Requests               = "txns"
 	Completed              = "completed"
-	Rejected               = "rejected" // also a figure: the share of the requests
+	Rejected               = "rejected" // also a figure: the share of requests rejected
 	Aborted                = "aborted"
 	Attempts               = "hops"
 	AttemptsSeen           = "hops_seen"
@@ -71,7 +71,7 @@
 	HostileFlood           = "hostile_flood"
 	Runs                   = "plays"
 	RunsWithFalseFailures  = "plays_wrong"
-	FalseFailures          = "wrong" // also a figure, by the size of the group and the loss
+	FalseFailures          = "wrong" // also a figure, by group size and loss
 	FalseFailuresPublished = "wrong_swim"
 	Suspicions             = "suspicions" // also a figure
 	Resurrected            = "resurrected"
@@ -137,7 +137,7 @@
 	AnsweredShare        = "answered_share"
 )
 
-// Parts of suffixes that have a number.
+// Prefixes of key suffixes that contain a number, and the digit counts of numeric suffixes.
 const (
 	alphaSuffix             = "alpha"
 	diskSuffix              = "disk"
@@ -146,7 +146,7 @@
 	peerCountSuffixDigits   = 4
 )
 
-// Suffixes of keys that say which variant a count or figure is of.
+// Key suffixes that identify the variant of a count or figure.
 const (
 	VariantNoBudget           = "none"
 	VariantRetryBudget        = "budget"
@@ -272,7 +272,7 @@
 	AnsweredShare:        "share answered",
 }
 
-// figureLabels are the printed names of figures whose keys are those of counts too.
+// figureLabels are the printed names of figures whose keys are also keys of counts.
 var figureLabels = map[string]string{
 	Rejected: "share of requests rejected",
 }
@@ -311,8 +311,8 @@
 	return strings.Join(append([]string{key}, suffixes...), ".")
 }
 
-// CountLabel is the printed name of a count's key: the label of the key itself and, after commas, those of its
-// suffixes.
+// CountLabel returns the printed name of a count's key: the label of the key itself, followed by the labels of its
+// suffixes, separated by commas.
 func CountLabel(key string) string {
 	base, suffixes, _ := strings.Cut(key, ".")
 	label, known := labels[base]
@@ -322,7 +322,8 @@
 	return withSuffixLabels(label, suffixes)
 }
 
-// FigureLabel is the same of a figure's key. It differs where the key is that of a count too.
+// FigureLabel returns the printed name of a figure's key. It differs from CountLabel if the key is also the key of a
+// count.
 func FigureLabel(key string) string {
 	base, suffixes, _ := strings.Cut(key, ".")
 	if label, isOther := figureLabels[base]; isOther {
@@ -331,7 +332,7 @@
 	return CountLabel(key)
 }
 
-// withSuffixLabels appends the labels of a key's suffixes, which have dots between them, to the label of the key.
+// withSuffixLabels appends the labels of a key's suffixes, which are separated by dots, to the label of the key.
 func withSuffixLabels(label, rest string) string {
 	if rest == "" {
 		return label
@@ -340,7 +341,7 @@
 	parts := []string{label}
 	for i := 0; i < len(suffixes); i++ {
 		suffix := suffixes[i]
-		if strings.HasPrefix(suffix, alphaSuffix) && i+1 < len(suffixes) { // the decimals of alpha
+		if strings.HasPrefix(suffix, alphaSuffix) && i+1 < len(suffixes) { // the dot in alpha is a decimal point
 			i++
 			suffix += "." + suffixes[i]
 		}
@@ -349,7 +350,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// SuffixLabel is the printed name of one suffix, for example of a variant.
+// SuffixLabel returns the printed name of one suffix, for example of a variant.
 func SuffixLabel(suffix string) string {
 	if label, known := suffixLabels[suffix]; known {
 		return label
--- a/internal/lab/report/keys_test.go
+++ b/internal/lab/report/keys_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLabelsNameKeysAndTheirSuffixes holds that each key of the JSON report has a printed name in the field's terms,
-// with the variant, the number of routers or peers, the loss and the cost of a fill that its suffixes say.
+// TestLabelsNameKeysAndTheirSuffixes: each key of the JSON report has a printed name in standard terms, which includes
+// the variant, the number of routers or peers, the loss and the fill cost from its suffixes.
 func TestLabelsNameKeysAndTheirSuffixes(t *testing.T) {
 	for key, want := range map[string]string{
 		Requests:                              "requests of clients",
@@ -34,8 +34,8 @@
 	assert.Equal(t, "share of requests rejected, traffic burst, 3 routers", FigureLabel("rejected.burst.003"))
 }
 
-// TestTextAndHTMLShowLabelsAndJSONKeepsKeys: on-call engineers read text and pages, programs read JSON. The first two
-// have the terms of the glossary, the last one the keys and the scenario's name that it always had.
+// TestTextAndHTMLShowLabelsAndJSONKeepsKeys: on-call engineers read text and HTML, programs read JSON. Text and HTML
+// show the terms of the glossary; JSON retains the original keys and the original name of the scenario.
 func TestTextAndHTMLShowLabelsAndJSONKeepsKeys(t *testing.T) {
 	r := New("rumours", 1, "small")
 	r.Name = "health-observations"
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,6 +1,6 @@
-// Package report holds the result of a laboratory run and writes it as text, as JSON and as one HTML page with plots.
-// It has no verdicts of its own: scenarios and simulations fill it in. Keys of JSON reports and their printed names are
-// mapped in keys.go.
+// Package report has the result of a laboratory run and writes it as text, as JSON and as one HTML page with plots. It
+// checks nothing itself: scenarios and simulations fill it in. The file keys.go maps the keys of JSON reports to their
+// printed names.
 package report
 
 import (
@@ -11,13 +11,13 @@
 )
 
 const (
-	maxBroken        = 50 // broken rules and bounds that a report lists
-	labelColumnWidth = 58 // characters of the labels in a text report; a longer one moves its value
+	maxBroken        = 50 // maximum number of violations that a report lists
+	labelColumnWidth = 58 // width of the label column in a text report, in characters; a longer label shifts its value
 )
 
-// Report is the result of a scenario or of a simulation. Its zero value is not usable; New makes one.
+// Report is the result of a scenario or of a simulation. Its zero value is not usable; New creates one.
 type Report struct {
-	Scenario string             `json:"scenario"` // as JSON reports have always named it
+	Scenario string             `json:"scenario"` // name of the scenario in JSON reports, which never changes
 	Seed     uint64             `json:"seed"`
 	Size     string             `json:"size"`
 	Held     bool               `json:"held"`
@@ -26,16 +26,17 @@
 	Figures  map[string]float64 `json:"figures"`
 	Broken   []string           `json:"broken"`
 
-	// Name of the scenario or simulation in text and HTML; empty where it is that of the JSON report.
+	// Name of the scenario or simulation in text and HTML; empty if it equals Scenario.
 	Name string `json:"-"`
-	// Simulated says that nothing ran on sockets: the run was on virtual time.
+	// Simulated is true if the run was on virtual time, without sockets.
 	Simulated bool `json:"-"`
 
-	Steps []string `json:"-"` // what was done, a line each
+	Steps []string `json:"-"` // description of the run, one line per step
 	Plots []Plot   `json:"-"`
 }
 
-// Rules counts how often each of the five rules was broken. The first rule has two counts: losses and second answers.
+// Rules counts the violations of each of the five rules. The first rule has two counts: lost requests and second
+// responses.
 type Rules struct {
 	Lost          int64 `json:"lost"`
 	SecondAnswers int64 `json:"second_answers"`
@@ -45,7 +46,7 @@
 	Purge         int64 `json:"purge"`
 }
 
-// Plot is one drawing: lines over a common axis, and marks where faults began.
+// Plot is a set of lines with a common X axis, and marks where faults began.
 type Plot struct {
 	Title  string
 	XLabel string
@@ -67,14 +68,14 @@
 	l.Y = append(l.Y, y)
 }
 
-// Mark is a named place on the X axis, for example the begin of a fault.
+// Mark is a named position on the X axis, for example the start of a fault.
 type Mark struct {
 	At   float64
 	Name string
 }
 
-// New makes an empty report of a scenario, as JSON reports name it. Size is the size of the run in words, for example
-// "small" or "20 seeds".
+// New creates an empty report. The scenario is its name in JSON reports. Size describes the size of the run, for
+// example "small" or "20 seeds".
 func New(scenario string, seed uint64, size string) *Report {
 	return &Report{
 		Scenario: scenario,
@@ -86,7 +87,7 @@
 	}
 }
 
-// Close lists the broken rules among what broke, and sets the verdict.
+// Close adds the violated rules to Broken and sets the verdict.
 func (r *Report) Close() {
 	for what, n := range map[string]int64{
 		"requests without a response before their deadline": r.Rules.Lost,
@@ -97,14 +98,14 @@
 		"responses older than a purge":                      r.Rules.Purge,
 	} {
 		if n > 0 {
-			r.Broke("%d %s", n, what)
+			r.AddViolation("%d %s", n, what)
 		}
 	}
 	sort.Strings(r.Broken)
 	r.Held = len(r.Broken) == 0
 }
 
-// Title is the name of the scenario or simulation in text and HTML.
+// Title returns the name of the scenario or simulation in text and HTML.
 func (r *Report) Title() string {
 	if r.Name != "" {
 		return r.Name
@@ -112,22 +113,22 @@
 	return r.Scenario
 }
 
-// Broke records a rule or a bound that did not hold. The report lists the first maxBroken.
-func (r *Report) Broke(format string, args ...any) {
+// AddViolation records a rule or a limit that did not hold. The report lists the first maxBroken violations.
+func (r *Report) AddViolation(format string, args ...any) {
 	if len(r.Broken) < maxBroken {
 		r.Broken = append(r.Broken, fmt.Sprintf(format, args...))
 	}
 }
 
-// WriteJSON writes the report as JSON. Steps and plots are left out.
+// WriteJSON writes the report as JSON, without steps and plots.
 func (r *Report) WriteJSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(r)
 }
 
-// WriteText writes the report for a terminal, with labels in place of the JSON keys. Errors of the writer are ignored:
-// where the terminal is gone nobody reads on, and the exit code has the verdict.
+// WriteText writes the report for a terminal, with labels in place of the JSON keys. It ignores write errors: if the
+// terminal is closed nobody reads the output, and the exit code has the verdict.
 func (r *Report) WriteText(w io.Writer) {
 	verdict := "held"
 	if !r.Held {
@@ -148,7 +149,7 @@
 	}
 }
 
-// SortedKeys returns the keys of a map in order.
+// SortedKeys returns the sorted keys of a map.
 func SortedKeys[V any](m map[string]V) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReportIsWrittenInThreeForms: programs read JSON, people text and HTML. A figure or a broken rule that one of the
-// forms leaves out is missed by its readers.
-func TestReportIsWrittenInThreeForms(t *testing.T) {
+// TestReportIsWrittenInThreeFormats: programs read JSON, people read text and HTML. If a format omits a figure or a
+// violation, its readers miss it.
+func TestReportIsWrittenInThreeFormats(t *testing.T) {
 	r := &Report{
 		Scenario: "x",
 		Counts:   map[string]int64{"n": 3},
@@ -38,9 +38,9 @@
 	assert.Contains(t, b.String(), "BROKEN")
 }
 
-// TestBrokenRulesDecideTheVerdict: the exit code and CI follow the verdict. Each broken rule must be named, and with
-// one the report must not hold.
-func TestBrokenRulesDecideTheVerdict(t *testing.T) {
+// TestViolatedRulesDetermineTheVerdict: the exit code and CI depend on the verdict. Each violated rule must be named,
+// and a single violation must make the report fail.
+func TestViolatedRulesDetermineTheVerdict(t *testing.T) {
 	clean := New("x", 1, "small")
 	clean.Close()
 	assert.True(t, clean.Held)
--- a/internal/lab/report/svg.go
+++ b/internal/lab/report/svg.go
@@ -18,13 +18,13 @@
 	plotWidth  = 22 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
 
-	colorsBeforeDashes = 6    // lines with one dash pattern
-	legendRoom         = 0.15 // of the drawn height, left free above the lines
+	colorsBeforeDashes = 6    // number of lines with the same dash pattern
+	legendHeadroom     = 0.15 // share of the plot height that stays empty above the lines
 )
 
 var markColor = color.RGBA{R: 0xaa, G: 0x11, B: 0x11, A: 0x80}
 
-// svg draws a plot.
+// svg renders a plot.
 func (p Plot) svg() (template.HTML, error) {
 	drawing := plot.New()
 	drawing.Title.Text = p.Title
@@ -42,8 +42,8 @@
 	if err := addMarks(drawing, p.Marks, low, high); err != nil {
 		return "", fmt.Errorf("marks: %w", err)
 	}
-	if room := (high - low) * legendRoom; room > 0 {
-		drawing.Y.Max = high + room
+	if headroom := (high - low) * legendHeadroom; headroom > 0 {
+		drawing.Y.Max = high + headroom
 	}
 	writer, err := drawing.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
@@ -57,7 +57,7 @@
 	return template.HTML("<svg" + svg), nil
 }
 
-// yRange returns the least and the greatest Y of all lines; 0 is always within.
+// yRange returns the minimum and the maximum Y of all lines. The range always includes 0.
 func (p Plot) yRange() (low, high float64) {
 	for _, line := range p.Lines {
 		for _, y := range line.Y {
@@ -68,7 +68,7 @@
 	return low, high
 }
 
-// addLine draws one line with its points. The index chooses colour and dashes.
+// addLine draws one line with its points. The index determines its color and dashes.
 func addLine(drawing *plot.Plot, index int, line Line) error {
 	points := make(plotter.XYs, len(line.X))
 	for i := range line.X {
@@ -89,7 +89,8 @@
 	return nil
 }
 
-// addMarks draws a vertical line for each mark. A name is written once, as many marks of one kind would overlap.
+// addMarks draws a vertical line for each mark. A name is written only once, as the texts of many marks with the same
+// name would overlap.
 func addMarks(drawing *plot.Plot, marks []Mark, low, high float64) error {
 	named := map[string]bool{}
 	for _, mark := range marks {
--- a/internal/lab/scenario/addresses.go
+++ b/internal/lab/scenario/addresses.go
@@ -14,50 +14,50 @@
 	"cairnfront/internal/lab/verify"
 )
 
-// errNoRequests says that a phase has no request to measure.
+// Errors of a phase without requests to measure, and of a variant in which too few requests ended.
 var (
 	errNoRequests  = errors.New("no request was sent in the phase")
 	errTooFewEnded = errors.New("too few requests ended")
 )
 
-// Sizes of the scenario.
+// Durations of the scenario.
 const (
-	settleSeconds    = 2.0 // after a fault begins, before latencies count
+	settleSeconds    = 2.0 // latencies are measured this long after the fault begins
 	flapInterval     = 300 * time.Millisecond
 	variantTimeLimit = 10 * time.Minute
-	deliveryPause    = 20 * time.Millisecond // for what is still on its way to the stand-ins
+	deliveryPause    = 20 * time.Millisecond // time for attempts in flight to reach the stand-ins
 )
 
-// addressVariant is a fault of an address, or none, under the same load.
+// addressVariant is a fault of an address, or no fault, under the same load.
 type addressVariant struct {
-	name         string
-	allAddresses bool // the router is configured with all addresses, else it knows one for each endpoint
-	fault        func(ctx context.Context, address *standin.Address)
-	measuresHeal bool // the time until the address is used again is a figure
+	name          string
+	allAddresses  bool // the router knows all addresses of each endpoint, not only one
+	fault         func(ctx context.Context, address *standin.Address)
+	timesRecovery bool // report the time until the recovered address is used again
 }
 
 var addressVariants = []addressVariant{
 	{name: report.VariantAllHealthy, allAddresses: true},
-	{name: report.VariantUnresponsive, allAddresses: true, fault: holdMode(standin.Unresponsive), measuresHeal: true},
-	{name: report.VariantReset, allAddresses: true, fault: holdMode(standin.Resetting)},
-	{name: report.VariantClosed, allAddresses: true, fault: holdMode(standin.Closed), measuresHeal: true},
-	{name: report.VariantTruncating, allAddresses: true, fault: holdMode(standin.Truncating)},
+	{name: report.VariantUnresponsive, allAddresses: true, fault: fixedMode(standin.Unresponsive), timesRecovery: true},
+	{name: report.VariantReset, allAddresses: true, fault: fixedMode(standin.Resetting)},
+	{name: report.VariantClosed, allAddresses: true, fault: fixedMode(standin.Closed), timesRecovery: true},
+	{name: report.VariantTruncating, allAddresses: true, fault: fixedMode(standin.Truncating)},
 	{name: report.VariantFlapping, allAddresses: true, fault: flapMode},
 	{name: report.VariantSingle},
-	{name: report.VariantSingleUnresponsive, fault: holdMode(standin.Unresponsive)},
+	{name: report.VariantSingleUnresponsive, fault: fixedMode(standin.Unresponsive)},
 }
 
-// holdMode is a fault in which an address keeps a mode. An address that cannot listen again behaves as one that is
-// closed, and the checks of latency and recovery find it; so the errors of SetMode are ignored here and below.
-func holdMode(mode standin.AddressMode) func(context.Context, *standin.Address) {
+// fixedMode returns a fault in which an address stays in one mode. An address that cannot listen again behaves like
+// a closed one, which the checks of latency and recovery detect; so the errors of SetMode are ignored here and below.
+func fixedMode(mode standin.AddressMode) func(context.Context, *standin.Address) {
 	return func(_ context.Context, address *standin.Address) { _ = address.SetMode(mode) }
 }
 
-// flapMode is a fault in which an address closes and opens in turn.
+// flapMode is a fault in which an address alternates between closed and healthy.
 func flapMode(ctx context.Context, address *standin.Address) {
 	for mode := standin.Closed; ctx.Err() == nil; mode = standin.Closed - mode {
 		_ = address.SetMode(mode)
-		_ = timing.Sleep(ctx, flapInterval) // the loop asks the context
+		_ = timing.Sleep(ctx, flapInterval) // the loop checks the context
 	}
 	_ = address.SetMode(standin.Healthy)
 }
@@ -111,7 +111,8 @@
 	return runPairs(ctx, options, r, clients)
 }
 
-// runVariant runs one variant and adds its figures to the report. The line is the latencies in order.
+// runVariant runs one variant and adds its figures to the report. It returns the distribution of the latencies as a
+// line.
 func runVariant(
 	ctx context.Context, options Options, r *report.Report, variant addressVariant, requests, clients int,
 ) (report.Line, error) {
@@ -137,11 +138,11 @@
 	if variant.fault == nil {
 		testCluster.addUsage(r, variant.name)
 	}
-	if variant.measuresHeal {
-		took, recovered := testCluster.healFaultyAddress()
-		r.Figures[report.Key(report.AddressRecovery, variant.name)] = took
+	if variant.timesRecovery {
+		elapsed, recovered := testCluster.restoreFaultyAddress()
+		r.Figures[report.Key(report.AddressRecovery, variant.name)] = elapsed
 		if !recovered {
-			r.Broke("%s: the address has recovered and is not used", report.SuffixLabel(variant.name))
+			r.AddViolation("%s: the address has recovered and is not used", report.SuffixLabel(variant.name))
 		}
 	}
 	load.stop()
@@ -154,12 +155,12 @@
 		return report.Line{}, errNoRequests
 	}
 	latencies.addFigures(r, variant.name)
-	testCluster.noOverlappingAttempts(r, variant.name, load)
+	testCluster.checkNoOverlappingAttempts(r, variant.name, load)
 	testCluster.countAttempts(r)
 	return latencies.line(report.SuffixLabel(variant.name)), nil
 }
 
-// startFault begins a variant's fault. The function that it returns ends the fault and waits for that.
+// startFault starts a variant's fault. The returned function stops the fault and waits for its goroutine.
 func (c *multiAddressCluster) startFault(ctx context.Context, variant addressVariant) (end func()) {
 	if variant.fault == nil {
 		return func() {}
@@ -173,9 +174,9 @@
 	}
 }
 
-// responseCounter counts responses from a time on, up to a number.
+// responseCounter counts the responses after a start time, up to a number.
 type responseCounter struct {
-	from    float64 // Unix s
+	from    float64 // Unix time in seconds
 	want    int
 	reached chan struct{}
 
@@ -195,7 +196,7 @@
 	}
 }
 
-// wait waits for the number of responses.
+// wait waits until the counter reaches its number of responses.
 func (c *responseCounter) wait(ctx context.Context) error {
 	select {
 	case <-c.reached:
@@ -209,7 +210,7 @@
 	}
 }
 
-// addUsage reports what the router used for the requests so far.
+// addUsage reports the router's CPU time per request and its memory.
 func (c *multiAddressCluster) addUsage(r *report.Report, name string) {
 	cpuSeconds, memoryMB := c.Routers[0].Usage()
 	requests := len(c.Responses())
@@ -217,28 +218,29 @@
 	r.Figures[report.Key(report.ResidentMemory, name)] = memoryMB
 }
 
-// latencySummary is the latencies of a variant's requests.
+// latencySummary summarizes the latencies of a variant's requests.
 type latencySummary struct {
-	sortedMillis   []float64
-	onTime         int     // completed within the latency objective
-	slowestAtFirst float64 // s: the slowest of the first seconds, before the router had detected the fault
+	sortedMillis           []float64
+	onTime                 int     // number of requests completed within their latency objective
+	slowestBeforeDetection float64 // seconds; maximum of the first seconds, before the router had detected the fault
 }
 
-// summarizeLatencies sums up the requests sent between two times, Unix s, and the slowest of those before.
+// summarizeLatencies summarizes the requests sent between two Unix times, in seconds, and finds the slowest request
+// sent before.
 func summarizeLatencies(responses []verify.Response, from, to float64) *latencySummary {
 	s := &latencySummary{}
 	for i := range responses {
 		response := &responses[i]
 		if response.SentAt < from {
-			s.slowestAtFirst = max(s.slowestAtFirst, response.DoneAt-response.SentAt)
+			s.slowestBeforeDetection = max(s.slowestBeforeDetection, response.DoneAt-response.SentAt)
 			continue
 		}
 		if response.SentAt > to {
 			continue
 		}
-		took := response.LatencySeconds()
-		s.sortedMillis = append(s.sortedMillis, took*1000)
-		if response.Code == standin.CodeCompleted && took <= standin.ClassObjectiveSeconds[response.Class] {
+		elapsed := response.LatencySeconds()
+		s.sortedMillis = append(s.sortedMillis, elapsed*1000)
+		if response.Code == standin.CodeCompleted && elapsed <= standin.ClassObjectiveSeconds[response.Class] {
 			s.onTime++
 		}
 	}
@@ -250,11 +252,11 @@
 	n := len(s.sortedMillis)
 	r.Figures[report.Key(report.LatencyP50, name)] = s.sortedMillis[n/2]
 	r.Figures[report.Key(report.LatencyP99, name)] = percentile(s.sortedMillis, 0.99)
-	r.Figures[report.Key(report.SlowestAtFirst, name)] = s.slowestAtFirst * 1000
+	r.Figures[report.Key(report.SlowestAtFirst, name)] = s.slowestBeforeDetection * 1000
 	r.Figures[report.Key(report.OnTimeShare, name)] = float64(s.onTime) / float64(n)
 }
 
-// line is the latencies' distribution, in percents.
+// line returns the distribution of the latencies, in steps of one percent.
 func (s *latencySummary) line(name string) report.Line {
 	line := report.Line{Name: name}
 	for percent := range 101 {
@@ -263,7 +265,7 @@
 	return line
 }
 
-// countAttempts counts the attempts that came to a variant's stand-ins, and those that met a fault.
+// countAttempts counts the attempts that a variant's stand-ins received, and those that were affected by a fault.
 func (c *multiAddressCluster) countAttempts(r *report.Report) {
 	for _, standIn := range c.standIns {
 		attempts := standIn.Attempts()
@@ -275,7 +277,7 @@
 				r.Counts[report.AttemptsUnresponsive]++
 			case standin.Resetting:
 				r.Counts[report.AttemptsReset]++
-			case standin.Healthy, standin.Truncating, standin.Closed: // have no count of their own
+			case standin.Healthy, standin.Truncating, standin.Closed: // have no separate count
 			}
 		}
 	}
--- a/internal/lab/scenario/addresses_cluster.go
+++ b/internal/lab/scenario/addresses_cluster.go
@@ -16,19 +16,20 @@
 	"cairnfront/internal/lab/verify"
 )
 
-// listedEndpoints is how many endpoints the list of a cluster with several addresses has.
+// listedEndpoints is the length of the endpoint list in a cluster with several addresses per endpoint.
 const listedEndpoints = 1000
 
-// multiAddressCluster is a router over four stand-ins of three addresses each, in a long endpoint list.
+// multiAddressCluster is a router with four stand-ins of three addresses each, in a long endpoint list.
 type multiAddressCluster struct {
 	*cluster.Cluster
 	standIns []*standin.Endpoint
-	faulty   *standin.Address // the address that a fault hits; of the first edge cache
+	faulty   *standin.Address // the address that has the fault; belongs to the first edge cache
 	orders   standin.IdempotencyRecords
-	entries  []config.EndpointAddresses // of the configuration file
+	entries  []config.EndpointAddresses // address entries of the configuration file
 }
 
-// newMultiAddressCluster starts one. The router is configured with all addresses or knows one for each endpoint.
+// newMultiAddressCluster starts a cluster. Its router is configured with all addresses, or knows one address per
+// endpoint.
 func newMultiAddressCluster(options Options, allAddresses bool) (_ *multiAddressCluster, err error) {
 	if options.Directory, err = os.MkdirTemp(options.Directory, "v"); err != nil {
 		return nil, err
@@ -45,7 +46,7 @@
 	}()
 	c.NonIdempotentClass = true
 	for _, kind := range cluster.StandInKinds {
-		standIn, err := c.AddStandIn(kind, c.answerBody)
+		standIn, err := c.AddStandIn(kind, c.responseBody)
 		if err != nil {
 			return nil, err
 		}
@@ -71,7 +72,7 @@
 	return c, c.AddRouter(1)
 }
 
-// listUnusedEndpoints fills the endpoint list with edge caches of the other zone, which get no request.
+// listUnusedEndpoints fills the endpoint list with edge caches of the other zone, which get no requests.
 func (c *multiAddressCluster) listUnusedEndpoints() {
 	for i := len(c.standIns); i < listedEndpoints; i++ {
 		endpoint := &cluster.Endpoint{ID: cluster.EndpointID(i + 1), Zone: 2, Addr: "127.0.0.1:9"}
@@ -83,9 +84,9 @@
 	}
 }
 
-// answerBody runs a command and returns its body. A request with an idempotency key runs once at one of the
-// stand-ins.
-func (c *multiAddressCluster) answerBody(command cacheproto.Command) []byte {
+// responseBody executes a command and returns the response body. A request with an idempotency key is executed by only
+// one of the stand-ins.
+func (c *multiAddressCluster) responseBody(command cacheproto.Command) []byte {
 	switch command.ClassName {
 	case standin.ClassPrintOrder:
 		if c.orders.ShouldRun(command.IdempotencyKey, timing.UnixSeconds(time.Now())) {
@@ -98,12 +99,12 @@
 	return c.SyntheticBody(command)
 }
 
-// faultyEdge is the edge cache that has the faulty address.
+// faultyEdge returns the edge cache with the faulty address.
 func (c *multiAddressCluster) faultyEdge() *standin.Endpoint {
-	return c.standIns[cluster.FaultyStandIn]
+	return c.standIns[cluster.FaultyStandInIndex]
 }
 
-// Close ends the cluster and then the stand-ins.
+// Close stops the cluster and then the stand-ins.
 func (c *multiAddressCluster) Close(r *report.Report) {
 	c.Cluster.Close(r)
 	for _, standIn := range c.standIns {
@@ -111,11 +112,11 @@
 	}
 }
 
-// mixedLoad is clients of all request classes, those that must not be sent twice among them.
+// mixedLoad is clients that send requests of all classes, including non-idempotent ones.
 type mixedLoad struct {
 	group *standin.ClientGroup
 	delay verify.SchedulingDelay
-	stop  func() // ends the load and waits for it; may be called again
+	stop  func() // stops the load and waits for it; may be called more than once
 }
 
 // startLoad starts clients of the cluster's router.
@@ -136,9 +137,9 @@
 	return load
 }
 
-// noOverlappingAttempts checks that no request had two attempts open at a time and that no non-idempotent one came
-// twice.
-func (c *multiAddressCluster) noOverlappingAttempts(r *report.Report, name string, load *mixedLoad) {
+// checkNoOverlappingAttempts checks that no request had two attempts open at the same time, and that no non-idempotent
+// request was received twice.
+func (c *multiAddressCluster) checkNoOverlappingAttempts(r *report.Report, name string, load *mixedLoad) {
 	margin := load.delay.OrderingMargin()
 	r.Figures[report.OrderingMargin] = max(r.Figures[report.OrderingMargin], margin*1000)
 	var attempts []*standin.Attempt
@@ -150,6 +151,6 @@
 	r.Counts[report.AttemptsOverlapping] += overlapping
 	r.Counts[report.NonIdempotentRepeats] += repeats
 	for _, line := range violations {
-		r.Broke("%s: %s", report.SuffixLabel(name), line)
+		r.AddViolation("%s: %s", report.SuffixLabel(name), line)
 	}
 }
--- a/internal/lab/scenario/addresses_pairs.go
+++ b/internal/lab/scenario/addresses_pairs.go
@@ -12,26 +12,27 @@
 	"cairnfront/internal/lab/verify"
 )
 
-// Sizes and bounds of the paired measurement.
+// Sizes and limits of the paired measurement.
 const (
 	pairsSmall     = 1
 	pairsFull      = 12
 	pairPhaseSmall = time.Second
 	pairPhaseFull  = 4 * time.Second
-	recoveryLimit  = 25 * time.Second // the longest cooldown of an address is 20 s
-	maxExtraMillis = 100.0            // at small size, where some hundred requests run beside a build
+	recoveryLimit  = 25 * time.Second // exceeds the longest cooldown of an address, 20 s
+	maxExtraMillis = 100.0            // limit at small size: some hundred requests, possibly during a build
 )
 
-// addressPairs are the 99th percentiles of the latencies of pairs of phases, ms, and their ratios.
+// addressPairs are the 99th percentiles of the latencies in pairs of phases, in milliseconds, and their ratios.
 type addressPairs struct {
 	healthyMillis      []float64
 	unresponsiveMillis []float64
 	ratios             []float64
 }
 
-// runPairs measures what one unresponsive address costs at the 99th percentile. Phases with all addresses healthy and
-// with one unresponsive alternate on one router under one load, so that what else the machine does falls on both. The
-// first seconds of a phase, in which the router detects the fault or the recovery, do not count.
+// runPairs measures how much one unresponsive address increases the 99th percentile of the latency. Phases with all
+// addresses healthy alternate with phases with one unresponsive address, on one router under one load, so that other
+// activity on the machine affects both alike. The first seconds of a phase, in which the router detects the fault or
+// the recovery, are not measured.
 func runPairs(ctx context.Context, options Options, r *report.Report, clients int) error {
 	count, phase := pairsSmall, pairPhaseSmall
 	if options.Full {
@@ -50,8 +51,8 @@
 		if err := testCluster.measurePair(ctx, &pairs, phase); err != nil {
 			return err
 		}
-		if _, recovered := testCluster.healFaultyAddress(); !recovered {
-			r.Broke("pair %d: the address has recovered and is not used", i+1)
+		if _, recovered := testCluster.restoreFaultyAddress(); !recovered {
+			r.AddViolation("pair %d: the address has recovered and is not used", i+1)
 		}
 	}
 	load.stop()
@@ -66,19 +67,19 @@
 		"requests of clients are those of variants and phases, attempts those of the variants alone",
 	)
 	pairs.addFigures(r)
-	pairs.unresponsiveAddressCheap(r, options.Full)
-	testCluster.noOverlappingAttempts(r, "pairs", load)
+	pairs.checkUnresponsiveAddressCost(r, options.Full)
+	testCluster.checkNoOverlappingAttempts(r, "pairs", load)
 	testCluster.Verify(r, []*standin.ClientGroup{load.group})
 	return nil
 }
 
-// measurePair measures a phase with all addresses healthy and one with the faulty address unresponsive.
+// measurePair measures a phase with all addresses healthy and a phase with the faulty address unresponsive.
 func (c *multiAddressCluster) measurePair(ctx context.Context, pairs *addressPairs, phase time.Duration) error {
 	healthyMillis, err := c.measurePhase(ctx, phase)
 	if err != nil {
 		return err
 	}
-	_ = c.faulty.SetMode(standin.Unresponsive) // it was open, so that nothing has to listen
+	_ = c.faulty.SetMode(standin.Unresponsive) // cannot fail: the address was listening already
 	unresponsiveMillis, err := c.measurePhase(ctx, phase)
 	if err != nil {
 		return err
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// measurePhase waits until the router has settled and measures the 99th percentile of a phase, ms.
+// measurePhase waits until the router has settled and returns the 99th percentile of a phase, in milliseconds.
 func (c *multiAddressCluster) measurePhase(ctx context.Context, phase time.Duration) (float64, error) {
 	if err := timing.Sleep(ctx, timing.Seconds(settleSeconds)); err != nil {
 		return 0, err
@@ -101,12 +102,12 @@
 	return p99Millis(c.Responses(), from, timing.UnixSeconds(time.Now()))
 }
 
-// healFaultyAddress makes the faulty address healthy and waits until the router uses it again.
-func (c *multiAddressCluster) healFaultyAddress() (tookSeconds float64, recovered bool) {
-	_ = c.faulty.SetMode(standin.Healthy) // one that cannot listen again is not used, which is found below
-	healedAt := timing.UnixSeconds(time.Now())
-	err := timing.WaitUntil(recoveryLimit, func() bool { return c.faultyEdge().UsedAfter(c.faulty, healedAt) })
-	return timing.UnixSeconds(time.Now()) - healedAt, err == nil
+// restoreFaultyAddress makes the faulty address healthy and waits until the router uses it again.
+func (c *multiAddressCluster) restoreFaultyAddress() (elapsedSeconds float64, recovered bool) {
+	_ = c.faulty.SetMode(standin.Healthy) // an address that cannot listen again is not used, which is detected below
+	restoredAt := timing.UnixSeconds(time.Now())
+	err := timing.WaitUntil(recoveryLimit, func() bool { return c.faultyEdge().UsedAfter(c.faulty, restoredAt) })
+	return timing.UnixSeconds(time.Now()) - restoredAt, err == nil
 }
 
 // addFigures sorts the lists and reports the minimum, the median and the maximum of each.
@@ -123,12 +124,13 @@
 	}
 }
 
-// unresponsiveAddressCheap checks that an unresponsive address costs little at the 99th percentile. At full size the
-// bound is the worst of the healthy phases, which differ by several times among themselves. The lists must be sorted.
-func (p *addressPairs) unresponsiveAddressCheap(r *report.Report, full bool) {
+// checkUnresponsiveAddressCost checks that an unresponsive address increases the 99th percentile only a little. At full
+// size the limit is the worst healthy phase, as healthy phases differ by several times among themselves. The lists must
+// be sorted.
+func (p *addressPairs) checkUnresponsiveAddressCost(r *report.Report, full bool) {
 	unresponsiveMedian, worst := median(p.unresponsiveMillis), p.healthyMillis[len(p.healthyMillis)-1]
 	if full && unresponsiveMedian > worst {
-		r.Broke(
+		r.AddViolation(
 			"with one address unresponsive the p99 is %.1f ms in the median of %d pairs, more than the worst phase "+
 				"with all addresses healthy, %.1f ms",
 			unresponsiveMedian,
@@ -137,7 +139,7 @@
 		)
 	}
 	if healthyMedian := median(p.healthyMillis); !full && unresponsiveMedian > healthyMedian+maxExtraMillis {
-		r.Broke(
+		r.AddViolation(
 			"with one address unresponsive the p99 is %.1f ms, with all addresses healthy %.1f ms",
 			unresponsiveMedian,
 			healthyMedian,
@@ -145,14 +147,14 @@
 	}
 }
 
-// median is the median of a sorted list that is not empty.
+// median returns the median of a sorted, non-empty list.
 func median(sorted []float64) float64 {
 	n := len(sorted)
 	return (sorted[(n-1)/2] + sorted[n/2]) / 2
 }
 
-// p99Millis is the 99th percentile of the latencies of the requests sent between two times, Unix s. A request without
-// an answer counts with its deadline.
+// p99Millis returns the 99th percentile, in milliseconds, of the latencies of the requests sent between two Unix times,
+// in seconds. A request without a response counts with its deadline.
 func p99Millis(responses []verify.Response, from, to float64) (float64, error) {
 	var millis []float64
 	for i := range responses {
@@ -167,7 +169,7 @@
 	return percentile(millis, 0.99), nil
 }
 
-// percentile is a percentile of a sorted list that is not empty; share is between 0 and 1.
+// percentile returns a percentile of a sorted, non-empty list. The parameter share is between 0 and 1.
 func percentile(sorted []float64, share float64) float64 {
 	return sorted[int(share*float64(len(sorted)-1))]
 }
--- a/internal/lab/scenario/addresses_pairs_test.go
+++ b/internal/lab/scenario/addresses_pairs_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPercentileCountsRequestsOfItsPhase: a percentile that leaves out requests without an answer makes the worst
-// outcome look like the best. It is over the requests sent in a phase, and one without an answer counts with its
+// TestPercentileCountsRequestsOfItsPhase: a percentile that ignored requests without a response would present the worst
+// outcome as the best. It covers the requests sent in a phase, and a request without a response counts with its
 // deadline.
 func TestPercentileCountsRequestsOfItsPhase(t *testing.T) {
 	var responses []verify.Response
--- a/internal/lab/scenario/bounds_test.go
+++ b/internal/lab/scenario/bounds_test.go
@@ -14,34 +14,34 @@
 	"github.com/stretchr/testify/require"
 )
 
-// boundCase is a report's figures and what the check of a bound says of them.
+// boundCase is the figures of a report and the expected outcome of a check on them.
 type boundCase struct {
-	check func(r *report.Report) // sets the figures and checks them
-	want  string                 // a part of the line; empty where the bound holds
+	check func(r *report.Report) // sets the figures and runs the check
+	want  string                 // a part of the violation message; empty if the check passes
 }
 
-// localShares is a restart with the shares of bytes from edge caches before it, after it, and after one with empty
-// disks.
+// localShares is the shares of bytes that edge caches served before a restart, after a restart with disks, and after a
+// restart with empty disks.
 func localShares(before, withDisk, emptied float64, want string) boundCase {
 	return boundCase{func(r *report.Report) {
 		r.Figures[report.LocalShareBefore] = before
 		r.Figures[report.LocalShareWithDisk] = withDisk
 		r.Figures[report.LocalShareEmptied] = emptied
-		(&diskRestartRun{}).hitsSurviveRestart(r)
+		(&diskRestartRun{}).checkHitsAfterRestart(r)
 	}, want}
 }
 
 var restartBounds = map[string]boundCase{
-	"hits survive":          localShares(0.8, 0.73, 0.2, ""),
-	"hits lost":             localShares(0.8, 0.71, 0.2, "after a restart with the disk 0.710"),
-	"an empty disk as good": localShares(0.8, 0.8, 0.8, "an edge cache with an empty disk serves as much"),
+	"hits within the limit": localShares(0.8, 0.73, 0.2, ""),
+	"too few hits":          localShares(0.8, 0.71, 0.2, "after a restart with the disk 0.710"),
+	"empty disk as good":    localShares(0.8, 0.8, 0.8, "an edge cache with an empty disk serves as much"),
 }
 
-// attemptsPerRequest is a brownout of the origin with and without retry budgets.
+// attemptsPerRequest is a brownout of the origin with and without a retry budget.
 func attemptsPerRequest(withBudget, withoutBudget float64, want string) boundCase {
 	return boundCase{func(r *report.Report) {
 		r.Figures[attemptsWithBudget], r.Figures[attemptsWithoutBudget] = withBudget, withoutBudget
-		retriesBounded(r)
+		checkRetryBudget(r)
 	}, want}
 }
 
@@ -50,30 +50,30 @@
 	"retries not halved": attemptsPerRequest(1.5, 1.9, "a request costs 1.50 attempts"),
 }
 
-// peerCost is what a router with 39 peers uses more than one without.
+// peerCost is the additional CPU and memory of a router with 39 peers, compared with a router without peers.
 func peerCost(cores, megabytes float64, want string) boundCase {
 	return boundCase{func(r *report.Report) {
 		r.Figures["cores_with.idle"], r.Figures["mb_with.loaded"] = cores, megabytes
-		peersCostLittle(r, 39)
+		checkPeerCost(r, 39)
 	}, want}
 }
 
 var peerCostBounds = map[string]boundCase{
-	"cheap peers":           peerCost(0.04, 11, ""),
-	"peers that use CPU":    peerCost(0.06, 0, "0.060 of a core for 39 peers"),
-	"peers that use memory": peerCost(0, 13, "13.0 MB for 39 peers"),
+	"peers within the limits": peerCost(0.04, 11, ""),
+	"peers that use CPU":      peerCost(0.06, 0, "0.060 of a core for 39 peers"),
+	"peers that use memory":   peerCost(0, 13, "13.0 MB for 39 peers"),
 }
 
-// failingCacheAttempts is the attempts at a failing edge cache.
+// failingCacheAttempts is the number of attempts at a failing edge cache.
 func failingCacheAttempts(withGossip, withoutGossip float64, want string) boundCase {
 	return boundCase{func(r *report.Report) {
 		r.Figures[report.Key(report.FailingCacheAttempts, report.VariantGossip)] = withGossip
 		r.Figures[report.Key(report.FailingCacheAttempts, report.VariantWithoutGossip)] = withoutGossip
-		gossipHelps(r)
+		checkGossipReducesFailures(r)
 	}, want}
 }
 
-// onTimeAfterBurst is the shares on time that a few and many routers have after a burst.
+// onTimeAfterBurst is the shares of requests on time with few and with many routers after a traffic burst.
 func onTimeAfterBurst(few, many float64, want string) boundCase {
 	return boundCase{func(r *report.Report) {
 		r.Figures["in_time.burst.after.003"], r.Figures["in_time.burst.after.300"] = few, many
@@ -84,15 +84,15 @@
 var manyRoutersBounds = map[string]boundCase{
 	"gossip helps":         failingCacheAttempts(79, 100, ""),
 	"gossip does not help": failingCacheAttempts(81, 100, "81 attempts failed"),
-	"gossip does harm": {func(r *report.Report) {
+	"gossip lowers the share on time": {func(r *report.Report) {
 		r.Figures["in_time.with.after"], r.Figures["in_time.without.after"] = 0.9, 0.906
-		gossipHarmless(r, "with")
+		checkGossipOnTimeShare(r, "with")
 	}, "with gossip, after the fault: 0.9000 of the requests"},
 	"many routers recover":        onTimeAfterBurst(0.9, 0.73, ""),
 	"many routers do not recover": onTimeAfterBurst(0.9, 0.71, "300 routers have 0.710"),
 }
 
-// policies are the outcomes of the eviction policies, all zero but for what a function changes.
+// policies are outcomes of the eviction policies. All are zero except those that the change function sets.
 func policies(change func(outcomes admissionOutcomes), want string) boundCase {
 	return boundCase{func(r *report.Report) {
 		outcomes := admissionOutcomes{}
@@ -102,11 +102,11 @@
 			}
 		}
 		change(outcomes)
-		outcomes.policyOutperformsOthers(r)
+		outcomes.checkCafePolicy(r)
 	}, want}
 }
 
-// efficiency is policies of which one is more efficient at a disk size and a cost of fills.
+// efficiency is outcomes in which one policy is more efficient at one disk size and one fill cost.
 func efficiency(policy string, diskSize, fillCost int, want string) boundCase {
 	return policies(func(outcomes admissionOutcomes) {
 		outcomes[policy][diskSize][fillCost].efficiency = 0.1
@@ -125,11 +125,11 @@
 	}, "Cafe fills more at alpha 4"),
 }
 
-// unresponsiveAddress is a p99 in ms with one address unresponsive, beside phases of 10, 20 and 60 ms without.
+// unresponsiveAddress is a p99 in milliseconds with one address unresponsive, and healthy phases of 10, 20 and 60 ms.
 func unresponsiveAddress(p99 float64, full bool, want string) boundCase {
 	return boundCase{func(r *report.Report) {
 		measured := addressPairs{healthyMillis: []float64{10, 20, 60}, unresponsiveMillis: []float64{p99}}
-		measured.unresponsiveAddressCheap(r, full)
+		measured.checkUnresponsiveAddressCost(r, full)
 	}, want}
 }
 
@@ -140,9 +140,9 @@
 	"a slow unresponsive address, small": unresponsiveAddress(121, false, "with all addresses healthy 20.0"),
 }
 
-// TestBoundsSeeWhatIsBroken: a scenario whose bound cannot break holds whatever the router does, and nobody notices.
-// The check of each bound must break where the bound is passed, and hold just within it.
-func TestBoundsSeeWhatIsBroken(t *testing.T) {
+// TestBoundsDetectViolations: if the check of a bound cannot fail, its scenario passes whatever the router does, and
+// the defect stays unnoticed. Each check must fail when its bound is exceeded, and pass just within it.
+func TestBoundsDetectViolations(t *testing.T) {
 	for group, cases := range map[string]map[string]boundCase{
 		"restart":      restartBounds,
 		"retries":      retryBounds,
@@ -165,19 +165,19 @@
 	}
 }
 
-// TestAClusterThatCannotStartSaysWhy: a set-up that fails midway and says nothing leaves processes behind and a run
-// without a cause. It must return its error and end what it had started.
-func TestAClusterThatCannotStartSaysWhy(t *testing.T) {
-	missing := Options{Seed: 3, Directory: t.TempDir() + "/not/there"}
-	_, err := newMultiAddressCluster(missing, true)
+// TestClusterStartFailureReturnsError: if the set-up fails midway without an error, processes keep running and the
+// cause of the failed run is unknown. It must return the error and stop everything that it had started.
+func TestClusterStartFailureReturnsError(t *testing.T) {
+	unwritable := Options{Seed: 3, Directory: t.TempDir() + "/not/there"}
+	_, err := newMultiAddressCluster(unwritable, true)
 	require.ErrorIs(t, err, fs.ErrNotExist)
 	_, err = cluster.NewRouterGroup(
-		t.Context(), missing.clusterOptions(), membershipScript(missing), hostilePeersSmall)
+		t.Context(), unwritable.clusterOptions(), membershipScript(unwritable), hostilePeersSmall)
 	assert.ErrorIs(t, err, fs.ErrNotExist)
 }
 
-// TestScriptWithTooFewProcessesIsRejected: a script for fewer processes than there are routers would run with routers
-// that no fault can name. It is refused before anything starts.
+// TestScriptWithTooFewProcessesIsRejected: with a script for fewer processes than routers, some routers could not be
+// the target of a fault. The script is rejected before anything starts.
 func TestScriptWithTooFewProcessesIsRejected(t *testing.T) {
 	script := filepath.Join(t.TempDir(), "script.json")
 	require.NoError(t, os.WriteFile(script, []byte(`{"peers":3,"until":9}`), 0o600))
--- a/internal/lab/scenario/demo.go
+++ b/internal/lab/scenario/demo.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	wantedObjects     = 12 // that purges are drawn from: the most wanted
-	demoPurges        = 5  // the last of them of a purge group
+	popularObjects    = 12 // number of most popular objects, of which random ones are purged
+	demoPurges        = 5  // number of purges; the last one purges a purge group
 	minCompletedShare = 0.97
 )
 
@@ -27,18 +27,18 @@
 	Run: runDemo,
 }
 
-// demoRun is a run of the demo.
+// demoRun is one run of the demo scenario.
 type demoRun struct {
 	*cluster.Cluster
 	edgeCaches []*cluster.Endpoint
 	groups     []*standin.ClientGroup
 	seed       uint64
 	progress   func(format string, args ...any)
-	startedAt  float64 // Unix s
+	startedAt  float64 // Unix time in seconds
 	marks      []report.Mark
 
 	drained          *cluster.Endpoint
-	drainDeliveredAt float64 // Unix s
+	drainDeliveredAt float64 // Unix time in seconds
 }
 
 func runDemo(ctx context.Context, options Options, r *report.Report) error {
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// runScript purges objects, drains an edge cache, and loses one of the other zone, which comes back empty. Before
-// each step and after the last one the load runs for a while.
+// runScript purges objects, drains an edge cache, stops an edge cache of the other zone, and restarts it empty. The
+// load runs for a while before each step and after the last one.
 func (d *demoRun) runScript(ctx context.Context, pause time.Duration) error {
 	rnd := rand.New(rand.NewPCG(d.seed, 6))
 	drainEvent := 0
@@ -94,7 +94,7 @@
 	}{
 		{"purges", func() error {
 			for i := range demoPurges {
-				d.Purge(1+uint64(rnd.IntN(wantedObjects)), i == demoPurges-1)
+				d.Purge(1+uint64(rnd.IntN(popularObjects)), i == demoPurges-1)
 			}
 			return nil
 		}},
@@ -130,7 +130,7 @@
 	return timing.Sleep(ctx, pause)
 }
 
-// mark notes that a step begins now.
+// mark records that a step begins now.
 func (d *demoRun) mark(name string) {
 	d.marks = append(d.marks, report.Mark{At: timing.UnixSeconds(time.Now()) - d.startedAt, Name: name})
 	d.progress("%s", name)
@@ -139,11 +139,11 @@
 // report verifies the run and writes its report.
 func (d *demoRun) report(r *report.Report, endedAt float64, clients int) {
 	d.Verify(r, d.groups)
-	verify.DrainRespected(r, d.Requests(), d.drained.ID, d.drainDeliveredAt)
+	verify.CheckDrain(r, d.Requests(), d.drained.ID, d.drainDeliveredAt)
 	r.Figures[report.CompletedShare] = float64(r.Counts[report.Completed]) / float64(max(r.Counts[report.Requests], 1))
 	r.Figures[report.LocalByteShare] = d.LocalByteShare(d.startedAt, endedAt)
 	if r.Figures[report.CompletedShare] < minCompletedShare {
-		r.Broke(
+		r.AddViolation(
 			"%.3f of the requests were completed, %.2f are expected",
 			r.Figures[report.CompletedShare],
 			minCompletedShare,
--- a/internal/lab/scenario/disk_admission.go
+++ b/internal/lab/scenario/disk_admission.go
@@ -15,27 +15,27 @@
 const (
 	minAlphaAboveLRU  = 1.0
 	minAlphaAboveXLRU = 2.0
-	xlruAlpha         = 2.0  // at which the disk sizes are compared
-	xlruDiskStep      = 0.25 // of the disk, between two tries
-	xlruMaxDisk       = 4.0  // times the disk
+	xlruAlpha         = 2.0  // alpha at which the disk sizes are compared
+	xlruDiskStep      = 0.25 // step between two tried sizes, as a share of the disk
+	xlruMaxDisk       = 4.0  // largest tried size, in multiples of the disk
 )
 
-// diskSizes are the disks, as shares of the bytes of all chunks that are asked for.
+// diskSizes are the disk sizes, as shares of the bytes of all requested chunks.
 var diskSizes = []float64{0.02, 0.05, 0.1}
 
-// middleSize is the index of the size with the most figures.
+// middleSize is the index of the disk size for which the report has the most figures.
 const middleSize = 1
 
-// fillCosts are the costs of a fill over that of a pass.
+// fillCosts are the ratios alpha of the cost of filling a chunk to the cost of passing a request on.
 var fillCosts = []float64{0.5, 1, 2, 4}
 
-// admissionPolicy is an eviction policy that is compared.
+// admissionPolicy is one of the compared eviction policies.
 type admissionPolicy struct {
 	name string
 	make func(sizeBytes int64, alpha float64) eviction.Policy
 }
 
-// admissionOutcomes are the outcomes of the policies, by the indices of size and alpha.
+// admissionOutcomes are the outcomes by policy, indexed by disk size and alpha.
 type admissionOutcomes map[string][][]admissionOutcome
 
 var diskAdmissionScenario = Scenario{
@@ -72,8 +72,8 @@
 	}
 	outcomes.addFigures(r)
 	outcomes.addPlots(r, policies)
-	outcomes.policyOutperformsOthers(r)
-	r.Figures[report.XLRUDiskRatio] = xlruDiskForSame(
+	outcomes.checkCafePolicy(r)
+	r.Figures[report.XLRUDiskRatio] = xlruDiskRatio(
 		options, day, allBytes*diskSizes[middleSize], outcomes[report.VariantCafe][middleSize][2].efficiency,
 	)
 	r.Steps = append(
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// simulatePolicies runs the requests of the day for each policy, size and alpha.
+// simulatePolicies replays the requests of the day for each policy, disk size and alpha.
 func simulatePolicies(
 	ctx context.Context, options Options, day []view, policies []admissionPolicy, allBytes float64,
 ) (admissionOutcomes, error) {
@@ -124,7 +124,8 @@
 	return outcomes, group.Wait()
 }
 
-// addFigures reports the efficiency of all, and for the middle size what was filled and passed.
+// addFigures reports the efficiency of all policies and, for the middle disk size, the shares of bytes filled and
+// passed.
 func (outcomes admissionOutcomes) addFigures(r *report.Report) {
 	for policy, bySize := range outcomes {
 		for sizeIndex, share := range diskSizes {
@@ -141,7 +142,7 @@
 	}
 }
 
-// addPlots adds a plot of the efficiency for each size.
+// addPlots adds a plot of the efficiency for each disk size.
 func (outcomes admissionOutcomes) addPlots(r *report.Report, policies []admissionPolicy) {
 	for sizeIndex, share := range diskSizes {
 		plot := report.Plot{
@@ -160,16 +161,16 @@
 	}
 }
 
-// policyOutperformsOthers checks what must hold whatever the day: where fills are expensive, Cafe is better than LRU
-// and xLRU, and it fills less the more expensive fills are.
-func (outcomes admissionOutcomes) policyOutperformsOthers(r *report.Report) {
+// checkCafePolicy checks what must hold for any day: where fills are expensive, Cafe is more efficient than LRU and
+// xLRU, and it fills less at higher fill costs.
+func (outcomes admissionOutcomes) checkCafePolicy(r *report.Report) {
 	for sizeIndex, share := range diskSizes {
 		cafe := outcomes[report.VariantCafe][sizeIndex]
 		for alphaIndex, alpha := range fillCosts {
 			efficiency := cafe[alphaIndex].efficiency
 			xlru := outcomes[report.VariantXLRU][sizeIndex][alphaIndex].efficiency
 			if alpha >= minAlphaAboveXLRU && efficiency < xlru {
-				r.Broke(
+				r.AddViolation(
 					"disk %g%%, alpha %g: Cafe has an efficiency of %.3f, xLRU of %.3f",
 					share*100,
 					alpha,
@@ -179,7 +180,7 @@
 			}
 			lru := outcomes[report.VariantLRU][sizeIndex][alphaIndex].efficiency
 			if alpha >= minAlphaAboveLRU && efficiency < lru {
-				r.Broke(
+				r.AddViolation(
 					"disk %g%%, alpha %g: Cafe has an efficiency of %.3f, LRU of %.3f",
 					share*100,
 					alpha,
@@ -189,14 +190,14 @@
 			}
 		}
 		if cafe[len(cafe)-1].filled > cafe[0].filled {
-			r.Broke("disk %g%%: Cafe fills more at alpha 4 than at 0.5", share*100)
+			r.AddViolation("disk %g%%: Cafe fills more at alpha 4 than at 0.5", share*100)
 		}
 	}
 }
 
-// xlruDiskForSame is how many times the disk xLRU needs for an efficiency. It is one step over the most that is
-// tried where that is not enough.
-func xlruDiskForSame(options Options, day []view, sizeBytes, efficiency float64) float64 {
+// xlruDiskRatio returns the multiple of a disk size at which xLRU reaches an efficiency. If the largest tried multiple
+// is not enough, it returns one step more than that.
+func xlruDiskRatio(options Options, day []view, sizeBytes, efficiency float64) float64 {
 	for times := 1.0; times <= xlruMaxDisk; times += xlruDiskStep {
 		policy := eviction.NewXLRU(int64(sizeBytes*times), xlruAlpha)
 		if replayDay(day, policy, xlruAlpha).efficiency >= efficiency {
--- a/internal/lab/scenario/disk_restart.go
+++ b/internal/lab/scenario/disk_restart.go
@@ -21,24 +21,24 @@
 )
 
 const (
-	powerLossScripts       = 40 // scripts on faulty disks; losses of power go through their operations in turn
+	powerLossScripts       = 40 // number of scripts on faulty disks; power losses hit each of their operations in turn
 	powerLossProgressEvery = 200
 
-	killedPause             = 100 * time.Millisecond // after the kills, before the endpoint list says so
-	downPause               = 200 * time.Millisecond // after the purges while the edge caches are down
-	purgesWhileDown         = 4                      // the last of them of a purge group
-	emptiedRestart          = 1                      // the index of the restart after which the disks are empty
-	minHitShareAfterRestart = 0.9                    // of the hits before a restart, after one with the disk
-	measuredParts           = 1_000_000              // for the size of the index
+	removalDelay            = 100 * time.Millisecond // time between the kills and the removal from the endpoint list
+	restartDelay            = 200 * time.Millisecond // time between the purges and the restart
+	purgesWhileDown         = 4                      // number of purges; the last one purges a purge group
+	emptyDiskRestart        = 1                      // index of the restart with emptied disks
+	minHitShareAfterRestart = 0.9                    // least share of the earlier hits after a restart with disks
+	measuredChunks          = 1_000_000              // number of chunks for measuring the size of the index
 )
 
-// diskRestartSize is the durations and numbers of a run.
+// diskRestartSize is the durations and counts of a run.
 type diskRestartSize struct {
-	warm     time.Duration
-	window   time.Duration // in which hits are measured
-	restarts int
-	cuts     int
-	clients  int
+	warmUp      time.Duration
+	window      time.Duration // interval in which hits are measured
+	restarts    int
+	powerLosses int
+	clients     int
 }
 
 var diskRestartScenario = Scenario{
@@ -48,40 +48,40 @@
 	Run: runDiskRestart,
 }
 
-// diskRestartRun is a run of the scenario.
+// diskRestartRun is one run of the scenario.
 type diskRestartRun struct {
 	*cluster.Cluster
 	size            diskRestartSize
-	directory       string // with one for each edge cache's disk
+	directory       string // parent of the edge caches' disk directories
 	progress        func(format string, args ...any)
 	edgeCaches      []*cluster.Endpoint
 	directories     map[*cluster.Endpoint]string
 	rnd             *rand.Rand
-	startedAt       float64 // Unix s
+	startedAt       float64 // Unix time in seconds
 	marks           []report.Mark
-	recoverySeconds float64 // of all restarts of edge caches
+	recoverySeconds float64 // sum over all restarts of edge caches
 }
 
 func runDiskRestart(ctx context.Context, options Options, r *report.Report) error {
 	size := diskRestartSize{
-		warm:     5 * time.Second,
-		window:   3 * time.Second,
-		restarts: 6,
-		cuts:     500,
-		clients:  24,
+		warmUp:      5 * time.Second,
+		window:      3 * time.Second,
+		restarts:    6,
+		powerLosses: 500,
+		clients:     24,
 	}
 	if options.Full {
 		size = diskRestartSize{
-			warm:     25 * time.Second,
-			window:   10 * time.Second,
-			restarts: 50,
-			cuts:     20000,
-			clients:  40,
+			warmUp:      25 * time.Second,
+			window:      10 * time.Second,
+			restarts:    50,
+			powerLosses: 20000,
+			clients:     40,
 		}
 	}
 	r.Counts[report.ChunksCorrupt] = 0
 	r.Counts[report.StaleAfterPurge] = 0
-	if err := runPowerLosses(ctx, options, r, size.cuts); err != nil {
+	if err := runPowerLosses(ctx, options, r, size.powerLosses); err != nil {
 		return err
 	}
 	testCluster, err := cluster.New(options.clusterOptions(), 1)
@@ -113,15 +113,16 @@
 	stop()
 	endedAt := timing.UnixSeconds(time.Now())
 	r.Figures[report.Recovery] = run.recoverySeconds / float64(r.Counts[report.Restarts])
-	r.Figures[report.IndexBytesPerChunk] = diskcache.MeasureIndexBytes(measuredParts)
-	run.disksReadable(r)
+	r.Figures[report.IndexBytesPerChunk] = diskcache.MeasureIndexBytes(measuredChunks)
+	run.checkDisksReadable(r)
 	testCluster.Verify(r, []*standin.ClientGroup{group})
-	run.hitsSurviveRestart(r)
+	run.checkHitsAfterRestart(r)
 	run.describe(r, endedAt)
 	return nil
 }
 
-// startWithDisks starts origin and parent in this process and two edge caches as programs with disks.
+// startWithDisks starts the origin and the parent cache in this process, and two edge caches as programs with disk
+// caches.
 func (d *diskRestartRun) startWithDisks(ctx context.Context) error {
 	for _, kind := range []int{cluster.KindOrigin, cluster.KindParent, cluster.KindEdge, cluster.KindEdge} {
 		endpoint, err := d.AddEndpoint(kind, cluster.ZoneOf(kind))
@@ -137,13 +138,13 @@
 		if err := d.startEndpoint(ctx, endpoint); err != nil {
 			return err
 		}
-		endpoint.StartedAt = 0 // listed as warm
+		endpoint.StartedAt = 0 // published without a warm-up
 		d.PublishStatus(endpoint, routing.Ready)
 	}
 	return nil
 }
 
-// startEndpoint starts an edge cache as a program with its disk, and others in this process.
+// startEndpoint starts an edge cache as a program with a disk cache, and any other endpoint in this process.
 func (d *diskRestartRun) startEndpoint(ctx context.Context, endpoint *cluster.Endpoint) error {
 	if endpoint.Kind == cluster.KindEdge {
 		return d.StartProgram(endpoint, d.directories[endpoint])
@@ -151,10 +152,10 @@
 	return d.StartInProcess(ctx, endpoint)
 }
 
-// runScript warms the edge caches up and restarts them again and again. It measures the share of bytes that they
-// serve before, after a restart with the disks, and after one with empty disks.
+// runScript warms the edge caches up and restarts them repeatedly. It measures the share of bytes that they serve
+// before the restarts, after a restart with their disks, and after a restart with empty disks.
 func (d *diskRestartRun) runScript(ctx context.Context, r *report.Report) error {
-	if err := timing.Sleep(ctx, d.size.warm); err != nil {
+	if err := timing.Sleep(ctx, d.size.warmUp); err != nil {
 		return err
 	}
 	window := d.size.window.Seconds()
@@ -163,14 +164,14 @@
 	r.Figures[report.MeasuredWindow] = window
 	for n := range d.size.restarts {
 		d.progress("restart %d of %d", n+1, d.size.restarts)
-		if err := d.restart(ctx, r, n == emptiedRestart); err != nil {
+		if err := d.restart(ctx, r, n == emptyDiskRestart); err != nil {
 			return err
 		}
 		from := timing.UnixSeconds(time.Now())
-		d.purgeWanted(false) // while they catch up
+		d.purgePopularObject(false) // purges while the caches catch up on missed events
 		duration := d.size.window
-		if n > emptiedRestart {
-			duration /= 4 // nothing is measured
+		if n > emptyDiskRestart {
+			duration /= 4 // shorter, as nothing is measured after these restarts
 		}
 		if err := timing.Sleep(ctx, duration); err != nil {
 			return err
@@ -178,14 +179,14 @@
 		switch n {
 		case 0:
 			r.Figures[report.LocalShareWithDisk] = d.LocalByteShare(from, from+window)
-		case emptiedRestart:
+		case emptyDiskRestart:
 			r.Figures[report.LocalShareEmptied] = d.LocalByteShare(from, from+window)
 		}
 	}
 	return nil
 }
 
-// restart kills the edge caches, purges while they are down, and starts them again.
+// restart kills the edge caches, purges objects while they are down, and starts them again.
 func (d *diskRestartRun) restart(ctx context.Context, r *report.Report, emptied bool) error {
 	mark := report.Mark{At: timing.UnixSeconds(time.Now()) - d.startedAt, Name: "killed"}
 	if emptied {
@@ -195,21 +196,21 @@
 	for _, endpoint := range d.edgeCaches {
 		endpoint.Kill()
 	}
-	if err := timing.Sleep(ctx, killedPause); err != nil {
+	if err := timing.Sleep(ctx, removalDelay); err != nil {
 		return err
 	}
 	for _, endpoint := range d.edgeCaches {
 		d.PublishStatus(endpoint, routing.Removed)
 	}
 	for i := range purgesWhileDown {
-		d.purgeWanted(i == purgesWhileDown-1)
+		d.purgePopularObject(i == purgesWhileDown-1)
 	}
-	if err := timing.Sleep(ctx, downPause); err != nil {
+	if err := timing.Sleep(ctx, restartDelay); err != nil {
 		return err
 	}
 	for _, endpoint := range d.edgeCaches {
 		if emptied {
-			_ = os.RemoveAll(d.directories[endpoint]) // what is left shows in the share of hits, which is checked
+			_ = os.RemoveAll(d.directories[endpoint]) // remaining files would increase the hit share, which is checked
 		}
 		from := time.Now()
 		if err := d.StartProgram(endpoint, d.directories[endpoint]); err != nil {
@@ -224,18 +225,18 @@
 	return nil
 }
 
-// purgeWanted purges one of the most wanted objects, or its group.
-func (d *diskRestartRun) purgeWanted(ofGroup bool) {
-	d.Purge(1+uint64(d.rnd.IntN(wantedObjects)), ofGroup)
+// purgePopularObject purges one of the most popular objects, or its purge group.
+func (d *diskRestartRun) purgePopularObject(ofGroup bool) {
+	d.Purge(1+uint64(d.rnd.IntN(popularObjects)), ofGroup)
 }
 
-// disksReadable checks that the disks can be read after a last kill, and counts what is on them.
-func (d *diskRestartRun) disksReadable(r *report.Report) {
+// checkDisksReadable checks that the disks can be read after a final kill, and counts the chunks on them.
+func (d *diskRestartRun) checkDisksReadable(r *report.Report) {
 	for _, endpoint := range d.edgeCaches {
 		endpoint.Kill()
 		chunks, badRecords, err := diskcache.Verify(d.directories[endpoint], func(diskcache.StoreError) {}, nil)
 		if err != nil {
-			r.Broke("the disk of %s after the last kill: %v", endpoint.ID, err)
+			r.AddViolation("the disk of %s after the last kill: %v", endpoint.ID, err)
 			continue
 		}
 		r.Counts[report.DiskChunks] += int64(chunks.Valid)
@@ -244,12 +245,13 @@
 	}
 }
 
-// hitsSurviveRestart checks that a restart with the disks keeps most of the hits, and more than one with empty disks.
-func (d *diskRestartRun) hitsSurviveRestart(r *report.Report) {
+// checkHitsAfterRestart checks that most hits remain after a restart with disks, and more than after a restart with
+// empty disks.
+func (d *diskRestartRun) checkHitsAfterRestart(r *report.Report) {
 	before := r.Figures[report.LocalShareBefore]
 	disk, empty := r.Figures[report.LocalShareWithDisk], r.Figures[report.LocalShareEmptied]
 	if disk < minHitShareAfterRestart*before {
-		r.Broke(
+		r.AddViolation(
 			"after a restart with the disk %.3f of the bytes come from edge caches, less than %.1f of the %.3f before",
 			disk,
 			minHitShareAfterRestart,
@@ -257,17 +259,18 @@
 		)
 	}
 	if empty >= disk {
-		r.Broke("an edge cache with an empty disk serves as much (%.3f) as one with its disk (%.3f)", empty, disk)
+		r.AddViolation("an edge cache with an empty disk serves as much (%.3f) as one with its disk (%.3f)",
+			empty, disk)
 	}
 }
 
-// describe adds to the report what was done, and the plot.
+// describe adds the steps and the plot to the report.
 func (d *diskRestartRun) describe(r *report.Report, endedAt float64) {
 	r.Steps = append(
 		r.Steps,
 		fmt.Sprintf(
 			"%d losses of power on faulty disks, each followed by a second one in the recovery",
-			d.size.cuts,
+			d.size.powerLosses,
 		),
 		fmt.Sprintf(
 			"a zone of two edge caches with disks, a parent cache, the origin, a router, %d clients; both edge caches "+
@@ -290,8 +293,8 @@
 	)
 }
 
-// runPowerLosses runs scripts on faulty disks, each with a loss of power at another operation.
-func runPowerLosses(ctx context.Context, options Options, r *report.Report, cuts int) error {
+// runPowerLosses runs scripts on faulty disks, each with a power loss at a different operation.
+func runPowerLosses(ctx context.Context, options Options, r *report.Report, powerLosses int) error {
 	operations := make([]int, powerLossScripts)
 	for script := range operations {
 		operations[script] = diskcache.RunPowerLoss(options.Seed*1000+uint64(script), 0).Ops
@@ -300,21 +303,21 @@
 	done := 0
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.GOMAXPROCS(0))
-	for i := range cuts {
+	for i := range powerLosses {
 		group.Go(func() error {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
 			script := i % powerLossScripts
-			cut := 1 + i/powerLossScripts%operations[script]
-			round := uint64(i / powerLossScripts / operations[script]) // the same operation with other random numbers
-			outcome := diskcache.RunPowerLoss(options.Seed*1000+uint64(script)+round<<32, cut)
+			operation := 1 + i/powerLossScripts%operations[script]
+			round := uint64(i / powerLossScripts / operations[script]) // varies the random numbers for an operation
+			outcome := diskcache.RunPowerLoss(options.Seed*1000+uint64(script)+round<<32, operation)
 			mu.Lock()
 			defer mu.Unlock()
-			addPowerLoss(r, outcome, script, cut)
+			addPowerLoss(r, outcome, script, operation)
 			done++
 			if done%powerLossProgressEvery == 0 {
-				options.Progress("%d of %d losses of power", done, cuts)
+				options.Progress("%d of %d losses of power", done, powerLosses)
 			}
 			return nil
 		})
@@ -322,14 +325,14 @@
 	return group.Wait()
 }
 
-// addPowerLoss adds the outcome of a loss of power to the report.
-func addPowerLoss(r *report.Report, outcome diskcache.PowerLossResult, script, cut int) {
+// addPowerLoss adds the outcome of a power loss to the report.
+func addPowerLoss(r *report.Report, outcome diskcache.PowerLossResult, script, operation int) {
 	r.Counts[report.PowerLosses]++
 	r.Counts[report.PowerLossChunksChecked] += int64(outcome.Checked)
 	r.Counts[report.PowerLossChunksValid] += int64(outcome.Recovered)
 	r.Counts[report.PowerLossPurges] += int64(outcome.Purges)
 	for _, violation := range outcome.Violations {
 		r.Counts[report.PowerLossViolations]++
-		r.Broke("script %d with a loss of power at operation %d: %s", script, cut, violation)
+		r.AddViolation("script %d with a loss of power at operation %d: %s", script, operation, violation)
 	}
 }
--- a/internal/lab/scenario/documentation_test.go
+++ b/internal/lab/scenario/documentation_test.go
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// TestLaboratoryPageShowsThisScenario: an example that no longer compiles misleads whoever writes a scenario from it.
-// That of docs/laboratory.md must be the one above.
+// TestLaboratoryPageShowsThisScenario: an example that no longer compiles misleads authors of scenarios. The example in
+// docs/laboratory.md must be the code above.
 func TestLaboratoryPageShowsThisScenario(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "laboratory.md"))
 	require.NoError(t, err)
--- a/internal/lab/scenario/health_observations.go
+++ b/internal/lab/scenario/health_observations.go
@@ -10,12 +10,12 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Sizes and bounds of the scenario.
+// Sizes and limits of the scenario.
 const (
 	observationRouters    = 60
-	observationWorkers    = 4     // simulations at a time
-	maxFailedAttemptShare = 0.8   // of the attempts that a failing edge cache gets without gossip
-	maxOnTimeLoss         = 0.005 // of the share on time, that gossip or faulty routers may take
+	observationWorkers    = 4     // number of parallel simulations
+	maxFailedAttemptShare = 0.8   // maximum ratio of attempts at a failing edge cache with gossip to those without
+	maxOnTimeDecrease     = 0.005 // maximum decrease of the share of requests on time by gossip or faulty routers
 )
 
 var healthObservationsScenario = Scenario{
@@ -26,7 +26,7 @@
 	Run: runObservations,
 }
 
-// gossipVariant is how routers exchange observations of endpoints, and the simulations of that.
+// gossipVariant is a way in which routers exchange health observations of endpoints, with its simulation results.
 type gossipVariant struct {
 	name    string
 	gossip  simrouting.Gossip
@@ -59,9 +59,9 @@
 		variant.addFigures(r)
 		plot.Lines = append(plot.Lines, onTimeLine(report.SuffixLabel(variant.name), variant.results[0]))
 	}
-	gossipHelps(r)
-	gossipHarmless(r, report.VariantGossip)
-	gossipHarmless(r, report.VariantFaultyGossip)
+	checkGossipReducesFailures(r)
+	checkGossipOnTimeShare(r, report.VariantGossip)
+	checkGossipOnTimeShare(r, report.VariantFaultyGossip)
 	r.Simulated = true
 	r.Plots = append(r.Plots, plot)
 	r.Steps = append(
@@ -104,7 +104,7 @@
 	return group.Wait()
 }
 
-// addFigures reports the attempts at the failing edge cache, and the shares on time by phase.
+// addFigures reports the attempts at the failing edge cache, and the shares of requests on time by phase.
 func (variant *gossipVariant) addFigures(r *report.Report) {
 	failed := 0
 	for _, result := range variant.results {
@@ -124,22 +124,22 @@
 	}
 }
 
-// gossipHelps checks that with gossip fewer attempts go to the failing edge cache.
-func gossipHelps(r *report.Report) {
+// checkGossipReducesFailures checks that with gossip fewer attempts go to the failing edge cache.
+func checkGossipReducesFailures(r *report.Report) {
 	with := r.Figures[report.Key(report.FailingCacheAttempts, report.VariantGossip)]
 	without := r.Figures[report.Key(report.FailingCacheAttempts, report.VariantWithoutGossip)]
 	if with > maxFailedAttemptShare*without {
-		r.Broke("%.0f attempts failed at the failing edge cache with gossip, %.0f without", with, without)
+		r.AddViolation("%.0f attempts failed at the failing edge cache with gossip, %.0f without", with, without)
 	}
 }
 
-// gossipHarmless checks that a variant with gossip has as many requests on time as the one without.
-func gossipHarmless(r *report.Report, variant string) {
+// checkGossipOnTimeShare checks that a variant with gossip has as many requests on time as the variant without.
+func checkGossipOnTimeShare(r *report.Report, variant string) {
 	for _, phase := range simrouting.Phases {
 		with := r.Figures[report.Key(report.OnTimeShare, variant, phase.Name)]
 		without := r.Figures[report.Key(report.OnTimeShare, report.VariantWithoutGossip, phase.Name)]
-		if with < without-maxOnTimeLoss {
-			r.Broke(
+		if with < without-maxOnTimeDecrease {
+			r.AddViolation(
 				"%s, %s: %.4f of the requests within their objective, %.4f without gossip",
 				report.SuffixLabel(variant), report.SuffixLabel(phase.Name), with, without,
 			)
--- a/internal/lab/scenario/membership.go
+++ b/internal/lab/scenario/membership.go
@@ -20,12 +20,12 @@
 }
 
 const (
-	floodDatagrams = 100_000 // that hostile peers send as fast as they can while the first kills are detected
-	logMarginFull  = 2.0     // s beyond an objective, for a machine that builds beside the run
-	logMarginSmall = 5.0     // s beyond an objective at small size, which runs beside anything
+	floodDatagrams       = 100_000 // datagrams that hostile peers send as fast as they can during the first kills
+	objectiveMarginFull  = 2.0     // seconds added to an objective, as builds may run on the same machine
+	objectiveMarginSmall = 5.0     // seconds added to an objective at small size, with any other work on the machine
 )
 
-// errTooFewProcesses says that a script of the caller does not have a process for each router.
+// errTooFewProcesses is returned for a fault script with fewer processes than routers.
 var errTooFewProcesses = errors.New("too few processes in the fault script")
 
 func runMembership(ctx context.Context, options Options, r *report.Report) error {
@@ -62,9 +62,9 @@
 	if err != nil {
 		return err
 	}
-	evidence.MarginSeconds = logMarginSmall
+	evidence.MarginSeconds = objectiveMarginSmall
 	if full {
-		evidence.MarginSeconds = logMarginFull
+		evidence.MarginSeconds = objectiveMarginFull
 	}
 	evidence.Verify(r)
 	rate, bytesPerSecond := group.DatagramRate()
--- a/internal/lab/scenario/membership_cost.go
+++ b/internal/lab/scenario/membership_cost.go
@@ -11,17 +11,17 @@
 	"cairnfront/internal/lab/timing"
 )
 
-// Sizes and bounds of the scenario.
+// Sizes and limits of the scenario.
 const (
 	costPeersSmall  = 39
 	costPeersFull   = 299
-	costClients     = 8               // of each router under load
-	maxExtraCores   = 0.05            // of a core more than without peers, idle
-	maxExtraMB      = 12.0            // more than without peers, under load
-	costSettlePause = 2 * time.Second // after the load changes, before usage is measured
+	costClients     = 8               // clients per router under load
+	maxExtraCores   = 0.05            // maximum additional CPU cores that peers cost when idle
+	maxExtraMB      = 12.0            // maximum additional memory that peers cost under load, in MB
+	costSettlePause = 2 * time.Second // time between a change of the load and the measurement
 )
 
-// Phases of the measurement, as the figures name them.
+// Phases of the measurement. The keys of the figures contain these names.
 const (
 	phaseIdle   = "idle"
 	phaseLoaded = "loaded"
@@ -34,10 +34,10 @@
 	Run:         runMembershipCost,
 }
 
-// costRouters are the two routers that are compared.
+// costRouters are the two compared routers, with and without peers.
 type costRouters struct {
-	with    *cluster.Router
-	without *cluster.Router
+	withPeers    *cluster.Router
+	withoutPeers *cluster.Router
 }
 
 func runMembershipCost(ctx context.Context, options Options, r *report.Report) error {
@@ -54,28 +54,28 @@
 		return err
 	}
 	var routers costRouters
-	if routers.with, err = testCluster.PrepareRouter(1); err != nil {
+	if routers.withPeers, err = testCluster.PrepareRouter(1); err != nil {
 		return err
 	}
-	if routers.without, err = testCluster.PrepareRouter(1); err != nil {
+	if routers.withoutPeers, err = testCluster.PrepareRouter(1); err != nil {
 		return err
 	}
-	stop, err := cluster.StartInProcessPeers(ctx, options.clusterOptions(), routers.with, peers)
+	stop, err := cluster.StartInProcessPeers(ctx, options.clusterOptions(), routers.withPeers, peers)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	for _, router := range []*cluster.Router{routers.with, routers.without} {
+	for _, router := range []*cluster.Router{routers.withPeers, routers.withoutPeers} {
 		if err := testCluster.StartRouter(router); err != nil {
 			return err
 		}
 	}
-	if err := cluster.AwaitPeers(ctx, routers.with, peers); err != nil {
+	if err := cluster.AwaitPeers(ctx, routers.withPeers, peers); err != nil {
 		return err
 	}
 	groups := []*standin.ClientGroup{
-		testCluster.NewClientGroup(routers.with, costClients, 20*time.Millisecond),
-		testCluster.NewClientGroup(routers.without, costClients, 20*time.Millisecond),
+		testCluster.NewClientGroup(routers.withPeers, costClients, 20*time.Millisecond),
+		testCluster.NewClientGroup(routers.withoutPeers, costClients, 20*time.Millisecond),
 	}
 	if err := routers.measure(ctx, r, phaseIdle, duration, nil); err != nil {
 		return err
@@ -85,7 +85,7 @@
 	}
 	testCluster.Verify(r, groups)
 	routers.addTraffic(ctx, r, peers)
-	peersCostLittle(r, peers)
+	checkPeerCost(r, peers)
 	r.Steps = append(
 		r.Steps,
 		fmt.Sprintf(
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// measure reports what the routers use under a load.
+// measure reports the CPU and memory usage of the routers under a load.
 func (c *costRouters) measure(
 	ctx context.Context, r *report.Report, name string, duration time.Duration, load []*standin.ClientGroup,
 ) error {
@@ -107,13 +107,13 @@
 	if err := timing.Sleep(ctx, costSettlePause); err != nil {
 		return err
 	}
-	withBefore, _ := c.with.Usage()
-	withoutBefore, _ := c.without.Usage()
+	withBefore, _ := c.withPeers.Usage()
+	withoutBefore, _ := c.withoutPeers.Usage()
 	if err := timing.Sleep(ctx, duration); err != nil {
 		return err
 	}
-	withAfter, withMB := c.with.Usage()
-	withoutAfter, withoutMB := c.without.Usage()
+	withAfter, withMB := c.withPeers.Usage()
+	withoutAfter, withoutMB := c.withoutPeers.Usage()
 	r.Figures[report.Key(report.CoresWithPeers, name)] = (withAfter - withBefore) / duration.Seconds()
 	r.Figures[report.Key(report.CoresWithoutPeers, name)] = (withoutAfter - withoutBefore) / duration.Seconds()
 	r.Figures[report.Key(report.MemoryWithPeers, name)] = withMB
@@ -121,26 +121,27 @@
 	return nil
 }
 
-// addTraffic reports what the router says of its peers.
+// addTraffic reports the traffic between the router and its peers, as the router states it.
 func (c *costRouters) addTraffic(ctx context.Context, r *report.Report, peers int) {
-	state, _ := cluster.QueryMembership(ctx, c.with) // without an answer the report shows no peers present
+	state, _ := cluster.QueryMembership(ctx, c.withPeers) // if the query fails, the report shows no peers present
 	r.Counts[report.Peers] = int64(peers)
 	r.Counts[report.PeersPresent] = int64(state.Present)
 	r.Figures[report.BytesSent] = float64(state.OutBytes) / state.UptimeSeconds
 	r.Figures[report.BytesReceived] = float64(state.InBytes) / state.UptimeSeconds
 }
 
-// peersCostLittle checks what peers cost. Memory is compared under load alone: idle, the router without peers makes no
-// garbage, while the other fills the 16 MB before the first collection (4 MB times GCPercent).
-func peersCostLittle(r *report.Report, peers int) {
+// checkPeerCost checks the additional CPU and memory that peers cost. Memory is compared only under load: when idle,
+// the router without peers produces no garbage, while the other one fills the 16 MB before the first collection (4 MB
+// times GCPercent).
+func checkPeerCost(r *report.Report, peers int) {
 	cores := r.Figures[report.Key(report.CoresWithPeers, phaseIdle)] -
 		r.Figures[report.Key(report.CoresWithoutPeers, phaseIdle)]
 	if cores > maxExtraCores {
-		r.Broke("%.3f of a core for %d peers, idle", cores, peers)
+		r.AddViolation("%.3f of a core for %d peers, idle", cores, peers)
 	}
 	megabytes := r.Figures[report.Key(report.MemoryWithPeers, phaseLoaded)] -
 		r.Figures[report.Key(report.MemoryWithoutPeers, phaseLoaded)]
 	if megabytes > maxExtraMB {
-		r.Broke("%.1f MB for %d peers, under load", megabytes, peers)
+		r.AddViolation("%.1f MB for %d peers, under load", megabytes, peers)
 	}
 }
--- a/internal/lab/scenario/membership_script.go
+++ b/internal/lab/scenario/membership_script.go
@@ -7,22 +7,22 @@
 	"cairnfront/internal/sim/faults"
 )
 
-// Hostile peers of the scenario. In the script their indices follow the routers'.
+// Numbers of hostile peers. In the script their indices follow those of the routers.
 const (
 	hostilePeersSmall = 1
 	hostilePeersFull  = 3
 )
 
-// scriptBuilder makes a script in which groups of faults follow each other.
+// scriptBuilder builds a script of consecutive groups of faults.
 type scriptBuilder struct {
 	script faults.Script
-	at     float64 // s: where the next group begins
+	at     float64 // start time of the next group, in seconds
 }
 
-// membershipScript is the faults that the routers have to bear. At small size it is one kill, one cut and one pause, at
-// full size all the hard cases.
+// membershipScript returns the faults that the routers must tolerate: at small size one kill, one cut and one pause, at
+// full size all difficult cases.
 func membershipScript(options Options) faults.Script {
-	victim := int(options.Seed) % 7 // which router a fault hits is drawn from the seed
+	victim := int(options.Seed) % 7 // the seed selects which router has a fault
 	if options.Full {
 		return fullMembershipScript(options.Seed, victim)
 	}
@@ -71,32 +71,32 @@
 	}
 	b.add(5, 6, faults.Fault{Kind: faults.Stall, From: []int{4}})
 	b.addClockSkews()
-	b.add(0.6, 6, kill(11, 13)) // back while their failure is still being spread
+	b.add(0.6, 6, kill(11, 13)) // they restart while their failure is still being disseminated
 	b.add(6, 6, kill(12))
-	for i := 0; i < cluster.RouterCount; i += 2 { // a tenth at a time
+	for i := 0; i < cluster.RouterCount; i += 2 { // a tenth of the routers at a time
 		b.add(1, 3, faults.Fault{Kind: faults.Wipe, From: []int{i, i + 1}})
 	}
-	b.add(12, 10, kill(indices(0, 14)...)) // seven in ten at once
+	b.add(12, 10, kill(indices(0, 14)...)) // 70% of the routers at once
 	b.script.Duration = b.at + 2
 	return b.script
 }
 
-// addCuts adds partitions into two and three parts, and cuts that not all routers notice.
+// addCuts adds partitions into two and three parts, and cuts that only some routers notice.
 func (b *scriptBuilder) addCuts(victim int) {
 	all := b.script.Processes
 	b.add(10, 8, cut(indices(0, 10), indices(10, all)))
 	b.add(10, 8, cut(indices(0, 7), indices(7, all)))
 	b.add(10, 8, cut(indices(0, 6), indices(6, all)), cut(indices(6, 12), indices(12, all)))
-	// One way between two.
+	// A one-way cut between two routers.
 	b.add(8, 6, faults.Fault{Kind: faults.Cut, From: []int{victim}, To: []int{victim + 1}})
-	// No other receives from one.
+	// One router whose datagrams no other router receives.
 	others := slices.Delete(indices(0, all), victim, victim+1)
 	b.add(8, 6, faults.Fault{Kind: faults.Cut, From: []int{victim}, To: others})
-	// Two that have a route over others alone, twice.
+	// Two pairs of routers that can reach each other only through other routers.
 	b.add(8, 6, cut([]int{0}, []int{2}), cut([]int{5}, []int{7}))
 }
 
-// addNetworkFaults adds loss, delay, and a mix of duplicates, reordering and corruption, on all links.
+// addNetworkFaults adds loss, delay, and a combination of duplication, reordering and corruption, on all links.
 func (b *scriptBuilder) addNetworkFaults() {
 	b.add(20, 6, faults.Fault{Kind: faults.Loss, Share: 0.3})
 	b.add(20, 6, faults.Fault{Kind: faults.Delay, Seconds: 0.4})
@@ -108,7 +108,7 @@
 	)
 }
 
-// addClockSkews sets the clocks of three routers wrong while the next groups last. A skew holds from a router's next
+// addClockSkews sets the clocks of three routers wrong during the next groups. A skew takes effect at a router's next
 // start.
 func (b *scriptBuilder) addClockSkews() {
 	const hour, duration = 3600, 20
@@ -119,7 +119,7 @@
 	b.script.Faults = append(b.script.Faults, slow, fast)
 }
 
-// add appends faults that begin together and last for some seconds; the next group begins a pause after them.
+// add appends faults that begin together and last for some seconds. The next group begins after a further pause.
 func (b *scriptBuilder) add(duration, pause float64, group ...faults.Fault) {
 	for _, fault := range group {
 		fault.Start, fault.End = b.at, b.at+duration
@@ -130,7 +130,7 @@
 
 func kill(routers ...int) faults.Fault { return faults.Fault{Kind: faults.Kill, From: routers} }
 
-// cut is a cut between two groups, both ways.
+// cut returns a two-way cut between two groups.
 func cut(from, to []int) faults.Fault {
 	return faults.Fault{
 		Kind:     faults.Cut,
@@ -140,7 +140,7 @@
 	}
 }
 
-// indices are the numbers from one up to, without, another.
+// indices returns the numbers from one number up to, but excluding, another.
 func indices(from, to int) []int {
 	var list []int
 	for i := from; i < to; i++ {
--- a/internal/lab/scenario/membership_script_test.go
+++ b/internal/lab/scenario/membership_script_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMembershipScriptMatchesGolden: figures of different versions compare only under the same faults. The scripts of
-// the scenario membership stay byte for byte, at both sizes.
+// TestMembershipScriptMatchesGolden: figures of different versions are comparable only under the same faults. The
+// scripts of the scenario membership must stay identical byte for byte, at both sizes.
 func TestMembershipScriptMatchesGolden(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		for _, seed := range []uint64{1, 5} {
--- a/internal/lab/scenario/origin_brownout.go
+++ b/internal/lab/scenario/origin_brownout.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// brownoutFailureRate is the share of the attempts that fail, so that nearly every request wants a retry.
+	// brownoutFailureRate is the share of attempts that fail, high enough that nearly every request needs a retry.
 	brownoutFailureRate = 0.5
-	// retryBudget is the retries that the routers may make beside the first attempts, in the variant with a budget.
+	// retryBudget is the maximum ratio of retries to first attempts, in the variant with a budget.
 	retryBudget = 0.2
 )
 
-// Keys of the figures that are compared.
+// Keys of the compared figures.
 var (
 	attemptsWithBudget    = report.Key(report.AttemptsPerRequest, report.VariantRetryBudget)
 	attemptsWithoutBudget = report.Key(report.AttemptsPerRequest, report.VariantNoBudget)
 )
 
-// brownoutSize is how long and with how many clients a brown-out lasts.
+// brownoutSize is the durations and the number of clients of a run.
 type brownoutSize struct {
-	calm    time.Duration // before and after
-	brown   time.Duration
-	clients int
+	normalDuration time.Duration // duration before and after the brownout
+	brownout       time.Duration
+	clients        int
 }
 
 var originBrownoutScenario = Scenario{
@@ -45,17 +45,17 @@
 }
 
 func runBrownouts(ctx context.Context, options Options, r *report.Report) error {
-	size := brownoutSize{calm: 2 * time.Second, brown: 5 * time.Second, clients: 24}
+	size := brownoutSize{normalDuration: 2 * time.Second, brownout: 5 * time.Second, clients: 24}
 	if options.Full {
-		size = brownoutSize{calm: 5 * time.Second, brown: 30 * time.Second, clients: 40}
+		size = brownoutSize{normalDuration: 5 * time.Second, brownout: 30 * time.Second, clients: 40}
 	}
 	plot := report.Plot{
 		Title:  "Attempts per request, by second",
 		XLabel: "s",
 		YLabel: "attempts",
 		Marks: []report.Mark{
-			{At: size.calm.Seconds(), Name: "brown-out"},
-			{At: (size.calm + size.brown).Seconds(), Name: "end of the brown-out"},
+			{At: size.normalDuration.Seconds(), Name: "brown-out"},
+			{At: (size.normalDuration + size.brownout).Seconds(), Name: "end of the brown-out"},
 		},
 	}
 	for _, variant := range []struct {
@@ -75,19 +75,19 @@
 		fmt.Sprintf(
 			"four stand-in endpoints, %d clients; for %.0f s each attempt fails with a probability of %.1f",
 			size.clients,
-			size.brown.Seconds(),
+			size.brownout.Seconds(),
 			brownoutFailureRate,
 		),
 	)
-	retriesBounded(r)
+	checkRetryBudget(r)
 	return nil
 }
 
-// retriesBounded checks that a budget halves the retries of a request, at least.
-func retriesBounded(r *report.Report) {
+// checkRetryBudget checks that a budget at least halves the retries per request.
+func checkRetryBudget(r *report.Report) {
 	with, without := r.Figures[attemptsWithBudget], r.Figures[attemptsWithoutBudget]
 	if with-1 > (without-1)/2 {
-		r.Broke(
+		r.AddViolation(
 			"with a retry budget of %.1f a request costs %.2f attempts in the brown-out, without one %.2f",
 			retryBudget,
 			with,
@@ -96,7 +96,8 @@
 	}
 }
 
-// runBrownout runs a brown-out with a retry budget. The line is the attempts per request, by second.
+// runBrownout runs a brownout with a retry budget, 0 for none. It returns the attempts per request by second, as a
+// line.
 func runBrownout(
 	ctx context.Context, options Options, r *report.Report, name string, budget float64, size brownoutSize,
 ) (report.Line, error) {
@@ -140,8 +141,8 @@
 	return addAttemptFigures(r, name, requests, attempts, size), nil
 }
 
-// startFailingStandIns starts stand-ins that fail some attempts while failing is set. Which ones is drawn from the
-// request's id and the attempt's number, and so the same in both variants.
+// startFailingStandIns starts stand-ins that fail some attempts while failing is set. A hash of the request id and the
+// attempt number selects the attempts that fail, so both variants have the same failures.
 func startFailingStandIns(
 	testCluster *cluster.Cluster, failing *atomic.Bool,
 ) (standIns []*standin.Endpoint, err error) {
@@ -163,7 +164,7 @@
 	return standIns, nil
 }
 
-// runBrownoutPhases runs the clients through a calm, a brown-out and a calm again.
+// runBrownoutPhases runs the clients before, during and after a brownout.
 func runBrownoutPhases(
 	ctx context.Context, group *standin.ClientGroup, failing *atomic.Bool, size brownoutSize,
 ) error {
@@ -172,7 +173,7 @@
 	for _, phase := range []struct {
 		duration time.Duration
 		failing  bool
-	}{{size.calm, false}, {size.brown, true}, {size.calm, false}} {
+	}{{size.normalDuration, false}, {size.brownout, true}, {size.normalDuration, false}} {
 		failing.Store(phase.failing)
 		if err := timing.Sleep(ctx, phase.duration); err != nil {
 			return err
@@ -181,7 +182,7 @@
 	return nil
 }
 
-// countPerSecond counts the clients' requests and the attempts that came to stand-ins, by the second since the start.
+// countPerSecond counts the clients' requests and the stand-ins' attempts, by second since the start.
 func countPerSecond(
 	responses []verify.Response, standIns []*standin.Endpoint, startedAt float64,
 ) (requests, attempts map[int]float64) {
@@ -197,26 +198,26 @@
 	return requests, attempts
 }
 
-// addAttemptFigures reports the attempts per request in the brown-out, without its first second, which fills the
-// budget's window. The line is the same second by second.
+// addAttemptFigures reports the attempts per request during the brownout. It excludes the first second, in which the
+// budget's window fills. It returns the attempts per request by second, as a line.
 func addAttemptFigures(
 	r *report.Report, name string, requests, attempts map[int]float64, size brownoutSize,
 ) report.Line {
 	line := report.Line{Name: report.SuffixLabel(name)}
-	brownRequests, brownAttempts := 0.0, 0.0
-	for second := range int((2*size.calm + size.brown).Seconds()) {
+	brownoutRequests, brownoutAttempts := 0.0, 0.0
+	for second := range int((2*size.normalDuration + size.brownout).Seconds()) {
 		line.Add(float64(second), attempts[second]/max(requests[second], 1))
-		if second > int(size.calm.Seconds()) && second < int((size.calm+size.brown).Seconds()) {
-			brownAttempts += attempts[second]
-			brownRequests += requests[second]
+		if second > int(size.normalDuration.Seconds()) && second < int((size.normalDuration+size.brownout).Seconds()) {
+			brownoutAttempts += attempts[second]
+			brownoutRequests += requests[second]
 		}
 	}
-	r.Figures[report.Key(report.AttemptsPerRequest, name)] = brownAttempts / max(brownRequests, 1)
-	r.Figures[report.Key(report.AttemptsPerSecond, name)] = brownAttempts / max(size.brown.Seconds()-1, 1)
+	r.Figures[report.Key(report.AttemptsPerRequest, name)] = brownoutAttempts / max(brownoutRequests, 1)
+	r.Figures[report.Key(report.AttemptsPerSecond, name)] = brownoutAttempts / max(size.brownout.Seconds()-1, 1)
 	return line
 }
 
-// attemptHash draws a number from a request's id and the number of its attempt.
+// attemptHash returns a pseudo-random number derived from a request id and an attempt number.
 func attemptHash(id string, n int) uint64 {
 	x := uint64(n) * 0x9e3779b97f4a7c15
 	for _, c := range []byte(id) {
--- a/internal/lab/scenario/partial_observation.go
+++ b/internal/lab/scenario/partial_observation.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// minRecoveredShare is the least share on time of many routers after a fault, as a part of that of few routers. One
-// means that the number of routers costs nothing.
+// minRecoveredShare is the minimum share of requests on time with many routers after a fault, relative to the share
+// with few routers. At 1, the number of routers makes no difference.
 const minRecoveredShare = 0.8
 
 var partialObservationScenario = Scenario{
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// faultPhase is the phase of a simulation in which its fault lasts.
+// faultPhase is the phase of a simulation in which the fault is active.
 var faultPhase = simrouting.Phases[1]
 
 // recoveryPhase is the phase after the fault.
@@ -64,8 +64,8 @@
 // partialObservationRuns are the simulations of one fault.
 type partialObservationRuns struct {
 	fault   namedFault
-	counts  []int                  // of routers
-	results [][]*simrouting.Result // by the index of the count, then by seed
+	counts  []int                  // numbers of routers
+	results [][]*simrouting.Result // indexed like counts, then by seed
 }
 
 // simulatePartialObservation simulates a fault for each number of routers and each seed.
@@ -94,20 +94,20 @@
 	return runs, group.Wait()
 }
 
-// figureName is the suffix of the figures of a phase with a number of routers.
+// figureName returns the key suffix of the figures for a phase and a number of routers.
 func (runs *partialObservationRuns) figureName(phase string, routers int) string {
 	return report.Key(runs.fault.name, phase, routerCountSuffix(routers))
 }
 
-// routerCountSuffix is the suffix of keys for a number of routers.
+// routerCountSuffix returns the key suffix for a number of routers.
 func routerCountSuffix(routers int) string { return fmt.Sprintf("%03d", routers) }
 
-// label is the printed name of the fault.
+// label returns the printed name of the fault.
 func (runs *partialObservationRuns) label() string {
 	return report.SuffixLabel(runs.fault.name)
 }
 
-// addFigures reports shares of the requests, by the phase and the number of routers.
+// addFigures reports shares of the requests by phase and number of routers.
 func (runs *partialObservationRuns) addFigures(r *report.Report) {
 	for i, routers := range runs.counts {
 		fills, storedFills := 0, 0
@@ -136,7 +136,7 @@
 	}
 }
 
-// addPlots adds the share on time by the number of routers, and by the second.
+// addPlots adds plots of the share of requests on time, by number of routers and by second.
 func (runs *partialObservationRuns) addPlots(r *report.Report) {
 	curve := report.Plot{
 		Title:  runs.label() + ": share within the latency objective by the number of routers, the same traffic",
@@ -166,20 +166,20 @@
 	r.Plots = append(r.Plots, curve, perSecond)
 }
 
-// verify checks that many routers recover from the fault as few do.
+// verify checks that many routers recover from the fault as few routers do.
 func (runs *partialObservationRuns) verify(r *report.Report) {
 	few := r.Figures[report.Key(report.OnTimeShare, runs.figureName(recoveryPhase.Name, 3))]
 	many := r.Figures[report.Key(report.OnTimeShare, runs.figureName(recoveryPhase.Name, 300))]
 	r.Figures[report.Key(report.ManyOverFewRouters, runs.fault.name)] = many / max(few, 1e-9)
 	if many < minRecoveredShare*few {
-		r.Broke(
+		r.AddViolation(
 			"%s: afterwards 300 routers have %.3f of the requests within their objective, 3 routers have %.3f",
 			runs.label(), many, few,
 		)
 	}
 }
 
-// onTimeLine is the share of a simulation's requests within their latency objective, by second.
+// onTimeLine returns the share of a simulation's requests within their latency objective by second, as a line.
 func onTimeLine(name string, result *simrouting.Result) report.Line {
 	line := report.Line{Name: name}
 	for second, share := range result.OnTimePerSecond {
@@ -188,5 +188,5 @@
 	return line
 }
 
-// ratio is a part of a total, 0 where the total is 0.
+// ratio returns the ratio of a part to a total, or 0 if the total is 0.
 func ratio(part, total int) float64 { return float64(part) / max(float64(total), 1) }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,10 +1,10 @@
 // Package scenario has the scenarios of the laboratory: each runs the product's own programs and stand-ins on loopback
-// under load, causes the failures that a subsystem has to bear, and verifies the outcome.
+// under load, injects the failures that a subsystem must tolerate, and verifies the outcome.
 //
-// A scenario is a script of load and faults drawn from a seed, and named checks. The checks read what clients and
+// A scenario consists of load and faults, generated from a seed, and named checks. The checks use what clients and
 // stand-ins recorded, never the router's own counters. Each check has a test that shows that it can fail.
 //
-// Package cluster runs the processes, package standin has the stand-ins, package verify gives the verdicts. Package
+// Package cluster runs the processes, package standin has the stand-ins, and package verify checks the records. Package
 // report writes the outcome; package simulation simulates clusters on virtual time.
 package scenario
 
@@ -20,22 +20,22 @@
 	"cairnfront/internal/lab/report"
 )
 
-// Options say how a scenario is run.
+// Options configures a run of a scenario.
 type Options struct {
 	Seed      uint64
-	Full      bool   // at the size that commits and pages quote, not at the small one
+	Full      bool   // run at full size, which commits and documentation quote, instead of small size
 	Program   string // path of the product's program
-	Directory string // for what the scenario writes; empty for a temporary one, which is removed
-	Script    string // file of a fault script that is run in place of the scenario's own
+	Directory string // output directory; if empty, a temporary one that is removed afterwards
+	Script    string // path of a fault script that replaces the scenario's own faults
 	Progress  func(format string, args ...any)
 }
 
-// clusterOptions are the options of the scenario's clusters.
+// clusterOptions returns the options of the scenario's clusters.
 func (options *Options) clusterOptions() cluster.Options {
 	return cluster.Options{Seed: options.Seed, Program: options.Program, Directory: options.Directory}
 }
 
-// size is the name of the size in the report.
+// size returns the name of the size in the report.
 func (options *Options) size() string {
 	if options.Full {
 		return "full"
@@ -43,17 +43,18 @@
 	return "small"
 }
 
-// Scenario is a named scenario. Run fills in the report; an error says that the scenario could not be run.
+// Scenario is a named scenario. Run fills in the report; it returns an error only if the scenario could not be
+// executed.
 type Scenario struct {
 	Name        string
 	Description string
-	// ReportName is the name in JSON reports, where it differs: they keep the names of earlier versions. Run accepts it
-	// in place of Name.
+	// ReportName is the name in JSON reports if it differs from Name: reports use the names of earlier versions. The
+	// function Run also accepts it.
 	ReportName string
 	Run        func(ctx context.Context, options Options, r *report.Report) error
 }
 
-// reportName is the name in JSON reports.
+// reportName returns the name in JSON reports.
 func (scenario *Scenario) reportName() string {
 	if scenario.ReportName != "" {
 		return scenario.ReportName
@@ -61,7 +62,7 @@
 	return scenario.Name
 }
 
-// Scenarios are all scenarios, ordered by name.
+// Scenarios returns all scenarios, ordered by name.
 func Scenarios() []Scenario {
 	list := []Scenario{
 		addressesScenario,
@@ -78,10 +79,10 @@
 	return list
 }
 
-// ErrUnknownScenario is returned by Run for a name that no scenario has.
+// ErrUnknownScenario is returned for a name that no scenario has.
 var ErrUnknownScenario = errors.New("unknown scenario")
 
-// Find returns the scenario with a name, or with one that it had in earlier versions.
+// Find returns the scenario with the given name, or with that name in earlier versions.
 func Find(name string) (Scenario, error) {
 	for _, scenario := range Scenarios() {
 		if name == scenario.Name || name == scenario.reportName() {
@@ -91,7 +92,8 @@
 	return Scenario{}, fmt.Errorf("%w %q: 'lab list' prints the names", ErrUnknownScenario, name)
 }
 
-// Run runs a scenario. An error says that it could not be run; whether it held is in the report.
+// Run runs a scenario. It returns an error only if the scenario could not be executed; the report states whether its
+// checks passed.
 func Run(ctx context.Context, name string, options Options) (*report.Report, error) {
 	scenario, err := Find(name)
 	if err != nil {
@@ -117,18 +119,18 @@
 	return r, nil
 }
 
-// makeScenarioDirectory makes the directory that a scenario writes to. Without a name it is a temporary one, which
-// remove deletes.
+// makeScenarioDirectory creates the output directory of a scenario. If the name is empty, it creates a temporary
+// directory, which the returned function remove deletes.
 func makeScenarioDirectory(name string) (directory string, remove func(), err error) {
 	if name != "" {
 		if err := os.MkdirAll(name, 0o700); err != nil {
-			return "", nil, fmt.Errorf("make its directory: %w", err)
+			return "", nil, fmt.Errorf("create its output directory: %w", err)
 		}
 		return name, func() {}, nil
 	}
 	directory, err = os.MkdirTemp("", "cairnfront-lab")
 	if err != nil {
-		return "", nil, fmt.Errorf("make its temporary directory: %w", err)
+		return "", nil, fmt.Errorf("create its temporary output directory: %w", err)
 	}
-	return directory, func() { _ = os.RemoveAll(directory) }, nil // what is left lies in the system's temporary folder
+	return directory, func() { _ = os.RemoveAll(directory) }, nil // an error leaves temporary files only
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -9,9 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestScenarioDirectoryIsMade holds that a named folder is made, with those above it, and stays; a temporary one is
-// removed.
-func TestScenarioDirectoryIsMade(t *testing.T) {
+// TestScenarioDirectoryIsCreated: a named directory is created with its parents and stays; a temporary one is removed.
+func TestScenarioDirectoryIsCreated(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "not", "there")
 	folder, remove, err := makeScenarioDirectory(missing)
 	require.NoError(t, err)
@@ -31,8 +30,9 @@
 	assert.ErrorContains(t, err, file, "the error names the folder")
 }
 
-// TestEarlierScenarioNamesAreAccepted: scripts and pages of the users call scenarios by the names of earlier versions.
-// Each still runs the scenario, is the value of "scenario" in its JSON report, and is not listed.
+// TestEarlierScenarioNamesAreAccepted: users' scripts and documentation refer to scenarios by the names of earlier
+// versions. Each earlier name still runs the scenario, is the value of "scenario" in its JSON report, and is not
+// listed.
 func TestEarlierScenarioNamesAreAccepted(t *testing.T) {
 	listed := map[string]bool{}
 	for _, scenario := range Scenarios() {
@@ -66,7 +66,8 @@
 	assert.ErrorIs(t, err, ErrUnknownScenario)
 }
 
-// TestReportNamesTheScenarioForReadersAndForPrograms runs the scenario that needs no process by its earlier name.
+// TestReportNamesTheScenarioForReadersAndForPrograms runs a scenario without processes, selected by its earlier name.
+// The JSON report has the earlier name and the title has the current one.
 func TestReportNamesTheScenarioForReadersAndForPrograms(t *testing.T) {
 	if testing.Short() {
 		t.Skip("simulates a day of video")
--- a/internal/lab/scenario/video_day.go
+++ b/internal/lab/scenario/video_day.go
@@ -9,49 +9,49 @@
 	"cairnfront/internal/lab/standin"
 )
 
-// A video-like day: views of objects by Zipf's law, chunks one after another, many views that end early, objects that
-// are new and soon unpopular, and a night with a publication that many request.
+// Parameters of a day of requests for video: the popularity of objects follows Zipf's law, chunks are requested in
+// sequence, many views end early, some objects are new and soon unpopular, and at night a release attracts many views.
 const (
 	dayObjects          = 20000
-	minChunks           = 11 // of an object, as the users' objects have
+	minChunks           = 11 // chunks per object, as in the users' objects
 	maxChunks           = 19
-	chunkBytes          = 1 << 21 // as in the paper
-	continueProbability = 0.88    // that a view goes on to the next chunk
-	skipProbability     = 0.1     // that a view begins at another chunk than the first
-	chunkPauseSeconds   = 0.6     // between a view's chunks, on average
-	freshShare          = 0.15    // of views that go to objects published in the last hours
+	chunkBytes          = 1 << 21 // chunk size of the paper
+	continueProbability = 0.88    // probability that a view continues with the next chunk
+	skipProbability     = 0.1     // probability that a view does not begin at the first chunk
+	chunkPauseSeconds   = 0.6     // mean time between two chunks of a view
+	freshShare          = 0.15    // share of views of objects published in the last hours
 	freshSeconds        = 4 * 3600.0
-	nightAt             = 0.8  // of the day: the publication
-	nightLength         = 0.08 // of the day
-	nightObjects        = 40
-	nightShare          = 0.5 // of the night's views
+	releaseStart        = 0.8  // start of the release, as a share of the day
+	releaseLength       = 0.08 // duration of the release, as a share of the day
+	releaseObjects      = 40
+	releaseShare        = 0.5 // share of the views during the release
 	daySeconds          = 86400.0
-	measuredFrom        = 0.4 // of the day: before, the disks fill
+	measuredFrom        = 0.4 // start of the measurement, as a share of the day; before it the disks fill
 
-	firstNightObject = 1_000_000
-	firstFreshObject = 2_000_000
+	firstReleaseObject = 1_000_000
+	firstFreshObject   = 2_000_000
 )
 
 // view is a request for a chunk.
 type view struct {
-	at   float64 // s of the day
+	at   float64 // seconds since the start of the day
 	key  eviction.Key
 	size int64
 }
 
-// dayGenerator draws a day's views.
+// dayGenerator generates the views of a day.
 type dayGenerator struct {
 	rnd        *rand.Rand
 	popularity *standin.Zipf
-	views      float64 // about how many views the day has
+	views      float64 // approximate number of views in the day
 }
 
-// generateDay draws a day with a number of requests, in the order of time.
+// generateDay returns a random day with a number of requests, ordered by time.
 func generateDay(seed uint64, count int) []view {
 	g := &dayGenerator{
 		rnd:        rand.New(rand.NewPCG(seed, 0xda7)),
 		popularity: standin.NewZipf(dayObjects),
-		views:      float64(count) * (1 - continueProbability) * 1.15, // a view has 1/(1-continue) chunks at the most
+		views:      float64(count) * (1 - continueProbability) * 1.15, // 1/(1-p) is the maximum mean of chunks
 	}
 	day := make([]view, 0, count+maxChunks)
 	for len(day) < count {
@@ -66,13 +66,13 @@
 	return day[:min(count, len(day))]
 }
 
-// object draws the object of a view.
+// object returns a random object for a view.
 func (g *dayGenerator) object(at float64) uint64 {
-	night := at/daySeconds - nightAt
+	sinceRelease := at/daySeconds - releaseStart
 	switch {
-	case night > 0 && night < nightLength && g.rnd.Float64() < nightShare:
-		return firstNightObject + uint64(g.rnd.IntN(nightObjects))
-	case g.rnd.Float64() < freshShare: // one published lately, the younger the likelier
+	case sinceRelease > 0 && sinceRelease < releaseLength && g.rnd.Float64() < releaseShare:
+		return firstReleaseObject + uint64(g.rnd.IntN(releaseObjects))
+	case g.rnd.Float64() < freshShare: // a recently published object; newer ones are more likely
 		age := -math.Log(1-g.rnd.Float64()) * freshSeconds / 3
 		return firstFreshObject + uint64((at-min(age, at))/daySeconds*g.views*0.05)
 	default:
@@ -80,7 +80,7 @@
 	}
 }
 
-// appendView appends the chunks of a view that begins at a time.
+// appendView appends the chunk requests of a view that begins at a time.
 func (g *dayGenerator) appendView(day []view, at float64, object uint64) []view {
 	chunks := chunksOf(object)
 	first := 0
@@ -97,20 +97,21 @@
 	return day
 }
 
-// chunksOf is the number of chunks of an object.
+// chunksOf returns the number of chunks of an object.
 func chunksOf(object uint64) int {
-	const multiplier = 2654435761 // of Knuth's multiplicative hash
+	const multiplier = 2654435761 // multiplier of Knuth's multiplicative hash
 	return minChunks + int(object*multiplier>>7%uint64(maxChunks-minChunks+1))
 }
 
-// admissionOutcome is what a policy reaches over the measured part of the day.
+// admissionOutcome is the result of a policy over the measured part of the day.
 type admissionOutcome struct {
 	efficiency float64 // the paper's Eq. 2
-	filled     float64 // share of the bytes
-	passed     float64 // share of the bytes
+	filled     float64 // as a share of the requested bytes
+	passed     float64 // as a share of the requested bytes
 }
 
-// rereplayDay runs the requests of the day through a policy. Alpha is the cost of a fill over that of a pass.
+// replayDay replays the requests of the day with a policy. Alpha is the ratio of the cost of a fill to the cost of
+// passing a request on.
 func replayDay(day []view, policy eviction.Policy, alpha float64) admissionOutcome {
 	var requested, filled, passed float64
 	for _, view := range day {
--- a/internal/lab/scenario/video_day_test.go
+++ b/internal/lab/scenario/video_day_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestDayIsDrawnFromItsSeed: eviction policies are compared over one day of requests. The same seed must draw the same
-// day, and the policy's figures on it must be the same.
-func TestDayIsDrawnFromItsSeed(t *testing.T) {
+// TestDayIsDeterminedByItsSeed: eviction policies are compared over one day of requests. The same seed must generate
+// the same day, and a policy must have the same figures on it.
+func TestDayIsDeterminedByItsSeed(t *testing.T) {
 	a, b, c := generateDay(1, 5000), generateDay(1, 5000), generateDay(2, 5000)
 	assert.Equal(t, a, b)
 	assert.NotEqual(t, a, c)
--- a/internal/lab/simulation/curves.go
+++ b/internal/lab/simulation/curves.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	firstKillSeconds   = 15.0 // from the start of a run
-	killEverySeconds   = 20.0 // between kills
-	kills              = 2    // per run
-	killLastsSeconds   = 18.0 // SWIM as published needs up to 13 s to detect it at 3,000 peers
-	settleSeconds      = 12.0 // at the start of a run, not counted in rates
-	maxJoinedPeers     = 400  // more peers know each other from the start, as joining is not measured
-	falseFailuresRatio = 20   // least false failures of SWIM as published for each of ours
+	firstKillSeconds      = 15.0 // time of the first kill since the start of a run
+	killIntervalSeconds   = 20.0 // interval between two kills
+	killsPerRun           = 2    // kills per run
+	killDurationSeconds   = 18.0 // published SWIM needs up to 13 s to detect a kill with 3,000 peers
+	settleSeconds         = 12.0 // start of a run that rates do not include
+	maxJoinedPeers        = 400  // with more peers, all know each other from the start, as joining is not measured
+	minFalseFailuresRatio = 20   // minimum ratio of published SWIM's false failures to the product's
 )
 
-// curvePoint is one size and loss, with our core or with SWIM as published.
+// curvePoint is one combination of group size and loss, with the product's SWIM core or with SWIM as published.
 type curvePoint struct {
 	peers     int
 	loss      float64
 	published bool
 }
 
-// suffix distinguishes the point's figures in the report.
+// suffix returns the key suffix of the point's figures in the report.
 func (p curvePoint) suffix() string {
 	suffix := fmt.Sprintf(".%04d.loss%02.0f", p.peers, p.loss*100)
 	if p.published {
@@ -40,25 +40,25 @@
 	return suffix
 }
 
-// script has two kills and restarts, and the point's loss throughout.
+// script returns a script with two kills and restarts, and the point's loss for the duration of the run.
 func (p curvePoint) script(seed uint64) faults.Script {
 	script := faults.Script{Seed: seed, Processes: p.peers, Duration: runSeconds}
 	if p.loss > 0 {
 		script.Faults = append(script.Faults, faults.Fault{Kind: faults.Loss, Share: p.loss})
 	}
-	for kill := range kills {
-		at := firstKillSeconds + killEverySeconds*float64(kill)
+	for kill := range killsPerRun {
+		at := firstKillSeconds + killIntervalSeconds*float64(kill)
 		script.Faults = append(script.Faults, faults.Fault{
 			Kind:  faults.Kill,
 			Start: at,
-			End:   at + killLastsSeconds,
+			End:   at + killDurationSeconds,
 			From:  []int{(7*kill + int(seed)) % p.peers},
 		})
 	}
 	return script
 }
 
-// config makes the simulation of the point's script.
+// config returns the simulation configuration of the point.
 func (p curvePoint) config(seed uint64) simmembership.Config {
 	return simmembership.Config{
 		Script:    p.script(seed),
@@ -69,14 +69,14 @@
 
 // curveFigures are a point's results over all seeds.
 type curveFigures struct {
-	detectionSeconds []float64 // in order
+	detectionSeconds []float64 // sorted
 	falseFailures    int
 	suspicions       int
 	resurrected      int
-	bytesPerSecond   float64 // the mean of the seeds
+	bytesPerSecond   float64 // mean over the seeds
 }
 
-// summarize adds up the results of a point's seeds.
+// summarize combines the results of a point's seeds.
 func summarize(results []*simmembership.Result) curveFigures {
 	var figures curveFigures
 	for _, result := range results {
@@ -90,7 +90,7 @@
 	return figures
 }
 
-// curvePlots are the three drawings of the curves.
+// curvePlots are the three plots of the curves.
 type curvePlots struct {
 	detection     report.Plot
 	falseFailures report.Plot
@@ -113,7 +113,7 @@
 	}
 }
 
-// curveLines are one loss's lines in the drawings.
+// curveLines are the lines of one loss rate in the plots.
 type curveLines struct {
 	median        report.Line
 	p99           report.Line
@@ -134,7 +134,7 @@
 	}
 }
 
-// add draws a point's figures.
+// add adds a point's figures to the lines.
 func (l *curveLines) add(point curvePoint, seeds int, figures curveFigures) {
 	peers := float64(point.peers)
 	if len(figures.detectionSeconds) > 0 {
@@ -146,14 +146,14 @@
 	l.bytes.Add(peers, figures.bytesPerSecond/1000)
 }
 
-// addTo puts the lines into the drawings.
+// addTo adds the lines to the plots.
 func (l *curveLines) addTo(plots *curvePlots) {
 	plots.detection.Lines = append(plots.detection.Lines, l.median, l.p99)
 	plots.falseFailures.Lines = append(plots.falseFailures.Lines, l.falseFailures)
 	plots.bytes.Lines = append(plots.bytes.Lines, l.bytes)
 }
 
-// reportFigures writes a point's figures into the report.
+// reportFigures writes a point's figures to the report.
 func reportFigures(r *report.Report, point curvePoint, figures curveFigures) {
 	suffix := point.suffix()
 	if len(figures.detectionSeconds) > 0 {
@@ -171,7 +171,7 @@
 	}
 }
 
-// runCurves compares our core with SWIM as published on the same scripts.
+// runCurves compares the product's SWIM core with SWIM as published on the same scripts.
 func (c Membership) runCurves(ctx context.Context, r *report.Report) error {
 	points := c.curvePoints()
 	results, err := c.runPoints(ctx, points)
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// curvePoints lists the sizes and losses, each with our core and with SWIM as published.
+// curvePoints returns all combinations of size and loss, each with the product's SWIM core and with SWIM as published.
 func (c Membership) curvePoints() []curvePoint {
 	var points []curvePoint
 	for _, peers := range c.Sizes {
@@ -213,7 +213,8 @@
 	return points
 }
 
-// runPoints runs all seeds of all points side by side. A point's results lie together, in the order of the seeds.
+// runPoints runs all seeds of all points in parallel. The results of a point are consecutive, in the order of the
+// seeds.
 func (c Membership) runPoints(ctx context.Context, points []curvePoint) ([]*simmembership.Result, error) {
 	seeds := c.Seeds.Count()
 	results := make([]*simmembership.Result, len(points)*seeds)
@@ -234,13 +235,13 @@
 	return results, group.Wait()
 }
 
-// checkCurves compares the curves with their bounds.
+// checkCurves compares the curves with their limits.
 func checkCurves(r *report.Report) {
 	if r.Counts[report.Resurrected] > 0 {
-		r.Broke("%d failed peers came back without a higher incarnation", r.Counts[report.Resurrected])
+		r.AddViolation("%d failed peers came back without a higher incarnation", r.Counts[report.Resurrected])
 	}
 	ours, published := r.Counts[report.FalseFailures], r.Counts[report.FalseFailuresPublished]
-	if falseFailuresRatio*ours > published {
-		r.Broke("%d false failures, more than a twentieth of the %d of published SWIM", ours, published)
+	if minFalseFailuresRatio*ours > published {
+		r.AddViolation("%d false failures, more than a twentieth of the %d of published SWIM", ours, published)
 	}
 }
--- a/internal/lab/simulation/membership.go
+++ b/internal/lab/simulation/membership.go
@@ -16,34 +16,34 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Bounds that simulations of membership are held to. A member that is declared failed without a reason in the script is
-// a failure of the detection, not of the invariants: it is counted, and has to be rare.
+// Limits of membership simulations. A false failure (a member that is declared failed without a reason in the script)
+// violates no invariant. False failures are counted and must be rare.
 const (
-	runSeconds              = 60.0  // of one run
-	maxByzantine            = 1     // byzantine members that the cores are configured to tolerate
-	maxFalseFailuresPerPeer = 0.002 // false failures per run and peer
-	maxQueuedPerPeer        = 12    // queued gossip of one peer: a record and up to eleven accusations
-	shrinkRuns              = 200   // runs that shrinking a script may take
-	maxShrunk               = 3     // scripts that are shrunk
-	maxFalseFailureDetails  = 5     // runs with a false failure that are listed
-	drawnProgressEvery      = 50    // runs between two lines of progress
+	runSeconds              = 60.0  // duration of one run
+	maxByzantine            = 1     // byzantine members that the cores tolerate
+	maxFalseFailuresPerPeer = 0.002 // maximum false failures per run and peer
+	maxQueuedPerPeer        = 12    // gossip entries queued for each peer: a record and up to eleven accusations
+	shrinkRuns              = 200   // maximum runs for shrinking a script
+	maxShrunkScripts        = 3     // maximum number of scripts that are shrunk
+	maxFalseFailureDetails  = 5     // maximum number of listed runs with false failures
+	generatedProgressEvery  = 50    // number of runs between two progress messages
 )
 
-// Membership simulates the cores of membership.
+// Membership simulates the membership protocol's cores.
 type Membership struct {
 	Seeds    Seeds
-	Sizes    []int     // numbers of peers of the curves
-	Losses   []float64 // shares of lost datagrams of the curves
-	Faults   int       // faults of a script drawn from each seed; 0 for the curves
-	Peers    int       // of a drawn script
-	Hostile  int       // of these
-	Script   string    // file of one script to run instead
+	Sizes    []int     // numbers of peers in the curves
+	Losses   []float64 // shares of lost datagrams in the curves
+	Faults   int       // number of faults in the script generated from each seed; if 0, the curves are run
+	Peers    int       // number of peers in a generated script
+	Hostile  int       // number of hostile peers among them
+	Script   string    // path of a script to run instead
 	Progress Progress
 }
 
-// Run simulates and reports.
+// Run runs the simulations and returns their report.
 func (c Membership) Run(ctx context.Context) (*report.Report, error) {
-	c.Progress = c.Progress.orSilent()
+	c.Progress = c.Progress.orNoop()
 	r := report.New(report.ScenarioMembershipSimulation, c.Seeds.From, c.Seeds.String())
 	r.Name = "membership simulation"
 	r.Simulated = true
@@ -52,7 +52,7 @@
 	case c.Script != "":
 		err = c.runScript(r)
 	case c.Faults > 0:
-		err = c.runDrawn(ctx, r)
+		err = c.runGenerated(ctx, r)
 	default:
 		err = c.runCurves(ctx, r)
 	}
@@ -60,7 +60,7 @@
 	return r, err
 }
 
-// config makes the simulation of a script; its last members are the hostile ones.
+// config returns the simulation configuration of a script, in which the last members are hostile.
 func (c Membership) config(script faults.Script) simmembership.Config {
 	config := simmembership.Config{
 		Script: script,
@@ -72,7 +72,7 @@
 	return config
 }
 
-// membershipFailure says which invariant a run broke, and "" where all held.
+// membershipFailure returns the invariant that a run violated, or "" if there was no violation.
 func membershipFailure(result *simmembership.Result, script *faults.Script) string {
 	maxQueued := script.Processes * maxQueuedPerPeer
 	switch {
@@ -89,15 +89,15 @@
 	return ""
 }
 
-// drawnRuns gathers the results of drawn scripts, which run side by side.
-type drawnRuns struct {
+// generatedRuns collects the results of generated scripts, which run in parallel.
+type generatedRuns struct {
 	mu     sync.Mutex
 	report *report.Report
-	failed []faults.Script // the first few that broke an invariant
+	failed []faults.Script // the first few scripts that violated an invariant
 }
 
-// add counts the result of a run.
-func (d *drawnRuns) add(seed uint64, script faults.Script, result *simmembership.Result) (runs int64) {
+// add adds the result of a run to the report and returns the number of runs so far.
+func (d *generatedRuns) add(seed uint64, script faults.Script, result *simmembership.Result) (runs int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	counts := d.report.Counts
@@ -111,17 +111,17 @@
 	}
 	counts[report.RunsWithFalseFailures] += int64(min(result.FalseFailures, 1))
 	if failure := membershipFailure(result, &script); failure != "" {
-		d.report.Broke("seed %d: %s", seed, failure)
-		if len(d.failed) < maxShrunk {
+		d.report.AddViolation("seed %d: %s", seed, failure)
+		if len(d.failed) < maxShrunkScripts {
 			d.failed = append(d.failed, script)
 		}
 	}
 	return counts[report.Runs]
 }
 
-// runDrawn runs a script drawn from each seed. One that breaks an invariant is shrunk and reported.
-func (c Membership) runDrawn(ctx context.Context, r *report.Report) error {
-	runs := drawnRuns{report: r}
+// runGenerated runs a script generated from each seed. A script that violates an invariant is shrunk and reported.
+func (c Membership) runGenerated(ctx context.Context, r *report.Report) error {
+	runs := generatedRuns{report: r}
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(runtime.NumCPU()-1, 1))
 	for seed := c.Seeds.From; seed <= c.Seeds.To; seed++ {
@@ -134,7 +134,7 @@
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
-			if done := runs.add(seed, script, result); done%drawnProgressEvery == 0 {
+			if done := runs.add(seed, script, result); done%generatedProgressEvery == 0 {
 				c.Progress("%d of %d runs", done, c.Seeds.Count())
 			}
 			return nil
@@ -146,35 +146,35 @@
 	for _, script := range runs.failed {
 		c.reportShrunk(r, script)
 	}
-	c.checkDrawn(r)
+	c.checkFalseFailureShare(r)
 	return nil
 }
 
-// reportShrunk reports the smallest script found that still breaks an invariant.
+// reportShrunk reports the smallest script found that still violates an invariant.
 func (c Membership) reportShrunk(r *report.Report, script faults.Script) {
 	fails := func(script faults.Script) bool {
 		result, err := simmembership.Run(c.config(script))
 		return err == nil && membershipFailure(result, &script) != ""
 	}
 	shrunk, runs := faults.Shrink(script, shrinkRuns, fails)
-	text, _ := json.Marshal(shrunk) // a script holds numbers and words only
-	r.Broke("seed %d: script shrunk from %d to %d faults in %d runs: %s",
+	text, _ := json.Marshal(shrunk) // encoding a script cannot fail: it has only numbers and words
+	r.AddViolation("seed %d: script shrunk from %d to %d faults in %d runs: %s",
 		script.Seed, len(script.Faults), len(shrunk.Faults), runs, text)
 }
 
-// checkDrawn compares the share of false failures over all runs with its bound.
-func (c Membership) checkDrawn(r *report.Report) {
+// checkFalseFailureShare compares the share of false failures over all runs with its limit.
+func (c Membership) checkFalseFailureShare(r *report.Report) {
 	share := float64(r.Counts[report.FalseFailures]) / float64(r.Counts[report.Runs]) / float64(c.Peers)
 	r.Figures[report.FalseFailuresPerPeer] = share
 	if share > maxFalseFailuresPerPeer {
-		r.Broke("%.4f false failures per run and peer, at most %.4f are allowed", share, maxFalseFailuresPerPeer)
+		r.AddViolation("%.4f false failures per run and peer, at most %.4f are allowed", share, maxFalseFailuresPerPeer)
 	}
 	slices.Sort(r.Steps)
 	r.Steps = append(r.Steps, fmt.Sprintf("%d scripts of %d faults each among %d peers (%d hostile), %.0f s",
 		r.Counts[report.Runs], c.Faults, c.Peers, c.Hostile, runSeconds))
 }
 
-// runScript runs one script twice. Both runs must have the same trace, byte for byte.
+// runScript runs one script twice. Both runs must have identical traces.
 func (c Membership) runScript(r *report.Report) error {
 	script, err := faults.ReadFile(c.Script)
 	if err != nil {
@@ -191,10 +191,10 @@
 		return err
 	}
 	if result.TraceHash != again.TraceHash {
-		r.Broke("two runs of one script differ")
+		r.AddViolation("two runs of one script differ")
 	}
 	if failure := membershipFailure(result, &script); failure != "" {
-		r.Broke("%s", failure)
+		r.AddViolation("%s", failure)
 	}
 	r.Counts[report.FalseFailures] = int64(result.FalseFailures)
 	r.Counts[report.Suspicions] = int64(result.Suspicions)
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// datagramPlot draws the rate of datagrams over a run, with the script's faults.
+// datagramPlot returns a plot of the datagram rate during a run, with marks at the script's faults.
 func datagramPlot(script faults.Script, result *simmembership.Result) report.Plot {
 	line := report.Line{Name: "datagrams per second and peer"}
 	for second, rate := range result.DatagramsPerSecond {
--- a/internal/lab/simulation/mutants_test.go
+++ b/internal/lab/simulation/mutants_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// mutant is the code broken on purpose: texts of a file and what stands in their place, and the arguments of the
-// simulation that has to find it.
+// mutant is a deliberate defect in the code: replacements of texts in a file, and the arguments of the simulation that
+// must detect it.
 type mutant struct {
 	name, file string
 	edits      [][2]string
@@ -38,20 +38,20 @@
 		arguments: []string{"--seeds", "1..20", "--faults", "3", "--peers", "20", "--hostile", "3"},
 	},
 	{
-		name:      "a member that was stopped blames the others",
+		name:      "a paused member accuses the others",
 		file:      "internal/membership/swim/health.go",
 		edits:     [][2]string{{"if c.config.PublishedSWIM || paused == 0 {", "if true {"}},
 		arguments: []string{"--seeds", "1..40", "--faults", "8", "--peers", "20"},
 	},
 	{
-		name:      "nobody pings members that are not present",
+		name:      "members that are not present are never pinged",
 		file:      "internal/membership/swim/probeorder.go",
 		edits:     [][2]string{{"if c.prober.count%absentPingEvery == 0 {", "if false {"}},
 		arguments: []string{"--seeds", "1..20", "--faults", "8", "--peers", "20"},
 	},
 }
 
-// overlayFile writes the overlay of a build in which a mutant's file is replaced, and returns its path.
+// overlayFile writes the overlay of a build in which the mutant's file is replaced, and returns its path.
 func (m *mutant) overlayFile(t *testing.T, root, directory string) string {
 	t.Helper()
 	overlay := map[string]map[string]string{"Replace": {}}
@@ -60,7 +60,7 @@
 		text, err := os.ReadFile(path)
 		require.NoError(t, err)
 		for _, edit := range m.edits {
-			require.Equal(t, 1, strings.Count(string(text), edit[0]), "the text to be broken")
+			require.Equal(t, 1, strings.Count(string(text), edit[0]), "occurrences of the text to be replaced")
 			text = []byte(strings.Replace(string(text), edit[0], edit[1], 1))
 		}
 		broken := filepath.Join(directory, "broken.go")
@@ -74,7 +74,7 @@
 	return file
 }
 
-// simulate builds the program with a mutant laid over its file, and runs the mutant's simulation.
+// simulate builds the program with the mutant applied, and runs the mutant's simulation.
 func (m *mutant) simulate(t *testing.T) (output string, err error) {
 	t.Helper()
 	root, err := filepath.Abs("../../..")
@@ -91,8 +91,9 @@
 	return string(out), err
 }
 
-// TestMutantsAreFound: a simulation whose checks find nothing passes on broken code too. Each mutant breaks one rule of
-// the protocol, and the drawn scripts on virtual time must find it; without a mutant the same runs hold.
+// TestMutantsAreFound: a simulation with checks that find nothing also passes on defective code. Each mutant violates
+// one rule of the protocol, and the generated scripts on virtual time must detect it; without a mutant the same runs
+// pass.
 func TestMutantsAreFound(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the program several times")
--- a/internal/lab/simulation/replication.go
+++ b/internal/lab/simulation/replication.go
@@ -11,29 +11,29 @@
 	simreplication "cairnfront/internal/sim/replication"
 )
 
-// replicationProgressEvery is the number of runs between two lines of progress.
+// replicationProgressEvery is the number of runs between two progress messages.
 const replicationProgressEvery = 20
 
-// Replication simulates the cores of replication with faulty disks.
+// Replication simulates the replication protocol's cores with faulty disks.
 type Replication struct {
 	Seeds           Seeds
 	Routers         int
 	Shards          int
-	DurationSeconds float64 // of one run
-	Script          string  // file of one script to run instead of drawn ones
+	DurationSeconds float64 // duration of one run
+	Script          string  // path of a script that replaces the generated ones
 	Progress        Progress
 }
 
-// replicationTotals are the figures of all runs that are not sums.
+// replicationTotals are the figures over all runs that are not sums.
 type replicationTotals struct {
 	latencySeconds           []float64
 	longestLeaderlessSeconds float64
 }
 
-// Run simulates the seeds one after the other, as raft draws its election timeouts from a source that the process
-// has once.
+// Run simulates the seeds sequentially instead of in parallel, as raft draws its election timeouts from one random
+// source that all nodes of a process share.
 func (c Replication) Run(ctx context.Context) (*report.Report, error) {
-	progress := c.Progress.orSilent()
+	progress := c.Progress.orNoop()
 	r := report.New(report.ScenarioReplicationSimulation, c.Seeds.From, c.Seeds.String())
 	r.Name = "replication simulation"
 	r.Simulated = true
@@ -73,13 +73,13 @@
 	totals.latencySeconds = append(totals.latencySeconds, result.LatencySeconds...)
 	totals.longestLeaderlessSeconds = max(totals.longestLeaderlessSeconds, result.LongestLeaderlessSeconds)
 	if failure := replicationFailure(result); failure != "" {
-		text, _ := json.Marshal(script) // a script holds numbers and words only
-		r.Broke("seed %d: %s; script %s", seed, failure, text)
+		text, _ := json.Marshal(script) // encoding a script cannot fail: it has only numbers and words
+		r.AddViolation("seed %d: %s; script %s", seed, failure, text)
 	}
 	return nil
 }
 
-// countReplication adds the counts of a run.
+// countReplication adds the counts of a run to the report.
 func countReplication(r *report.Report, result *simreplication.Result) {
 	r.Counts[report.Runs]++
 	r.Counts[report.ReservationRequests] += int64(result.Reservations)
@@ -95,7 +95,7 @@
 	}
 }
 
-// replicationFailure says which invariant a run broke, and "" where all held.
+// replicationFailure returns the invariant that a run violated, or "" if there was no violation.
 func replicationFailure(result *simreplication.Result) string {
 	switch {
 	case result.Failure != "":
@@ -110,7 +110,7 @@
 	return ""
 }
 
-// finish works out the figures over all runs and the verdict.
+// finish computes the figures over all runs and the verdict.
 func (c Replication) finish(r *report.Report, totals replicationTotals) {
 	sort.Float64s(totals.latencySeconds)
 	if len(totals.latencySeconds) > 0 {
@@ -118,8 +118,8 @@
 		r.Figures[report.ReservationP99] = quantile(totals.latencySeconds, 0.99)
 	}
 	r.Figures[report.LongestLeaderless] = totals.longestLeaderlessSeconds
-	asked := r.Counts[report.ReservationRequests] + r.Counts[report.Reads]
-	r.Figures[report.AnsweredShare] = float64(r.Counts[report.Answered]) / max(float64(asked), 1)
+	requested := r.Counts[report.ReservationRequests] + r.Counts[report.Reads]
+	r.Figures[report.AnsweredShare] = float64(r.Counts[report.Answered]) / max(float64(requested), 1)
 	r.Steps = append(r.Steps, fmt.Sprintf("%d runs of %.0f s: %d routers in three zones, "+
 		"%d shards of three replicas on faulty disks; machines lost with their disks one at a time, "+
 		"and losses of power, pauses, partitions and datagram loss",
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestMembershipFailuresAreNamed: a run whose invariants cannot fail finds nothing over any number of seeds. Each one
-// must fail where it is broken, and name what broke.
+// TestMembershipFailuresAreNamed: if the check of an invariant cannot fail, no number of seeds finds a violation. Each
+// check must fail when its invariant is violated, and name the violation.
 func TestMembershipFailuresAreNamed(t *testing.T) {
 	script := &faults.Script{Processes: 3}
 	assert.Empty(t, membershipFailure(&simmembership.Result{FinalPresent: []int{2, 2}}, script))
@@ -23,7 +23,8 @@
 	assert.Contains(t, membershipFailure(disagreeing, script), "a peer sees 1 peers, 2 run")
 }
 
-// TestReplicationFailuresAreNamed: the same for the invariants of the simulation of reservations.
+// TestReplicationFailuresAreNamed: if the check of an invariant cannot fail, no number of seeds finds a violation in a
+// simulation of reservations. Each check must fail when its invariant is violated, and name the violation.
 func TestReplicationFailuresAreNamed(t *testing.T) {
 	assert.Empty(t, replicationFailure(&simreplication.Result{Linearizable: true}))
 	assert.Equal(t, "stuck", replicationFailure(&simreplication.Result{Failure: "stuck"}))
@@ -34,9 +35,9 @@
 	assert.Contains(t, replicationFailure(conflicting), "1 keys granted")
 }
 
-// TestBoundsOfSimulationsCanBreak: some faults are allowed in a few of many runs, so their bound is over all of them.
-// It must break where it is passed, and hold just within it.
-func TestBoundsOfSimulationsCanBreak(t *testing.T) {
+// TestSimulationBoundsCanFail: some faults are allowed in a few of many runs, so their limit applies to the total. The
+// check must fail when the limit is exceeded, and pass just within it.
+func TestSimulationBoundsCanFail(t *testing.T) {
 	curves := report.New("x", 1, "")
 	curves.Counts[report.FalseFailures], curves.Counts[report.FalseFailuresPublished] = 1, 20
 	checkCurves(curves)
@@ -46,11 +47,11 @@
 	checkCurves(curves)
 	assert.Len(t, curves.Broken, 2)
 
-	drawn := report.New("x", 1, "")
-	drawn.Counts[report.Runs], drawn.Counts[report.FalseFailures] = 100, 2
-	Membership{Peers: 10}.checkDrawn(drawn)
-	assert.Empty(t, drawn.Broken)
-	drawn.Counts[report.FalseFailures] = 3
-	Membership{Peers: 10}.checkDrawn(drawn)
-	assert.Len(t, drawn.Broken, 1)
+	generated := report.New("x", 1, "")
+	generated.Counts[report.Runs], generated.Counts[report.FalseFailures] = 100, 2
+	Membership{Peers: 10}.checkFalseFailureShare(generated)
+	assert.Empty(t, generated.Broken)
+	generated.Counts[report.FalseFailures] = 3
+	Membership{Peers: 10}.checkFalseFailureShare(generated)
+	assert.Len(t, generated.Broken, 1)
 }
--- a/internal/lab/standin/classes.go
+++ b/internal/lab/standin/classes.go
@@ -1,14 +1,14 @@
 package standin
 
-// The request classes of a test cluster.
+// Request classes of a test cluster.
 const (
 	ClassVideoPart  = "video-part"
 	ClassPageAsset  = "page-asset"
 	ClassPrintOrder = "print-order"
-	ClassRecord     = "record" // non-idempotent; only of loads and clusters that ask for it
+	ClassRecord     = "record" // non-idempotent; only in loads and clusters that enable it
 )
 
-// ClassObjectiveSeconds are the latency objectives of the classes.
+// ClassObjectiveSeconds are the latency objectives of the classes, in seconds.
 var ClassObjectiveSeconds = map[string]float64{
 	ClassVideoPart:  0.4,
 	ClassPageAsset:  0.25,
@@ -16,5 +16,6 @@
 	ClassRecord:     0.6,
 }
 
-// KeyRetentionSeconds is for how long the origin and the stand-ins drop a repeat with the same idempotency key.
+// KeyRetentionSeconds is how long the origin and the stand-ins remember an idempotency key and drop repeated requests
+// with it.
 const KeyRetentionSeconds = 6.0
