--- a/internal/lab/standin/client.go
+++ b/internal/lab/standin/client.go
@@ -11,59 +11,60 @@
 	"cairnfront/internal/lab/timing"
 )
 
-// ClientRequest is one request as a client sends it.
+// ClientRequest is a request that a client sends.
 type ClientRequest struct {
 	Class          string
 	Object         uint64
 	Part           uint32
 	group          int    // purge group
-	idempotencyKey string // of the classes that have one
+	idempotencyKey string // empty for classes without idempotency keys
 	Body           []byte
 	Deadline       time.Duration
 }
 
-// ClientResponse is what came of a request.
+// ClientResponse is the outcome of a request.
 type ClientResponse struct {
 	ClientRequest
 	ID     string
-	SentAt float64 // Unix s
-	DoneAt float64 // Unix s; 0 where no response came
+	SentAt float64 // Unix time in seconds
+	DoneAt float64 // Unix time in seconds; 0 if no response arrived
 	Code   byte
 	Body   []byte
-	// retryAfter is how long the router asks the client to wait.
+	// RetryAfter is how long the router asks the client to wait before the next request.
 	RetryAfter time.Duration
 }
 
-// The codes of responses.
+// Response codes.
 const (
 	CodeRejected  = 0
 	CodeCompleted = 1
 	CodeAborted   = 9
-	NoAnswer      = 255 // on the client's side alone: no response came
+	NoAnswer      = 255 // never on the wire: the client received no response
 )
 
 const (
 	connectTimeout = time.Second
-	// lateWindow is how long beyond the deadline a client waits, to see whether a response comes late.
-	lateWindow = 500 * time.Millisecond
-	// clientHeapMB is the size of the client's memory that each request states.
+	// lateResponseWindow is how long a client waits after the deadline to detect a late response.
+	lateResponseWindow = 500 * time.Millisecond
+	// clientHeapMB is the client memory size that each request states, in MB.
 	clientHeapMB = "30"
 )
 
-// HasContent says whether completed responses of a request's class have a body that follows from the origin's seed.
+// HasContent reports whether completed responses of the request's class have a body that is derived from the origin's
+// seed.
 func (request *ClientRequest) HasContent() bool {
 	return request.Class != ClassPrintOrder && request.Class != ClassRecord
 }
 
-// clientConn is a client's connection to a router. It has one request at a time.
+// clientConn is a client's connection to a router. It carries one request at a time.
 type clientConn struct {
-	conn            net.Conn // nil between connections
+	conn            net.Conn // nil while not connected
 	stream          uint32
-	secondResponses int64 // responses to a stream that had its own already
+	secondResponses int64 // further responses on streams that already got a response
 }
 
-// send sends a request and waits for its response until the deadline and a little longer. An error says that the
-// request could not be sent; a connection that ends meanwhile leaves the code at noAnswer.
+// send sends a request and waits for its response until lateResponseWindow after the deadline. It returns an error only
+// if the request could not be sent. If the connection ends later, the response's code is NoAnswer.
 func (client *clientConn) send(addr string, request ClientRequest, id string) (ClientResponse, error) {
 	response := ClientResponse{ClientRequest: request, ID: id, Code: NoAnswer}
 	if client.conn == nil {
@@ -81,8 +82,8 @@
 		client.close()
 		return response, err
 	}
-	// Fails on a closed connection alone, which the read finds.
-	_ = client.conn.SetReadDeadline(time.Now().Add(request.Deadline + lateWindow))
+	// Fails only on a closed connection, which the read detects.
+	_ = client.conn.SetReadDeadline(time.Now().Add(request.Deadline + lateResponseWindow))
 	payload, err := client.readResponse()
 	if err != nil {
 		client.close()
@@ -97,7 +98,7 @@
 	return response, nil
 }
 
-// requestFrame is a request on the wire.
+// requestFrame encodes a request as a frame of the client protocol.
 func requestFrame(request ClientRequest, id string, stream uint32) []byte {
 	fields := []clientproto.Field{
 		{Name: "op", Value: request.Class},
@@ -115,7 +116,7 @@
 	return append(clientproto.AppendHeader(nil, clientproto.TypeRequest, stream, len(payload)), payload...)
 }
 
-// readResponse reads frames until the response to the current stream and returns its payload.
+// readResponse reads frames until the response on the current stream arrives and returns its payload.
 func (client *clientConn) readResponse() ([]byte, error) {
 	for {
 		head := make([]byte, clientproto.HeaderSize)
@@ -140,7 +141,7 @@
 	}
 }
 
-// parse reads the payload of a response, which is not empty. One with broken fields counts as none.
+// parse decodes the non-empty payload of a response. A response with malformed fields is treated as missing.
 func (response *ClientResponse) parse(payload []byte) {
 	response.Code = payload[0]
 	fields, body, err := clientproto.ParseFields(payload[1:])
@@ -150,17 +151,17 @@
 	for _, field := range fields {
 		if field.Name == "pushback" {
 			var millis int64
-			_, _ = fmt.Sscan(field.Value, &millis) // what is no number asks for no wait
+			_, _ = fmt.Sscan(field.Value, &millis) // a value that is not a number means no wait
 			response.RetryAfter = time.Duration(millis) * time.Millisecond
 		}
 	}
 	response.Body = body
 }
 
-// close ends the connection. The next request makes a new one.
+// close closes the connection. The next request opens a new one.
 func (client *clientConn) close() {
 	if client.conn != nil {
-		_ = client.conn.Close() // the answer that counts has come, or none will
+		_ = client.conn.Close() // the response has been received, or will not arrive
 		client.conn = nil
 	}
 }
--- a/internal/lab/standin/discovery.go
+++ b/internal/lab/standin/discovery.go
@@ -11,31 +11,31 @@
 	"cairnfront/internal/lab/timing"
 )
 
-// heartbeatInterval is how often a watcher that has everything hears from the discovery server.
+// heartbeatInterval is the interval of heartbeats to a watcher that has all events.
 const heartbeatInterval = time.Second
 
-// DiscoveryServer is a stand-in of the discovery service. It records when each event had been written to every
-// connection that was open.
+// DiscoveryServer is a stand-in of the discovery service. For each event it records the time by which the event had
+// been written to every open connection.
 type DiscoveryServer struct {
 	listener net.Listener
 	workers  sync.WaitGroup
 
 	mu          sync.Mutex
-	frames      [][]byte  // of the events, in order
-	deliveredAt []float64 // Unix s by which every connection had the event
+	frames      [][]byte  // encoded events, in order
+	deliveredAt []float64 // Unix time in seconds by which every connection had the event
 	watchers    map[*watcher]bool
-	refusing    bool // new connections are refused
+	closing     bool // reject new connections
 }
 
-// watcher is a connection that watches.
+// watcher is a connection that receives events.
 type watcher struct {
 	conn net.Conn
-	wake chan struct{} // signals new events; holds one
+	wake chan struct{} // signals new events; has a capacity of one
 }
 
-// NewDiscoveryServer starts one on a port of the system's choice. Its goroutines end at Close, which waits for them.
+// NewDiscoveryServer starts a server on a port that the system assigns. Close stops its goroutines and waits for them.
 func NewDiscoveryServer() (*DiscoveryServer, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0") //nolint:noctx // an IP address: there is nothing to wait for
+	listener, err := net.Listen("tcp", "127.0.0.1:0") //nolint:noctx // an IP address: no lookup that could block
 	if err != nil {
 		return nil, err
 	}
@@ -54,16 +54,16 @@
 	}
 }
 
-// Addr is the address at which it listens.
+// Addr returns the address on which the server listens.
 func (server *DiscoveryServer) Addr() string { return server.listener.Addr().String() }
 
-// Close ends it and all its connections.
+// Close stops the server and closes all its connections.
 func (server *DiscoveryServer) Close() {
-	_ = server.listener.Close() // ends accept
+	_ = server.listener.Close() // makes accept return
 	server.mu.Lock()
-	server.refusing = true
+	server.closing = true
 	for w := range server.watchers {
-		_ = w.conn.Close() // ends its serve
+		_ = w.conn.Close() // makes serve return for this connection
 	}
 	server.mu.Unlock()
 	server.workers.Wait()
@@ -76,7 +76,7 @@
 	event.Revision = uint64(len(server.frames) + 1)
 	frame, err := discovery.AppendEvent(nil, event)
 	if err != nil {
-		panic(err) // the scenario's own mistake
+		panic(err) // the scenario passed an invalid event
 	}
 	server.frames = append(server.frames, frame)
 	server.deliveredAt = append(server.deliveredAt, timing.UnixSeconds(time.Now()))
@@ -89,24 +89,24 @@
 	return len(server.frames) - 1
 }
 
-// LastEvent is the index of the event that was published last.
+// LastEvent returns the index of the latest published event.
 func (server *DiscoveryServer) LastEvent() int {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	return len(server.frames) - 1
 }
 
-// DeliveryTime is when an event had been delivered to all, Unix s.
+// DeliveryTime returns the Unix time in seconds by which an event had been delivered to all watchers.
 func (server *DiscoveryServer) DeliveryTime(event int) float64 {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	return server.deliveredAt[event]
 }
 
-// serve sends a connection the events after the revision that it says it has, and then the new ones. Its goroutine
-// reads until the connection ends, which it does when serve returns.
+// serve sends a connection the events after the revision in its request, and then new events as they are published. Its
+// goroutine reads until the connection ends, which happens at the latest when serve returns.
 func (server *DiscoveryServer) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // the other side may have closed it already
+	defer func() { _ = conn.Close() }() // the client may have closed it already
 	request := make([]byte, 8)
 	if _, err := io.ReadFull(conn, request); err != nil {
 		return
@@ -118,7 +118,7 @@
 	defer server.removeWatcher(w)
 	disconnected := make(chan struct{})
 	go func() {
-		_, _ = conn.Read(make([]byte, 1)) // it sends nothing more: this ends with the connection
+		_, _ = conn.Read(make([]byte, 1)) // the client sends nothing more: the read returns when the connection ends
 		close(disconnected)
 	}()
 	heartbeat := time.NewTicker(heartbeatInterval)
@@ -138,11 +138,11 @@
 	}
 }
 
-// addWatcher returns false where new connections are refused.
+// addWatcher registers a watcher. It returns false if the server is closing.
 func (server *DiscoveryServer) addWatcher(w *watcher) bool {
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	if server.refusing {
+	if server.closing {
 		return false
 	}
 	server.watchers[w] = true
@@ -155,24 +155,24 @@
 	delete(server.watchers, w)
 }
 
-// sendEvents sends the events after a revision, and a heartbeat where it has none. The first time the heartbeat
-// follows the events: it says that the list is complete. It returns the revision that the connection has now.
+// sendEvents sends the events after a revision, or a heartbeat if there are none. On the first call a heartbeat follows
+// the events, to mark the list as complete. It returns the revision that the connection has now.
 func (server *DiscoveryServer) sendEvents(conn net.Conn, revision uint64, first bool) (now uint64, sent bool) {
 	out, latest := server.framesAfter(revision)
 	if len(out) == 0 || first {
 		heartbeat := discovery.Event{Revision: latest, Kind: discovery.Heartbeat}
-		out, _ = discovery.AppendEvent(out, heartbeat) // a heartbeat has nothing that cannot be encoded
+		out, _ = discovery.AppendEvent(out, heartbeat) // encoding a heartbeat cannot fail
 	}
 	if _, err := conn.Write(out); err != nil {
 		return revision, false
 	}
-	if !first { // a connection that comes later does not count
+	if !first { // the initial events of a new connection do not change delivery times
 		server.markDelivered(revision, latest)
 	}
 	return max(revision, latest), true
 }
 
-// framesAfter is the events after a revision, on the wire, and the latest revision.
+// framesAfter returns the encoded events after a revision, and the latest revision.
 func (server *DiscoveryServer) framesAfter(revision uint64) (out []byte, latest uint64) {
 	server.mu.Lock()
 	defer server.mu.Unlock()
@@ -183,7 +183,7 @@
 	return out, latest
 }
 
-// markDelivered records that a connection has the events after a revision up to another.
+// markDelivered records that a connection has received the events between two revisions.
 func (server *DiscoveryServer) markDelivered(after, upTo uint64) {
 	now := timing.UnixSeconds(time.Now())
 	server.mu.Lock()
--- a/internal/lab/standin/doc.go
+++ b/internal/lab/standin/doc.go
@@ -1,6 +1,6 @@
-// Package standin has the stand-ins for what surrounds the product: the discovery service, endpoints with several
+// Package standin has stand-ins for the environment of the product: the discovery service, endpoints with several
 // addresses that can misbehave, clients and their load, and hostile peers.
 //
-// They speak the users' protocols and record what they carried. They have no verdicts: package verify reads the
-// records.
+// The stand-ins speak the users' protocols and record the traffic that they send and receive. They verify nothing:
+// package verify checks the records.
 package standin
--- a/internal/lab/standin/endpoint.go
+++ b/internal/lab/standin/endpoint.go
@@ -13,25 +13,25 @@
 	"cairnfront/internal/cacheproto"
 )
 
-// AddressMode is how an address of a stand-in behaves.
+// AddressMode is the behavior of an address of a stand-in.
 type AddressMode int32
 
-// The modes of an address.
+// Modes of an address.
 const (
 	Healthy      AddressMode = iota
-	Unresponsive             // accepts, reads everything, answers nothing
-	Resetting                // accepts, and resets the connection when a request has come
-	Truncating               // sends half an answer and stops
-	Closed                   // nobody listens
+	Unresponsive             // accepts connections and reads requests, but never responds
+	Resetting                // accepts connections, and resets them when a request was received
+	Truncating               // sends half of a response and stops
+	Closed                   // does not listen
 )
 
-// UnixPrefix marks the address of a Unix socket.
+// UnixPrefix is the prefix of the address of a Unix socket.
 const UnixPrefix = "unix:"
 
 // Address is one address of a stand-in endpoint.
 type Address struct {
 	standIn  *Endpoint
-	index    int    // among the addresses of its endpoint
+	index    int    // index in Endpoint.Addresses
 	Addr     string // host:port or unix:PATH
 	mode     AddressMode
 	listener net.Listener
@@ -41,19 +41,19 @@
 // Endpoint is a stand-in of an endpoint with several addresses. It records every attempt.
 type Endpoint struct {
 	ID    string
-	delay time.Duration // until an answer
+	delay time.Duration // time between a request and its response
 	Body  func(cacheproto.Command) []byte
-	// failAttempt says whether the nth attempt of a request here fails; nil for never.
+	// FailAttempt reports whether the nth attempt of a request at this endpoint fails. If nil, no attempt fails.
 	FailAttempt             func(command cacheproto.Command, n int) bool
-	UnresponsiveConnections atomic.Int64 // connections that came while their address was unresponsive
+	UnresponsiveConnections atomic.Int64 // connections accepted while their address was unresponsive
 
-	mu        sync.Mutex // guards what follows, and the addresses' mode, listener and connections
+	mu        sync.Mutex // guards the fields below and the addresses' mode, listener and connections
 	Addresses []*Address
 	attempts  []*Attempt
 	workers   sync.WaitGroup
 }
 
-// NewEndpoint makes an endpoint on a Unix socket, IPv6 and IPv4, as far as the machine has them.
+// NewEndpoint creates an endpoint that listens on a Unix socket, IPv6 and IPv4. It skips IPv6 on a machine without it.
 func NewEndpoint(id, directory string, delay time.Duration) (*Endpoint, error) {
 	standIn := &Endpoint{ID: id, delay: delay}
 	for _, addr := range []string{UnixPrefix + filepath.Join(directory, id+".sock"), "[::1]:0", "127.0.0.1:0"} {
@@ -64,7 +64,7 @@
 			conns:   map[net.Conn]bool{},
 		}
 		if err := address.listen(); err != nil {
-			if strings.HasPrefix(addr, "[") { // a machine without IPv6
+			if strings.HasPrefix(addr, "[") { // the machine has no IPv6
 				continue
 			}
 			return nil, err
@@ -74,15 +74,15 @@
 	return standIn, nil
 }
 
-// listen opens an address and serves its connections. The goroutines end when the address is closed; the endpoint's
+// listen opens an address and serves its connections. The goroutines stop when the address is closed; the endpoint's
 // Close waits for them.
 func (address *Address) listen() error {
 	network, target := "tcp", address.Addr
 	if path, isUnix := strings.CutPrefix(address.Addr, UnixPrefix); isUnix {
 		network, target = "unix", path
-		_ = os.Remove(path) // there may be none; one that stays fails the listen
+		_ = os.Remove(path) // the file may not exist; if it cannot be removed, Listen below fails
 	}
-	listener, err := net.Listen(network, target) //nolint:noctx // an IP address or a path: nothing to wait for
+	listener, err := net.Listen(network, target) //nolint:noctx // an IP address or a path: no lookup that could block
 	if err != nil {
 		return err
 	}
@@ -104,16 +104,15 @@
 	}
 }
 
-// SetMode changes how an address behaves from now on. One that is closed ends its connections; an unresponsive one
-// keeps them.
+// SetMode changes the behavior of an address. Closed closes its connections; Unresponsive leaves them open.
 func (address *Address) SetMode(mode AddressMode) error {
 	address.standIn.mu.Lock()
 	before := address.mode
 	address.mode = mode
 	if mode == Closed {
-		_ = address.listener.Close() // ends accept
+		_ = address.listener.Close() // makes accept return
 		for conn := range address.conns {
-			_ = conn.Close() // ends its serve
+			_ = conn.Close() // makes serve return for this connection
 		}
 	}
 	address.standIn.mu.Unlock()
@@ -123,22 +122,22 @@
 	return nil
 }
 
-// currentMode is how an address behaves now.
+// currentMode returns the current mode of an address.
 func (address *Address) currentMode() AddressMode {
 	address.standIn.mu.Lock()
 	defer address.standIn.mu.Unlock()
 	return address.mode
 }
 
-// Close ends all addresses and waits for their connections.
+// Close closes all addresses and waits until their connections have ended.
 func (standIn *Endpoint) Close() {
 	for _, address := range standIn.Addresses {
-		_ = address.SetMode(Closed) // closing returns no error
+		_ = address.SetMode(Closed) // SetMode(Closed) never fails
 	}
 	standIn.workers.Wait()
 }
 
-// UsedAfter says whether an attempt came over an address after a time, Unix s.
+// UsedAfter reports whether an attempt arrived over an address after a Unix time, in seconds.
 func (standIn *Endpoint) UsedAfter(address *Address, after float64) bool {
 	standIn.mu.Lock()
 	defer standIn.mu.Unlock()
@@ -147,7 +146,7 @@
 	})
 }
 
-// Attempts are the attempts that came so far. Those that are open change when they end.
+// Attempts returns the attempts received so far. Open attempts are still modified when they end.
 func (standIn *Endpoint) Attempts() []*Attempt {
 	standIn.mu.Lock()
 	defer standIn.mu.Unlock()
--- a/internal/lab/standin/endpoint_conn.go
+++ b/internal/lab/standin/endpoint_conn.go
@@ -14,16 +14,17 @@
 	"cairnfront/routing"
 )
 
-// attemptLookback is how many of the latest attempts are searched for earlier ones of the same request.
+// attemptLookback is the number of latest attempts, including the current one, that are searched for attempts of the
+// same request.
 const attemptLookback = 200
 
-// standInConn is a connection of a router to an address of a stand-in.
+// standInConn is a router's connection to an address of a stand-in.
 type standInConn struct {
 	address *Address
 	conn    net.Conn
 
-	writing sync.Mutex          // one line at a time
-	open    map[string]*Attempt // by request id; guarded by the stand-in's lock
+	writing sync.Mutex          // serializes writes of complete lines
+	open    map[string]*Attempt // open attempts by request id; guarded by the stand-in's mu
 }
 
 func newStandInConn(address *Address, conn net.Conn) *standInConn {
@@ -65,9 +66,9 @@
 	}
 }
 
-// unregister closes the connection and ends its attempts.
+// unregister closes the connection and records the end of its attempts.
 func (c *standInConn) unregister() {
-	_ = c.conn.Close() // the other side may have closed it already
+	_ = c.conn.Close() // the router may have closed it already
 	standIn := c.address.standIn
 	standIn.mu.Lock()
 	defer standIn.mu.Unlock()
@@ -78,7 +79,7 @@
 	clear(c.open)
 }
 
-// handle carries out a command. It returns false when the connection is to end.
+// handle processes a command. It returns false if the connection must be closed.
 func (c *standInConn) handle(command cacheproto.Command, reader io.Reader) bool {
 	mode := c.address.currentMode()
 	switch command.Kind {
@@ -101,10 +102,10 @@
 		return true
 	case Resetting:
 		if tcp, isTCP := c.conn.(*net.TCPConn); isTCP {
-			_ = tcp.SetLinger(0) // fails on a closed connection alone, which needs no reset
+			_ = tcp.SetLinger(0) // fails only on a closed connection, which needs no reset
 		}
 		return false
-	case Healthy, Truncating: // answer below
+	case Healthy, Truncating: // respond below
 	}
 	time.AfterFunc(c.address.standIn.delay, func() { c.answer(command, mode) })
 	return true
@@ -127,7 +128,7 @@
 	c.open[command.ID] = attempt
 }
 
-// endAttempt records the end of an attempt. It returns false where the attempt has ended already.
+// endAttempt records the end of an attempt. It returns false if the attempt has ended already.
 func (c *standInConn) endAttempt(id string) bool {
 	standIn := c.address.standIn
 	standIn.mu.Lock()
@@ -141,7 +142,8 @@
 	return true
 }
 
-// answer ends an attempt with success or failure, unless it was cancelled. A truncated answer leaves it open.
+// answer sends the success or failure of an attempt, unless the attempt was cancelled. A truncated response leaves the
+// attempt open.
 func (c *standInConn) answer(command cacheproto.Command, mode AddressMode) {
 	standIn := c.address.standIn
 	if standIn.FailAttempt != nil && standIn.FailAttempt(command, standIn.attemptsOf(command.ID)) {
@@ -162,29 +164,29 @@
 	if mode == Truncating {
 		c.writing.Lock()
 		defer c.writing.Unlock()
-		_, _ = c.conn.Write(reply[:(len(reply)+len(cacheproto.LineEnd))/2]) // as in write
+		_, _ = c.conn.Write(reply[:(len(reply)+len(cacheproto.LineEnd))/2]) // errors are ignored as in write
 		return
 	}
 	c.writeAnswer(command.ID, reply)
 }
 
-// writeAnswer ends an attempt and writes its answer, unless it has ended already.
+// writeAnswer ends an attempt and writes its response, unless the attempt has ended already.
 func (c *standInConn) writeAnswer(id string, reply []byte) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
 	if c.endAttempt(id) {
-		_, _ = c.conn.Write(append(reply, cacheproto.LineEnd...)) // as in write
+		_, _ = c.conn.Write(append(reply, cacheproto.LineEnd...)) // errors are ignored as in write
 	}
 }
 
-// write writes a line. Its error is ignored: the reader of the connection finds the same end.
+// write writes a line. Errors are ignored, as the reader of the connection detects its end too.
 func (c *standInConn) write(line []byte) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
 	_, _ = c.conn.Write(append(line, cacheproto.LineEnd...))
 }
 
-// attemptsOf counts the latest attempts of a request.
+// attemptsOf counts the attempts of a request among the latest attempts.
 func (standIn *Endpoint) attemptsOf(id string) int {
 	standIn.mu.Lock()
 	defer standIn.mu.Unlock()
--- a/internal/lab/standin/hostile_attacks.go
+++ b/internal/lab/standin/hostile_attacks.go
@@ -13,38 +13,40 @@
 const (
 	accusationsPerMessage   = 4
 	observationsPerMessage  = 3
-	observationSequenceStep = 4  // more than the observations of a message
-	forgedBytes             = 40 // at the end of a signed record, of which one is changed
+	observationSequenceStep = 4  // must exceed observationsPerMessage
+	forgedSuffixBytes       = 40 // length of the signed record's end in which one bit is flipped
 	forgedRefutations       = 1 << 30
 )
 
-// attack makes the next of its attacks on a random peer, and floods if it is to.
+// attack sends the next kind of attack to a random peer, and a batch of flood datagrams while a flood is active.
 func (peer *HostilePeer) attack(sequence uint32) {
 	to, victim := peer.randomPeer(), peer.randomPeer()
 	if to == peer.id {
 		return
 	}
 	attacks := [...]func(){
-		func() { peer.accuseAll(to) },
+		func() { peer.accusePeers(to) },
 		func() { peer.reportEndpointsFailing(to, sequence) },
 		func() { peer.forgeRecords(to, victim) },
 		func() { peer.replay(to, victim) },
-		func() { peer.answerFor(to, victim) },
+		func() { peer.forgeIndirectAck(to, victim) },
 		func() { peer.forgeRefutation(to, victim) },
 	}
 	attacks[sequence%uint32(len(attacks))]()
-	peer.floodTurn(to)
+	peer.sendFloodBatch(to)
 }
 
 func (peer *HostilePeer) randomPeer() swim.MemberID {
 	return swim.MemberID(peer.rnd.IntN(len(peer.routes)))
 }
 
-// randomOf draws one of some texts.
-func (peer *HostilePeer) randomOf(texts [][]byte) []byte { return texts[peer.rnd.IntN(len(texts))] }
+// randomElement returns a random element of a list.
+func (peer *HostilePeer) randomElement(elements [][]byte) []byte {
+	return elements[peer.rnd.IntN(len(elements))]
+}
 
-// accuseAll accuses some peers and sends a table in which all have failed.
-func (peer *HostilePeer) accuseAll(to swim.MemberID) {
+// accusePeers accuses some peers, and sends a state table in which all peers have failed.
+func (peer *HostilePeer) accusePeers(to swim.MemberID) {
 	message := swim.Message{Kind: swim.PushPullReply, ViewHash: peer.rnd.Uint64()}
 	for i := range peer.routes {
 		member := swim.MemberID(i)
@@ -67,11 +69,11 @@
 	peer.Counts[report.HostileAccusations] += int64(len(message.Accusations))
 }
 
-// reportEndpointsFailing reports random endpoints as failing.
+// reportEndpointsFailing sends observations that random endpoints are failing.
 func (peer *HostilePeer) reportEndpointsFailing(to swim.MemberID, sequence uint32) {
 	var signed [][]byte
 	for range observationsPerMessage {
-		text, err := peer.codec.SignObservation(observation.Observation{
+		payload, err := peer.codec.SignObservation(observation.Observation{
 			Witness:            peer.id,
 			WitnessStartMillis: peer.core.SelfRecord().Incarnation.StartMillis,
 			Sequence:           sequence*observationSequenceStep + uint32(len(signed)),
@@ -80,14 +82,15 @@
 			Zone:               string(rune('a' + peer.rnd.IntN(26))),
 		})
 		if err == nil {
-			signed = append(signed, text)
+			signed = append(signed, payload)
 		}
 	}
 	peer.send(to, swim.Message{Kind: swim.Push, ViewHash: peer.core.ViewHash()}, signed)
 	peer.Counts[report.HostileObservations] += int64(len(signed))
 }
 
-// forgeRecords sends records of another peer with its own signature, and one of that peer's with a changed bit.
+// forgeRecords sends records of another peer that are signed with the hostile peer's own key, and one valid record of a
+// peer with a flipped bit.
 func (peer *HostilePeer) forgeRecords(to, victim swim.MemberID) {
 	incarnation := swim.Incarnation{StartMillis: ForgedIncarnation}
 	message := swim.Message{Kind: swim.Push, ViewHash: peer.core.ViewHash()}
@@ -96,8 +99,8 @@
 		peer.codec.ForgeRecord(victim, incarnation, swim.Left),
 	}
 	if len(peer.signedRecords) > 0 {
-		changed := bytes.Clone(peer.randomOf(peer.signedRecords))
-		changed[len(changed)-1-peer.rnd.IntN(forgedBytes)] ^= 1
+		changed := bytes.Clone(peer.randomElement(peer.signedRecords))
+		changed[len(changed)-1-peer.rnd.IntN(forgedSuffixBytes)] ^= 1
 		forgeries = append(forgeries, changed)
 	}
 	for _, forgery := range forgeries {
@@ -107,16 +110,16 @@
 	peer.Counts[report.HostileForgeries] += int64(len(message.Records))
 }
 
-// replay sends a datagram that it captured, and an old record under another peer's name.
+// replay sends a captured datagram again, and an old signed record under another peer's name.
 func (peer *HostilePeer) replay(to, victim swim.MemberID) {
 	if len(peer.captured) > 0 {
-		peer.write(to, peer.randomOf(peer.captured))
+		peer.write(to, peer.randomElement(peer.captured))
 		peer.Counts[report.HostileReplays]++
 	}
 	if len(peer.signedRecords) == 0 {
 		return
 	}
-	record := swim.MemberRecord{Member: victim, Signed: peer.randomOf(peer.signedRecords)}
+	record := swim.MemberRecord{Member: victim, Signed: peer.randomElement(peer.signedRecords)}
 	message := swim.Message{
 		Kind:     swim.Push,
 		ViewHash: peer.core.ViewHash(),
@@ -125,8 +128,8 @@
 	peer.send(to, message, nil)
 }
 
-// answerFor answers a health check in the name of a peer, which may have failed.
-func (peer *HostilePeer) answerFor(to, victim swim.MemberID) {
+// forgeIndirectAck sends a forged reply to an indirect probe, in the name of a peer that may have failed.
+func (peer *HostilePeer) forgeIndirectAck(to, victim swim.MemberID) {
 	message := swim.Message{
 		Kind:      swim.IndirectAck,
 		Nonce:     peer.rnd.Uint64(),
@@ -138,7 +141,7 @@
 	peer.Counts[report.HostileFalseAcks]++
 }
 
-// forgeRefutation accuses a peer in an incarnation far ahead of its own.
+// forgeRefutation accuses a peer in an incarnation far ahead of the peer's own one.
 func (peer *HostilePeer) forgeRefutation(to, victim swim.MemberID) {
 	_, record := peer.core.Lookup(victim)
 	incarnation := swim.Incarnation{
@@ -153,14 +156,15 @@
 	peer.send(to, message, nil)
 }
 
-// floodTurn sends captured datagrams while there are some left to flood with. The rest follows at the next attack.
-func (peer *HostilePeer) floodTurn(to swim.MemberID) {
+// sendFloodBatch sends captured datagrams until the batch size is reached or the flood is complete. The next attack
+// continues the flood.
+func (peer *HostilePeer) sendFloodBatch(to swim.MemberID) {
 	if len(peer.captured) == 0 {
 		return
 	}
-	for n := 0; n < floodDatagramsPerTurn && peer.flood.Load() > 0; n++ {
+	for n := 0; n < floodBatchDatagrams && peer.flood.Load() > 0; n++ {
 		peer.flood.Add(-1)
-		peer.write(to, peer.randomOf(peer.captured))
+		peer.write(to, peer.randomElement(peer.captured))
 		peer.Counts[report.HostileFlood]++
 	}
 }
--- a/internal/lab/standin/hostile_peer.go
+++ b/internal/lab/standin/hostile_peer.go
@@ -17,45 +17,45 @@
 )
 
 const (
-	// ForgedIncarnation is the start time of an incarnation that no honest peer has. A router that knows of it took a
-	// forgery.
+	// ForgedIncarnation is the start time of an incarnation that no honest peer has. A router that knows this
+	// incarnation has accepted a forgery.
 	ForgedIncarnation = 1 << 60
 
-	attackInterval        = 50 * time.Millisecond
-	maxCapturedDatagrams  = 500
-	receiveQueueLength    = 1024
-	floodDatagramsPerTurn = 500 // sent before the peer receives again
+	attackInterval       = 50 * time.Millisecond
+	maxCapturedDatagrams = 500
+	receiveQueueLength   = 1024
+	floodBatchDatagrams  = 500 // sent before the next received datagram is handled
 )
 
-// HostilePeer is a peer with a key of the roster that does all the harm it can. It answers health checks, so that it
-// stays a member, and accuses every peer, reports every endpoint as failing, forges and replays messages, answers for
-// failed peers and floods.
+// HostilePeer is a peer with a key in the roster that attacks the others. It answers health checks, so that it stays a
+// member, and accuses every peer, reports every endpoint as failing, forges and replays messages, sends acks for failed
+// peers and floods.
 type HostilePeer struct {
 	id            swim.MemberID
 	conn          *net.UDPConn
 	codec         *datagram.Codec
 	core          *swim.Core
 	endpoints     []string
-	routes        []netip.AddrPort // to the other peers, by their index
+	routes        []netip.AddrPort // addresses of the other peers, by index
 	rnd           *rand.Rand
-	captured      [][]byte         // datagrams to replay
-	signedRecords [][]byte         // of other peers, to replay
-	Counts        map[string]int64 // attacks by the keys of the report; to be read once Run has ended
-	flood         atomic.Int64     // datagrams left to be sent as fast as they go
+	captured      [][]byte         // received datagrams, to replay
+	signedRecords [][]byte         // signed records of other peers, to replay
+	Counts        map[string]int64 // number of attacks by report key; must not be read before Run has returned
+	flood         atomic.Int64     // flood datagrams still to be sent
 }
 
-// HostileConfig says who a hostile peer is and whom it attacks.
+// HostileConfig is the identity of a hostile peer and its targets.
 type HostileConfig struct {
 	Index     int // in the roster
 	Key       ed25519.PrivateKey
 	Roster    []datagram.Identity
-	Conn      *net.UDPConn     // of the peer from now on
-	Routes    []netip.AddrPort // to the other peers, by their index
-	Endpoints []string         // ids, to report as failing
+	Conn      *net.UDPConn     // owned by the hostile peer
+	Routes    []netip.AddrPort // addresses of the other peers, by index
+	Endpoints []string         // ids of endpoints to report as failing
 	Seed      uint64
 }
 
-// NewHostilePeer makes a hostile peer. It attacks when it runs.
+// NewHostilePeer creates a hostile peer. Its attacks start with Run.
 func NewHostilePeer(config HostileConfig) (*HostilePeer, error) {
 	id := swim.MemberID(config.Index)
 	codec, err := datagram.New(id, config.Key, config.Conn.LocalAddr().String(), "unknown-zone", config.Roster)
@@ -80,13 +80,13 @@
 	}, nil
 }
 
-// Close closes the peer's connection, which ends its reader.
-func (peer *HostilePeer) Close() { _ = peer.conn.Close() } // a second close changes nothing
+// Close closes the peer's socket, which stops its reader.
+func (peer *HostilePeer) Close() { _ = peer.conn.Close() } // closing twice is harmless
 
-// StartFlood lets the peer send so many datagrams as fast as it can.
+// StartFlood makes the peer send the given number of datagrams as fast as it can.
 func (peer *HostilePeer) StartFlood(datagrams int64) { peer.flood.Store(datagrams) }
 
-// Run attacks until the context ends. Its reader's goroutine ends with the peer's connection, at Close.
+// Run attacks until the context ends. Its reader's goroutine stops when Close closes the socket.
 func (peer *HostilePeer) Run(ctx context.Context) {
 	startedAt := time.Now()
 	received := make(chan []byte, receiveQueueLength)
@@ -97,8 +97,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case text := <-received:
-			peer.handle(text, time.Since(startedAt).Seconds())
+		case payload := <-received:
+			peer.handle(payload, time.Since(startedAt).Seconds())
 		case <-attacks.C:
 			peer.perform(peer.core.Tick(time.Since(startedAt).Seconds()))
 			peer.attack(sequence)
@@ -107,7 +107,7 @@
 	}
 }
 
-// receive reads datagrams until the connection ends. It drops what the queue does not hold.
+// receive reads datagrams until the socket is closed. It drops datagrams when the queue is full.
 func (peer *HostilePeer) receive(ctx context.Context, received chan<- []byte) {
 	buffer := make([]byte, datagram.MaxSize+1)
 	for {
@@ -125,12 +125,13 @@
 	}
 }
 
-// handle keeps a datagram for later replays and gives it to the core, now in seconds since the start.
-func (peer *HostilePeer) handle(text []byte, now float64) {
+// handle stores a datagram for later replays and passes it to the core. The parameter now is in seconds since the
+// start.
+func (peer *HostilePeer) handle(payload []byte, now float64) {
 	if len(peer.captured) < maxCapturedDatagrams {
-		peer.captured = append(peer.captured, text)
+		peer.captured = append(peer.captured, payload)
 	}
-	decoded, err := peer.codec.Decode(text, peer.core.IsNewer)
+	decoded, err := peer.codec.Decode(payload, peer.core.IsNewer)
 	if err != nil {
 		return
 	}
@@ -140,7 +141,8 @@
 	peer.perform(peer.core.HandleMessage(now, decoded.From, decoded.Message))
 }
 
-// perform sends what the core wants, which keeps the peer a member. It answers no indirect probes of others.
+// perform sends the messages that the core requests, so that the peer stays a member. It does not answer indirect
+// probes for others.
 func (peer *HostilePeer) perform(actions []swim.Action) {
 	for _, action := range actions {
 		send, isSend := action.(swim.Send)
@@ -154,14 +156,14 @@
 // send signs and sends a message with signed observations.
 func (peer *HostilePeer) send(to swim.MemberID, message swim.Message, observations [][]byte) {
 	startMillis := peer.core.SelfRecord().Incarnation.StartMillis
-	if text, err := peer.codec.Encode(startMillis, to, message, observations); err == nil {
-		peer.write(to, text)
+	if payload, err := peer.codec.Encode(startMillis, to, message, observations); err == nil {
+		peer.write(to, payload)
 	}
 }
 
 // write sends a datagram to a peer.
-func (peer *HostilePeer) write(to swim.MemberID, text []byte) {
+func (peer *HostilePeer) write(to swim.MemberID, payload []byte) {
 	if int(to) < len(peer.routes) && peer.routes[to].IsValid() {
-		_, _ = peer.conn.WriteToUDPAddrPort(text, peer.routes[to]) // one that is not sent counts as lost
+		_, _ = peer.conn.WriteToUDPAddrPort(payload, peer.routes[to]) // a datagram that cannot be sent counts as lost
 	}
 }
--- a/internal/lab/standin/idempotency.go
+++ b/internal/lab/standin/idempotency.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// IdempotencyRecords is what the stand-ins remember of idempotency keys, shared by all. A repeat within the window is
-// dropped.
+// IdempotencyRecords stores the idempotency keys that the stand-ins have executed. All stand-ins share it. A repeated
+// key within KeyRetentionSeconds is dropped.
 type IdempotencyRecords struct {
 	mu        sync.Mutex
-	lastRunAt map[string]float64 // Unix s, by key
+	lastRunAt map[string]float64 // Unix time in seconds, by key
 }
 
-// ShouldRun says whether a request that comes now runs, and records that it does.
+// ShouldRun reports whether a request that arrives now is executed, and if so records its key.
 func (records *IdempotencyRecords) ShouldRun(key string, now float64) bool {
 	records.mu.Lock()
 	defer records.mu.Unlock()
--- a/internal/lab/standin/idempotency_test.go
+++ b/internal/lab/standin/idempotency_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestKeysRunOnceAWindow: a stand-in that ran a key twice by itself would blame the router for a second effect. A key
-// runs once within its window, and again after it.
-func TestKeysRunOnceAWindow(t *testing.T) {
+// TestKeysRunOncePerWindow: if a stand-in executed a key twice by itself, the check would attribute the second effect
+// to the router. A key is executed only once within its retention window, and is executed again after it.
+func TestKeysRunOncePerWindow(t *testing.T) {
 	o := IdempotencyRecords{}
 	assert.Equal(
 		t,
--- a/internal/lab/standin/load.go
+++ b/internal/lab/standin/load.go
@@ -10,24 +10,24 @@
 	"cairnfront/internal/lab/timing"
 )
 
-// Shape of the load that all client groups have.
+// Parameters of the load of all client groups.
 const (
 	LoadObjects        = 60
 	LoadPartsPerObject = 6
 
-	nonIdempotentAbove  = 0.97 // of the draw that chooses a request's class
-	orderBelow          = 0.03
-	newObjectBelow      = 0.4 // where a client that watches a video goes on to something else
-	videoShare          = 0.6 // of the new objects; the others are page assets
-	smallObjects        = 9   // of those that are not cacheable
-	firstPageObject     = 0x100000
-	firstRecordObject   = 0xffe0000
-	firstOrderObject    = 0xfff0000
-	requestBodyBytes    = 200
-	maxClientPause      = 3 * time.Second
-	videoDeadline       = 5 * time.Second
-	pageDeadline        = 2500 * time.Millisecond
-	uncacheableDeadline = 3 * time.Second
+	nonIdempotentMinDraw = 0.97 // a higher random number selects a non-idempotent request
+	orderMaxDraw         = 0.03
+	newObjectMaxDraw     = 0.4 // a lower one makes a client that watches a video request a new object
+	videoShare           = 0.6 // share of videos among new objects; the others are page assets
+	uncacheableObjects   = 9   // number of objects in each class that is not cacheable
+	firstPageObject      = 0x100000
+	firstRecordObject    = 0xffe0000
+	firstOrderObject     = 0xfff0000
+	requestBodyBytes     = 200
+	maxClientPause       = 3 * time.Second
+	videoDeadline        = 5 * time.Second
+	pageDeadline         = 2500 * time.Millisecond
+	uncacheableDeadline  = 3 * time.Second
 )
 
 // ClientGroup is the clients of one router. They request parts of videos, page assets and orders.
@@ -37,10 +37,10 @@
 	Seed          uint64
 	Objects       int
 	Parts         int
-	Groups        int           // purge groups
-	MeanPause     time.Duration // between a client's requests
+	Groups        int           // number of purge groups
+	MeanPause     time.Duration // mean time between a client's requests
 	OnResponse    func(ClientResponse)
-	NonIdempotent bool // non-idempotent requests too
+	NonIdempotent bool // also send non-idempotent requests
 
 	mu              sync.Mutex
 	SecondResponses int64
@@ -62,7 +62,7 @@
 	clients.Wait()
 }
 
-// StartLoad starts client groups. The function that it returns ends them and waits; it may be called again.
+// StartLoad starts client groups. The returned function stops them and waits; it may be called more than once.
 func StartLoad(ctx context.Context, groups ...*ClientGroup) (stop func()) {
 	loadCtx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -91,11 +91,11 @@
 			group.OnResponse(response)
 		}
 		pause := generator.pause() + response.RetryAfter
-		_ = timing.Sleep(ctx, min(pause, maxClientPause)) // the loop asks the context
+		_ = timing.Sleep(ctx, min(pause, maxClientPause)) // the loop checks the context
 	}
 }
 
-// requestGenerator draws the requests of one client.
+// requestGenerator generates the random requests of one client.
 type requestGenerator struct {
 	group      *ClientGroup
 	popularity *Zipf
@@ -103,15 +103,15 @@
 	last       ClientRequest
 }
 
-// next draws the next request and its id.
+// next returns the next random request and its id.
 func (g *requestGenerator) next() (request ClientRequest, id string) {
 	draw := g.rnd.Float64()
 	switch {
-	case draw > nonIdempotentAbove && g.group.NonIdempotent:
+	case draw > nonIdempotentMinDraw && g.group.NonIdempotent:
 		g.last = g.record()
-	case draw < orderBelow:
+	case draw < orderMaxDraw:
 		g.last = g.order()
-	case draw < newObjectBelow || g.last.Class != ClassVideoPart:
+	case draw < newObjectMaxDraw || g.last.Class != ClassVideoPart:
 		g.last = g.newObject()
 	default:
 		g.nextPart()
@@ -120,7 +120,7 @@
 	return g.last, fmt.Sprintf("%016x", g.rnd.Uint64())
 }
 
-// pause draws the time until the next request.
+// pause returns a random time until the next request.
 func (g *requestGenerator) pause() time.Duration {
 	return time.Duration(g.rnd.ExpFloat64() * float64(g.group.MeanPause))
 }
@@ -128,7 +128,7 @@
 func (g *requestGenerator) record() ClientRequest {
 	return ClientRequest{
 		Class:    ClassRecord,
-		Object:   firstRecordObject + uint64(g.rnd.IntN(smallObjects)),
+		Object:   firstRecordObject + uint64(g.rnd.IntN(uncacheableObjects)),
 		Body:     make([]byte, requestBodyBytes),
 		Deadline: uncacheableDeadline,
 	}
@@ -137,14 +137,14 @@
 func (g *requestGenerator) order() ClientRequest {
 	return ClientRequest{
 		Class:          ClassPrintOrder,
-		Object:         firstOrderObject + uint64(g.rnd.IntN(smallObjects)),
+		Object:         firstOrderObject + uint64(g.rnd.IntN(uncacheableObjects)),
 		idempotencyKey: fmt.Sprintf("%016x%016x", g.rnd.Uint64(), g.rnd.Uint64()),
 		Body:           make([]byte, requestBodyBytes),
 		Deadline:       uncacheableDeadline,
 	}
 }
 
-// newObject is the first part of a video or a page asset.
+// newObject returns a request for the first part of a random video, or for a random page asset.
 func (g *requestGenerator) newObject() ClientRequest {
 	object := g.popularity.Draw(g.rnd)
 	if g.rnd.Float64() < videoShare {
@@ -153,7 +153,7 @@
 	return ClientRequest{Class: ClassPageAsset, Object: firstPageObject + object, Deadline: pageDeadline}
 }
 
-// nextPart goes on to the next part of the video, or to the start of another one.
+// nextPart advances to the next part of the video, or after the last part to the start of another video.
 func (g *requestGenerator) nextPart() {
 	g.last.Part++
 	if int(g.last.Part) >= g.group.Parts {
--- a/internal/lab/standin/zipf.go
+++ b/internal/lab/standin/zipf.go
@@ -6,27 +6,27 @@
 	"sort"
 )
 
-// zipfExponent is that of the popularity of objects, as request logs of videos show it.
+// zipfExponent is the exponent of the popularity distribution of objects, as in request logs of video services.
 const zipfExponent = 0.8
 
-// Zipf draws objects by Zipf's law.
+// Zipf selects random objects by Zipf's law.
 type Zipf struct {
-	cumulated []float64
+	cumulativeWeights []float64
 }
 
-// NewZipf makes one for so many objects.
+// NewZipf returns a distribution over the given number of objects.
 func NewZipf(objects int) *Zipf {
-	z := &Zipf{cumulated: make([]float64, objects)}
+	z := &Zipf{cumulativeWeights: make([]float64, objects)}
 	sum := 0.0
-	for i := range z.cumulated {
+	for i := range z.cumulativeWeights {
 		sum += math.Pow(float64(i+1), -zipfExponent)
-		z.cumulated[i] = sum
+		z.cumulativeWeights[i] = sum
 	}
 	return z
 }
 
-// Draw draws the number of an object, from 0 on, the most popular first.
+// Draw returns a random object number. Numbers start at 0, which is the most popular object.
 func (z *Zipf) Draw(rnd *rand.Rand) uint64 {
-	total := z.cumulated[len(z.cumulated)-1]
-	return uint64(sort.SearchFloat64s(z.cumulated, rnd.Float64()*total))
+	total := z.cumulativeWeights[len(z.cumulativeWeights)-1]
+	return uint64(sort.SearchFloat64s(z.cumulativeWeights, rnd.Float64()*total))
 }
--- a/internal/lab/timing/doc.go
+++ b/internal/lab/timing/doc.go
@@ -1,2 +1,2 @@
-// Package timing has what the laboratory needs of the wall clock: waiting with a limit, and times as numbers.
+// Package timing has the laboratory's helpers for the wall clock: waiting with a limit, and times as numbers.
 package timing
--- a/internal/lab/timing/timing.go
+++ b/internal/lab/timing/timing.go
@@ -9,13 +9,13 @@
 	"cairnfront/internal/clock"
 )
 
-// conditionPollInterval is the time between two checks of a condition.
+// conditionPollInterval is the interval between two checks of a condition.
 const conditionPollInterval = 5 * time.Millisecond
 
-// ErrNoSuccess says that a condition did not become true in time.
+// ErrNoSuccess is returned if a condition did not become true in time.
 var ErrNoSuccess = errors.New("no success")
 
-// WaitUntil waits until a condition holds, for a time at the most. Past that it returns an ErrNoSuccess.
+// WaitUntil waits until a condition holds, for at most the given limit. After that it returns an ErrNoSuccess.
 func WaitUntil(limit time.Duration, condition func() bool) error {
 	for end := time.Now().Add(limit); ; time.Sleep(conditionPollInterval) {
 		if condition() {
@@ -27,7 +27,7 @@
 	}
 }
 
-// Sleep waits for a duration, or returns the context's error when that ends before.
+// Sleep waits for a duration. It returns the context's error if the context ends first.
 func Sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -37,8 +37,8 @@
 	}
 }
 
-// UnixSeconds is a time in seconds since 1970, to the microsecond.
+// UnixSeconds returns a time in seconds since 1970, with microsecond precision.
 func UnixSeconds(t time.Time) float64 { return clock.At(t).Seconds() }
 
-// Seconds is a number of seconds as a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/lab/timing/timing_test.go
+++ b/internal/lab/timing/timing_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWaitUntilEnds: a scenario that waits for a process that never starts must end with an error, and one whose
-// context ends must not sleep on.
+// TestWaitUntilEnds: a scenario that waits for a process that never starts must return an error, and one with a
+// canceled context must stop sleeping.
 func TestWaitUntilEnds(t *testing.T) {
 	calls := 0
 	require.NoError(t, WaitUntil(time.Minute, func() bool {
--- a/internal/lab/verify/attempts.go
+++ b/internal/lab/verify/attempts.go
@@ -10,12 +10,13 @@
 	"cairnfront/internal/lab/standin"
 )
 
-// minOrderingMargin is how much later, s, a stand-in's goroutine may come to read a line than another that was
-// written after it on another connection, on a machine with idle cores. A shorter overlap is none.
-const minOrderingMargin = 0.010
+// minOrderingMarginSeconds is the delay, on a machine with idle cores, between the reads of two goroutines: one may
+// read its line this much later than another goroutine reads a line that was written later, on another connection. A
+// shorter overlap of attempts does not count.
+const minOrderingMarginSeconds = 0.010
 
-// SchedulingDelay measures how late goroutines of this process come to run. On a machine whose cores are busy they
-// wait tens of milliseconds. What two of them saw cannot be ordered more finely than that.
+// SchedulingDelay measures the delay until goroutines of this process are scheduled. On a machine with busy cores they
+// wait tens of milliseconds. Events that two goroutines observed cannot be ordered more precisely than that.
 type SchedulingDelay struct {
 	mu         sync.Mutex
 	maxSeconds float64
@@ -34,16 +35,16 @@
 	}
 }
 
-// OrderingMargin is the time, s, within which two lines on two connections cannot be ordered. One goroutine may have
-// been as late as the latest, and the other not at all, and each waits for a core and for a lock.
+// OrderingMargin returns the time in seconds within which two lines on two connections cannot be ordered. One goroutine
+// may have had the maximum delay and the other none, and each waits for a core and for a lock.
 func (delay *SchedulingDelay) OrderingMargin() float64 {
 	delay.mu.Lock()
 	defer delay.mu.Unlock()
-	return minOrderingMargin + 2*delay.maxSeconds
+	return minOrderingMarginSeconds + 2*delay.maxSeconds
 }
 
-// OverlappingAttempts counts the pairs of attempts of a request that were open at the same time, and the requests
-// of non-idempotent classes that were received completely more than once. Violations has one line for each.
+// OverlappingAttempts counts the pairs of attempts of one request that were open at the same time, and the requests of
+// non-idempotent classes that were received completely more than once. The list of violations has one line for each.
 func OverlappingAttempts(
 	attempts []*standin.Attempt, margin float64, nonIdempotent map[string]bool,
 ) (overlapping, repeats int64, violations []string) {
@@ -73,7 +74,7 @@
 	pairs := 0
 	for i, attempt := range attempts {
 		for _, earlier := range attempts[:i] {
-			if attempt.OpenTogether(earlier, margin) {
+			if attempt.Overlaps(earlier, margin) {
 				pairs++
 			}
 		}
--- a/internal/lab/verify/attempts_test.go
+++ b/internal/lab/verify/attempts_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestOverlapsBeyondTheMarginAreCounted: two attempts that run at once at different stand-ins may both have an effect,
-// and only their times show it. An overlap longer than the clocks' margin is counted; a shorter one may be a delay of
-// the machine's scheduler and is not.
+// TestOverlapsBeyondTheMarginAreCounted: two attempts that run at the same time at different stand-ins may both have an
+// effect, and only their times reveal it. An overlap longer than the ordering margin is counted. A shorter one is not,
+// as a scheduling delay may have caused it.
 func TestOverlapsBeyondTheMarginAreCounted(t *testing.T) {
 	for gap, want := range map[float64]int64{0.1: 1, 0.005: 0} {
 		attempts := []*standin.Attempt{
@@ -42,5 +42,5 @@
 		assert.Equal(t, int64(1), repeats)
 		assert.Len(t, violations, int(want)+1)
 	}
-	assert.InDelta(t, minOrderingMargin+0.08, (&SchedulingDelay{maxSeconds: 0.04}).OrderingMargin(), 1e-9)
+	assert.InDelta(t, minOrderingMarginSeconds+0.08, (&SchedulingDelay{maxSeconds: 0.04}).OrderingMargin(), 1e-9)
 }
--- a/internal/lab/verify/doc.go
+++ b/internal/lab/verify/doc.go
@@ -1,5 +1,5 @@
-// Package verify has the verdicts of the laboratory: it compares records of clients, stand-ins and routers' logs with
-// the rules, and reports what did not hold.
+// Package verify checks the outcome of laboratory runs: it compares the records of clients and stand-ins and the
+// routers' logs with the rules, and reports violations.
 //
-// It starts nothing and reads no counter of the product. Each check has a test that breaks its rule on purpose.
+// It starts no processes and reads no counters of the product. Each check has a test that violates its rule on purpose.
 package verify
--- a/internal/lab/verify/membership_plots.go
+++ b/internal/lab/verify/membership_plots.go
@@ -4,11 +4,11 @@
 	"cairnfront/internal/lab/report"
 )
 
-// plotStepSeconds is the time between two points of the plot of the peers seen.
+// plotStepSeconds is the interval between two points in the plot of the peers seen.
 const plotStepSeconds = 0.5
 
-// AddPlots adds the plots of how many peers the routers saw and of the rate of datagrams between them, with marks where
-// faults began.
+// AddPlots adds plots of the number of peers that the routers saw and of the rate of datagrams between them. Marks show
+// where faults began.
 func (e *Membership) AddPlots(r *report.Report, rate report.Line, marks []report.Mark) {
 	fewest := report.Line{Name: "minimum over the routers"}
 	most := report.Line{Name: "maximum over the routers"}
@@ -36,7 +36,8 @@
 	)
 }
 
-// peersSeenAt is the fewest and the most routers that a running router saw at a time, itself among them.
+// peersSeenAt returns the minimum and the maximum number of routers that a running router saw at a time, including
+// itself.
 func (e *Membership) peersSeenAt(at float64) (fewest, most int) {
 	fewest = len(e.Routers)
 	for _, router := range e.Routers {
--- a/internal/lab/verify/membership_test.go
+++ b/internal/lab/verify/membership_test.go
@@ -20,13 +20,13 @@
 // loggedRouters is the number of routers in the tests of the checks.
 const loggedRouters = 20
 
-// loggedRun is a run whose routers' logs are written by a test.
+// loggedRun is a run with routers' logs that a test writes.
 type loggedRun struct {
 	Membership
-	logs []string // by router
+	logs []string // log text by router
 }
 
-// newLoggedRun is a run with twenty routers under one kill and one cut, in which all goes well.
+// newLoggedRun returns a run of twenty routers with one kill and one cut, in which no rule is violated.
 func newLoggedRun() *loggedRun {
 	run := &loggedRun{
 		Membership: Membership{
@@ -47,34 +47,34 @@
 		run.Names = append(run.Names, fmt.Sprintf("n%d", router+1))
 	}
 	for router := range loggedRouters {
-		run.logAllWell(router)
+		run.logCorrectRun(router)
 	}
-	run.requestEachSecond("s-00000001")
+	run.addRequestEachSecond("s-00000001")
 	return run
 }
 
-// say writes a line to a router's log, at a time in seconds from the start of the script.
-func (run *loggedRun) say(router int, at float64, text string) {
+// writeLog appends a line to a router's log, at a time in seconds since the start of the script.
+func (run *loggedRun) writeLog(router int, at float64, text string) {
 	written := run.ScriptStart.Add(time.Duration(at * float64(time.Second)))
 	run.logs[router] += fmt.Sprintf("time=%s level=INFO %s\n", written.Format(time.RFC3339Nano), text)
 }
 
-// logAllWell writes the log of a router that sees its peers start, and the killed one fail and come back.
-func (run *loggedRun) logAllWell(router int) {
+// logCorrectRun writes the log of a router that sees its peers start, and sees the killed router fail and return.
+func (run *loggedRun) logCorrectRun(router int) {
 	for peer := range loggedRouters {
 		if peer != router {
-			run.say(router, -2, peerChanged(run.Names[peer], "alive", "unknown", 5, 0))
+			run.writeLog(router, -2, peerStateLine(run.Names[peer], "alive", "unknown", 5, 0))
 		}
 	}
-	run.say(router, -1, `msg="partition state changed" state=complete previous_state=alone epoch=2`)
+	run.writeLog(router, -1, `msg="partition state changed" state=complete previous_state=alone epoch=2`)
 	if router != 3 {
-		run.say(router, 3, peerChanged("n4", "failed", "suspect", 5, 0)+" duration_seconds=1.2")
-		run.say(router, 8.5, peerChanged("n4", "alive", "failed", 6, 0))
+		run.writeLog(router, 3, peerStateLine("n4", "failed", "suspect", 5, 0)+" duration_seconds=1.2")
+		run.writeLog(router, 8.5, peerStateLine("n4", "alive", "failed", 6, 0))
 	}
 }
 
-// requestEachSecond records a request to an edge cache in each second.
-func (run *loggedRun) requestEachSecond(edgeCache string) {
+// addRequestEachSecond records one request per second to an edge cache.
+func (run *loggedRun) addRequestEachSecond(edgeCache string) {
 	run.EdgeCaches = []string{edgeCache}
 	for at := 0.5; at < 30; at++ {
 		request := Request{timing.UnixSeconds(run.ScriptStart) + at, edgeCache, cacheproto.Command{}}
@@ -82,7 +82,7 @@
 	}
 }
 
-// readLogs reads the routers' logs from files, as after a run.
+// readLogs writes the routers' logs to files and reads them as after a real run.
 func (run *loggedRun) readLogs(t *testing.T) {
 	t.Helper()
 	peers := map[string]int{}
@@ -99,8 +99,8 @@
 	}
 }
 
-// verifiedRun is the report on a run in which all goes well but for what a test changes.
-func verifiedRun(t *testing.T, change func(run *loggedRun)) *report.Report {
+// verifyRun returns the report on a run without violations, except for those that the change function causes.
+func verifyRun(t *testing.T, change func(run *loggedRun)) *report.Report {
 	t.Helper()
 	run := newLoggedRun()
 	change(run)
@@ -110,8 +110,8 @@
 	return r
 }
 
-// peerChanged is a router's log line on a peer's new state.
-func peerChanged(peer, state, previous string, incarnation uint64, refutations int) string {
+// peerStateLine returns a router's log line about a peer's new state.
+func peerStateLine(peer, state, previous string, incarnation uint64, refutations int) string {
 	return fmt.Sprintf(
 		"msg=\"peer state changed\" peer=%s state=%s previous_state=%s reason=newer_record "+
 			"incarnation=%d refutations=%d",
@@ -119,50 +119,50 @@
 	)
 }
 
-// membershipCases are changes of a run in which all goes well, and a part of what a check says of them; empty where all
-// checks hold.
+// membershipCases are changes to a run without violations, each with a part of the expected violation message; empty if
+// all checks pass.
 var membershipCases = map[string]struct {
 	change func(run *loggedRun)
 	want   string
 }{
-	"all well": {func(*loggedRun) {}, ""},
+	"no violation": {func(*loggedRun) {}, ""},
 	"a healthy peer declared failed": {func(run *loggedRun) {
-		run.say(5, 12, peerChanged("n8", "failed", "suspect", 5, 0))
+		run.writeLog(5, 12, peerStateLine("n8", "failed", "suspect", 5, 0))
 	}, "n6 declared n8 failed at 12.00 s, which ran"},
 	"a failure that the cut explains": {func(run *loggedRun) {
-		run.say(5, 17, peerChanged("n1", "failed", "suspect", 5, 0))
-		run.say(5, 20.5, peerChanged("n1", "alive", "failed", 5, 1))
+		run.writeLog(5, 17, peerStateLine("n1", "failed", "suspect", 5, 0))
+		run.writeLog(5, 20.5, peerStateLine("n1", "alive", "failed", 5, 1))
 	}, ""},
-	"never detected": {func(run *loggedRun) {
+	"kill never detected": {func(run *loggedRun) {
 		run.Script.Faults[0].From = []int{9}
 	}, "n1 never declared n10 failed, which was killed at 1.0 s"},
 	"a forgery accepted": {func(run *loggedRun) {
-		run.say(2, 12, peerChanged("n8", "alive", "suspect", standin.ForgedIncarnation, 0))
+		run.writeLog(2, 12, peerStateLine("n8", "alive", "suspect", standin.ForgedIncarnation, 0))
 	}, "n3 accepted a forged incarnation of n8"},
 	"no agreement after a cut": {func(run *loggedRun) {
-		run.say(5, 17, peerChanged("n1", "failed", "suspect", 5, 0))
+		run.writeLog(5, 17, peerStateLine("n1", "failed", "suspect", 5, 0))
 	}, "not all routers agreed"},
-	"detected late": {func(run *loggedRun) {
+	"kill detected late": {func(run *loggedRun) {
 		run.Script.Faults[0].Start = -6
 	}, "9.0 s until all routers had detected a kill"},
-	"agreement late after a cut": {func(run *loggedRun) {
-		run.say(5, 17, peerChanged("n1", "failed", "suspect", 5, 0))
-		run.say(5, 28.5, peerChanged("n1", "alive", "failed", 5, 1))
+	"late agreement after a cut": {func(run *loggedRun) {
+		run.writeLog(5, 17, peerStateLine("n1", "failed", "suspect", 5, 0))
+		run.writeLog(5, 28.5, peerStateLine("n1", "alive", "failed", 5, 1))
 	}, "s after a cut until all routers agreed"},
 	"a panic": {func(run *loggedRun) {
-		run.say(5, 17, `msg="panic recovered" component=membership`)
+		run.writeLog(5, 17, `msg="panic recovered" component=membership`)
 	}, "a panic"},
 	"a healthy edge cache not used": {func(run *loggedRun) {
 		run.Requests = run.Requests[:12]
 	}, "edge cache s-00000001 got no request from 12.5 to 15.0 s"},
 }
 
-// TestMembershipChecksSeeWhatIsBroken: a verdict whose checks find nothing in the logs says that all went well,
-// whatever the routers did. Each check must fail where its rule is broken, and hold where it is not.
-func TestMembershipChecksSeeWhatIsBroken(t *testing.T) {
+// TestMembershipChecksDetectViolations: checks that find nothing in the logs report every run as correct, whatever the
+// routers did. Each check must fail when its rule is violated, and pass when it is not.
+func TestMembershipChecksDetectViolations(t *testing.T) {
 	for name, c := range membershipCases {
 		t.Run(name, func(t *testing.T) {
-			r := verifiedRun(t, c.change)
+			r := verifyRun(t, c.change)
 			if c.want == "" {
 				assert.Empty(t, r.Broken)
 			} else {
@@ -170,6 +170,6 @@
 			}
 		})
 	}
-	r := verifiedRun(t, func(*loggedRun) {})
+	r := verifyRun(t, func(*loggedRun) {})
 	assert.InDelta(t, 3-1, r.Figures[report.DetectionP50], 0.01)
 }
