--- a/internal/lab/scenario/addresses.go
+++ b/internal/lab/scenario/addresses.go
@@ -16,8 +16,8 @@
 
 // Errors of a phase without requests to measure, and of a variant in which too few requests ended.
 var (
-	errNoRequests  = errors.New("no request was sent in the phase")
-	errTooFewEnded = errors.New("too few requests ended")
+	errNoRequests      = errors.New("no request was sent in the phase")
+	errTooFewResponses = errors.New("too few responses before the time limit")
 )
 
 // Durations of the scenario.
@@ -100,7 +100,7 @@
 	r.Steps = append(
 		r.Steps,
 		fmt.Sprintf(
-			"%d requests of idempotent classes, one with idempotency keys and one that is not idempotent, in each "+
+			"%d requests of idempotent classes, a class with idempotency keys and a non-idempotent class, in each "+
 				"of %d variants, over a router and four stand-in endpoints",
 			perVariant,
 			len(addressVariants),
@@ -142,7 +142,7 @@
 		elapsed, recovered := testCluster.restoreFaultyAddress()
 		r.Figures[report.Key(report.AddressRecovery, variant.name)] = elapsed
 		if !recovered {
-			r.AddViolation("%s: the address has recovered and is not used", report.SuffixLabel(variant.name))
+			r.AddViolation("%s: the router does not use the recovered address", report.SuffixLabel(variant.name))
 		}
 	}
 	load.stop()
@@ -206,7 +206,7 @@
 	case <-time.After(variantTimeLimit):
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return fmt.Errorf("%w: %d of %d", errTooFewEnded, c.n, c.want)
+		return fmt.Errorf("%w: %d of %d", errTooFewResponses, c.n, c.want)
 	}
 }
 
--- a/internal/lab/scenario/addresses_pairs.go
+++ b/internal/lab/scenario/addresses_pairs.go
@@ -52,7 +52,7 @@
 			return err
 		}
 		if _, recovered := testCluster.restoreFaultyAddress(); !recovered {
-			r.AddViolation("pair %d: the address has recovered and is not used", i+1)
+			r.AddViolation("pair %d: the router does not use the recovered address", i+1)
 		}
 	}
 	load.stop()
@@ -60,11 +60,11 @@
 	r.Steps = append(
 		r.Steps,
 		fmt.Sprintf(
-			"then phases of %v that alternate on one more router under one load, with all addresses healthy and with "+
-				"one unresponsive; each phase has its own p99",
+			"then alternating phases of %v on another router under one load, with all addresses healthy and with "+
+				"one unresponsive; the p99 is measured in each phase",
 			phase,
 		),
-		"requests of clients are those of variants and phases, attempts those of the variants alone",
+		"client requests are counted in variants and phases, attempts only in variants",
 	)
 	pairs.addFigures(r)
 	pairs.checkUnresponsiveAddressCost(r, options.Full)
--- a/internal/lab/scenario/disk_restart.go
+++ b/internal/lab/scenario/disk_restart.go
@@ -278,7 +278,7 @@
 			d.size.clients,
 			d.size.restarts,
 		),
-		"each time four purges while they are down (one of a purge group) and one while they catch up",
+		"at each restart four purges while the edge caches are down (one of a purge group), one while they catch up",
 		"drains and overload of endpoints that warm up are not checked here; the demo checks drains",
 	)
 	r.Plots = append(
--- a/internal/lab/scenario/partial_observation.go
+++ b/internal/lab/scenario/partial_observation.go
@@ -40,7 +40,7 @@
 		r.Steps,
 		"the routing module alone; endpoints, links and clients are simulated on virtual time",
 		fmt.Sprintf(
-			"from %.0f to %.0f s half as much traffic again and a purge of one group, or half of the "+
+			"from %.0f to %.0f s 50%% more traffic and a purge of one group, or half of the "+
 				"parent caches lost and back empty",
 			faultPhase.From,
 			faultPhase.To,
--- a/internal/lab/simulation/membership.go
+++ b/internal/lab/simulation/membership.go
@@ -191,7 +191,7 @@
 		return err
 	}
 	if result.TraceHash != again.TraceHash {
-		r.AddViolation("two runs of one script differ")
+		r.AddViolation("two runs of the same script have different traces")
 	}
 	if failure := membershipFailure(result, &script); failure != "" {
 		r.AddViolation("%s", failure)
