--- a/internal/edgecache/handler/action.go
+++ b/internal/edgecache/handler/action.go
@@ -5,54 +5,55 @@
 	"cairnfront/routing"
 )
 
-// Action is one of Respond, ReadDisk, Fetch, CancelFetch, WriteDisk, TouchDisk, DeleteFromDisk and ConfirmOnDisk.
+// Action is an action for the caller to perform: one of Respond, ReadDisk, Fetch, CancelFetch, WriteDisk, TouchDisk,
+// DeleteFromDisk and ConfirmOnDisk.
 type Action interface{ action() }
 
-// Respond ends a request.
+// Respond ends a request with a response.
 type Respond struct {
 	Request     uint64
 	Result      routing.AttemptResult
 	Detail      routing.ResultDetail
-	NotModified bool   // the client's copy is current
-	Copy        *Copy  // what it is completed with, nil for none
-	PassThrough bool   // completed with the response of Fill, which is not cached
-	Fill        uint64 // of a pass-through
+	NotModified bool   // the client's copy is still current
+	Copy        *Copy  // content of the response, nil if there is none
+	PassThrough bool   // forwards the response of Fill, which is not cached
+	Fill        uint64 // fill to forward if PassThrough is set
 }
 
-// ReadDisk reads a chunk from the disk. HandleDiskRead takes the result.
+// ReadDisk reads a chunk from the disk. The caller passes the result to HandleDiskRead.
 type ReadDisk struct{ Key eviction.Key }
 
-// Fetch requests a chunk from a source. HandleFetched takes the result.
+// Fetch requests a chunk from a source. The caller passes the result to HandleFetched.
 type Fetch struct {
 	Fill           uint64
-	Request        uint64 // whose body goes with it, 0 for none
+	Request        uint64 // request whose body is sent along, 0 if none
 	Key            eviction.Key
 	Class          string
 	Source         string
-	ETag           string // of the copy to be confirmed
+	ETag           string // ETag of the copy to revalidate, empty if none
 	TimeoutSeconds float64
-	MaxAgeSeconds  float64 // seconds, 0 for the class's fresh time
+	MaxAgeSeconds  float64 // maximum age of the copy, 0 for the class's fresh time
 	Rank           int
 
 	CacheOnly, NoStore, JoinFill bool
 }
 
-// CancelFetch cancels a fetch; no result is expected.
+// CancelFetch cancels a fetch. The handler expects no result for it.
 type CancelFetch struct{ Fill uint64 }
 
-// WriteDisk offers a copy to the disk. Epoch is the epoch in which its source was asked.
+// WriteDisk offers a copy to the disk cache. Epoch is the validity epoch in which the source was requested.
 type WriteDisk struct {
 	Copy  *Copy
 	Epoch uint16
 }
 
-// TouchDisk counts a request that memory answered in the disk's eviction policy.
+// TouchDisk records a hit in memory as a use of the chunk in the disk cache's eviction policy.
 type TouchDisk struct{ Copy *Copy }
 
-// DeleteFromDisk deletes a chunk from the disk.
+// DeleteFromDisk deletes a chunk from the disk cache.
 type DeleteFromDisk struct{ Key eviction.Key }
 
-// ConfirmOnDisk records that the source has confirmed the copy on the disk.
+// ConfirmOnDisk records that the source has confirmed that the copy on the disk is valid.
 type ConfirmOnDisk struct {
 	Key   eviction.Key
 	Seq   uint64
--- a/internal/edgecache/handler/fill.go
+++ b/internal/edgecache/handler/fill.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	// parentRank is the rank at which a parent cache is asked to cache what it fetches for an edge cache.
+	// parentRank is the rank with which a parent cache is to cache a chunk that it fetches for an edge cache.
 	parentRank = 2
-	// maxRefills is the number of times that a fetch is repeated because a purge overtook it.
+	// maxRefills limits how often a fetch is repeated because a purge has meanwhile invalidated its result.
 	maxRefills = 1
-	// returnSeconds is the time by which a source has to respond before the deadline, for the way back.
-	returnSeconds = 0.02
+	// responseMarginSeconds is how long before the deadline a source must respond, which leaves time for the transfer.
+	responseMarginSeconds = 0.02
 )
 
-// fill is a fetch under way.
+// fill is a fetch in progress.
 type fill struct {
-	id          uint64
-	key         eviction.Key
-	first       Request // which began it
-	base        *Copy   // the copy to be confirmed, nil for none
-	epoch       uint16  // in which the source was asked
-	deadline    float64 // Unix seconds
-	waiting     []Request
-	passThrough bool // of a class that is not cacheable; it belongs to one request
-	refills     int
+	id             uint64
+	key            eviction.Key
+	initialRequest Request // request that started the fill
+	cachedCopy     *Copy   // cached copy to revalidate, nil if none
+	epoch          uint16  // validity epoch in which the source was requested
+	deadline       float64 // Unix seconds
+	waiting        []Request
+	passThrough    bool // the class is not cacheable; the fill serves only one request
+	refills        int
 }
 
-// FetchResult is the result of a Fetch.
+// FetchResult is the result of a Fetch action.
 type FetchResult struct {
 	Result      routing.AttemptResult
-	NotModified bool // the copy of the fetch's tag is current
+	NotModified bool // the copy with the ETag of the fetch is still current
 	ETag        string
 	IssuedAt    int64 // Unix ms
 	Group       uint16
 	Body        []byte
 }
 
-// fetch joins a suitable fill, starts one, or fails the request. base is the copy to be confirmed, nil for none.
-func (h *Handler) fetch(r Request, base *Copy, refills int) {
+// fetch joins a suitable fill, starts a new one, or fails the request. cachedCopy is the copy to revalidate, or nil.
+func (h *Handler) fetch(r Request, cachedCopy *Copy, refills int) {
 	f := h.fillByKey[r.Key]
 	switch {
 	case f != nil && h.mayJoin(f, r):
@@ -52,21 +52,21 @@
 	case h.fillsExhausted():
 		h.fail(r, routing.Overloaded)
 	default:
-		h.startFill(r, base, refills)
+		h.startFill(r, cachedCopy, refills)
 	}
 }
 
-func (h *Handler) startFill(r Request, base *Copy, refills int) {
+func (h *Handler) startFill(r Request, cachedCopy *Copy, refills int) {
 	h.lastFill++
 	f := &fill{
-		id:          h.lastFill,
-		key:         r.Key,
-		first:       r,
-		base:        base,
-		epoch:       h.env.Epoch(),
-		deadline:    h.now + h.limits.FillTimeoutSeconds,
-		passThrough: !r.Class.Cacheable,
-		refills:     refills,
+		id:             h.lastFill,
+		key:            r.Key,
+		initialRequest: r,
+		cachedCopy:     cachedCopy,
+		epoch:          h.env.Epoch(),
+		deadline:       h.now + h.limits.FillTimeoutSeconds,
+		passThrough:    !r.Class.Cacheable,
+		refills:        refills,
 	}
 	if f.passThrough {
 		f.deadline = r.Deadline
@@ -79,22 +79,23 @@
 	if mayBeJoined(f) {
 		h.fillByKey[r.Key] = f
 	}
-	h.do(h.fetchAction(f))
+	h.addAction(h.fetchAction(f))
 }
 
-// mayBeJoined says whether later requests may wait for a fill: it brings a copy, and its own request, if there is one,
-// allowed that too.
+// mayBeJoined reports whether later requests may wait for a fill. The result must be cacheable, and the request that
+// started the fill must allow joining, unless the fill is a background revalidation.
 func mayBeJoined(f *fill) bool {
-	return !f.passThrough && (f.first.JoinFill || f.first.ID == 0)
+	return !f.passThrough && (f.initialRequest.JoinFill || f.initialRequest.ID == 0)
 }
 
-// mayJoin reports whether a request may wait for a fill: its result has to be young enough and still to come.
+// mayJoin reports whether a request may wait for a fill. The fill must guarantee a copy that is recent enough for the
+// request, and it must not have timed out.
 func (h *Handler) mayJoin(f *fill, r Request) bool {
-	return r.Class.Cacheable && r.JoinFill && r.ID != 0 && f.first.maxAge() <= r.maxAge() && f.deadline > h.now
+	return r.Class.Cacheable && r.JoinFill && r.ID != 0 && f.initialRequest.maxAge() <= r.maxAge() && f.deadline > h.now
 }
 
 func (h *Handler) fetchAction(f *fill) Fetch {
-	r := f.first
+	r := f.initialRequest
 	action := Fetch{
 		Fill:           f.id,
 		Key:            r.Key,
@@ -116,14 +117,16 @@
 	if !r.CacheOnly && !r.NoStore {
 		action.Rank = parentRank
 	}
-	if f.base != nil {
-		action.ETag = f.base.ETag
+	if f.cachedCopy != nil {
+		action.ETag = f.cachedCopy.ETag
 	}
 	return action
 }
 
-// sourceTimeout is the time that a source has to respond, in seconds, of what is left until the fill's deadline.
-func sourceTimeout(remaining float64) float64 { return max(remaining-returnSeconds, returnSeconds) }
+// sourceTimeout returns the response timeout for the source, given the seconds that remain until the fill's deadline.
+func sourceTimeout(remaining float64) float64 {
+	return max(remaining-responseMarginSeconds, responseMarginSeconds)
+}
 
 func (h *Handler) removeFill(f *fill) {
 	delete(h.fills, f.id)
@@ -135,9 +138,9 @@
 	}
 }
 
-// HandleFetched takes the result of a Fetch. One of a cancelled fetch is ignored.
+// HandleFetched handles the result of a Fetch action. It ignores the result of a cancelled fetch.
 func (h *Handler) HandleFetched(now float64, fillID uint64, result FetchResult) []Action {
-	h.begin(now)
+	h.beginEvent(now)
 	f := h.fills[fillID]
 	if f == nil {
 		return h.actions
@@ -145,10 +148,10 @@
 	h.removeFill(f)
 	switch {
 	case result.Result != routing.Completed:
-		h.failAll(f, responseCode(result.Result))
+		h.failWaiting(f, responseCode(result.Result))
 	case f.passThrough:
 		for _, r := range f.waiting {
-			h.do(Respond{
+			h.addAction(Respond{
 				Request:     r.ID,
 				Result:      routing.Completed,
 				Detail:      routing.Filled,
@@ -157,22 +160,22 @@
 				Fill:        f.id,
 			})
 		}
-	case result.NotModified && f.base == nil: // it confirms a copy that was not named
-		h.failAll(f, routing.ServerError)
+	case result.NotModified && f.cachedCopy == nil: // a "not modified" response to a fetch without an ETag
+		h.failWaiting(f, routing.ServerError)
 	default:
-		h.handleFilled(f, result)
+		h.completeFill(f, result)
 	}
 	return h.actions
 }
 
-func (h *Handler) failAll(f *fill, code routing.AttemptResult) {
+func (h *Handler) failWaiting(f *fill, code routing.AttemptResult) {
 	for _, r := range f.waiting {
 		h.fail(r, code)
 	}
 }
 
-// responseCode is the code of a response after a failed fetch. It says that the request did not run only where that is
-// certain.
+// responseCode returns the result code for a request whose fetch failed. The code reports that the request was not
+// executed only if that is certain.
 func responseCode(code routing.AttemptResult) routing.AttemptResult {
 	switch code {
 	case routing.CacheMiss:
@@ -181,17 +184,17 @@
 		return routing.Overloaded
 	case routing.Completed, routing.ServerError, routing.TimedOut, routing.ConnectionBroken, routing.Cancelled:
 	}
-	return routing.ServerError // it may have run
+	return routing.ServerError // the request may have been executed
 }
 
-// handleFilled takes a chunk that a source delivered or confirmed.
-func (h *Handler) handleFilled(f *fill, result FetchResult) {
-	c := f.copyOf(result)
-	// A purge that arrived while the source answered may be newer than the copy. Such a copy must not be stored: the
-	// purge has passed and would not remove it.
+// completeFill stores a chunk that a source delivered or confirmed and responds to the waiting requests.
+func (h *Handler) completeFill(f *fill, result FetchResult) {
+	c := f.resultingCopy(result)
+	// A purge that arrived during the fetch may be newer than the copy. Such a copy must not be stored, because the
+	// purge has already been applied and would not remove it.
 	if h.env.Evaluate(c.validityCopy()) == validity.Invalidated {
 		h.memory.remove(f.key)
-		h.do(DeleteFromDisk{f.key})
+		h.addAction(DeleteFromDisk{f.key})
 		for _, r := range f.waiting {
 			h.refillOrFail(f, r, routing.ServerError)
 		}
@@ -206,25 +209,25 @@
 			h.refillOrFail(f, r, routing.CacheMiss)
 			continue
 		}
-		h.serve(r, c, filledDetail(i, result.NotModified), result.NotModified)
+		h.serve(r, c, fillDetail(i, result.NotModified), result.NotModified)
 	}
 }
 
-// copyOf is the copy that a result delivers or confirms.
-func (f *fill) copyOf(result FetchResult) *Copy {
+// resultingCopy returns the copy that a fetch result delivered or confirmed.
+func (f *fill) resultingCopy(result FetchResult) *Copy {
 	if !result.NotModified {
 		return &Copy{
 			Key:            f.key,
 			ETag:           result.ETag,
 			IssuedAt:       result.IssuedAt,
 			Group:          result.Group,
-			Rank:           f.first.Rank,
+			Rank:           f.initialRequest.Rank,
 			ConfirmedEpoch: f.epoch,
 			Body:           result.Body,
 		}
 	}
-	confirmed := *f.base
-	confirmed.IssuedAt = max(f.base.IssuedAt, result.IssuedAt)
+	confirmed := *f.cachedCopy
+	confirmed.IssuedAt = max(f.cachedCopy.IssuedAt, result.IssuedAt)
 	confirmed.ConfirmedEpoch = f.epoch
 	if result.Group != validity.UnknownGroup {
 		confirmed.Group = result.Group
@@ -232,42 +235,42 @@
 	return &confirmed
 }
 
-// store puts a delivered or confirmed copy into memory and onto the disk.
+// store caches a delivered or confirmed copy in memory and on disk.
 func (h *Handler) store(f *fill, c *Copy, confirmed bool) {
 	switch {
 	case confirmed:
 		if c.Seq > 0 {
-			h.do(ConfirmOnDisk{c.Key, c.Seq, f.epoch})
+			h.addAction(ConfirmOnDisk{c.Key, c.Seq, f.epoch})
 		}
 		if inMemory := h.memory.get(c.Key); inMemory == nil || inMemory.IssuedAt <= c.IssuedAt {
 			h.memory.put(c)
 		}
-	case c.Rank > 0 && !f.first.NoStore:
+	case c.Rank > 0 && !f.initialRequest.NoStore:
 		h.memory.put(c)
-		h.do(WriteDisk{c, f.epoch})
+		h.addAction(WriteDisk{c, f.epoch})
 	default:
-		h.memory.remove(c.Key) // the copy there is older
+		h.memory.remove(c.Key) // the copy in memory is older than the one delivered
 	}
 }
 
-// filledDetail is the detail of a response after a fill, by the request's place among those that waited.
-func filledDetail(place int, confirmed bool) routing.ResultDetail {
+// fillDetail returns the result detail of a response after a fill. position 0 is the request that has waited longest.
+func fillDetail(position int, confirmed bool) routing.ResultDetail {
 	switch {
 	case confirmed:
-		return routing.CacheHit // the bytes were here
-	case place > 0:
+		return routing.CacheHit // the content was already cached here
+	case position > 0:
 		return routing.JoinedFill
 	}
 	return routing.Filled
 }
 
-// tooOld reports whether the source delivered a copy older than a request accepts. The time that the request has waited
-// does not count.
+// tooOld reports whether the source delivered a copy that is older than the request accepts. The time that the request
+// has waited does not count towards the age.
 func (h *Handler) tooOld(c *Copy, r Request) bool {
-	return r.ID != 0 && h.ageOf(c) > r.maxAge()+h.now-r.receivedAt+returnSeconds
+	return r.ID != 0 && h.ageOf(c) > r.maxAge()+h.now-r.receivedAt+responseMarginSeconds
 }
 
-// refillOrFail fetches once more for a request, or fails it with a code.
+// refillOrFail repeats the fetch for a request if that is allowed; otherwise it fails the request with the given code.
 func (h *Handler) refillOrFail(f *fill, r Request, code routing.AttemptResult) {
 	if mayRefill(f.refills, r.Deadline, h.now) {
 		h.fetch(r, nil, f.refills+1)
@@ -276,8 +279,8 @@
 	h.fail(r, code)
 }
 
-// mayRefill says whether a request fetches once more because what was fetched is purged or too old. Where purges follow
-// each other faster than a fetch takes, it would else fetch until its deadline.
+// mayRefill reports whether a request may repeat a fetch whose result was purged or too old. Without the limit on
+// repetitions, purges that arrive faster than a fetch takes would make the request repeat it until its deadline.
 func mayRefill(refills int, deadline, now float64) bool {
 	return refills < maxRefills && deadline > now
 }
--- a/internal/edgecache/handler/golden_test.go
+++ b/internal/edgecache/handler/golden_test.go
@@ -21,7 +21,7 @@
 		c.Object, c.Chunk, c.ETag, c.IssuedAt, c.Group, c.Rank, c.Seq, c.ConfirmedEpoch, len(c.Body))
 }
 
-// printActions writes actions without any Go name.
+// printActions writes actions as text without Go identifiers, so that renaming them leaves the golden files valid.
 func printActions(out *strings.Builder, actions []Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -50,19 +50,20 @@
 	}
 }
 
-// session plays a seeded script of requests, ends, cancels and purges against a handler.
+// session drives a handler with a seeded random sequence of requests, fetch and disk read results, cancellations,
+// purges, validity verdicts and ticks.
 type session struct {
-	rnd     *rand.Rand
-	handler *Handler
-	env     *fakeEnvironment
-	clock   float64
-	out     strings.Builder
-	fetches []Fetch
-	reads   []eviction.Key
-	open    []Request
+	rnd          *rand.Rand
+	handler      *Handler
+	env          *fakeEnvironment
+	clock        float64
+	out          strings.Builder
+	fetches      []Fetch
+	reads        []eviction.Key
+	openRequests []Request
 }
 
-func (s *session) take(actions []Action) {
+func (s *session) recordActions(actions []Action) {
 	printActions(&s.out, actions)
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -100,7 +101,7 @@
 		request.ETag = "v2"
 	}
 	s.env.disk[request.Key] = s.chance(25)
-	s.open = append(s.open, request)
+	s.openRequests = append(s.openRequests, request)
 	fmt.Fprintf(
 		&s.out,
 		"%.3f ask %d %d/%d kept=%v\n",
@@ -110,10 +111,10 @@
 		request.Key.Chunk,
 		request.Class.Cacheable,
 	)
-	s.take(s.handler.HandleRequest(s.clock, request))
+	s.recordActions(s.handler.HandleRequest(s.clock, request))
 }
 
-func (s *session) fetched() {
+func (s *session) finishFetch() {
 	if len(s.fetches) == 0 {
 		return
 	}
@@ -138,10 +139,10 @@
 		result.Group = validity.UnknownGroup
 	}
 	fmt.Fprintf(&s.out, "%.3f fetched %d code=%d same=%v\n", s.clock, f.Fill, result.Result, result.NotModified)
-	s.take(s.handler.HandleFetched(s.clock, f.Fill, result))
+	s.recordActions(s.handler.HandleFetched(s.clock, f.Fill, result))
 }
 
-func (s *session) diskRead() {
+func (s *session) finishDiskRead() {
 	if len(s.reads) == 0 {
 		return
 	}
@@ -160,7 +161,7 @@
 		}
 	}
 	fmt.Fprintf(&s.out, "%.3f disk %d/%d found=%v\n", s.clock, k.Object, k.Chunk, c != nil)
-	s.take(s.handler.HandleDiskRead(s.clock, k, c))
+	s.recordActions(s.handler.HandleDiskRead(s.clock, k, c))
 }
 
 func (s *session) step(id uint64) {
@@ -169,16 +170,16 @@
 	case choice < 7:
 		s.request(id)
 	case choice < 13:
-		s.fetched()
+		s.finishFetch()
 	case choice < 15:
-		s.diskRead()
-	case choice == 15 && len(s.open) > 0:
-		request := s.open[s.rnd.IntN(len(s.open))]
+		s.finishDiskRead()
+	case choice == 15 && len(s.openRequests) > 0:
+		request := s.openRequests[s.rnd.IntN(len(s.openRequests))]
 		fmt.Fprintf(&s.out, "%.3f leave %d\n", s.clock, request.ID)
-		s.take(s.handler.HandleCancel(s.clock, request.ID, request.Key))
+		s.recordActions(s.handler.HandleCancel(s.clock, request.ID, request.Key))
 	case choice == 16:
 		object := uint64(s.rnd.IntN(9))
-		s.env.void[object] = int64(s.clock*1000) - int64(s.rnd.IntN(4000))
+		s.env.purgedAt[object] = int64(s.clock*1000) - int64(s.rnd.IntN(4000))
 		fmt.Fprintf(&s.out, "purge %d\n", object)
 	case choice == 17:
 		object := uint64(s.rnd.IntN(9))
@@ -187,11 +188,11 @@
 		fmt.Fprintf(&s.out, "verdict %d %d\n", object, s.env.verdict[object])
 	default:
 		fmt.Fprintf(&s.out, "%.3f tick\n", s.clock)
-		s.take(s.handler.HandleTick(s.clock))
+		s.recordActions(s.handler.HandleTick(s.clock))
 	}
 }
 
-func playSession(seed uint64, steps int) string {
+func runSession(seed uint64, steps int) string {
 	h, env := newHandler()
 	s := &session{rnd: rand.New(rand.NewPCG(seed, 9)), handler: h, env: env, clock: now}
 	for id := range uint64(steps) {
@@ -200,10 +201,11 @@
 	return s.out.String()
 }
 
-// A short session is stored as text, a long one by its hash.
+// TestGoldenSession compares the actions of two sessions with golden files: those of a short session as text, those of
+// a long one by their hash.
 func TestGoldenSession(t *testing.T) {
-	golden.Compare(t, "session.txt", playSession(3, 400))
-	long := playSession(4, 20000)
+	golden.Compare(t, "session.txt", runSession(3, 400))
+	long := runSession(4, 20000)
 	golden.Compare(
 		t,
 		"session-long.txt",
--- a/internal/edgecache/handler/handler_test.go
+++ b/internal/edgecache/handler/handler_test.go
@@ -11,27 +11,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeEnvironment returns the verdicts that a test sets.
+// fakeEnvironment is an Environment that returns the verdicts set by a test.
 type fakeEnvironment struct {
-	verdict map[uint64]validity.Verdict
-	void    map[uint64]int64
-	disk    map[eviction.Key]bool
-	epoch   uint16
+	verdict  map[uint64]validity.Verdict
+	purgedAt map[uint64]int64
+	disk     map[eviction.Key]bool
+	epoch    uint16
 }
 
-func (w *fakeEnvironment) Evaluate(c validity.Copy) validity.Verdict {
-	if at, ok := w.void[c.Object]; ok && c.IssuedAt <= at {
+func (e *fakeEnvironment) Evaluate(c validity.Copy) validity.Verdict {
+	if at, ok := e.purgedAt[c.Object]; ok && c.IssuedAt <= at {
 		return validity.Invalidated
 	}
-	if w.verdict[c.Object] == validity.Unconfirmed && c.ConfirmedEpoch == w.epoch {
+	if e.verdict[c.Object] == validity.Unconfirmed && c.ConfirmedEpoch == e.epoch {
 		return validity.Valid
 	}
-	return w.verdict[c.Object]
+	return e.verdict[c.Object]
 }
 
-func (w *fakeEnvironment) Epoch() uint16 { return w.epoch }
+func (e *fakeEnvironment) Epoch() uint16 { return e.epoch }
 
-func (w *fakeEnvironment) OnDisk(k eviction.Key) bool { return w.disk[k] }
+func (e *fakeEnvironment) OnDisk(k eviction.Key) bool { return e.disk[k] }
 
 const now = 1000.0
 
@@ -44,9 +44,9 @@
 
 func newHandler() (*Handler, *fakeEnvironment) {
 	env := &fakeEnvironment{
-		verdict: map[uint64]validity.Verdict{},
-		void:    map[uint64]int64{},
-		disk:    map[eviction.Key]bool{},
+		verdict:  map[uint64]validity.Verdict{},
+		purgedAt: map[uint64]int64{},
+		disk:     map[eviction.Key]bool{},
 	}
 	return New(env, Limits{MemoryBytes: 10000, MaxFills: 4, FillTimeoutSeconds: 3}), env
 }
@@ -65,9 +65,9 @@
 	}
 }
 
-// cacheCopy puts a copy of an age in seconds into memory.
+// cacheCopy puts a copy with the given age in seconds into the memory cache.
 func cacheCopy(handler *Handler, age float64) {
-	handler.begin(now)
+	handler.beginEvent(now)
 	result := fetchedCopy(age)
 	handler.memory.put(&Copy{
 		Key:      key,
@@ -89,7 +89,7 @@
 	return codes
 }
 
-// actionAt is an action of a type at a place in a list.
+// actionAt returns the action at an index of a list and fails the test unless it has the type T.
 func actionAt[T Action](t *testing.T, actions []Action, i int) T {
 	t.Helper()
 	require.Greater(t, len(actions), i)
@@ -98,9 +98,9 @@
 	return action
 }
 
-// TestMissIsFetchedOnceForAllWaiting has several requests miss the same chunk. A fetch for each would load the
-// source most when it is slow. Requests that may join must wait for the first fetch, one that may not has its own,
-// and later ones must hit.
+// TestMissIsFetchedOnceForAllWaiting sends several requests that miss the same chunk. One fetch per request would put
+// the highest load on a source when it is slow. Requests that may join must wait for the first fetch, a request that
+// may not join must start its own fetch, and later requests must hit.
 func TestMissIsFetchedOnceForAllWaiting(t *testing.T) {
 	handler, _ := newHandler()
 	actions := handler.HandleRequest(now, newRequest(1, video))
@@ -108,9 +108,9 @@
 	fetch := actionAt[Fetch](t, actions, 0)
 	assert.Equal(t, "s-1", fetch.Source)
 	assert.Empty(t, handler.HandleRequest(now, newRequest(2, video)))
-	alone := newRequest(3, video)
-	alone.JoinFill = false
-	assert.Len(t, handler.HandleRequest(now, alone), 1, "a request that may not join has its own fetch")
+	withoutJoin := newRequest(3, video)
+	withoutJoin.JoinFill = false
+	assert.Len(t, handler.HandleRequest(now, withoutJoin), 1, "a request that may not join has its own fetch")
 	actions = append([]Action{}, handler.HandleFetched(now+0.1, fetch.Fill, fetchedCopy(0))...)
 	assert.IsType(t, WriteDisk{}, actions[0])
 	assert.Equal(t, routing.Filled, actionAt[Respond](t, actions, 1).Detail)
@@ -119,8 +119,8 @@
 	assert.Equal(t, routing.CacheHit, actionAt[Respond](t, hit, 1).Detail)
 }
 
-// TestMissWithoutSource misses a chunk without a named source. A cache that chose a source itself could form loops.
-// It must answer that it has nothing.
+// TestMissWithoutSource sends a request that misses and names no source. The cache must report a miss: if caches chose
+// sources themselves, fetches could loop between them.
 func TestMissWithoutSource(t *testing.T) {
 	handler, _ := newHandler()
 	request := newRequest(1, video)
@@ -128,8 +128,8 @@
 	assert.Equal(t, []routing.AttemptResult{routing.CacheMiss}, responseCodes(handler.HandleRequest(now, request)))
 }
 
-// TestDiskIsReadOnceAndMissIsFetched has two requests for a chunk on the disk. A read for each would use up the
-// disk. Both must wait for one read, and a read that finds nothing must lead to a fetch.
+// TestDiskIsReadOnceAndMissIsFetched sends two requests for a chunk on the disk. One read per request would overload
+// the disk, so both must wait for the same read. A read that finds no copy must lead to a fetch.
 func TestDiskIsReadOnceAndMissIsFetched(t *testing.T) {
 	handler, env := newHandler()
 	env.disk[key] = true
@@ -145,30 +145,30 @@
 	assert.IsType(t, Fetch{}, handler.HandleDiskRead(now, key, nil)[0])
 }
 
-// TestUnconfirmedCopyIsServedAfterConfirmation asks for a copy that may be older than a missed purge. Served as it
-// is it may be purged; fetched anew it costs a transfer. Its source must confirm or replace it first, and without a
-// source it must count as a miss.
+// TestUnconfirmedCopyIsServedAfterConfirmation requests a copy that may be older than a missed purge. Serving it
+// directly could serve purged content, and fetching it again without an ETag would cost a transfer. The source must
+// confirm or replace the copy before it is served; without a source the request must be a miss.
 func TestUnconfirmedCopyIsServedAfterConfirmation(t *testing.T) {
-	for _, same := range []bool{true, false} {
+	for _, notModified := range []bool{true, false} {
 		handler, env := newHandler()
 		env.verdict[7], env.epoch = validity.Unconfirmed, 9
 		cacheCopy(handler, 50)
 		fetch := actionAt[Fetch](t, handler.HandleRequest(now, newRequest(1, video)), 0)
 		assert.Equal(t, "v", fetch.ETag)
 		result := fetchedCopy(1)
-		if result.NotModified = same; same {
+		if result.NotModified = notModified; notModified {
 			result.Body, result.ETag = nil, ""
 		}
 		actions := handler.HandleFetched(now+0.1, fetch.Fill, result)
 		assert.Equal(t, []routing.AttemptResult{routing.Completed}, responseCodes(actions))
-		if same {
+		if notModified {
 			assert.Contains(t, actions, ConfirmOnDisk{key, 5, 9})
 		}
 		assert.Equal(
 			t,
 			[]routing.AttemptResult{routing.Completed},
 			responseCodes(handler.HandleRequest(now+0.2, newRequest(2, video))),
-			"valid from then on",
+			"the copy is valid after its confirmation",
 		)
 	}
 	handler, env := newHandler()
@@ -184,36 +184,37 @@
 	)
 }
 
-// TestInvalidatedCopyIsNeverServed purges a copy, and has the source send one that is older than the purge too. A
-// cache that serves it shows what was withdrawn. It must be fetched once more, and then the request must fail.
+// TestInvalidatedCopyIsNeverServed purges a cached copy and has the source deliver a copy that is also older than the
+// purge. Serving either would serve content that was withdrawn. The handler must repeat the fetch once and then fail
+// the request.
 func TestInvalidatedCopyIsNeverServed(t *testing.T) {
 	handler, env := newHandler()
 	cacheCopy(handler, 50)
-	env.void[7] = int64((now - 20) * 1000)
+	env.purgedAt[7] = int64((now - 20) * 1000)
 	actions := handler.HandleRequest(now, newRequest(1, video))
 	assert.Contains(t, actions, DeleteFromDisk{key})
 	fetch := actionAt[Fetch](t, actions, 1)
 	assert.Empty(t, fetch.ETag)
-	// The source's copy is older than the purge too: it is fetched once more, then the request fails.
+	// The source's copy is also older than the purge: the fetch is repeated once, then the request fails.
 	actions = append([]Action{}, handler.HandleFetched(now+0.1, fetch.Fill, fetchedCopy(30))...)
 	assert.Empty(t, responseCodes(actions))
-	again := actionAt[Fetch](t, actions, 1)
+	repeatedFetch := actionAt[Fetch](t, actions, 1)
 	assert.Equal(
 		t,
 		[]routing.AttemptResult{routing.ServerError},
-		responseCodes(handler.HandleFetched(now+0.2, again.Fill, fetchedCopy(30))),
+		responseCodes(handler.HandleFetched(now+0.2, repeatedFetch.Fill, fetchedCopy(30))),
 	)
 	assert.Empty(t, handler.memory.entries)
 }
 
-// TestMaxAgeLimitsCopies asks for copies of several ages with limits. A copy that is too old for its request must be
-// fetched, a stale one may be served and renewed, and without a source there is a miss.
+// TestMaxAgeLimitsCopies requests copies of several ages with different age limits. A copy that is too old for the
+// request must be fetched, a stale one may be served and revalidated, and without a source the request must be a miss.
 func TestMaxAgeLimitsCopies(t *testing.T) {
 	for _, test := range []struct {
-		rule          Class
-		age, most     float64
-		renew, source bool
-		want          string
+		class                 Class
+		age, maxAge           float64
+		revalidate, hasSource bool
+		want                  string
 	}{
 		{video, 1e6, 0, false, true, "hit"},
 		{video, 40, 30, false, true, "fetch"},
@@ -227,8 +228,8 @@
 	} {
 		handler, _ := newHandler()
 		cacheCopy(handler, test.age)
-		request := newRequest(1, test.rule)
-		if request.MaxAgeSeconds, request.Revalidate = test.most, test.renew; !test.source {
+		request := newRequest(1, test.class)
+		if request.MaxAgeSeconds, request.Revalidate = test.maxAge, test.revalidate; !test.hasSource {
 			request.Source = ""
 		}
 		got := ""
@@ -251,9 +252,10 @@
 	}
 }
 
-// A response says that a request did not run only where that is certain.
+// TestPassThroughResultIsReported checks the result codes of requests that are not cacheable. A response must report
+// that the request was not executed only if that is certain.
 func TestPassThroughResultIsReported(t *testing.T) {
-	for from, to := range map[routing.AttemptResult]routing.AttemptResult{
+	for fetchResult, wantResult := range map[routing.AttemptResult]routing.AttemptResult{
 		routing.Overloaded:       routing.Overloaded,
 		routing.ConnectFailed:    routing.Overloaded,
 		routing.NotSent:          routing.Overloaded,
@@ -269,14 +271,14 @@
 		assert.False(t, fetch.JoinFill)
 		assert.Equal(
 			t,
-			[]routing.AttemptResult{to},
-			responseCodes(handler.HandleFetched(now, fetch.Fill, FetchResult{Result: from})),
+			[]routing.AttemptResult{wantResult},
+			responseCodes(handler.HandleFetched(now, fetch.Fill, FetchResult{Result: fetchResult})),
 		)
 	}
 }
 
-// TestCancelStopsPassThroughAndKeepsFill cancels a request that is passed through and one that fills. The first has
-// nobody left to wait for it and must stop; the second is of use to others and must be stored.
+// TestCancelStopsPassThroughAndKeepsFill cancels a pass-through request and a request that has started a fill. The
+// pass-through fetch serves no other request and must be cancelled; the fill serves later requests and must be stored.
 func TestCancelStopsPassThroughAndKeepsFill(t *testing.T) {
 	handler, _ := newHandler()
 	fetch := actionAt[Fetch](t, handler.HandleRequest(now, newRequest(1, order)), 0)
@@ -286,9 +288,9 @@
 	assert.IsType(t, WriteDisk{}, handler.HandleFetched(now+1, fetch.Fill, fetchedCopy(0))[0])
 }
 
-// TestFillsAreBoundedAndTimeOut begins more fetches than are allowed at a source that does not answer. Without a
-// bound the requests that wait for it would take all memory. The one over the bound must be refused, and all must
-// end at their timeout.
+// TestFillsAreBoundedAndTimeOut starts more fetches than allowed from a source that does not respond. Without a limit,
+// the requests waiting for it would use up all memory. The request above the limit must be rejected, and all others
+// must fail at the fill timeout.
 func TestFillsAreBoundedAndTimeOut(t *testing.T) {
 	handler, _ := newHandler()
 	for i := range uint64(5) {
@@ -308,12 +310,13 @@
 	assert.Zero(t, handler.Fills())
 }
 
-// TestLowRanksAreEvictedFirst fills the memory with copies of several ranks. A copy of low rank that pushes out one
-// of high rank undoes what the router decided. The lowest rank must go first, then the least recently used copy.
+// TestLowRanksAreEvictedFirst fills the memory with copies of several ranks. If a copy of low rank evicted one of high
+// rank, the router's ranking would have no effect. The lowest rank must be evicted first, and within it the least
+// recently used copy.
 func TestLowRanksAreEvictedFirst(t *testing.T) {
 	handler, _ := newHandler()
 	put := func(o uint64, rank int) {
-		handler.memory.put(&Copy{Key: eviction.Key{Object: o}, Rank: rank, Body: make([]byte, 3000-copyBytes)})
+		handler.memory.put(&Copy{Key: eviction.Key{Object: o}, Rank: rank, Body: make([]byte, 3000-copyOverheadBytes)})
 	}
 	put(1, 3)
 	put(2, 1)
@@ -323,12 +326,12 @@
 	put(5, 1)
 	assert.Nil(t, handler.memory.entries[eviction.Key{Object: 5}])
 	put(6, 3)
-	assert.Nil(t, handler.memory.entries[eviction.Key{Object: 3}], "the least recently used one")
+	assert.Nil(t, handler.memory.entries[eviction.Key{Object: 3}], "the least recently used copy is evicted")
 	assert.NotNil(t, handler.memory.entries[eviction.Key{Object: 1}])
 }
 
-// TestCopyUseByVerdictAndAge holds that a purge counts first, then an unconfirmed copy or one that is too old, then
-// freshness.
+// TestCopyUseByVerdictAndAge checks the precedence of the rules: first whether a purge invalidated the copy, then
+// whether the copy is unconfirmed or too old, then whether it is fresh.
 func TestCopyUseByVerdictAndAge(t *testing.T) {
 	const maxAge, fresh = 20.0, 10.0
 	for _, test := range []struct {
@@ -340,9 +343,9 @@
 		{validity.Valid, 10, fresh, serveFresh},
 		{validity.Valid, 10.1, fresh, serveStale},
 		{validity.Valid, 20, 0, serveFresh},
-		{validity.Valid, 20.1, fresh, confirmCopy},
-		{validity.Valid, 20.1, 0, confirmCopy},
-		{validity.Unconfirmed, 1, fresh, confirmCopy},
+		{validity.Valid, 20.1, fresh, revalidateCopy},
+		{validity.Valid, 20.1, 0, revalidateCopy},
+		{validity.Unconfirmed, 1, fresh, revalidateCopy},
 		{validity.Invalidated, 1, fresh, discardCopy},
 		{validity.Invalidated, 30, fresh, discardCopy},
 	} {
--- a/internal/edgecache/handler/memory.go
+++ b/internal/edgecache/handler/memory.go
@@ -8,12 +8,14 @@
 )
 
 const (
-	rankCount = 4 // rank 0 is not cached, rank 3 is evicted last
-	// copyBytes is the memory that a copy takes besides its body: its entry and its places in a list and a map.
-	copyBytes = 256
+	rankCount = 4 // copies of rank 0 are not cached, those of rank 3 are evicted last
+	// copyOverheadBytes is the memory that a copy uses in addition to its body: its cache entry and its list and map
+	// elements.
+	copyOverheadBytes = 256
 )
 
-// memoryCache holds copies in memory. The lowest rank is evicted first, then the least recently used copy.
+// memoryCache caches copies in memory. It evicts the lowest rank first and, within a rank, the least recently used
+// copy.
 type memoryCache struct {
 	limit   int64 // bytes
 	bytes   int64
@@ -34,7 +36,7 @@
 	return m
 }
 
-// get returns the copy of a chunk, nil if there is none.
+// get returns the cached copy of a chunk, or nil if there is none.
 func (m *memoryCache) get(key eviction.Key) *Copy {
 	if e := m.entries[key]; e != nil {
 		return e.copy
@@ -42,19 +44,19 @@
 	return nil
 }
 
-// touch marks a copy as used.
+// touch marks the copy of a chunk as the most recently used of its rank.
 func (m *memoryCache) touch(key eviction.Key) {
 	if e := m.entries[key]; e != nil {
 		m.byRank[e.copy.Rank].MoveToBack(e.element)
 	}
 }
 
-// put caches a copy in place of an older one and bounds its rank. It evicts no copy of a higher rank; without room the
-// copy is not cached.
+// put caches a copy, replacing an older one of the same chunk, and clamps its rank to the valid range. It never evicts
+// a copy of a higher rank; if the memory limit leaves no space otherwise, the copy is not cached.
 func (m *memoryCache) put(c *Copy) {
 	m.remove(c.Key)
 	c.Rank = min(max(c.Rank, 0), rankCount-1)
-	needed := int64(len(c.Body)) + copyBytes
+	needed := int64(len(c.Body)) + copyOverheadBytes
 	if c.Rank == 0 || needed > m.limit {
 		return
 	}
@@ -68,7 +70,7 @@
 	m.bytes += needed
 }
 
-// evict makes room by evicting copies up to a rank.
+// evict evicts copies of at most maxRank until the needed bytes are free or no such copy is left.
 func (m *memoryCache) evict(needed int64, maxRank int) {
 	for rank := 1; rank <= maxRank && m.bytes+needed > m.limit; {
 		oldest := m.byRank[rank].Front()
@@ -80,11 +82,11 @@
 	}
 }
 
-// entryOf is the entry in a place of a list: put stores nothing else there.
-func entryOf(place *list.Element) *memoryEntry {
-	entry, ok := place.Value.(*memoryEntry)
+// entryOf returns the entry in a list element. It panics on another type, since put stores only entries in the lists.
+func entryOf(element *list.Element) *memoryEntry {
+	entry, ok := element.Value.(*memoryEntry)
 	if !ok {
-		panic(fmt.Sprintf("memory cache: a list holds a %T", place.Value))
+		panic(fmt.Sprintf("memory cache: a list holds a %T", element.Value))
 	}
 	return entry
 }
@@ -93,6 +95,6 @@
 	if e := m.entries[key]; e != nil {
 		m.byRank[e.copy.Rank].Remove(e.element)
 		delete(m.entries, key)
-		m.bytes -= int64(len(e.copy.Body)) + copyBytes
+		m.bytes -= int64(len(e.copy.Body)) + copyOverheadBytes
 	}
 }
--- a/internal/edgecache/handler/properties_test.go
+++ b/internal/edgecache/handler/properties_test.go
@@ -10,17 +10,17 @@
 	"pgregory.net/rapid"
 )
 
-// handlerModel plays drawn events against a handler and keeps its own list of requests and what became of them.
+// handlerModel drives a handler with random events and tracks the requests and their outcomes independently.
 type handlerModel struct {
 	t         *rapid.T
 	handler   *Handler
 	env       *fakeEnvironment
 	clock     float64
-	keys      map[uint64]eviction.Key // of all requests
+	keys      map[uint64]eviction.Key // chunk of each request, by request id
 	cancelled map[uint64]bool
 	answered  map[uint64]bool
-	fetches   []Fetch        // without a result yet
-	reads     []eviction.Key // disk reads without a result yet
+	fetches   []Fetch        // fetches in progress
+	reads     []eviction.Key // disk reads in progress
 }
 
 func newHandlerModel(t *rapid.T) *handlerModel {
@@ -36,8 +36,8 @@
 	}
 }
 
-// take checks the handler's actions and its bounds.
-func (m *handlerModel) take(actions []Action) {
+// checkActions checks the responses among the handler's actions, and the limits on memory and fills.
+func (m *handlerModel) checkActions(actions []Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case Respond:
@@ -55,49 +55,49 @@
 
 func (m *handlerModel) checkResponse(r Respond) {
 	if _, ok := m.keys[r.Request]; !ok || m.answered[r.Request] || m.cancelled[r.Request] {
-		m.t.Fatalf("request %d has a second response, or was not made", r.Request)
+		m.t.Fatalf("request %d has a second response, was cancelled, or does not exist", r.Request)
 	}
 	m.answered[r.Request] = true
 	if r.Copy != nil && m.env.Evaluate(r.Copy.validityCopy()) == validity.Invalidated {
-		m.t.Fatalf("an invalidated copy is served")
+		m.t.Fatalf("an invalidated copy was served")
 	}
 }
 
-// step plays one drawn event. A request that it makes has the given id.
+// step generates one random event. If the event is a new request, the request has the given id.
 func (m *handlerModel) step(id uint64) {
-	m.clock += rapid.Float64Range(0, 0.4).Draw(m.t, "dt")
-	key := eviction.Key{Object: uint64(rapid.IntRange(0, 3).Draw(m.t, "o"))}
-	switch rapid.IntRange(0, 6).Draw(m.t, "what") {
+	m.clock += rapid.Float64Range(0, 0.4).Draw(m.t, "elapsed")
+	key := eviction.Key{Object: uint64(rapid.IntRange(0, 3).Draw(m.t, "object"))}
+	switch rapid.IntRange(0, 6).Draw(m.t, "event") {
 	case 0:
-		m.endFetch()
+		m.finishFetch()
 	case 1:
-		m.endRead()
+		m.finishDiskRead()
 	case 2: // a purge
-		m.env.void[key.Object] = int64((m.clock - 1) * 1000)
+		m.env.purgedAt[key.Object] = int64((m.clock - 1) * 1000)
 		m.env.disk[key] = rapid.Bool().Draw(m.t, "disk")
 	case 3:
-		m.cancelOne()
+		m.cancelOpenRequest()
 	default:
-		m.request(id, key)
+		m.sendRequest(id, key)
 	}
 }
 
-func (m *handlerModel) endFetch() {
+func (m *handlerModel) finishFetch() {
 	if len(m.fetches) == 0 {
 		return
 	}
 	fetch := m.fetches[0]
 	m.fetches = m.fetches[1:]
-	m.take(m.handler.HandleFetched(m.clock, fetch.Fill, FetchResult{
+	m.checkActions(m.handler.HandleFetched(m.clock, fetch.Fill, FetchResult{
 		Result:      routing.AttemptResult(rapid.IntRange(0, 8).Draw(m.t, "code")),
 		ETag:        "x",
 		IssuedAt:    int64((m.clock - rapid.Float64Range(0, 20).Draw(m.t, "age")) * 1000),
 		Body:        make([]byte, rapid.IntRange(0, 4000).Draw(m.t, "size")),
-		NotModified: rapid.Bool().Draw(m.t, "same"),
+		NotModified: rapid.Bool().Draw(m.t, "notModified"),
 	}))
 }
 
-func (m *handlerModel) endRead() {
+func (m *handlerModel) finishDiskRead() {
 	if len(m.reads) == 0 {
 		return
 	}
@@ -114,21 +114,21 @@
 			Body:     make([]byte, 1000),
 		}
 	}
-	m.take(m.handler.HandleDiskRead(m.clock, key, found))
+	m.checkActions(m.handler.HandleDiskRead(m.clock, key, found))
 }
 
-// cancelOne cancels any request without a response, perhaps for a second time.
-func (m *handlerModel) cancelOne() {
+// cancelOpenRequest cancels an arbitrary request that has no response yet, which may have been cancelled before.
+func (m *handlerModel) cancelOpenRequest() {
 	for id, key := range m.keys {
 		if !m.answered[id] {
 			m.cancelled[id] = true
-			m.take(m.handler.HandleCancel(m.clock, id, key))
+			m.checkActions(m.handler.HandleCancel(m.clock, id, key))
 			return
 		}
 	}
 }
 
-func (m *handlerModel) request(id uint64, key eviction.Key) {
+func (m *handlerModel) sendRequest(id uint64, key eviction.Key) {
 	r := Request{
 		ID:            id,
 		Key:           key,
@@ -136,28 +136,28 @@
 		Deadline:      m.clock + 5,
 		Source:        rapid.SampledFrom([]string{"", "s-1"}).Draw(m.t, "source"),
 		Rank:          rapid.IntRange(0, 3).Draw(m.t, "rank"),
-		MaxAgeSeconds: rapid.SampledFrom([]float64{0, 0.5, 30}).Draw(m.t, "most"),
+		MaxAgeSeconds: rapid.SampledFrom([]float64{0, 0.5, 30}).Draw(m.t, "maxAgeSeconds"),
 		JoinFill:      rapid.Bool().Draw(m.t, "join"),
 		Revalidate:    true,
 	}
 	m.keys[id] = key
-	m.take(m.handler.HandleRequest(m.clock, r))
+	m.checkActions(m.handler.HandleRequest(m.clock, r))
 }
 
-// finish ends the disk reads and lets all fetches time out.
+// finish completes all disk reads and then lets all fetches time out.
 func (m *handlerModel) finish() {
 	for len(m.reads) > 0 {
 		key := m.reads[0]
 		m.reads = m.reads[1:]
-		m.take(m.handler.HandleDiskRead(m.clock, key, nil))
+		m.checkActions(m.handler.HandleDiskRead(m.clock, key, nil))
 	}
 	for range 3 {
 		m.clock += 10
-		m.take(m.handler.HandleTick(m.clock))
+		m.checkActions(m.handler.HandleTick(m.clock))
 	}
 }
 
-func (m *handlerModel) checkNothingIsLeft() {
+func (m *handlerModel) checkNoStateRemains() {
 	for id := range m.keys {
 		if !m.answered[id] && !m.cancelled[id] {
 			m.t.Fatalf("request %d has no response", id)
@@ -165,21 +165,22 @@
 	}
 	h := m.handler
 	if len(h.fills)+len(h.fillByKey)+len(h.fillByRequest)+len(h.diskReads) > 0 {
-		m.t.Fatalf("left behind: %d fills, %d by key, %d by request, %d reads",
+		m.t.Fatalf("state that was not removed: %d fills, %d by key, %d by request, %d reads",
 			len(h.fills), len(h.fillByKey), len(h.fillByRequest), len(h.diskReads))
 	}
 }
 
-// TestHandlerProperties plays events in any order. A request without a response holds its client until the deadline,
-// and state that is left behind fills the memory. Each request must have exactly one response unless it was
-// cancelled, no invalidated copy may be served, memory and fills must stay bounded, and nothing may be left behind.
+// TestHandlerProperties generates events in random order. A request without a response would block its client until the
+// deadline, and state that is never removed would leak memory. Each request must get exactly one response unless it was
+// cancelled, no invalidated copy may be served, memory and fills must stay within their limits, and no state may remain
+// at the end.
 func TestHandlerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newHandlerModel(t)
-		for id := range uint64(rapid.IntRange(5, 120).Draw(t, "n")) {
+		for id := range uint64(rapid.IntRange(5, 120).Draw(t, "requests")) {
 			m.step(id + 1)
 		}
 		m.finish()
-		m.checkNothingIsLeft()
+		m.checkNoStateRemains()
 	})
 }
--- a/internal/edgecache/handler/request.go
+++ b/internal/edgecache/handler/request.go
@@ -7,35 +7,35 @@
 	"cairnfront/internal/diskcache/validity"
 )
 
-// Class is what the handler knows of a request class.
+// Class contains the properties of a request class that the handler uses.
 type Class struct {
 	Name         string
 	Cacheable    bool
-	FreshSeconds float64 // age up to which a copy is fresh, 0 for any
-	StaleSeconds float64 // age beyond that up to which a stale copy may be served
+	FreshSeconds float64 // maximum age of a fresh copy, 0 if copies are fresh at any age
+	StaleSeconds float64 // time beyond FreshSeconds for which a stale copy may be served
 }
 
-// Request is a request for a chunk. Times are Unix seconds.
+// Request is a request for a chunk. Times are in Unix seconds.
 type Request struct {
-	ID            uint64 // assigned by the caller; 0 for a renewal that nobody waits for
+	ID            uint64 // assigned by the caller; 0 for a background revalidation
 	Key           eviction.Key
 	Class         Class
 	Deadline      float64
-	Source        string  // endpoint that a miss is fetched from, empty for none
-	Rank          int     // with which a copy is cached, 0 for not at all
-	MaxAgeSeconds float64 // seconds, 0 for the class's fresh time
+	Source        string  // endpoint to fetch a miss from, empty if there is none
+	Rank          int     // retention rank with which a copy is cached, 0 if it must not be cached
+	MaxAgeSeconds float64 // maximum age of the copy, 0 for the class's fresh time
 
-	JoinFill   bool // may wait for a fetch under way
-	CacheOnly  bool // the source must not fetch
-	NoStore    bool // must not be cached
-	Revalidate bool // a stale copy is to be renewed
+	JoinFill   bool // may wait for a fetch in progress
+	CacheOnly  bool // the source must respond from its cache only
+	NoStore    bool // the response must not be cached
+	Revalidate bool // a stale copy is to be revalidated in the background
 
-	ETag string // of the copy that the client holds
+	ETag string // ETag of the client's copy, empty if it has none
 
 	receivedAt float64
 }
 
-// maxAge is the greatest age in seconds of a copy that satisfies the request.
+// maxAge returns the maximum age in seconds of a copy that satisfies the request.
 func (r *Request) maxAge() float64 {
 	switch {
 	case r.MaxAgeSeconds > 0:
@@ -46,19 +46,19 @@
 	return math.Inf(1)
 }
 
-// Copy is a copy of a chunk.
+// Copy is a cached copy of a chunk.
 type Copy struct {
 	eviction.Key
 	ETag           string
 	IssuedAt       int64 // Unix ms
 	Group          uint16
 	Rank           int
-	Seq            uint64 // sequence number on the disk, 0 if it is not from there
-	ConfirmedEpoch uint16 // epoch in which its source delivered or confirmed it
+	Seq            uint64 // sequence number on the disk, 0 if the copy was not read from disk
+	ConfirmedEpoch uint16 // validity epoch in which the source delivered or confirmed the copy
 	Body           []byte
 }
 
-// validityCopy is the description that the environment evaluates.
+// validityCopy returns the properties of the copy that the validity check uses.
 func (c *Copy) validityCopy() validity.Copy {
 	return validity.Copy{
 		Object:         c.Object,
