--- a/internal/edgecache/capacity/model.go
+++ b/internal/edgecache/capacity/model.go
@@ -1,29 +1,30 @@
-// Package capacity models the capacity of a machine: cores that work, a link that carries responses, and a cold start.
-// The lab slows its edge caches down with it, so that what a real machine bears shows on loopback.
+// Package capacity models the limited capacity of a machine: cores that process requests, a link that transmits
+// responses, and reduced capacity after a cold start. The lab uses it to slow down its edge caches, so that overload of
+// a real machine can be reproduced on loopback.
 //
-// A model decides when work would be done. It does no I/O, does not sleep and has no clock: every call passes the time
-// in, in Unix seconds.
+// A model only computes when work would be done. It does no I/O, does not sleep and has no clock: every call passes in
+// the current time in Unix seconds.
 package capacity
 
 const (
-	// maxQueueSeconds is the work that may wait for the cores; above it requests are rejected.
+	// maxQueueSeconds is the limit on work queued for the cores, in seconds; above it requests are rejected.
 	maxQueueSeconds = 0.25
 	bytesPerKB      = 1024
-	// minWarmShare avoids a division by zero at a cold start without any core.
-	minWarmShare = 0.01
+	// minCoreShare avoids a division by zero if no core is available at a cold start.
+	minCoreShare = 0.01
 )
 
-// Params are the parameters of a model. What is zero is not modelled.
+// Params are the parameters of a model. A parameter of zero disables the limit or delay that it sets.
 type Params struct {
-	Cores          float64
-	WorkSeconds    float64 // of one core for each request
-	LinkKBps       float64 // KB/s, shared by all responses in their order
-	LatencySeconds float64 // before each response
-	ColdShare      float64 // share of the cores available at the start
-	ColdSeconds    float64 // until all cores are available
+	Cores            float64
+	WorkSeconds      float64 // time that each request uses one core
+	LinkKBps         float64 // KB/s; responses are transmitted one after another
+	LatencySeconds   float64 // added to each response
+	InitialCoreShare float64 // fraction of the cores available at the start
+	WarmUpSeconds    float64 // time after the start until all cores are available
 }
 
-// Model is the model of one machine. It is not safe for concurrent use.
+// Model models the capacity of one machine. It is not safe for concurrent use.
 type Model struct {
 	Params
 	StartedAt float64
@@ -32,15 +33,15 @@
 	linkFreeAt  float64
 }
 
-// WarmShare returns the share of the cores that is available.
-func (m *Model) WarmShare(now float64) float64 {
-	if m.ColdSeconds <= 0 || now >= m.StartedAt+m.ColdSeconds {
+// AvailableCoreShare returns the fraction of the cores that is available, 0 to 1. It grows linearly after the start.
+func (m *Model) AvailableCoreShare(now float64) float64 {
+	if m.WarmUpSeconds <= 0 || now >= m.StartedAt+m.WarmUpSeconds {
 		return 1
 	}
-	return m.ColdShare + (1-m.ColdShare)*max(now-m.StartedAt, 0)/m.ColdSeconds
+	return m.InitialCoreShare + (1-m.InitialCoreShare)*max(now-m.StartedAt, 0)/m.WarmUpSeconds
 }
 
-// Process takes a request and returns when its work is done; accepted is false if too much work waits.
+// Process queues a request's work and returns when it will be done. accepted is false if too much work is queued.
 func (m *Model) Process(now float64) (doneAt float64, accepted bool) {
 	if m.Cores <= 0 || m.WorkSeconds <= 0 {
 		return now, true
@@ -48,11 +49,11 @@
 	if m.coresFreeAt-now > maxQueueSeconds {
 		return 0, false
 	}
-	m.coresFreeAt = max(m.coresFreeAt, now) + m.WorkSeconds/(m.Cores*max(m.WarmShare(now), minWarmShare))
+	m.coresFreeAt = max(m.coresFreeAt, now) + m.WorkSeconds/(m.Cores*max(m.AvailableCoreShare(now), minCoreShare))
 	return m.coresFreeAt, true
 }
 
-// Transmit returns when a response of so many bytes is sent whose work is done at a time.
+// Transmit returns when a response of the given size, whose work is done at doneAt, will have been transmitted.
 func (m *Model) Transmit(doneAt float64, bytes int) float64 {
 	if m.LinkKBps > 0 {
 		m.linkFreeAt = max(m.linkFreeAt, doneAt) + float64(bytes)/bytesPerKB/m.LinkKBps
@@ -61,7 +62,7 @@
 	return doneAt + m.LatencySeconds
 }
 
-// Utilization returns how full the queue for the cores is, 0 to 1.
+// Utilization returns the fill level of the queue for the cores, 0 to 1.
 func (m *Model) Utilization(now float64) float64 {
 	return min(max(m.coresFreeAt-now, 0)/maxQueueSeconds, 1)
 }
--- a/internal/edgecache/capacity/model_test.go
+++ b/internal/edgecache/capacity/model_test.go
@@ -6,12 +6,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestColdStartReducesThroughput asks the model for its throughput at the start and later. A model that is warm at
-// once would hide the overload of a cold cache from the laboratory.
+// TestColdStartReducesThroughput compares the throughput of the model at the start with that after the warm-up. A model
+// with full capacity from the start would hide the overload of a cold cache in lab runs.
 func TestColdStartReducesThroughput(t *testing.T) {
-	m := &Model{Params: Params{Cores: 4, WorkSeconds: 0.01, ColdShare: 0.25, ColdSeconds: 10}, StartedAt: 100}
-	assert.Equal(t, 0.25, m.WarmShare(100))  //nolint:testifylint // exact by intent
-	assert.Equal(t, 0.625, m.WarmShare(105)) //nolint:testifylint // exact by intent
+	m := &Model{Params: Params{Cores: 4, WorkSeconds: 0.01, InitialCoreShare: 0.25, WarmUpSeconds: 10}, StartedAt: 100}
+	assert.Equal(t, 0.25, m.AvailableCoreShare(100))  //nolint:testifylint // exact by intent
+	assert.Equal(t, 0.625, m.AvailableCoreShare(105)) //nolint:testifylint // exact by intent
 	accepted := func(now float64) (n int) {
 		m.coresFreeAt = 0
 		for ok := true; ok; n++ {
@@ -22,8 +22,8 @@
 	assert.Less(t, accepted(100)*3, accepted(200))
 }
 
-// TestLinkTransmitsInOrder sends bodies over the modelled link. A link that sends them side by side would show no
-// congestion. Each must wait for the one before it.
+// TestLinkTransmitsInOrder sends several bodies over the modelled link. Each must wait until the previous one has been
+// transmitted; a link that transmitted them in parallel would show no congestion.
 func TestLinkTransmitsInOrder(t *testing.T) {
 	m := &Model{Params: Params{LinkKBps: 100, LatencySeconds: 0.01}}
 	assert.InDelta(t, 1.01, m.Transmit(0, 100*1024), 1e-9)
--- a/internal/edgecache/conn.go
+++ b/internal/edgecache/conn.go
@@ -13,30 +13,30 @@
 	"cairnfront/internal/telemetry"
 )
 
-// acceptRetryPause is the pause after a failed accept.
+// acceptRetryPause is the delay before accepting again after an accept error.
 const acceptRetryPause = 10 * time.Millisecond
 
-// clientConn is a client's connection: that of a router or of another cache.
+// clientConn is a connection from a client, which is a router or another cache.
 type clientConn struct {
 	conn *netconn.Conn
 
-	// Owned by the event loop.
-	requests map[string]*openRequest // by the client's id
-	gone     bool
+	// The event loop owns the following fields.
+	requests map[string]*openRequest // by the request id that the client chose
+	closed   bool
 
 	mu    sync.Mutex
-	queue []outgoing
+	queue []queuedResponse
 	wake  chan struct{}
 }
 
-// outgoing is a response that waits for the writer.
-type outgoing struct {
+// queuedResponse is a response queued for the connection's writer goroutine.
+type queuedResponse struct {
 	head []byte
 	body []byte
 }
 
-// accept takes connections until the listener is closed. The goroutines that serve them belong to clients, for which
-// Run waits.
+// accept accepts connections until the listener is closed. It serves each connection in a goroutine of the clients wait
+// group, and Run waits for that group.
 func (s *Server) accept(ctx context.Context, ln net.Listener, clients *sync.WaitGroup) {
 	for {
 		raw, err := ln.Accept()
@@ -51,7 +51,7 @@
 		if s.connections.Add(1) > int64(s.Config.MaxConnections) {
 			s.connections.Add(-1)
 			s.Telemetry.Inc(telemetry.ConnectionsRejected.With(telemetry.SideCacheClient))
-			_ = raw.Close() // nothing was read or written
+			_ = raw.Close() // an error is irrelevant: no data was read or written
 			continue
 		}
 		s.Telemetry.ConnectionOpened(telemetry.SideCacheClient)
@@ -62,20 +62,20 @@
 	}
 }
 
-// serveConn reads and writes one connection until it ends. It owns the reader's and the writer's goroutine and waits
-// for both.
+// serveConn serves one connection until it is closed. It starts one goroutine that reads and one that writes, and waits
+// for both to return.
 func (s *Server) serveConn(ctx context.Context, raw net.Conn) {
 	c := &clientConn{
-		conn:     netconn.New(raw, ringBytes, clientStallTimeout),
+		conn:     netconn.New(raw, ringBufferBytes, clientStallTimeout),
 		requests: map[string]*openRequest{},
 		wake:     make(chan struct{}, 1),
 	}
 	remote := telemetry.Remote{Side: telemetry.SideCacheClient, Address: c.conn.RemoteAddr()}
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(ctx, func() { c.conn.Close(netconn.Shutdown, nil) })
-	var both sync.WaitGroup
+	var goroutines sync.WaitGroup
 	run := func(f func() (netconn.EndCode, error)) {
-		both.Go(func() {
+		goroutines.Go(func() {
 			defer cancel()
 			defer func() {
 				if cause := recover(); cause != nil {
@@ -88,13 +88,13 @@
 	}
 	run(func() (netconn.EndCode, error) { return s.readCommands(ctx, c) })
 	run(func() (netconn.EndCode, error) { return c.writeResponses(ctx) })
-	both.Wait()
+	goroutines.Wait()
 	stop()
-	s.post(clientGone{c})
+	s.post(clientDisconnected{c})
 	c.conn.LogEnd(s.Telemetry, remote)
 }
 
-// readCommands reads a connection's commands and returns why it ended.
+// readCommands reads commands from a connection until it ends and returns the reason for the end.
 func (s *Server) readCommands(ctx context.Context, c *clientConn) (netconn.EndCode, error) {
 	idleTimeout := s.Config.IdleTimeout.Duration()
 	for {
@@ -125,7 +125,8 @@
 
 var errNoLineEnd = errors.New("no line end after a body")
 
-// readRequest reads a request's body and posts the request. After an error the connection ends with the code.
+// readRequest reads a request's body and posts the request to the event loop. If it returns an error, the caller closes
+// the connection with the returned code.
 func (s *Server) readRequest(
 	ctx context.Context, c *clientConn, command cacheproto.Command,
 ) (code netconn.EndCode, err error) {
@@ -140,15 +141,15 @@
 		}
 		err = c.conn.ReadFull(r.body.Bytes)
 	}
-	var end [len(cacheproto.LineEnd)]byte
+	var lineEnd [len(cacheproto.LineEnd)]byte
 	if err == nil {
-		err = c.conn.ReadFull(end[:])
+		err = c.conn.ReadFull(lineEnd[:])
 	}
 	if err != nil {
 		r.body.Free()
 		return netconn.ClassifyError(err), err
 	}
-	if string(end[:]) != cacheproto.LineEnd {
+	if string(lineEnd[:]) != cacheproto.LineEnd {
 		r.body.Free()
 		return netconn.ProtocolError, errNoLineEnd
 	}
@@ -156,8 +157,8 @@
 	return code, nil
 }
 
-// send hands a response to the connection's writer. At most as many wait as requests may be open.
-func (c *clientConn) send(response outgoing) {
+// send queues a response for the connection's writer. The limit on open requests per connection also bounds the queue.
+func (c *clientConn) send(response queuedResponse) {
 	c.mu.Lock()
 	c.queue = append(c.queue, response)
 	c.mu.Unlock()
@@ -167,7 +168,7 @@
 	}
 }
 
-func (c *clientConn) takeQueue() []outgoing {
+func (c *clientConn) takeQueuedResponses() []queuedResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	batch := c.queue
@@ -175,10 +176,10 @@
 	return batch
 }
 
-// writeResponses writes a connection's responses and returns why it ended.
+// writeResponses writes queued responses to a connection until it ends and returns the reason for the end.
 func (c *clientConn) writeResponses(ctx context.Context) (netconn.EndCode, error) {
 	for {
-		batch := c.takeQueue()
+		batch := c.takeQueuedResponses()
 		if len(batch) == 0 {
 			if err := c.conn.Flush(); err != nil {
 				return netconn.ClassifyError(err), err
@@ -198,7 +199,7 @@
 	}
 }
 
-func (c *clientConn) write(response outgoing) error {
+func (c *clientConn) write(response queuedResponse) error {
 	if err := c.conn.Write(response.head); err != nil {
 		return err
 	}
--- a/internal/edgecache/discovery.go
+++ b/internal/edgecache/discovery.go
@@ -11,7 +11,8 @@
 	"cairnfront/internal/telemetry"
 )
 
-// validityTracker evaluates copies: the disk cache, or a memoryTracker without a disk.
+// validityTracker decides whether cached copies are still valid. The disk cache implements it; a server without a disk
+// cache uses a memoryTracker.
 type validityTracker interface {
 	Evaluate(validity.Copy) validity.Verdict
 	Epoch() uint16
@@ -30,27 +31,28 @@
 // OnDisk implements handler.Environment.
 func (s *Server) OnDisk(key eviction.Key) bool { return s.Disk != nil && s.Disk.Contains(key) }
 
-// startRevision returns the revision after which events are requested. At a start it is 0, for all: the endpoint list
-// is not stored. Later it makes the last event applied come once more.
+// startRevision returns the revision after which the discovery service is to send events. After a process start it is
+// 0, which requests all events, because the endpoint list is not stored on disk. On a later reconnection it makes the
+// service repeat the last applied event.
 func (s *Server) startRevision() uint64 {
 	s.validity.StreamOpened()
-	if s.needFullListing.Load() {
+	if s.needEndpointSnapshot.Load() {
 		return 0
 	}
 	return s.validity.ResumeAfter()
 }
 
-// handleDiscoveryEvent applies an event's endpoints and purge.
+// handleDiscoveryEvent applies the endpoints and the purge of a discovery event.
 func (s *Server) handleDiscoveryEvent(ev discovery.Event) error {
 	if len(ev.Endpoints) > 0 {
 		s.post(endpointsChanged{ev})
 	}
 	heartbeat := ev.Kind == discovery.Heartbeat
 	if heartbeat {
-		s.needFullListing.Store(false)
+		s.needEndpointSnapshot.Store(false)
 	}
 	if number, continuous := s.validity.Position(); !continuous && !heartbeat && ev.Revision < number {
-		return nil // applied before the start; only its endpoints were wanted
+		return nil // already applied before the process started; only its endpoints were needed
 	}
 	event := validityEvent(ev)
 	if s.validity.Apply(event) {
@@ -75,12 +77,12 @@
 		PurgedAt:  int64(ev.Purge.PurgedAt*msPerSecond + 0.5),
 	}
 	if event.Purge && !event.ByGroup {
-		event.Object, _ = strconv.ParseUint(ev.Purge.Object, 16, 64) // the decoder of the watch wrote it
+		event.Object, _ = strconv.ParseUint(ev.Purge.Object, 16, 64) // valid hex, set by the discovery decoder
 	}
 	return event
 }
 
-// memoryTracker is a validity tracker without a disk. It is safe for concurrent use.
+// memoryTracker is a validityTracker for a server without a disk cache. It is safe for concurrent use.
 type memoryTracker struct {
 	mu      sync.Mutex
 	tracker *validity.Tracker
@@ -122,7 +124,7 @@
 }
 
 func (m *memoryTracker) Apply(event validity.Event) (reconnect bool) {
-	const anyCopy = 1 // memory may hold copies, so that missed purges count
+	const anyCopy = 1 // memory may hold a copy that a missed purge affects, so a gap in the events matters
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, reconnect = m.tracker.Apply(m.now().UnixMillis(), anyCopy, event)
--- a/internal/edgecache/loop.go
+++ b/internal/edgecache/loop.go
@@ -12,61 +12,61 @@
 	"cairnfront/internal/upstream"
 )
 
-// event is what the event loop takes. The types below are all of them.
+// event is an event for the event loop. The types below are its only implementations.
 type event interface{ edgeCacheEvent() }
 
 type (
-	// requestReceived is a request with its complete body.
+	// requestReceived reports a request that was read completely, including its body.
 	requestReceived struct{ request *openRequest }
-	// requestCancelled is a client's cancel of a request.
+	// requestCancelled reports that a client cancelled a request.
 	requestCancelled struct {
 		conn *clientConn
 		id   string
 	}
-	// clientGone is the end of a client's connection.
-	clientGone struct{ conn *clientConn }
-	// probeReceived is a client's health probe.
+	// clientDisconnected reports that a client's connection has ended.
+	clientDisconnected struct{ conn *clientConn }
+	// probeReceived reports a health probe from a client.
 	probeReceived struct {
 		conn     *clientConn
 		id       string
 		withLoad bool
 	}
-	// workDone says that the modelled cores have done a request's work.
-	workDone struct{ request *openRequest }
-	// responseDue says that the modelled link has transmitted a response.
+	// modelledWorkDone reports that the capacity model has finished a request's work on its cores.
+	modelledWorkDone struct{ request *openRequest }
+	// responseDue reports that the capacity model has transmitted a response over its link.
 	responseDue struct {
 		request *openRequest
 		reply   cacheproto.AttemptReply
 		body    []byte
 	}
-	// diskReadDone is the result of a disk read, nil for none.
+	// diskReadDone reports the result of a disk read; copy is nil if no valid chunk was read.
 	diskReadDone struct {
 		key  eviction.Key
 		copy *handler.Copy
 	}
-	// fetchNotSent says that a fetch could not be sent.
+	// fetchNotSent reports that the request of a fill could not be sent to its source.
 	fetchNotSent struct{ fill uint64 }
-	// endpointsChanged is an event of the discovery service with endpoints.
+	// endpointsChanged carries a discovery event that contains endpoints.
 	endpointsChanged struct{ event discovery.Event }
-	// upstreamEvent is an event of the pool.
+	// upstreamEvent carries an event of the upstream connection pool.
 	upstreamEvent struct{ event upstream.Event }
-	// openRequestsQuery asks for the number of open requests.
+	// openRequestsQuery requests the number of open requests, which is sent to reply.
 	openRequestsQuery struct{ reply chan int }
 )
 
-func (requestReceived) edgeCacheEvent()   {}
-func (requestCancelled) edgeCacheEvent()  {}
-func (clientGone) edgeCacheEvent()        {}
-func (probeReceived) edgeCacheEvent()     {}
-func (workDone) edgeCacheEvent()          {}
-func (responseDue) edgeCacheEvent()       {}
-func (diskReadDone) edgeCacheEvent()      {}
-func (fetchNotSent) edgeCacheEvent()      {}
-func (endpointsChanged) edgeCacheEvent()  {}
-func (upstreamEvent) edgeCacheEvent()     {}
-func (openRequestsQuery) edgeCacheEvent() {}
+func (requestReceived) edgeCacheEvent()    {}
+func (requestCancelled) edgeCacheEvent()   {}
+func (clientDisconnected) edgeCacheEvent() {}
+func (probeReceived) edgeCacheEvent()      {}
+func (modelledWorkDone) edgeCacheEvent()   {}
+func (responseDue) edgeCacheEvent()        {}
+func (diskReadDone) edgeCacheEvent()       {}
+func (fetchNotSent) edgeCacheEvent()       {}
+func (endpointsChanged) edgeCacheEvent()   {}
+func (upstreamEvent) edgeCacheEvent()      {}
+func (openRequestsQuery) edgeCacheEvent()  {}
 
-// post queues an event; after the end of the loop it is dropped.
+// post queues an event for the event loop. It drops the event if the loop has ended.
 func (s *Server) post(ev event) {
 	select {
 	case s.events <- ev:
@@ -74,23 +74,24 @@
 	}
 }
 
-// handleNext has the loop handle an event after the one in hand. It is for the loop's own goroutine.
+// deferEvent schedules an event to be handled directly after the current one. It must be called only from the event
+// loop's goroutine.
 //
-// It guards against a loop that waits for room in its own queue, which nobody else empties: the edge cache would answer
-// nothing any more.
-func (s *Server) handleNext(ev event) { s.next = append(s.next, ev) }
+// It guards against a deadlock: only the loop empties its event queue, so a loop that posted to its own full queue
+// would block forever and the edge cache would stop responding.
+func (s *Server) deferEvent(ev event) { s.deferred = append(s.deferred, ev) }
 
-// handleAllNext handles the events of handleNext, also those that come meanwhile.
-func (s *Server) handleAllNext() {
-	for len(s.next) > 0 {
-		ev := s.next[0]
-		s.next = s.next[1:]
-		s.recovering(func() { s.handle(ev) })
+// handleDeferredEvents handles the deferred events, including those that are deferred while it runs.
+func (s *Server) handleDeferredEvents() {
+	for len(s.deferred) > 0 {
+		ev := s.deferred[0]
+		s.deferred = s.deferred[1:]
+		s.recoverPanics(func() { s.handle(ev) })
 	}
 }
 
-// handleAt handles an event at a time in monotonic seconds, at once if that has passed. The timer's goroutine only
-// posts the event, which is dropped after the end of the loop.
+// handleAt handles an event at the given time in monotonic seconds, or immediately if that time has passed. The timer's
+// goroutine only posts the event, which is dropped if the loop has ended.
 func (s *Server) handleAt(at float64, ev event) {
 	if wait := at - s.now().Seconds(); wait > 0 {
 		time.AfterFunc(time.Duration(wait*float64(time.Second)), func() { s.post(ev) })
@@ -99,7 +100,7 @@
 	s.handle(ev)
 }
 
-// loop owns the handler, the pool and the open requests.
+// loop runs the event loop, which owns the handler, the upstream pool and the open requests.
 func (s *Server) loop(ctx context.Context) error {
 	defer close(s.loopDone)
 	tick, sweep := time.NewTicker(tickInterval), time.NewTicker(idleSweepInterval)
@@ -110,18 +111,18 @@
 		case <-ctx.Done():
 			return nil
 		case ev := <-s.events:
-			s.recovering(func() { s.handle(ev) })
+			s.recoverPanics(func() { s.handle(ev) })
 		case <-tick.C:
-			s.recovering(func() { s.perform(s.handler.HandleTick(s.now().Seconds())) })
+			s.recoverPanics(func() { s.perform(s.handler.HandleTick(s.now().Seconds())) })
 		case <-sweep.C:
-			s.recovering(func() { s.pool.CloseIdle(s.now()) })
+			s.recoverPanics(func() { s.pool.CloseIdle(s.now()) })
 		}
-		s.handleAllNext()
+		s.handleDeferredEvents()
 	}
 }
 
-// recovering calls f and logs a panic.
-func (s *Server) recovering(f func()) {
+// recoverPanics calls f, recovers from a panic in it and records the panic.
+func (s *Server) recoverPanics(f func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			s.Telemetry.RecordPanic(telemetry.ComponentEdgeCache, cause)
@@ -139,17 +140,19 @@
 		if r := ev.conn.requests[ev.id]; r != nil {
 			s.cancel(now, r)
 		}
-	case clientGone:
-		ev.conn.gone = true
+	case clientDisconnected:
+		ev.conn.closed = true
 		for _, r := range ev.conn.requests {
 			s.cancel(now, r)
 		}
 	case probeReceived:
-		ev.conn.send(outgoing{head: cacheproto.AppendProbeReply(nil, ev.id, true, s.loadReport(now, ev.withLoad))})
-	case workDone:
+		ev.conn.send(queuedResponse{
+			head: cacheproto.AppendProbeReply(nil, ev.id, true, s.loadReport(now, ev.withLoad)),
+		})
+	case modelledWorkDone:
 		s.dispatch(ev.request)
 	case responseDue:
-		s.transmit(ev)
+		s.sendResponse(ev)
 	case diskReadDone:
 		s.perform(s.handler.HandleDiskRead(now, ev.key, ev.copy))
 	case fetchNotSent:
@@ -163,9 +166,9 @@
 	}
 }
 
-// loadReport is the load that a probe reports, empty if it did not ask for it.
-func (s *Server) loadReport(now float64, wanted bool) cacheproto.LoadReport {
-	if !wanted {
+// loadReport returns the load report for a probe reply, or an empty report if the probe did not request one.
+func (s *Server) loadReport(now float64, withLoad bool) cacheproto.LoadReport {
+	if !withLoad {
 		return ""
 	}
 	return cacheproto.NewLoadReport(len(s.requests), s.capacity.Utilization(now))
--- a/internal/edgecache/loop_test.go
+++ b/internal/edgecache/loop_test.go
@@ -11,12 +11,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A fetch can't be sent while the queue of the loop is full. The loop posted that into its own queue, and waited for
-// ever for room that nobody else makes. It must go on, and handle the failed fetch next.
+// TestLoopDoesNotWaitForItsOwnQueue covers a deadlock: a fetch cannot be sent while the event queue is full, and the
+// loop reported that failure by posting to its own queue, which only the loop itself empties. The loop must not block;
+// it must handle the failed fetch as its next event.
 func TestLoopDoesNotWaitForItsOwnQueue(t *testing.T) {
 	s := &Server{events: make(chan event, 1), loopDone: make(chan struct{}), pool: &upstream.Pool{}, now: clock.Now}
 	s.Config.ID = "s-00000001"
-	s.events <- clientGone{}
+	s.events <- clientDisconnected{}
 	fetched := make(chan struct{})
 	go func() {
 		defer close(fetched)
@@ -24,9 +25,9 @@
 	}()
 	select {
 	case <-fetched:
-		assert.Equal(t, []event{fetchNotSent{7}}, s.next)
+		assert.Equal(t, []event{fetchNotSent{7}}, s.deferred)
 	case <-time.After(5 * time.Second):
-		t.Error("the loop waits for itself")
+		t.Error("the event loop is blocked on its own queue")
 		close(s.loopDone)
 		<-fetched
 	}
--- a/internal/edgecache/origin.go
+++ b/internal/edgecache/origin.go
@@ -13,21 +13,21 @@
 	"cairnfront/internal/diskcache/validity"
 )
 
-// Origin provides content and executes requests that are not cacheable.
+// Origin provides content and executes requests of classes that are not cacheable.
 type Origin interface {
-	// Get returns the current copy of a chunk; ok is false if there is none.
-	Get(key eviction.Key) (tag string, group uint16, body []byte, ok bool)
-	// Execute executes a request. One with an idempotency key that was executed before succeeds without executing
-	// again.
+	// Get returns the current content of a chunk. ok is false if the origin does not have the chunk.
+	Get(key eviction.Key) (etag string, group uint16, body []byte, ok bool)
+	// Execute executes a request. A request whose idempotency key has been executed before succeeds without being
+	// executed again.
 	Execute(id, class, idempotencyKey string, key eviction.Key, effect string) error
 }
 
-// DirOrigin serves the files OBJECT/CHUNK of a directory. A tag consists of the file's size and modification time. It
-// executes no requests.
+// DirOrigin serves the files OBJECT/CHUNK of a directory. An ETag consists of the file's size and modification time. A
+// DirOrigin is read-only: it executes no requests.
 type DirOrigin string
 
 // Get implements Origin.
-func (d DirOrigin) Get(key eviction.Key) (tag string, group uint16, body []byte, ok bool) {
+func (d DirOrigin) Get(key eviction.Key) (etag string, group uint16, body []byte, ok bool) {
 	path := filepath.Join(string(d), fmt.Sprintf("%016x", key.Object), strconv.FormatUint(uint64(key.Chunk), 10))
 	info, err := os.Stat(path)
 	if err != nil || info.Size() > cacheproto.MaxObjectBytes {
@@ -37,8 +37,8 @@
 	if err != nil {
 		return "", 0, nil, false
 	}
-	tag = fmt.Sprintf("%x-%x", info.Size(), clock.UnixNanos(info.ModTime()))
-	return tag, validity.UnknownGroup, body, true
+	etag = fmt.Sprintf("%x-%x", info.Size(), clock.UnixNanos(info.ModTime()))
+	return etag, validity.UnknownGroup, body, true
 }
 
 var errReadOnlyOrigin = errors.New("origin is read-only")
--- a/internal/edgecache/origin_test.go
+++ b/internal/edgecache/origin_test.go
@@ -17,26 +17,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenSyntheticHash is the hash of 150 synthetic chunks, generated before the origin was renamed.
+// goldenSyntheticHash is the SHA-256 hash of 150 synthetic chunks, generated before the origin type was renamed.
 const goldenSyntheticHash = "2aafbf97907ba656a409d444a07a92ca4a6883807df0ae73476ff299e590e002"
 
-// TestGoldenSyntheticChunks holds the synthetic content by its hash. Other bytes from the same seed would make the
-// records of earlier runs useless.
+// TestGoldenSyntheticChunks checks that the synthetic content for a seed never changes, by its hash. If the same seed
+// produced other bytes, recordings of earlier runs could no longer be verified.
 func TestGoldenSyntheticChunks(t *testing.T) {
 	origin := &SyntheticOrigin{Seed: 7, MinBytes: 100, MaxBytes: 3000, Groups: 16}
 	hash := sha256.New()
 	for object := range uint64(50) {
 		for chunk := range uint32(3) {
-			tag, group, body, ok := origin.Get(eviction.Key{Object: object * 977, Chunk: chunk})
-			_, _ = fmt.Fprintf(hash, "%s %d %v %d\n", tag, group, ok, len(body))
+			etag, group, body, ok := origin.Get(eviction.Key{Object: object * 977, Chunk: chunk})
+			_, _ = fmt.Fprintf(hash, "%s %d %v %d\n", etag, group, ok, len(body))
 			_, _ = hash.Write(body)
 		}
 	}
 	assert.Equal(t, goldenSyntheticHash, hex.EncodeToString(hash.Sum(nil)))
 }
 
-// TestSyntheticOriginExecutesIdempotencyKeyOnce sends one idempotency key several times. The tests of the router
-// rely on an origin that runs a key once within its window, and again after it.
+// TestSyntheticOriginExecutesIdempotencyKeyOnce sends the same idempotency key several times. The router's tests rely
+// on the origin executing a key once within the retention time, and again after that time has passed.
 func TestSyntheticOriginExecutesIdempotencyKeyOnce(t *testing.T) {
 	var executed []string
 	origin := &SyntheticOrigin{
@@ -52,19 +52,19 @@
 	origin.KeyRetention = 0
 	time.Sleep(time.Millisecond)
 	require.NoError(t, origin.Execute("5", "order", "k", key, config.EffectIdempotencyKey))
-	assert.Equal(t, "5", executed[len(executed)-1], "the key was forgotten")
+	assert.Equal(t, "5", executed[len(executed)-1], "the retention time of the key has passed")
 }
 
-// TestDirOriginServesFiles serves a file of a folder, and one that is missing. A missing file must be a miss, and a
-// request that changes something must be refused.
+// TestDirOriginServesFiles requests an existing file and a missing one. The missing file must be reported as not found,
+// and a request to execute something must be rejected because the origin is read-only.
 func TestDirOriginServesFiles(t *testing.T) {
-	path := t.TempDir()
-	require.NoError(t, os.MkdirAll(filepath.Join(path, "000000000000000a"), 0o750))
-	require.NoError(t, os.WriteFile(filepath.Join(path, "000000000000000a", "2"), []byte("content"), 0o600))
-	origin := DirOrigin(path)
-	tag, group, body, ok := origin.Get(eviction.Key{Object: 10, Chunk: 2})
+	directory := t.TempDir()
+	require.NoError(t, os.MkdirAll(filepath.Join(directory, "000000000000000a"), 0o750))
+	require.NoError(t, os.WriteFile(filepath.Join(directory, "000000000000000a", "2"), []byte("content"), 0o600))
+	origin := DirOrigin(directory)
+	etag, group, body, ok := origin.Get(eviction.Key{Object: 10, Chunk: 2})
 	assert.True(t, ok)
-	assert.Regexp(t, "^7-[0-9a-f]+$", tag)
+	assert.Regexp(t, "^7-[0-9a-f]+$", etag)
 	assert.Equal(t, uint16(validity.UnknownGroup), group)
 	assert.Equal(t, "content", string(body))
 	_, _, _, ok = origin.Get(eviction.Key{Object: 10, Chunk: 3})
@@ -72,8 +72,8 @@
 	assert.ErrorIs(t, origin.Execute("1", "order", "", eviction.Key{}, ""), errReadOnlyOrigin)
 }
 
-// TestServeRejectsConfigurationWithoutClasses starts an edge cache without request classes. It would answer every
-// request with an error, which looks like a fault of the router. The start must fail.
+// TestServeRejectsConfigurationWithoutClasses starts an edge cache without request classes. Such a cache would answer
+// every request with an error, which looks like a router fault, so the start must fail.
 func TestServeRejectsConfigurationWithoutClasses(t *testing.T) {
 	assert.ErrorIs(t, Serve(t.Context(), config.File{}, os.Stderr, nil), errNoClasses)
 }
--- a/internal/edgecache/perform.go
+++ b/internal/edgecache/perform.go
@@ -17,16 +17,16 @@
 	"cairnfront/routing"
 )
 
-// perform carries out the handler's actions. Some call the handler again, which reuses the slice. The goroutine of a
-// disk read belongs to nobody: it ends when the disk cache answers, after the read timeout at the latest, and its
-// result is dropped once the loop has ended.
+// perform executes the handler's actions. It iterates over a clone because some actions call the handler again, which
+// reuses the slice. Nothing waits for the goroutine of a disk read: it ends when the disk cache responds, at the latest
+// after the read timeout, and its result is dropped if the event loop has ended by then.
 func (s *Server) perform(actions []handler.Action) {
 	for _, action := range slices.Clone(actions) {
 		switch a := action.(type) {
 		case handler.Respond:
 			s.respondWith(a)
 		case handler.ReadDisk:
-			go s.readDisk(a.Key) // as many at once as there are open requests
+			go s.readDisk(a.Key) // bounded by the number of open requests
 		case handler.Fetch:
 			s.fetch(a)
 		case handler.CancelFetch:
@@ -37,7 +37,7 @@
 	}
 }
 
-// performOnDisk carries out an action on the disk cache.
+// performOnDisk executes an action that concerns the disk cache.
 func (s *Server) performOnDisk(action handler.Action) {
 	if a, ok := action.(handler.ConfirmOnDisk); ok {
 		if s.Disk != nil {
@@ -94,7 +94,7 @@
 	s.respond(r, reply, body)
 }
 
-// readDisk reads a chunk from the disk and posts the result.
+// readDisk reads a chunk from the disk cache and posts the result to the event loop.
 func (s *Server) readDisk(key eviction.Key) {
 	chunk, verdict, err := s.Disk.Get(key)
 	if err != nil || verdict == validity.Invalidated {
@@ -113,13 +113,13 @@
 	}})
 }
 
-// fillOwner is the number of a fill, as the owner of its attempt.
+// fillOwner is the id of a fill that identifies the fill as the owner of an upstream attempt.
 type fillOwner uint64
 
 // OwnsUpstreamAttempt implements upstream.Owner.
 func (fillOwner) OwnsUpstreamAttempt() {}
 
-// fetch sends a request to a source.
+// fetch sends the request of a fill to its source endpoint.
 func (s *Server) fetch(f handler.Fetch) {
 	outbound := &request.Request{
 		ID:        routing.RequestID(fmt.Sprintf("%s-%x", s.Config.ID[2:], f.Fill)),
@@ -143,7 +143,7 @@
 		},
 	}, upstream.Bounds{Deadline: clock.FromSeconds(s.now().Seconds() + f.TimeoutSeconds)}, nil, fillOwner(f.Fill))
 	if attempt == nil {
-		s.handleNext(fetchNotSent{f.Fill})
+		s.deferEvent(fetchNotSent{f.Fill})
 		return
 	}
 	s.Telemetry.Inc(telemetry.CacheFetches)
@@ -163,9 +163,9 @@
 	}
 }
 
-// handleAttemptEnded passes the result of a fetch to the handler.
+// handleAttemptEnded passes the result of an upstream attempt to the handler as the result of its fill.
 func (s *Server) handleAttemptEnded(now float64, ev upstream.AttemptEnded) {
-	owner, _ := ev.Attempt.Owner.(fillOwner) // the pool has no other attempts; 0 is no fill
+	owner, _ := ev.Attempt.Owner.(fillOwner) // the pool has attempts of fills only; no fill has the id 0
 	fill := uint64(owner)
 	if s.attempts[fill] == nil {
 		ev.End.Body.Free()
@@ -185,7 +185,7 @@
 	if body := ev.End.Body; body != nil {
 		result.Body = body.Bytes
 		s.Telemetry.IncBy(telemetry.CacheFetchedBytes, int64(len(result.Body)))
-		body.Free() // from here on the memory cache's limit counts what is stored of it
+		body.Free() // the memory cache's own limit accounts for the bytes from here on
 	}
 	s.perform(s.handler.HandleFetched(now, fill, result))
 }
--- a/internal/edgecache/request.go
+++ b/internal/edgecache/request.go
@@ -10,7 +10,7 @@
 	"cairnfront/routing"
 )
 
-// openRequest is a request that has no response yet. The event loop owns it.
+// openRequest is a request that has not been answered yet. The event loop owns it.
 type openRequest struct {
 	number     uint64
 	conn       *clientConn
@@ -22,25 +22,25 @@
 	responding bool
 }
 
-// handleRequest admits a request and models its work.
+// handleRequest admits or rejects a request and schedules its work in the capacity model.
 func (s *Server) handleRequest(now float64, r *openRequest) {
 	conn := r.conn
-	if conn.gone {
+	if conn.closed {
 		r.body.Free()
 		return
 	}
-	if !conn.mayOpen(r.command.ID, s.Config.StreamsPerConnection) {
+	if !conn.mayOpenRequest(r.command.ID, s.Config.StreamsPerConnection) {
 		r.body.Free()
 		s.Telemetry.Inc(telemetry.CacheRequestsRejected)
 		reply := cacheproto.AttemptReply{Result: routing.Overloaded}
-		conn.send(outgoing{head: cacheproto.AppendAttemptReply(nil, r.command.ID, reply)})
+		conn.send(queuedResponse{head: cacheproto.AppendAttemptReply(nil, r.command.ID, reply)})
 		return
 	}
 	if s.OnRequest != nil {
 		s.OnRequest(r.command)
 	}
-	s.lastRequest++
-	r.number = s.lastRequest
+	s.lastRequestNumber++
+	r.number = s.lastRequestNumber
 	r.deadline = now + r.command.TimeoutSeconds
 	s.requests[r.number] = r
 	conn.requests[r.command.ID] = r
@@ -58,19 +58,20 @@
 		s.respond(r, cacheproto.AttemptReply{Result: routing.Overloaded}, nil)
 		return
 	}
-	s.handleAt(doneAt, workDone{r})
+	s.handleAt(doneAt, modelledWorkDone{r})
 }
 
-// mayOpen says whether a connection may open a request. The responses to two of one id could not be distinguished,
-// and without the bound one client could hold all memory of the cache.
-func (c *clientConn) mayOpen(id string, maxOpen int) bool {
+// mayOpenRequest reports whether the connection may open a request with the given id. The id must be unused, since the
+// responses to two requests with one id could not be distinguished. The limit on open requests prevents one client from
+// using all memory of the cache.
+func (c *clientConn) mayOpenRequest(id string, maxOpen int) bool {
 	return c.requests[id] == nil && len(c.requests) < maxOpen
 }
 
-// isOpen reports whether a request has neither been answered nor cancelled.
+// isOpen reports whether a request has been neither answered nor cancelled.
 func (s *Server) isOpen(r *openRequest) bool { return s.requests[r.number] == r }
 
-// dispatch passes a request whose work is done to the origin or the handler.
+// dispatch passes a request to the origin or the handler after the capacity model has finished its work.
 func (s *Server) dispatch(r *openRequest) {
 	if !s.isOpen(r) {
 		return
@@ -90,7 +91,7 @@
 			StaleSeconds: r.class.StaleSeconds,
 		},
 		Deadline:      r.deadline,
-		Source:        s.sourceOf(r),
+		Source:        s.fillSource(r),
 		Rank:          command.RetentionRank,
 		MaxAgeSeconds: command.MaxAgeSeconds,
 		JoinFill:      command.JoinFill,
@@ -101,8 +102,8 @@
 	}))
 }
 
-// sourceOf is the endpoint that a request's miss is fetched from, empty for none.
-func (s *Server) sourceOf(r *openRequest) string {
+// fillSource returns the endpoint to fetch from if the request is a cache miss, or an empty string if there is none.
+func (s *Server) fillSource(r *openRequest) string {
 	source := r.command.FillSource
 	if source == "" && s.Config.Role == roleParent && !r.command.CacheOnly {
 		source = s.Config.DefaultSource
@@ -113,7 +114,7 @@
 	return source
 }
 
-// serveFromOrigin responds with the origin's content, or executes a request of a class that is not cacheable.
+// serveFromOrigin responds with content from the origin, or has the origin execute a request that is not cacheable.
 func (s *Server) serveFromOrigin(r *openRequest) {
 	if !r.class.Cacheable {
 		command := &r.command
@@ -127,7 +128,7 @@
 		return
 	}
 	issuedAt := s.now().UnixMillis()
-	tag, group, body, ok := s.Origin.Get(r.key)
+	etag, group, body, ok := s.Origin.Get(r.key)
 	if !ok {
 		s.respond(r, cacheproto.AttemptReply{Result: routing.CacheMiss}, nil)
 		return
@@ -135,34 +136,34 @@
 	reply := cacheproto.AttemptReply{
 		Result:           routing.Completed,
 		Detail:           routing.CacheHit,
-		ETag:             tag,
+		ETag:             etag,
 		OriginUnixMillis: issuedAt,
 		PurgeGroup:       int(group),
 	}
-	if tag == r.command.ETag {
+	if etag == r.command.ETag {
 		reply.NotModified = true
 		body = nil
 	}
 	s.respond(r, reply, body)
 }
 
-// cancel ends a request that nobody waits for.
+// cancel ends a request without a response after its client cancelled it or disconnected.
 func (s *Server) cancel(now float64, r *openRequest) {
 	if !s.isOpen(r) {
 		return
 	}
-	s.remove(r)
+	s.removeRequest(r)
 	s.Telemetry.Inc(telemetry.CacheRequestsCancelled)
 	s.perform(s.handler.HandleCancel(now, r.number, r.key))
 }
 
-func (s *Server) remove(r *openRequest) {
+func (s *Server) removeRequest(r *openRequest) {
 	delete(s.requests, r.number)
 	delete(r.conn.requests, r.command.ID)
 	r.body.Free()
 }
 
-// respond ends a request with a reply, which is sent when the modelled link has transmitted it.
+// respond schedules the response to a request. It is sent when the capacity model has transmitted it over its link.
 func (s *Server) respond(r *openRequest, reply cacheproto.AttemptReply, body []byte) {
 	if !s.isOpen(r) || r.responding {
 		return
@@ -176,8 +177,8 @@
 	s.handleAt(transmittedAt, responseDue{r, reply, body})
 }
 
-// transmit hands a response to the connection's writer.
-func (s *Server) transmit(due responseDue) {
+// sendResponse queues a scheduled response for its connection's writer and removes the request.
+func (s *Server) sendResponse(due responseDue) {
 	r := due.request
 	if !s.isOpen(r) {
 		return
@@ -185,7 +186,7 @@
 	if s.OnResponse != nil {
 		s.OnResponse(r.command.ID, len(due.body))
 	}
-	s.remove(r)
+	s.removeRequest(r)
 	head := cacheproto.AppendAttemptReply(nil, r.command.ID, due.reply)
-	r.conn.send(outgoing{head: head, body: due.body})
+	r.conn.send(queuedResponse{head: head, body: due.body})
 }
--- a/internal/edgecache/serve.go
+++ b/internal/edgecache/serve.go
@@ -14,10 +14,10 @@
 	"cairnfront/internal/telemetry"
 )
 
-// errNoClasses reports a configuration without request classes.
+// errNoClasses reports an edge cache configuration that defines no request classes.
 var errNoClasses = errors.New(config.KeyEdgeCacheClasses + ": an edge cache needs the request classes that it serves")
 
-// DiskCacheConfig returns the disk cache's configuration in the configuration file.
+// DiskCacheConfig converts the disk cache section of the configuration file to a diskcache.Config.
 func DiskCacheConfig(c config.DiskCache) diskcache.Config {
 	return diskcache.Config{
 		SpaceBytes:       int64(c.CapacityMB * bytesPerMB),
@@ -35,8 +35,8 @@
 	}
 }
 
-// Serve runs a server configured by the configuration file until the context ends. Log lines go to out. The counters
-// follow at the end, and whenever dump receives.
+// Serve runs a server configured by the configuration file until the context ends. It writes log lines to out, and also
+// the counters: when it returns and whenever dump receives a value.
 func Serve(ctx context.Context, file config.File, out io.Writer, dump <-chan struct{}) error {
 	metrics := telemetry.NewForEndpoint(out, file.EdgeCache.ID)
 	defer metrics.Dump(out)
@@ -104,8 +104,8 @@
 	return disk, nil
 }
 
-// dumpOnRequest writes the disk cache's status and the counters whenever dump receives. Serve owns its goroutine, which
-// ends once done is closed; a dump that is under way then may be cut short by the end of the process.
+// dumpOnRequest writes the disk cache's status and the counters whenever dump receives a value. Serve runs it in a
+// goroutine that ends after done is closed. The process may exit before a dump in progress is complete.
 func (s *Server) dumpOnRequest(out io.Writer, dump, done <-chan struct{}) {
 	for {
 		select {
--- a/internal/edgecache/server.go
+++ b/internal/edgecache/server.go
@@ -1,9 +1,9 @@
-// Package edgecache is a cache server: it speaks the cache protocol to routers and other caches, holds chunks in memory
-// over a disk cache, and fetches misses from the source that the request names.
+// Package edgecache implements a cache server. The server speaks the cache protocol with routers and other caches,
+// caches chunks in memory and on disk, and fetches misses from the source that the request names.
 //
-// Package handler decides what is done with each request, and package diskcache what the disk stores and which copies
-// are valid. This package owns the sockets, the goroutines and the event loop that carries the decisions out. It makes
-// no decision of its own beyond its limits.
+// Package handler decides how to handle each request. Package diskcache decides what is stored on disk and which copies
+// are valid. This package owns the sockets, the goroutines and the event loop that executes these decisions. It makes
+// no decisions itself apart from enforcing its limits.
 package edgecache
 
 import (
@@ -29,34 +29,34 @@
 )
 
 const (
-	eventQueue          = 4096
-	tickInterval        = 20 * time.Millisecond
-	idleSweepInterval   = time.Second
-	ringBytes           = 16 << 10
-	clientStallTimeout  = 2 * time.Second // for which a client may read nothing
-	connectTimeout      = 400 * time.Millisecond
-	attemptsPerUpstream = 32 // on one connection
-	minBodyBudgetMB     = 32 // for bodies in transit
-	minConnections      = 64
-	bytesPerMB          = 1 << 20
-	msPerSecond         = 1000
+	eventQueueLength         = 4096
+	tickInterval             = 20 * time.Millisecond
+	idleSweepInterval        = time.Second
+	ringBufferBytes          = 16 << 10
+	clientStallTimeout       = 2 * time.Second // a client that reads nothing for this long is disconnected
+	connectTimeout           = 400 * time.Millisecond
+	maxAttemptsPerConnection = 32 // open at the same time on one upstream connection
+	minBodyBudgetMB          = 32 // memory for request and response bodies in transit
+	minConnections           = 64
+	bytesPerMB               = 1 << 20
+	msPerSecond              = 1000
 )
 
-// The roles of a server that change what it does.
+// The configured roles that change a server's behavior.
 const (
 	roleParent = "parent"
 	roleOrigin = "origin"
 )
 
-// Server is a cache server. Its exported fields are set before Run.
+// Server is a cache server. Its exported fields must be set before Run is called.
 type Server struct {
 	Config    config.EdgeCache
 	Telemetry *telemetry.Metrics
-	Disk      *diskcache.Cache // nil for none
-	Origin    Origin           // serves requests in place of the caches if not nil
+	Disk      *diskcache.Cache // nil without a disk cache
+	Origin    Origin           // if not nil, serves all requests instead of the caches
 
-	// OnRequest and OnResponse, if not nil, are called by the event loop for each request and response. The lab uses
-	// them.
+	// OnRequest and OnResponse, if not nil, are called by the event loop for each request and each response. The lab
+	// uses them to observe the server.
 	OnRequest  func(cacheproto.Command)
 	OnResponse func(id string, bytes int)
 
@@ -67,23 +67,23 @@
 	capacity capacity.Model
 	now      func() clock.Instant
 
-	events      chan event
-	next        []event // to be handled after the one in hand; of the loop
-	loopDone    chan struct{}
-	lastRequest uint64
-	requests    map[uint64]*openRequest
-	attempts    map[uint64]*upstream.Attempt // by fill
+	events            chan event
+	deferred          []event // handled after the current event; owned by the event loop
+	loopDone          chan struct{}
+	lastRequestNumber uint64
+	requests          map[uint64]*openRequest
+	attempts          map[uint64]*upstream.Attempt // by fill id
 
-	connections     atomic.Int64
-	needFullListing atomic.Bool // the endpoint list has not been received yet
+	connections          atomic.Int64
+	needEndpointSnapshot atomic.Bool // the complete endpoint list has not been received yet
 }
 
-// Run serves on a listener until the context ends, then gives open requests the drain timeout. It owns all
-// goroutines of the server but those that read the disk for one request (see perform), and returns when they have
-// ended.
+// Run serves connections from a listener until the context ends, then waits up to the drain timeout for open requests
+// to complete. It waits for all goroutines of the server before it returns, except for those that each read one chunk
+// from the disk (see perform).
 func (s *Server) Run(ctx context.Context, ln net.Listener) error {
 	s.init()
-	// Shutdown goes in steps: the listener first, then open requests, then the rest.
+	// Shutdown has three steps: close the listener, drain open requests, then stop all other goroutines.
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	g, serving := errgroup.WithContext(serving)
@@ -109,7 +109,7 @@
 	case <-ctx.Done():
 	case <-serving.Done():
 	}
-	_ = ln.Close() // it may be closed already
+	_ = ln.Close() // fails if the listener is already closed
 	s.drain(serving)
 	stop()
 	clients.Wait()
@@ -122,7 +122,7 @@
 	for _, class := range s.Config.Classes {
 		s.classes[class.Name] = class
 	}
-	s.events = make(chan event, eventQueue)
+	s.events = make(chan event, eventQueueLength)
 	s.loopDone = make(chan struct{})
 	s.requests = map[uint64]*openRequest{}
 	s.attempts = map[uint64]*upstream.Attempt{}
@@ -130,7 +130,7 @@
 	if s.Disk != nil {
 		s.validity = s.Disk
 	}
-	s.needFullListing.Store(true)
+	s.needEndpointSnapshot.Store(true)
 	s.capacity = newCapacityModel(s.Config, s.now().Seconds())
 	s.handler = handler.New(s, handler.Limits{
 		MemoryBytes:        int64(s.Config.MemoryMB * bytesPerMB),
@@ -146,7 +146,7 @@
 		OnEvent:                  func(ev upstream.Event) { s.post(upstreamEvent{ev}) },
 		ConnectTimeout:           connectTimeout,
 		EndpointIdleTimeout:      s.Config.IdleTimeout.Duration(),
-		MaxAttemptsPerConnection: attemptsPerUpstream,
+		MaxAttemptsPerConnection: maxAttemptsPerConnection,
 	}
 }
 
@@ -154,18 +154,18 @@
 	return capacity.Model{
 		StartedAt: startedAt,
 		Params: capacity.Params{
-			Cores:          c.Capacity.Cores,
-			WorkSeconds:    c.Capacity.WorkMS / msPerSecond,
-			LinkKBps:       c.Capacity.LinkKBPerSecond,
-			LatencySeconds: c.Capacity.LatencyMS / msPerSecond,
-			ColdShare:      c.Capacity.ColdShare,
-			ColdSeconds:    c.Capacity.ColdSeconds,
+			Cores:            c.Capacity.Cores,
+			WorkSeconds:      c.Capacity.WorkMS / msPerSecond,
+			LinkKBps:         c.Capacity.LinkKBPerSecond,
+			LatencySeconds:   c.Capacity.LatencyMS / msPerSecond,
+			InitialCoreShare: c.Capacity.ColdShare,
+			WarmUpSeconds:    c.Capacity.ColdSeconds,
 		},
 	}
 }
 
-// runDisk runs the disk cache, if there is one, and returns the channel of its result. Run owns the goroutine and waits
-// for that result.
+// runDisk runs the disk cache, if there is one, in a goroutine and returns a channel that receives its result. Run
+// waits for that result.
 func (s *Server) runDisk(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	if s.Disk == nil {
@@ -176,7 +176,7 @@
 	return done
 }
 
-// drain waits until no request is open, up to the drain timeout.
+// drain waits until no request is open, but not longer than the drain timeout.
 func (s *Server) drain(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, s.Config.DrainTimeout.Duration())
 	defer cancel()
--- a/internal/edgecache/server_test.go
+++ b/internal/edgecache/server_test.go
@@ -25,9 +25,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// discoveryStub is a discovery service that sends the events it was given, then a heartbeat, to each connection.
+// discoveryStub is a discovery service that sends its events and then a heartbeat on each new connection.
 type discoveryStub struct {
 	net.Listener
 	mu     sync.Mutex
@@ -35,11 +35,11 @@
 	conns  []net.Conn
 }
 
-func startDiscovery(t *testing.T) *discoveryStub {
+func startDiscoveryStub(t *testing.T) *discoveryStub {
 	t.Helper()
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	b := &discoveryStub{Listener: ln}
+	stub := &discoveryStub{Listener: ln}
 	t.Cleanup(func() { _ = ln.Close() })
 	go func() {
 		for {
@@ -50,49 +50,49 @@
 			if _, err := io.ReadFull(c, make([]byte, 8)); err != nil {
 				continue
 			}
-			b.mu.Lock()
+			stub.mu.Lock()
 			heartbeat := discovery.Event{Kind: discovery.Heartbeat}
-			for _, ev := range append(append([]discovery.Event{}, b.events...), heartbeat) {
+			for _, ev := range append(append([]discovery.Event{}, stub.events...), heartbeat) {
 				text, _ := discovery.AppendEvent(nil, ev)
 				_, _ = c.Write(text)
 			}
-			b.conns = append(b.conns, c)
-			b.mu.Unlock()
+			stub.conns = append(stub.conns, c)
+			stub.mu.Unlock()
 		}
 	}()
-	return b
+	return stub
 }
 
-func (b *discoveryStub) publish(ev discovery.Event) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	ev.Revision = uint64(len(b.events) + 1)
-	b.events = append(b.events, ev)
+func (d *discoveryStub) publish(ev discovery.Event) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	ev.Revision = uint64(len(d.events) + 1)
+	d.events = append(d.events, ev)
 	text, _ := discovery.AppendEvent(nil, ev)
-	for _, c := range b.conns {
+	for _, c := range d.conns {
 		_, _ = c.Write(text)
 	}
 }
 
-// testServer is a server in this process.
+// testServer is a cache server that runs in the test process.
 type testServer struct {
 	*Server
 	addr string
 	stop func()
 }
 
-func start(t *testing.T, discoveryService *discoveryStub, change func(*Server)) *testServer {
+func startServer(t *testing.T, discoveryService *discoveryStub, configure func(*Server)) *testServer {
 	t.Helper()
 	const configuration = "box: {rules: [{name: video}, {name: page, fresh_s: 10, stale_s: 10}, " +
 		"{name: order, kept: false, effect: keyed}]}"
-	rules, err := config.Parse("test", []byte(configuration))
+	parsed, err := config.Parse("test", []byte(configuration))
 	require.NoError(t, err)
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	server := &Server{Config: rules.EdgeCache, Telemetry: telemetry.New(io.Discard, "")}
+	server := &Server{Config: parsed.EdgeCache, Telemetry: telemetry.New(io.Discard, "")}
 	server.Config.DiscoveryAddress, server.Config.DrainTimeout = discoveryService.Addr().String(), 0.2
-	if change != nil {
-		change(server)
+	if configure != nil {
+		configure(server)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -107,86 +107,88 @@
 	return running
 }
 
-func (r *testServer) update(id string, kind int) discovery.Event {
+func (s *testServer) endpointUpdate(id string, kind int) discovery.Event {
 	endpoint := routing.Endpoint{ID: routing.EndpointID(id), Kind: kind, Weight: 8}
 	return discovery.Event{
 		Kind:      discovery.Update,
-		Endpoints: []discovery.Endpoint{{Address: r.addr, Endpoint: endpoint}},
+		Endpoints: []discovery.Endpoint{{Address: s.addr, Endpoint: endpoint}},
 	}
 }
 
-// startOrigin starts a server with a synthetic origin.
+// startOrigin starts an origin server with synthetic content and publishes its endpoint.
 func startOrigin(t *testing.T, discoveryService *discoveryStub) (*testServer, *SyntheticOrigin) {
 	t.Helper()
 	origin := &SyntheticOrigin{Seed: 7, MinBytes: 100, MaxBytes: 3000, Groups: 16, KeyRetention: time.Minute}
-	running := start(t, discoveryService, func(server *Server) {
+	running := startServer(t, discoveryService, func(server *Server) {
 		server.Origin, server.Config.Role, server.Config.ID = origin, "origin", "s-000000ff"
 	})
-	discoveryService.publish(running.update("s-000000ff", 2))
+	discoveryService.publish(running.endpointUpdate("s-000000ff", 2))
 	return running, origin
 }
 
-// testClient is a client of the cache protocol.
+// testClient is a client that speaks the cache protocol.
 type testClient struct {
 	net.Conn
-	r *bufio.Reader
-	n int
+	reader       *bufio.Reader
+	requestCount int
 }
 
-func (r *testServer) dial(t *testing.T) *testClient {
+func (s *testServer) dial(t *testing.T) *testClient {
 	t.Helper()
-	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", r.addr)
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", s.addr)
 	require.NoError(t, err)
-	require.NoError(t, c.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	t.Cleanup(func() { _ = c.Close() })
-	return &testClient{Conn: c, r: bufio.NewReader(c)}
+	return &testClient{Conn: c, reader: bufio.NewReader(c)}
 }
 
-func (a *testClient) next(t *testing.T) (id, word string, fields map[string]string, body string) {
+func (c *testClient) readResponse(t *testing.T) (id, result string, fields map[string]string, body string) {
 	t.Helper()
-	text, err := a.r.ReadString('\n')
+	text, err := c.reader.ReadString('\n')
 	require.NoError(t, err)
-	w := strings.Fields(text)
-	require.Len(t, w, 4, text)
-	n, err := strconv.Atoi(w[3])
+	words := strings.Fields(text)
+	require.Len(t, words, 4, text)
+	bodyBytes, err := strconv.Atoi(words[3])
 	require.NoError(t, err)
-	b := make([]byte, n+2)
-	_, err = io.ReadFull(a.r, b)
+	bodyAndLineEnd := make([]byte, bodyBytes+2)
+	_, err = io.ReadFull(c.reader, bodyAndLineEnd)
 	require.NoError(t, err)
 	fields = map[string]string{}
-	for pair := range strings.SplitSeq(w[2], ",") {
-		k, v, _ := strings.Cut(pair, "=")
-		fields[k] = v
+	for pair := range strings.SplitSeq(words[2], ",") {
+		name, value, _ := strings.Cut(pair, "=")
+		fields[name] = value
 	}
-	return w[0], w[1], fields, string(b[:n])
+	return words[0], words[1], fields, string(bodyAndLineEnd[:bodyBytes])
 }
 
-func (a *testClient) request(t *testing.T, rule string, object int, more string) (string, map[string]string, string) {
+func (c *testClient) request(
+	t *testing.T, class string, object int, extraFields string,
+) (string, map[string]string, string) {
 	t.Helper()
-	a.n++
-	id := fmt.Sprintf("%016x", a.n)
-	_, err := fmt.Fprintf(a, "do %s profile=%s,thing=%016x,nth=1,max=3000%s 0\r\n\r\n", id, rule, object, more)
+	c.requestCount++
+	id := fmt.Sprintf("%016x", c.requestCount)
+	_, err := fmt.Fprintf(c, "do %s profile=%s,thing=%016x,nth=1,max=3000%s 0\r\n\r\n", id, class, object, extraFields)
 	require.NoError(t, err)
-	got, word, fields, body := a.next(t)
-	require.Equal(t, id, got)
-	return word, fields, body
+	responseID, result, fields, body := c.readResponse(t)
+	require.Equal(t, id, responseID)
+	return result, fields, body
 }
 
-// untilServed requests chunk 1 of an object until it is served.
-func (a *testClient) untilServed(t *testing.T, object int, more string) {
+// requestUntilServed repeats a request for chunk 1 of an object until the server responds with it.
+func (c *testClient) requestUntilServed(t *testing.T, object int, extraFields string) {
 	t.Helper()
 	eventually(t, func() bool {
-		word, _, _ := a.request(t, "video", object, more)
-		return word == "served"
+		result, _, _ := c.request(t, "video", object, extraFields)
+		return result == "served"
 	})
 }
 
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	require.Eventually(t, condition, patience, time.Millisecond)
+	require.Eventually(t, condition, testTimeout, time.Millisecond)
 }
 
-// purgeNow is a purge of an object as of the next millisecond.
+// purgeNow returns a purge event for an object that takes effect in the next millisecond.
 func purgeNow(object int) discovery.Event {
 	return discovery.Event{
 		Kind: discovery.PurgeObject,
@@ -197,91 +199,92 @@
 	}
 }
 
-// TestServerFillsCachesAndRevalidates plays requests against a server on loopback: a fill, a hit, a revalidation, a
-// missing source, an unknown class, a repeated idempotency key and a purge. Each must have the response that the
-// protocol names, and the repeated key must run once.
+// TestServerFillsCachesAndRevalidates sends requests to a server on loopback: a fill, a hit, a revalidation, a missing
+// source, an unknown class, a repeated idempotency key and a purge. Each must get the response that the protocol
+// specifies, and the origin must execute the repeated key only once.
 func TestServerFillsCachesAndRevalidates(t *testing.T) {
-	discoveryService := startDiscovery(t)
+	discoveryService := startDiscoveryStub(t)
 	_, origin := startOrigin(t, discoveryService)
-	server := start(t, discoveryService, nil)
+	server := startServer(t, discoveryService, nil)
 	client := server.dial(t)
-	const filled = ",parent=s-000000ff,shelf=2,hints=ride"
-	client.untilServed(t, 9, filled)
+	const fillFields = ",parent=s-000000ff,shelf=2,hints=ride"
+	client.requestUntilServed(t, 9, fillFields)
 
-	word, fields, body := client.request(t, "video", 5, filled)
-	assert.Equal(t, "served", word)
+	result, fields, body := client.request(t, "video", 5, fillFields)
+	assert.Equal(t, "served", result)
 	assert.Equal(t, "f", fields["remark"])
 	assert.Equal(t, "5", fields["bucket"])
 	assert.Equal(t, string(SyntheticBody(7, eviction.Key{Object: 5, Chunk: 1}, 0, 100, 3000)), body)
-	word, fields, _ = client.request(t, "video", 5, "")
-	assert.Equal(t, "served h", word+" "+fields["remark"])
-	word, _, body = client.request(t, "video", 5, ",got="+fields["digest"])
-	assert.Equal(t, "still_good", word)
+	result, fields, _ = client.request(t, "video", 5, "")
+	assert.Equal(t, "served h", result+" "+fields["remark"])
+	result, _, body = client.request(t, "video", 5, ",got="+fields["digest"])
+	assert.Equal(t, "still_good", result)
 	assert.Empty(t, body)
-	word, _, _ = client.request(t, "video", 6, "")
-	assert.Equal(t, "not_here", word, "no source is named")
-	word, _, _ = client.request(t, "video", 6, ",parent=s-00000bad")
-	assert.Equal(t, "overload", word, "a source that is not listed: nothing was executed")
-	word, _, _ = client.request(t, "nothing", 6, "")
-	assert.Equal(t, "crashed", word)
+	result, _, _ = client.request(t, "video", 6, "")
+	assert.Equal(t, "not_here", result, "the request names no source")
+	result, _, _ = client.request(t, "video", 6, ",parent=s-00000bad")
+	assert.Equal(t, "overload", result, "the source is not in the endpoint list, so nothing was executed")
+	result, _, _ = client.request(t, "nothing", 6, "")
+	assert.Equal(t, "crashed", result)
 
 	for range 3 { // the origin does not execute a repeated idempotency key again
-		word, _, _ = client.request(t, "order", 1, ",replay=k1,parent=s-000000ff")
-		assert.Equal(t, "served", word)
+		result, _, _ = client.request(t, "order", 1, ",replay=k1,parent=s-000000ff")
+		assert.Equal(t, "served", result)
 	}
-	assert.Len(t, origin.executed, 1)
+	assert.Len(t, origin.executedAt, 1)
 
 	discoveryService.publish(purgeNow(5))
 	eventually(t, func() bool { return server.Telemetry.Value("cache_purges_total") == 1 })
-	word, _, _ = client.request(t, "video", 5, "")
-	assert.Equal(t, "not_here", word, "purged")
+	result, _, _ = client.request(t, "video", 5, "")
+	assert.Equal(t, "not_here", result, "the chunk was purged")
 }
 
-// TestProbesAndProtocolErrors sends probes and then a line that is no command. A connection that goes on after it
-// would read a body as commands. It must end, and be counted by its reason.
+// TestProbesAndProtocolErrors sends probes and then a line that is not a command. If the connection stayed open, the
+// server could read a body as commands. The server must close it and count the close with its reason.
 func TestProbesAndProtocolErrors(t *testing.T) {
-	discoveryService := startDiscovery(t)
-	server := start(t, discoveryService, nil)
+	discoveryService := startDiscoveryStub(t)
+	server := startServer(t, discoveryService, nil)
 	client := server.dial(t)
 	_, _ = fmt.Fprint(client, "ping p1\r\ntop p2\r\n")
-	id, word, _, _ := client.next(t)
-	assert.Equal(t, "p1 green", id+" "+word)
-	_, _, fields, _ := client.next(t)
+	id, result, _, _ := client.readResponse(t)
+	assert.Equal(t, "p1 green", id+" "+result)
+	_, _, fields, _ := client.readResponse(t)
 	assert.Contains(t, fields["report"], "inflight:0")
 	_, _ = fmt.Fprint(client, "what is this\r\n")
-	_, err := client.r.ReadByte()
-	require.Error(t, err, "the connection ends")
+	_, err := client.reader.ReadByte()
+	require.Error(t, err, "the server closes the connection")
 	eventually(t, func() bool {
 		return server.Telemetry.Value(`connections_closed_total{side="cache_client",reason="protocol_error"}`) == 1
 	})
 }
 
-// TestDrainAnswersOpenRequests stops a server while a request is open. A server that closes at once fails what it
-// has accepted. The request must be answered first.
+// TestDrainAnswersOpenRequests stops a server while a request is open. A server that closed its connections immediately
+// would fail requests that it has accepted. The request must be answered before the server stops.
 func TestDrainAnswersOpenRequests(t *testing.T) {
-	discoveryService := startDiscovery(t)
+	discoveryService := startDiscoveryStub(t)
 	originServer, _ := startOrigin(t, discoveryService)
-	slow := start(t, discoveryService, func(server *Server) {
+	slowServer := startServer(t, discoveryService, func(server *Server) {
 		server.Config.Capacity.LatencyMS, server.Config.DrainTimeout = 100, 5
 	})
-	client := slow.dial(t)
-	client.untilServed(t, 9, ",parent=s-000000ff")
+	client := slowServer.dial(t)
+	client.requestUntilServed(t, 9, ",parent=s-000000ff")
 	const command = "do 0123456789abcdef profile=video,thing=0000000000000005,nth=1,max=3000,parent=s-000000ff 0"
 	_, _ = fmt.Fprint(client, command+"\r\n\r\n")
 	eventually(t, func() bool { return originServer.Telemetry.Value(`cache_requests_total{class="video"}`) >= 2 })
-	go slow.stop()
-	_, word, _, _ := client.next(t)
-	assert.Equal(t, "served", word)
+	go slowServer.stop()
+	_, result, _, _ := client.readResponse(t)
+	assert.Equal(t, "served", result)
 }
 
-// After a restart the chunks that were not purged meanwhile are served, the purged ones are not. When the event
-// stream's numbering has restarted, copies are served only once their source has confirmed them.
+// TestServerRestartsWithItsDisk restarts a server with its disk cache. Chunks that were purged while it was stopped
+// must not be served, all others must be. If the numbering of discovery events has restarted, purges may have been
+// missed, so copies must be served only after their source has confirmed them.
 func TestServerRestartsWithItsDisk(t *testing.T) {
-	discoveryService := startDiscovery(t)
+	discoveryService := startDiscoveryStub(t)
 	originServer, _ := startOrigin(t, discoveryService)
 	dir, err := vfs.MakeDir(t.TempDir() + "/d")
 	require.NoError(t, err)
-	with := func(server *Server) {
+	withDiskCache := func(server *Server) {
 		diskConfig := DiskCacheConfig(config.DiskCache{
 			CapacityMB:   8,
 			SegmentMB:    1,
@@ -297,40 +300,43 @@
 		server.Disk, _, err = diskcache.OpenCache(dir, diskConfig, server.Telemetry, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
 	}
-	const filled = ",parent=s-000000ff,shelf=2,hints=ride"
-	server := start(t, discoveryService, with)
+	const fillFields = ",parent=s-000000ff,shelf=2,hints=ride"
+	server := startServer(t, discoveryService, withDiskCache)
 	client := server.dial(t)
-	client.untilServed(t, 9, filled)
+	client.requestUntilServed(t, 9, fillFields)
 	for _, object := range []int{5, 6, 5, 6, 5, 6} {
-		client.request(t, "video", object, filled)
+		client.request(t, "video", object, fillFields)
 	}
 	eventually(t, func() bool { return server.Telemetry.Value("disk_chunks_written_total") >= 2 })
 	server.stop()
 	require.NoError(t, server.Disk.Close())
 
 	discoveryService.publish(purgeNow(6))
-	server = start(t, discoveryService, with)
+	server = startServer(t, discoveryService, withDiskCache)
 	client = server.dial(t)
-	client.untilServed(t, 5, "")
-	word, _, _ := client.request(t, "video", 6, "")
-	assert.Equal(t, "not_here", word)
+	client.requestUntilServed(t, 5, "")
+	result, _, _ := client.request(t, "video", 6, "")
+	assert.Equal(t, "not_here", result)
 	server.stop()
 	require.NoError(t, server.Disk.Close())
 
-	other := startDiscovery(t) // with other events under the same numbers
-	other.publish(discovery.Event{Kind: discovery.PurgeGroup, Purge: discovery.Purge{Group: 200, PurgedAt: 1}})
-	other.publish(originServer.update("s-000000ff", 2))
-	server = start(t, other, with)
+	restartedDiscovery := startDiscoveryStub(t) // other events with the same revision numbers
+	restartedDiscovery.publish(discovery.Event{
+		Kind:  discovery.PurgeGroup,
+		Purge: discovery.Purge{Group: 200, PurgedAt: 1},
+	})
+	restartedDiscovery.publish(originServer.endpointUpdate("s-000000ff", 2))
+	server = startServer(t, restartedDiscovery, withDiskCache)
 	client = server.dial(t)
 	eventually(t, func() bool {
 		return server.Telemetry.Value("cache_discovery_restarts_total") == 1 && server.Disk.Status().UpToDate
 	})
-	word, _, _ = client.request(t, "video", 5, "")
-	assert.Equal(t, "not_here", word, "unconfirmed, and no source to confirm it")
-	word, fields, _ := client.request(t, "video", 5, filled)
-	assert.Equal(t, "served h", word+" "+fields["remark"])
+	result, _, _ = client.request(t, "video", 5, "")
+	assert.Equal(t, "not_here", result, "the copy is unconfirmed and the request names no source to confirm it")
+	result, fields, _ := client.request(t, "video", 5, fillFields)
+	assert.Equal(t, "served h", result+" "+fields["remark"])
 	//nolint:testifylint // exact by intent
 	assert.EqualValues(t, 1, server.Telemetry.Value("cache_copies_confirmed_total"))
-	word, _, _ = client.request(t, "video", 5, "")
-	assert.Equal(t, "served", word)
+	result, _, _ = client.request(t, "video", 5, "")
+	assert.Equal(t, "served", result)
 }
--- a/internal/edgecache/synthetic.go
+++ b/internal/edgecache/synthetic.go
@@ -11,40 +11,40 @@
 	"cairnfront/internal/diskcache/eviction"
 )
 
-// SyntheticOrigin generates every chunk from a seed. Its exported fields are set before use.
+// SyntheticOrigin generates the content of every chunk from a seed. Its exported fields must be set before use.
 type SyntheticOrigin struct {
 	Seed         uint64
-	MinBytes     int // of a chunk
-	MaxBytes     int // of a chunk
+	MinBytes     int // minimum size of a chunk
+	MaxBytes     int // maximum size of a chunk
 	Groups       int
-	Version      func(object uint64) uint64 // how often an object was published again; nil for never
-	KeyRetention time.Duration              // for which idempotency keys are remembered
+	Version      func(object uint64) uint64 // number of updates of an object; if nil, objects never change
+	KeyRetention time.Duration              // time for which executed idempotency keys are remembered
 	OnExecute    func(id, idempotencyKey string)
 
-	mu       sync.Mutex
-	executed map[string]time.Time // by idempotency key
-	sweptAt  time.Time
+	mu           sync.Mutex
+	executedAt   map[string]time.Time // by idempotency key
+	lastExpiryAt time.Time
 }
 
-// SyntheticHeaderBytes is the length of the header of a synthetic chunk: object, chunk, version and length.
+// SyntheticHeaderBytes is the length of a synthetic chunk's header: object, chunk number, version and chunk length.
 const SyntheticHeaderBytes = 24
 
 // Get implements Origin.
-func (o *SyntheticOrigin) Get(key eviction.Key) (tag string, group uint16, body []byte, ok bool) {
+func (o *SyntheticOrigin) Get(key eviction.Key) (etag string, group uint16, body []byte, ok bool) {
 	version := uint64(0)
 	if o.Version != nil {
 		version = o.Version(key.Object)
 	}
-	hash := mix(o.Seed ^ key.Object ^ uint64(key.Chunk)<<32 ^ version*0x9e3779b97f4a7c15)
-	tag = fmt.Sprintf("%016x", hash)
+	hash := mix64(o.Seed ^ key.Object ^ uint64(key.Chunk)<<32 ^ version*0x9e3779b97f4a7c15)
+	etag = fmt.Sprintf("%016x", hash)
 	group = uint16(key.Object % uint64(max(o.Groups, 1)))
-	return tag, group, SyntheticBody(o.Seed, key, version, o.MinBytes, o.MaxBytes), true
+	return etag, group, SyntheticBody(o.Seed, key, version, o.MinBytes, o.MaxBytes), true
 }
 
-// SyntheticBody returns a version of a synthetic chunk. Whoever knows the seed can verify every byte of it.
+// SyntheticBody returns the content of one version of a synthetic chunk. With the seed, every byte can be verified.
 func SyntheticBody(seed uint64, key eviction.Key, version uint64, minBytes, maxBytes int) []byte {
 	span := uint64(max(maxBytes-minBytes+1, 1))
-	size := max(minBytes+int(mix(seed+key.Object*31+uint64(key.Chunk))%span), SyntheticHeaderBytes)
+	size := max(minBytes+int(mix64(seed+key.Object*31+uint64(key.Chunk))%span), SyntheticHeaderBytes)
 	body := make([]byte, 0, size+8)
 	body = binary.BigEndian.AppendUint64(body, key.Object)
 	body = binary.BigEndian.AppendUint32(body, key.Chunk)
@@ -57,8 +57,8 @@
 	return body[:size]
 }
 
-// mix is a 64-bit finalizer.
-func mix(x uint64) uint64 {
+// mix64 is the 64-bit finalizer of MurmurHash3 (fmix64).
+func mix64(x uint64) uint64 {
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
 	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
 	return x ^ x>>33
@@ -77,27 +77,27 @@
 	return nil
 }
 
-// isRepeat reports whether a key was seen within the retention time, and remembers it if not.
+// isRepeat reports whether a key was executed within the retention time. If not, it records the key as executed now.
 func (o *SyntheticOrigin) isRepeat(idempotencyKey string) bool {
 	now := time.Now()
-	o.sweep(now)
-	if at, ok := o.executed[idempotencyKey]; ok && now.Sub(at) <= o.KeyRetention {
+	o.removeExpiredKeys(now)
+	if at, ok := o.executedAt[idempotencyKey]; ok && now.Sub(at) <= o.KeyRetention {
 		return true
 	}
-	o.executed[idempotencyKey] = now
+	o.executedAt[idempotencyKey] = now
 	return false
 }
 
-// sweep forgets keys older than the retention time, once in that time.
-func (o *SyntheticOrigin) sweep(now time.Time) {
-	if o.executed != nil && now.Sub(o.sweptAt) <= o.KeyRetention {
+// removeExpiredKeys removes keys older than the retention time. It runs at most once per retention time.
+func (o *SyntheticOrigin) removeExpiredKeys(now time.Time) {
+	if o.executedAt != nil && now.Sub(o.lastExpiryAt) <= o.KeyRetention {
 		return
 	}
-	recent := map[string]time.Time{}
-	for key, at := range o.executed {
+	unexpired := map[string]time.Time{}
+	for key, at := range o.executedAt {
 		if now.Sub(at) <= o.KeyRetention {
-			recent[key] = at
+			unexpired[key] = at
 		}
 	}
-	o.executed, o.sweptAt = recent, now
+	o.executedAt, o.lastExpiryAt = unexpired, now
 }
