--- a/internal/diskcache/cache.go
+++ b/internal/diskcache/cache.go
@@ -16,40 +16,40 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Config configures a Cache, from the configuration file.
+// Config configures a Cache. The values come from the configuration file.
 type Config struct {
-	SpaceBytes       int64 // of disk that all segments may take
+	SpaceBytes       int64 // maximum total size of all segments
 	SegmentBytes     int64
-	Alpha            float64 // see eviction.Config
-	DailyWriteBytes  int64   // 0 for no limit
-	MaxGhosts        int     // chunks remembered that are not cached
-	MaxPurges        int     // purges remembered
+	Alpha            float64 // relative cost of a cache fill, see eviction.Config
+	DailyWriteBytes  int64   // write limit per day; 0 means no limit
+	MaxGhosts        int     // maximum number of uncached chunks whose access history is retained
+	MaxPurges        int     // maximum number of purged objects that are remembered
 	Readers          int
-	ReadQueue        int           // reads that may wait for a reader
-	ReadTimeout      time.Duration // after which a read is a miss
-	WriteQueue       int           // chunks that may wait to be written
+	ReadQueue        int           // maximum number of queued reads
+	ReadTimeout      time.Duration // a slower read counts as a cache miss
+	WriteQueue       int           // maximum number of chunks queued for writing
 	SyncInterval     time.Duration
-	SnapshotInterval time.Duration // 0 for none
+	SnapshotInterval time.Duration // 0 disables periodic snapshots
 }
 
 const (
-	// liveShare is the share of the space that live chunks may take. The rest is for dead records not yet reclaimed.
+	// liveShare is the share of the space for live chunks. The rest holds dead records until compaction reclaims them.
 	liveShare = 0.85
-	// restoredGapSeconds is the mean gap assumed for a chunk whose access history a crash lost: worth keeping for a
-	// while.
+	// restoredGapSeconds is the mean time between requests assumed for a chunk whose access history was lost in a
+	// crash. It is short enough that the chunk is not evicted immediately.
 	restoredGapSeconds = 600
-	// retryPause is the pause after a failed write.
+	// retryPause is the delay after a failed write before the next write.
 	retryPause = time.Second
 )
 
-// Counter counts events.
+// Counter increments telemetry counters.
 type Counter interface {
 	Inc(c telemetry.Counter)
 	IncBy(c telemetry.Counter, n int64)
 }
 
-// Cache is the disk in the path of requests. Only Close waits for the disk without a bound. It is safe for concurrent
-// use.
+// Cache is the disk cache as used by the request path. Only Close waits for the disk without a time limit. It is safe
+// for concurrent use.
 type Cache struct {
 	config  Config
 	store   *Store
@@ -68,10 +68,10 @@
 
 	purgeRecords purgeQueue
 
-	writesPausedUntil atomic.Int64 // clock.Instant
+	writesPausedUntil atomic.Int64 // a clock.Instant; no chunk is admitted before it
 }
 
-// OpenCache opens a folder. Nothing is read or written before Run is called.
+// OpenCache opens a cache folder and recovers its index. Queued reads and writes are executed only once Run is called.
 func OpenCache(fs vfs.FS, config Config, counter Counter, log *slog.Logger) (*Cache, RecoveryReport, error) {
 	config.Readers = max(config.Readers, 1)
 	config.ReadQueue = max(config.ReadQueue, 1)
@@ -104,8 +104,8 @@
 	return c, report, nil
 }
 
-// restorePolicy adds what the disk holds to the eviction policy. A chunk without an access history counts as requested
-// now.
+// restorePolicy adds all chunks on the disk to the eviction policy. A chunk without an access history is treated as
+// requested now.
 func (c *Cache) restorePolicy(known map[eviction.Key]eviction.AccessHistory, now float64) {
 	type stored struct {
 		key  eviction.Key
@@ -136,8 +136,8 @@
 		"error", fault.Err.Error())
 }
 
-// Run reads, writes and maintains the folder until the context ends. It owns the goroutines that do so and returns when
-// they have ended.
+// Run starts the goroutines that read, write and maintain the folder. It returns when the context is cancelled and all
+// of them have ended.
 func (c *Cache) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	start := func(loop func(context.Context)) {
@@ -155,7 +155,8 @@
 	return g.Wait()
 }
 
-// Close writes what waits and a snapshot, and releases the folder. Run must have returned.
+// Close writes the queued chunks, the queued purge records and a snapshot, then releases the folder. Run must have
+// returned before.
 func (c *Cache) Close() error {
 	for len(c.writes) > 0 {
 		c.write(<-c.writes)
@@ -165,20 +166,20 @@
 	return c.store.Close()
 }
 
-// Status describes a Cache for operators.
+// Status describes the state of a Cache for operators.
 type Status struct {
 	validity.Status
 	Chunks         int
 	LiveBytes      int64
 	DiskBytes      int64
 	WriteBudget    float64 // bytes that may be written now
-	Ghosts         int     // chunks remembered that are not cached
+	Ghosts         int     // uncached chunks whose access history is retained
 	IndexBytes     int64
-	PendingRecords int // purge records that wait for the disk
-	PendingWrites  int // chunks that wait for the disk
+	PendingRecords int // purge records queued for writing
+	PendingWrites  int // chunks queued for writing
 }
 
-// Status returns the present state.
+// Status returns the current state.
 func (c *Cache) Status() Status {
 	now := c.now()
 	var s Status
--- a/internal/diskcache/cache_events.go
+++ b/internal/diskcache/cache_events.go
@@ -7,11 +7,11 @@
 	"cairnfront/internal/diskcache/validity"
 )
 
-// inFlightTime bounds the age of a copy that may still arrive: the purges of that time are not forgotten. It is an hour
-// on the way, and an hour by which this machine's wall clock may have been ahead at the start.
+// inFlightTime is the maximum age of a copy that may still arrive; purges of this period are not pruned. It consists of
+// one hour in transit and one hour by which this machine's wall clock may have been ahead at the start.
 const inFlightTime = 2 * time.Hour
 
-// Evaluate says how a copy may be used now, wherever it is stored.
+// Evaluate returns how a copy in memory or on the disk may be used now.
 func (c *Cache) Evaluate(copied validity.Copy) validity.Verdict {
 	c.trackerMu.Lock()
 	defer c.trackerMu.Unlock()
@@ -24,49 +24,49 @@
 	return purged(c.tracker, m)
 }
 
-// Epoch returns the present epoch, see validity.Tracker.Epoch.
+// Epoch returns the current validation epoch, see validity.Tracker.Epoch.
 func (c *Cache) Epoch() uint16 {
 	c.trackerMu.Lock()
 	defer c.trackerMu.Unlock()
 	return c.tracker.Epoch()
 }
 
-// ResumeAfter returns the number after which events have to be requested, see validity.Tracker.ResumeAfter.
+// ResumeAfter returns the event number to resume the event stream after, see validity.Tracker.ResumeAfter.
 func (c *Cache) ResumeAfter() uint64 {
 	c.trackerMu.Lock()
 	defer c.trackerMu.Unlock()
 	return c.tracker.ResumeAfter()
 }
 
-// Position returns the number of the last event applied, see validity.Tracker.Position.
+// Position returns the position in the event stream, see validity.Tracker.Position.
 func (c *Cache) Position() (number uint64, continuous bool) {
 	c.trackerMu.Lock()
 	defer c.trackerMu.Unlock()
 	return c.tracker.Position()
 }
 
-// StreamOpened records that a new connection to the event stream was opened.
+// StreamOpened records that a new connection to the event stream was opened, see validity.Tracker.StreamOpened.
 func (c *Cache) StreamOpened() {
 	c.trackerMu.Lock()
 	defer c.trackerMu.Unlock()
 	c.tracker.StreamOpened()
 }
 
-// Apply applies an event, see validity.Tracker.Apply. It takes effect at once and is written in the background, in
-// order. What was not written before a crash is requested again after it.
+// Apply applies an event, see validity.Tracker.Apply. The event takes effect immediately; its record is written in the
+// background, in order. Events not written before a crash are requested again after the restart.
 func (c *Cache) Apply(event validity.Event) (reconnect bool) {
 	lastSeq := c.store.LastSeq()
 	c.trackerMu.Lock()
 	defer c.trackerMu.Unlock()
 	records, reconnect := c.tracker.Apply(c.now().UnixMillis(), lastSeq, event)
-	c.purgeRecords.enqueue(records) // under the lock: the order is that of the events
+	c.purgeRecords.enqueue(records) // under the lock, so that records stay in the order of the events
 	return reconnect
 }
 
-// Flush waits until every event applied is on the disk, or the context ends.
+// Flush waits until the records of all applied events are on the disk, or the context is cancelled.
 func (c *Cache) Flush(ctx context.Context) error { return c.purgeRecords.flush(ctx) }
 
-// purgeRecordLoop writes purge records, as many at once as wait.
+// purgeRecordLoop writes queued purge records to the purge log, all queued records in one write.
 func (c *Cache) purgeRecordLoop(ctx context.Context) {
 	for {
 		select {
@@ -84,7 +84,7 @@
 	}
 }
 
-// writePendingRecords writes the records that wait and reports whether none is left.
+// writePendingRecords writes the queued purge records and reports whether the queue is empty.
 func (c *Cache) writePendingRecords() (empty bool) {
 	records, rewrite := c.purgeRecords.take()
 	var err error
@@ -96,7 +96,7 @@
 	return c.purgeRecords.finish(records, rewrite, err)
 }
 
-// shortestLog returns the shortest list of records that restores the tracker.
+// shortestLog prunes purges and returns the shortest list of records that restores the tracker's state.
 func (c *Cache) shortestLog() []validity.Record {
 	now, oldest := c.now(), c.store.OldestIssuedAt()
 	c.trackerMu.Lock()
--- a/internal/diskcache/cache_maintenance.go
+++ b/internal/diskcache/cache_maintenance.go
@@ -12,11 +12,12 @@
 
 const (
 	maintenanceInterval = 500 * time.Millisecond
-	checkpointInterval  = 10 * time.Second // between records of the clock and the event stream's position
-	longPurgeLogBytes   = 4 << 20          // from which the purge log is rewritten
+	checkpointInterval  = 10 * time.Second // between checkpoint records, which hold the clock and stream position
+	longPurgeLogBytes   = 4 << 20          // size above which the purge log is rewritten
 )
 
-// maintenanceLoop reclaims space, shortens the purge log, and writes checkpoints and snapshots.
+// maintenanceLoop periodically compacts segments, requests rewrites of a long purge log, and writes checkpoints and
+// snapshots.
 func (c *Cache) maintenanceLoop(ctx context.Context) {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
@@ -35,7 +36,7 @@
 		}
 		if c.store.PurgeLogBytes() > longPurgeLogBytes {
 			c.purgeRecords.requestRewrite()
-			c.purgeRecords.enqueue([]validity.Record{{Kind: validity.Checkpoint}}) // wakes the writer
+			c.purgeRecords.enqueue([]validity.Record{{Kind: validity.Checkpoint}}) // wakes purgeRecordLoop
 		}
 		if c.config.SnapshotInterval > 0 && now.Sub(snapshotAt) > c.config.SnapshotInterval {
 			snapshotAt = now
@@ -61,7 +62,7 @@
 	}
 }
 
-// compact rewrites segments while any is worth it. Chunks that a purge invalidates are dropped.
+// compact compacts segments until none is below the threshold. Chunks that a purge has invalidated are dropped.
 func (c *Cache) compact(ctx context.Context) {
 	wanted := func(m Meta) bool {
 		if c.purged(m) {
--- a/internal/diskcache/cache_read.go
+++ b/internal/diskcache/cache_read.go
@@ -9,10 +9,10 @@
 	"cairnfront/internal/telemetry"
 )
 
-// readRequest is a read that waits for a reader.
+// readRequest is a queued read of a chunk.
 type readRequest struct {
 	key  eviction.Key
-	done chan readResult // buffered, so that a reader never waits for a caller that gave up
+	done chan readResult // buffered, so that a reader never blocks on a caller that has timed out
 }
 
 type readResult struct {
@@ -20,12 +20,12 @@
 	err   error
 }
 
-// Contains reports whether the index has a chunk.
+// Contains reports whether a chunk is stored, without reading the disk.
 func (c *Cache) Contains(key eviction.Key) bool { return c.store.Contains(key) }
 
-// Get reads a chunk. It waits for the disk up to the configured timeout. Every error is a miss: ErrNotFound,
-// ErrReadQueueFull, ErrReadTimeout, ErrInvalidated or a StoreError. The verdict says whether the copy may be served
-// at once.
+// Get reads a chunk and waits for the disk up to the configured timeout. Callers treat every error as a cache miss:
+// ErrNotFound, ErrReadQueueFull, ErrReadTimeout, ErrInvalidated or a StoreError. The verdict tells whether the copy may
+// be served without confirmation by the upstream.
 func (c *Cache) Get(key eviction.Key) (Chunk, validity.Verdict, error) {
 	if !c.store.Contains(key) {
 		return Chunk{}, validity.Invalidated, ErrNotFound
@@ -48,7 +48,7 @@
 	}
 }
 
-// evaluateRead evaluates what a reader read. A chunk that could not be read or was purged is removed.
+// evaluateRead checks the validity of the result of a read. A chunk that is unreadable or purged is removed.
 func (c *Cache) evaluateRead(key eviction.Key, result readResult) (Chunk, validity.Verdict, error) {
 	if result.err != nil {
 		c.removeFromPolicy(key)
--- a/internal/diskcache/cache_test.go
+++ b/internal/diskcache/cache_test.go
@@ -40,7 +40,7 @@
 	ReadTimeout: 50 * time.Millisecond, WriteQueue: 64, SyncInterval: 20 * time.Millisecond,
 }
 
-// openStopped opens a cache that does not run.
+// openStopped opens a cache without calling Run.
 func openStopped(t *testing.T, fs vfs.FS, config Config, counters *counts) *Cache {
 	t.Helper()
 	cache, _, err := OpenCache(fs, config, counters, slog.New(slog.DiscardHandler))
@@ -48,7 +48,7 @@
 	return cache
 }
 
-// running is a cache that runs and has caught up with an event stream of one event.
+// running opens a cache, starts Run and catches up with an event stream of one event. The returned function stops Run.
 func running(t *testing.T, fs vfs.FS, config Config) (*Cache, *counts, func()) {
 	t.Helper()
 	counters := &counts{}
@@ -67,15 +67,15 @@
 
 func admitted(t *testing.T, cache *Cache, object int, dated int64) {
 	t.Helper()
-	for range 2 { // the first request is not admitted
+	for range 2 { // the policy does not admit the first request
 		cache.Admit(meta(k(object, 0), dated), body(k(object, 0), dated, 300), cache.Epoch())
 	}
 	require.Eventually(t, func() bool { return cache.store.Contains(k(object, 0)) }, 5*time.Second, time.Millisecond)
 }
 
-// TestRestartKeepsChunksNotPurgedMeanwhile restarts a cache while purges go on. A cache that drops everything at a
-// restart is cold when it is needed; one that keeps everything serves purged copies. Those purged meanwhile must be
-// invalid, the others valid.
+// TestRestartKeepsChunksNotPurgedMeanwhile restarts a cache and applies purges that were published while it was down.
+// Chunks purged meanwhile must be invalid, so that no purged copy is served. All others must be valid, so that the
+// cache is not empty after a restart.
 func TestRestartKeepsChunksNotPurgedMeanwhile(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
 	cache, _, stop := running(t, fs, testConfig)
@@ -101,8 +101,8 @@
 	assert.Equal(t, body(k(3, 0), 100, 300), chunk.Body)
 }
 
-// TestFlushedPurgeSurvivesPowerLoss loses the power after a purge was flushed. An acknowledged purge that is
-// forgotten has its copy served again. The copy must be invalid after the restart, and the last event must be
+// TestFlushedPurgeSurvivesPowerLoss simulates a power loss after a purge was flushed. If the acknowledged purge were
+// lost, the purged copy would be served again. The copy must be invalid after the restart, and the last event must be
 // requested again.
 func TestFlushedPurgeSurvivesPowerLoss(t *testing.T) {
 	fs := vfs.NewFaultFS(3)
@@ -119,11 +119,11 @@
 	fs.Restart()
 	cache = openStopped(t, fs, testConfig, &counts{})
 	assert.Equal(t, validity.Invalidated, cache.Evaluate(validity.Copy{Object: 1, IssuedAt: 100, Seq: 1}))
-	assert.Equal(t, uint64(1), cache.ResumeAfter(), "the last event is requested again")
+	assert.Equal(t, uint64(1), cache.ResumeAfter(), "the last event must be requested again")
 }
 
-// While a disk hangs, reads are misses after their timeout, or at once when the queue is full. Chunks are not stored,
-// and purges apply.
+// TestHangingDiskCostsOnlyMisses hangs the disk. Reads must fail after their timeout, or at once if the read queue is
+// full. New chunks must be declined once the write queue is full, and purges must still take effect.
 func TestHangingDiskCostsOnlyMisses(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
 	cache, counters, stop := running(t, fs, testConfig)
@@ -157,7 +157,7 @@
 		t,
 		validity.Invalidated,
 		cache.Evaluate(validity.Copy{Object: 3, IssuedAt: 100, Seq: 1}),
-		"purges do not wait for the disk",
+		"purges must not wait for the disk",
 	)
 	release()
 	readable := func() bool {
@@ -169,8 +169,8 @@
 	require.NoError(t, cache.Close())
 }
 
-// TestPurgeAppliesToChunkBeingWritten purges a chunk while a hanging disk holds up its write. The chunk would be on
-// the disk after its purge, as if it were newer. It must not be readable.
+// TestPurgeAppliesToChunkBeingWritten purges a chunk while its write is blocked by a hanging disk. The chunk reaches
+// the disk after the purge and must not be treated as newer: it must not be readable.
 func TestPurgeAppliesToChunkBeingWritten(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
 	cache, _, _ := running(t, fs, testConfig)
@@ -185,9 +185,9 @@
 	assert.Error(t, err)
 }
 
-// TestFillRequestedInEarlierEpochIsNotStored offers a chunk that was requested before a gap in the events. It may be
-// older than a purge that was missed, and with a new sequence number it would count as newer. It must be refused,
-// and older copies must be unconfirmed until they are confirmed.
+// TestFillRequestedInEarlierEpochIsNotStored offers a chunk that was requested before a gap in the event stream. The
+// chunk may be older than a missed purge, and a new sequence number would make it look newer. It must not be admitted,
+// and older copies must be unconfirmed until the upstream confirms them.
 func TestFillRequestedInEarlierEpochIsNotStored(t *testing.T) {
 	cache, _, _ := running(t, vfs.NewFaultFS(1), testConfig)
 	admitted(t, cache, 1, 100)
@@ -202,8 +202,8 @@
 	assert.Equal(t, validity.Valid, verdict)
 }
 
-// TestSpaceStaysWithinBound admits far more than fits. Dead records that are not reclaimed would fill the disk of
-// the machine. The folder must stay within its space and one segment.
+// TestSpaceStaysWithinBound admits far more bytes than fit. If dead records were not reclaimed, they would fill the
+// disk of the machine. The folder must never exceed its configured space by more than one segment.
 func TestSpaceStaysWithinBound(t *testing.T) {
 	config := testConfig
 	config.SpaceBytes = 64 << 10
@@ -219,8 +219,8 @@
 	}
 }
 
-// TestFullRecordQueueRewritesPurgeLog sends more purges than may wait for a hanging disk. Purges that are dropped
-// from the queue would be forgotten at a restart. The complete log must be written instead.
+// TestFullRecordQueueRewritesPurgeLog applies more purges than the purge queue holds while the disk hangs. Purges
+// dropped from the queue would be lost at a restart. The complete log must be rewritten instead.
 func TestFullRecordQueueRewritesPurgeLog(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
 	cache, _, stop := running(t, fs, testConfig)
@@ -238,7 +238,8 @@
 	assert.Equal(t, uint64(maxPendingRecords+10), reopened.ResumeAfter())
 }
 
-// A chunk that is evicted while it waits for the disk is not written: the policy would not count it.
+// TestChunkEvictedWhileWaitingIsNotWritten evicts a chunk while it is in the write queue. It must not be written,
+// because the policy would not count its space.
 func TestChunkEvictedWhileWaitingIsNotWritten(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
 	cache, counters, _ := running(t, fs, testConfig)
@@ -248,7 +249,7 @@
 		cache.Admit(meta(k(2, 0), 100), body(k(2, 0), 100, 300), cache.Epoch())
 		cache.Admit(meta(k(3, 0), 100), body(k(3, 0), 100, 300), cache.Epoch())
 	}
-	cache.removeFromPolicy(k(2, 0)) // as if another chunk had displaced it
+	cache.removeFromPolicy(k(2, 0)) // simulates an eviction by another chunk
 	release()
 	bothWritten := func() bool { return counters.get("disk_chunks_written_total") == 2 }
 	require.Eventually(t, bothWritten, 5*time.Second, time.Millisecond)
--- a/internal/diskcache/cache_write.go
+++ b/internal/diskcache/cache_write.go
@@ -8,17 +8,17 @@
 	"cairnfront/internal/telemetry"
 )
 
-// minSyncInterval bounds how often the active segment is synced.
+// minSyncInterval is the lower bound of the configured sync interval.
 const minSyncInterval = 10 * time.Millisecond
 
-// writeRequest is a chunk that waits to be written.
+// writeRequest is a chunk queued for writing.
 type writeRequest struct {
 	meta Meta
 	body []byte
 }
 
-// Touch records a request that memory answered. A chunk that the disk lacks is offered for admission: most chunks are
-// worth keeping only once they have been requested again.
+// Touch records a request served from memory. A chunk that is not on the disk is offered for admission, because the
+// policy admits most chunks only after a repeated request.
 func (c *Cache) Touch(m Meta, body []byte, epoch uint16) {
 	c.policyMu.Lock()
 	cached := c.policy.Contains(m.Key)
@@ -31,13 +31,13 @@
 	}
 }
 
-// Admit offers a chunk that was fetched. If the eviction policy admits it, it is written in the background. epoch is
-// what Epoch returned when the source was asked: a copy requested before purges may have been missed is not stored.
+// Admit offers a fetched chunk to the eviction policy. An admitted chunk is written in the background. epoch is the
+// value of Epoch when the chunk was requested: a copy from an earlier epoch may have missed a purge and is not stored.
 func (c *Cache) Admit(m Meta, body []byte, epoch uint16) (admitted bool) {
 	if c.Epoch() != epoch || c.writesPaused() {
 		return false
 	}
-	c.Delete(m.Key) // an older copy, if any
+	c.Delete(m.Key) // removes an older copy, if any
 	size := recordSize(len(m.ETag), len(body))
 	c.policyMu.Lock()
 	decision := c.policy.Request(c.now().Seconds(), m.Key, size)
@@ -59,17 +59,17 @@
 	}
 }
 
-// writesPaused says that a write failed just now. While a disk is full or broken, each further write would fail after a
-// wait; chunks are not offered to it for retryPause.
+// writesPaused reports whether a write failed less than retryPause ago. While a disk is full or broken, every write
+// would block and then fail, so no chunks are admitted during this time.
 func (c *Cache) writesPaused() bool { return int64(c.now()) < c.writesPausedUntil.Load() }
 
-// Delete removes a chunk.
+// Delete removes a chunk from the index and from the eviction policy.
 func (c *Cache) Delete(key eviction.Key) {
 	c.store.Delete(key)
 	c.removeFromPolicy(key)
 }
 
-// Confirm records that a chunk's source has confirmed the copy with that sequence number, requested in that epoch.
+// Confirm records that the upstream confirmed the copy with the given sequence number, on a request sent in epoch.
 func (c *Cache) Confirm(key eviction.Key, seq uint64, epoch uint16) { c.store.Confirm(key, seq, epoch) }
 
 func (c *Cache) inPolicy(key eviction.Key) bool {
@@ -84,7 +84,7 @@
 	c.policy.Remove(key)
 }
 
-// writeLoop writes admitted chunks and syncs them at the configured interval.
+// writeLoop writes admitted chunks and syncs the active segment at the configured interval.
 func (c *Cache) writeLoop(ctx context.Context) {
 	syncTicker := time.NewTicker(max(c.config.SyncInterval, minSyncInterval))
 	defer syncTicker.Stop()
@@ -112,7 +112,7 @@
 	}
 }
 
-// write writes a chunk unless it was purged or evicted while it waited, and reports whether it did.
+// write writes a chunk unless it was purged or evicted while queued, and reports whether it was written.
 func (c *Cache) write(request writeRequest) bool {
 	key := request.meta.Key
 	if c.purged(request.meta) {
@@ -128,7 +128,7 @@
 		c.counter.Inc(telemetry.DiskWritesFailed)
 		return false
 	}
-	if !c.inPolicy(key) { // evicted meanwhile: what the policy does not count must not take space
+	if !c.inPolicy(key) { // evicted during the write: space must not be used by chunks that the policy does not count
 		c.store.Delete(key)
 	}
 	c.counter.Inc(telemetry.DiskChunksWritten)
--- a/internal/diskcache/compaction.go
+++ b/internal/diskcache/compaction.go
@@ -7,17 +7,18 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// Thresholds of compaction, as shares.
+// Thresholds of compaction, as fractions.
 const (
-	// sparseShare is the share of live bytes under which a segment is worth rewriting: less is written than reclaimed.
+	// sparseShare is the share of live bytes below which a segment is compacted: less is written than reclaimed.
 	sparseShare = 0.5
-	// tightShare is the share of the space in use above which denser segments are rewritten too.
+	// tightShare is the disk usage, as a share of the space, above which segments up to denseShare are compacted too.
 	tightShare = 0.92
-	// denseShare is the share of live bytes above which rewriting reclaims too little even then.
+	// denseShare is the share of live bytes from which compaction reclaims too little even if disk usage is high.
 	denseShare = 0.95
 )
 
-// SegmentUsage says how full a segment is. The JSON keys are part of the output of `disk-cache inspect --json`.
+// SegmentUsage describes the size and live bytes of a segment. The JSON keys are part of the output of
+// `disk-cache inspect --json`.
 type SegmentUsage struct {
 	ID     uint32
 	Size   int64 // bytes
@@ -25,11 +26,11 @@
 	Sealed bool
 }
 
-// PickCompaction returns the segment to rewrite next: the sealed one with the smallest share of live bytes, if that is
-// worth it. spaceBytes is the space that all segments may take.
+// PickCompaction returns the segment to compact next: the sealed segment with the smallest share of live bytes. ok is
+// false if no segment is below the threshold. spaceBytes is the maximum total size of all segments.
 func PickCompaction(segments []SegmentUsage, spaceBytes int64) (id uint32, ok bool) {
 	used := int64(0)
-	lowest := 2.0 // above every share
+	lowest := 2.0 // above every possible share
 	for _, u := range segments {
 		used += u.Size
 		share := float64(u.Live) / float64(max(u.Size, 1))
@@ -40,8 +41,8 @@
 	return id, lowest < maxLiveShare(used, spaceBytes)
 }
 
-// maxLiveShare is the share of live bytes under which a segment is rewritten. It is higher while the space is tight:
-// without room for the next segment chunks could not be written at all.
+// maxLiveShare returns the share of live bytes below which a segment is compacted. It is higher while disk usage is
+// high: without space for the next segment, no chunk could be written at all.
 func maxLiveShare(usedBytes, spaceBytes int64) float64 {
 	if float64(usedBytes) > tightShare*float64(spaceBytes) {
 		return denseShare
@@ -49,7 +50,7 @@
 	return sparseShare
 }
 
-// SegmentUsage says how full each segment is.
+// SegmentUsage returns the usage of each segment.
 func (s *Store) SegmentUsage() []SegmentUsage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,18 +66,19 @@
 	return out
 }
 
-// CompactionResult says what a compaction did.
+// CompactionResult counts the work of one compaction.
 type CompactionResult struct {
-	Moved   int   // records
-	Dropped int   // records not wanted
+	Moved   int   // records copied to the active segment
+	Dropped int   // live records that the caller's filter rejected
 	Bad     int   // records that could not be read
-	Freed   int64 // bytes
+	Freed   int64 // bytes of disk space reclaimed
 
-	written int64 // bytes
+	written int64 // bytes of moved records
 }
 
-// Compact rewrites a sealed segment: live records that wanted accepts move to the active segment, then the file is
-// removed. After a crash a record may exist twice, with the same sequence number. Others may write in between.
+// Compact rewrites a sealed segment: live records for which wanted returns true are copied to the active segment, then
+// the file is removed. After a crash a record may exist twice, with the same sequence number. Concurrent writes are
+// allowed.
 func (s *Store) Compact(id uint32, wanted func(Meta) bool) (CompactionResult, error) {
 	var result CompactionResult
 	seg, live, err := s.beginCompaction(id)
@@ -94,7 +96,7 @@
 			return result, err
 		}
 	}
-	if err := s.Sync(); err != nil { // what was moved must be durable before its old segment is removed
+	if err := s.Sync(); err != nil { // moved records must be durable before their old segment is removed
 		return result, s.reportWriteError(StoreError{File: seg.name, Err: err})
 	}
 	if err := s.forgetSegment(seg); err != nil {
@@ -107,7 +109,7 @@
 	return result, nil
 }
 
-// beginCompaction takes a segment for reading and lists its live records.
+// beginCompaction registers a reader of a sealed segment and returns the locations of its live records.
 func (s *Store) beginCompaction(id uint32) (*segment, []location, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +128,8 @@
 	return seg, live, nil
 }
 
-// moveRecord appends a record to the active segment, or deletes its chunk if it is not wanted or cannot be read.
+// moveRecord copies a record to the active segment. It deletes the chunk instead if wanted returns false or the record
+// cannot be read.
 func (s *Store) moveRecord(seg *segment, loc *location, wanted func(Meta) bool, result *CompactionResult) error {
 	chunk, err := s.readRecord(seg, *loc)
 	if errors.Is(err, vfs.ErrPowerLoss) {
@@ -160,11 +163,11 @@
 	return nil
 }
 
-// forgetSegment removes a segment whose records were all moved or deleted from the store's state.
+// forgetSegment removes a segment from the store's state. All its records must have been moved or deleted.
 func (s *Store) forgetSegment(seg *segment) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if seg.liveBytes != 0 { // cannot happen: nothing is appended to a sealed segment
+	if seg.liveBytes != 0 { // unreachable: nothing is appended to a sealed segment
 		return fmt.Errorf("compact segment %08x: %w: %d", seg.id, errLiveBytes, seg.liveBytes)
 	}
 	delete(s.segments, seg.id)
--- a/internal/diskcache/errors.go
+++ b/internal/diskcache/errors.go
@@ -8,23 +8,23 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// FaultCode is a kind of fault. Its text is the reason in log lines, in the label of the counter of faults and in what
-// the tools print; docs/operate/disk-cache.md lists the texts. The zero value is no fault.
+// FaultCode classifies a fault of the disk cache. Its text is the "reason" attribute of log lines, the label of the
+// fault counter and part of the tools' output; docs/operate/disk-cache.md lists the texts. The zero value is no fault.
 type FaultCode uint8
 
 // The codes of faults.
 const (
-	CodeBadHeader      FaultCode = iota + 1 // a record's header cannot be read
+	CodeBadHeader      FaultCode = iota + 1 // a record's header is invalid
 	CodeBadBody                             // a record's body does not match its checksum
-	CodeTruncated                           // a segment ends within a record
-	CodeMissingSegment                      // a segment that the snapshot names does not exist
-	CodeBadSegment                          // a segment's header cannot be read
-	CodeBadPurgeLog                         // the purge log ends in something else
-	CodeBadSnapshot                         // the index snapshot cannot be used
-	CodeReadFailed                          // the disk failed to read
-	CodeDiskFull                            // the disk has no space left for a write
-	CodeWriteFailed                         // the disk failed to write for another cause
-	CodeOtherFormat                         // the folder has another format version
+	CodeTruncated                           // a segment ends in the middle of a record
+	CodeMissingSegment                      // a segment listed in the index snapshot does not exist
+	CodeBadSegment                          // a segment's header is invalid or cannot be read
+	CodeBadPurgeLog                         // the purge log contains bytes that are not a valid record
+	CodeBadSnapshot                         // the index snapshot is invalid
+	CodeReadFailed                          // a disk read failed
+	CodeDiskFull                            // a write failed because the disk has no space left
+	CodeWriteFailed                         // a write failed for a reason other than lack of space
+	CodeOtherFormat                         // the folder has an unsupported format version
 )
 
 var faultCodeTexts = [...]string{
@@ -41,63 +41,63 @@
 	CodeOtherFormat:    "unsupported_format",
 }
 
-// String returns the code's text.
+// String returns the text of the code as used in log lines and metrics.
 func (c FaultCode) String() string { return faultCodeTexts[c] }
 
-// Errors of a Store.
+// Errors returned by a Store.
 var (
-	// ErrNotFound reports a chunk that is not stored.
+	// ErrNotFound is returned for a chunk that is not stored.
 	ErrNotFound = errors.New("chunk is not stored")
-	// ErrNoDiskCache reports a folder without a disk cache.
+	// ErrNoDiskCache is returned for a folder that contains no disk cache.
 	ErrNoDiskCache = errors.New("folder has no disk cache")
-	// ErrUnsupportedFormat reports a folder of another format version.
+	// ErrUnsupportedFormat is returned for a folder with an unsupported format version.
 	ErrUnsupportedFormat = errors.New("unsupported format of the disk cache")
 
-	// ErrChunkTooLong reports a chunk whose tag or body is longer than the format allows.
+	// ErrChunkTooLong is returned for a chunk whose entity tag or body is longer than the format allows.
 	ErrChunkTooLong = errors.New("tag or body is too long")
 
 	errClosed       = errors.New("disk cache is closed")
-	errNotSealed    = errors.New("missing, active or closed")
-	errLiveBytes    = errors.New("live bytes are left")
+	errNotSealed    = errors.New("segment does not exist or is not sealed, or the disk cache is closed")
+	errLiveBytes    = errors.New("segment still has live bytes")
 	errShortHeader  = errors.New("header is too short")
-	errOtherVersion = errors.New("unknown version")
-	errOtherSegment = errors.New("header of another segment")
+	errOtherVersion = errors.New("unsupported version")
+	errOtherSegment = errors.New("header belongs to another segment")
 )
 
-// Why a record cannot be used. Each is the cause of a StoreError, whose code says what it costs.
+// Reasons why a record is invalid. Each is wrapped in a StoreError, whose code classifies the fault.
 var (
-	errNoRecord       = errors.New("no record")
+	errNoRecord       = errors.New("no record at this offset")
 	errHeaderChecksum = errors.New("head's checksum does not hold")
 	errBodyChecksum   = errors.New("body's checksum does not hold")
-	errOtherRecord    = errors.New("record of another chunk")
-	errUnknownRecord  = errors.New("record of an unknown version or kind")
+	errOtherRecord    = errors.New("record belongs to another chunk")
+	errUnknownRecord  = errors.New("record has an unknown version or kind")
 	errRecordTooLong  = errors.New("record's tag or body is too long")
-	errRecordCutOff   = errors.New("file ends within the record")
+	errRecordCutOff   = errors.New("file ends in the middle of the record")
 )
 
-// Why a snapshot, or a part of it, cannot be used.
+// Reasons why an index snapshot, or a part of it, is invalid.
 var (
-	errNoSnapshot          = errors.New("not a snapshot of this version")
-	errSnapshotSize        = errors.New("size does not fit the header")
-	errSnapshotChecksum    = errors.New("checksum of the snapshot does not hold")
-	errSnapshotSegment     = errors.New("segment is covered up to an impossible offset")
-	errSnapshotEntry       = errors.New("entry of an impossible size or segment")
-	errDuplicateEntry      = errors.New("chunk is listed twice")
-	errSegmentMissing      = errors.New("named by the snapshot: lost, or compacted since")
-	errSegmentWasTruncated = errors.New("segment is shorter than it was")
+	errNoSnapshot          = errors.New("not a snapshot of the supported version")
+	errSnapshotSize        = errors.New("snapshot size does not match its header")
+	errSnapshotChecksum    = errors.New("snapshot checksum mismatch")
+	errSnapshotSegment     = errors.New("snapshot covers a segment up to an invalid offset")
+	errSnapshotEntry       = errors.New("snapshot entry has an invalid size or segment")
+	errDuplicateEntry      = errors.New("chunk is listed twice in the snapshot")
+	errSegmentMissing      = errors.New("segment of the snapshot is lost or was compacted after the snapshot")
+	errSegmentWasTruncated = errors.New("segment is shorter than when the snapshot was written")
 )
 
-// Errors of Cache.Get, besides those of a Store. Callers treat all of them as a miss.
+// Errors returned by Cache.Get in addition to those of a Store. Callers treat all of them as a cache miss.
 var (
-	// ErrReadQueueFull reports that too many reads wait for the disk.
+	// ErrReadQueueFull is returned when the read queue has reached Config.ReadQueue.
 	ErrReadQueueFull = errors.New("read queue of the disk is full")
-	// ErrReadTimeout reports that the disk did not answer in time.
-	ErrReadTimeout = errors.New("disk did not answer in time")
-	// ErrInvalidated reports a chunk that a purge invalidates.
+	// ErrReadTimeout is returned when a disk read takes longer than Config.ReadTimeout.
+	ErrReadTimeout = errors.New("disk read timed out")
+	// ErrInvalidated is returned for a chunk that a purge has invalidated.
 	ErrInvalidated = errors.New("chunk is purged")
 )
 
-// StoreError is one fault of a folder. It costs the chunks concerned and nothing else.
+// StoreError describes one fault of a cache folder. Only the affected chunks are lost.
 type StoreError struct {
 	Code   FaultCode
 	File   string
@@ -112,7 +112,7 @@
 
 func (e StoreError) Unwrap() error { return e.Err }
 
-// corruptRecordError is a record that was read and cannot be used.
+// corruptRecordError reports a record that was read but is invalid.
 type corruptRecordError struct {
 	code FaultCode
 	err  error
@@ -122,7 +122,7 @@
 
 func (c corruptRecordError) Unwrap() error { return c.err }
 
-// reportWriteError classifies the cause of a failed write, reports it and returns it.
+// reportWriteError sets the code of a failed write from its cause, passes the error to onFault and returns it.
 func (s *Store) reportWriteError(e StoreError) error {
 	e.Code = CodeWriteFailed
 	if errors.Is(e.Err, vfs.ErrNoSpace) {
--- a/internal/diskcache/eviction/cafe.go
+++ b/internal/diskcache/eviction/cafe.go
@@ -8,40 +8,41 @@
 )
 
 const (
-	minCacheAge       = 1.0  // seconds; a disk that was just filled has no age to compare with yet
-	treeDegree        = 32   // children of a tree node: two cache lines of pointers are searched at once
-	maxComparedChunks = 64   // of an object, for the gap of an unseen one: bounds the work
-	minGap            = 1e-9 // seconds, avoids a division by zero
-	fillingDivisor    = 2    // of the capacity: while fewer bytes are cached, the disk counts as filling
+	minCacheAge       = 1.0  // seconds; lower bound for a disk that was filled just now
+	treeDegree        = 32   // B-tree degree: a search in a node reads two CPU cache lines of child pointers
+	maxComparedChunks = 64   // per object; bounds the work to estimate the gap of an unseen chunk
+	minGap            = 1e-9 // seconds; avoids a division by zero
+	fillingDivisor    = 2    // below CapacityBytes/fillingDivisor cached bytes, the disk counts as filling
 )
 
 // Config configures a Cafe policy.
 type Config struct {
-	Alpha           float64 // cost of a cache fill relative to that of a redirect (the paper's alpha_F2R), over 0
-	CapacityBytes   int64   // of the disk
-	MaxGhosts       int     // chunks remembered that are not cached
-	DailyWriteBytes int64   // 0 for no limit
+	Alpha           float64 // cost of a cache fill relative to a redirect (alpha_F2R of the paper), must be positive
+	CapacityBytes   int64   // capacity of the disk for cached chunks
+	MaxGhosts       int     // maximum number of uncached chunks whose access history is retained
+	DailyWriteBytes int64   // write limit per day; 0 means no limit
 }
 
-// Cafe is the policy of the paper's Cafe Cache. It compares the cost of filling the cache with that of passing a
-// request on, by the mean gap between requests (inter-arrival time) of chunks. It is not safe for concurrent use.
+// Cafe is the Cafe Cache policy of the paper. It compares the cost of a cache fill with the cost of redirecting a
+// request, both estimated from the mean gap between requests (inter-arrival time) of chunks. It is not safe for
+// concurrent use.
 //
-// It holds one entry of EntryBytes for each cached chunk and each of up to MaxGhosts ghosts.
+// Its memory is EntryBytes for each cached chunk and each of up to MaxGhosts ghost entries.
 type Cafe struct {
 	config       Config
 	fillCost     float64 // C_F of the paper
 	redirectCost float64 // C_R of the paper
 	entries      map[Key]*entry
-	cached       *btree.BTreeG[*entry] // largest gap first
-	ghosts       entryList
-	byObject     map[uint64][]*entry // cached chunks of an object
-	chunks       int                 // cached
-	bytes        int64               // cached
-	firstRequest float64             // Unix seconds, NaN before the first request
+	cached       *btree.BTreeG[*entry] // cached chunks, largest mean gap first
+	ghosts       entryList             // uncached chunks, least recently requested first
+	byObject     map[uint64][]*entry   // cached chunks of each object
+	chunks       int                   // number of cached chunks
+	bytes        int64                 // total size of cached chunks
+	firstRequest float64               // Unix seconds, NaN before the first request
 	budget       writeBudget
 }
 
-// NewCafe returns a policy with an empty cache. An invalid Alpha counts as 1.
+// NewCafe returns a policy with an empty cache. An invalid Alpha is replaced by 1.
 func NewCafe(config Config) *Cafe {
 	if !(config.Alpha > 0) || math.IsInf(config.Alpha, 1) {
 		config.Alpha = 1
@@ -60,13 +61,13 @@
 	return c
 }
 
-// Bytes returns the size of the cached chunks.
+// Bytes returns the total size of the cached chunks.
 func (c *Cafe) Bytes() int64 { return c.bytes }
 
 // Chunks returns the number of cached chunks.
 func (c *Cafe) Chunks() int { return c.chunks }
 
-// Ghosts returns the number of chunks that are remembered and not cached.
+// Ghosts returns the number of uncached chunks whose access history is retained.
 func (c *Cafe) Ghosts() int { return c.ghosts.count }
 
 // Contains reports whether a chunk is cached.
@@ -75,11 +76,11 @@
 	return e != nil && e.cached
 }
 
-// WriteBudget returns the number of bytes that may be written now, infinite without a limit.
+// WriteBudget returns the number of bytes that may be written now, infinite without a daily limit.
 func (c *Cafe) WriteBudget(now float64) float64 { return c.budget.available(now) }
 
-// CacheAge returns T of the paper in seconds: the mean gap of the chunk that would be evicted first. Before the disk is
-// half full it is the time since the first request, if that is longer.
+// CacheAge returns the cache age in seconds (T of the paper): the mean gap of the chunk that would be evicted first.
+// Before the disk is half full it is the time since the first request, if that is longer.
 func (c *Cafe) CacheAge(now float64) float64 {
 	age := minCacheAge
 	if e, ok := c.cached.Min(); ok {
@@ -91,12 +92,12 @@
 	return age
 }
 
-// isFilling says that the disk is less than half full. The gap of its worst chunk then says nothing of how long a chunk
-// would stay.
+// isFilling reports whether the disk is less than half full. The mean gap of the chunk that would be evicted first is
+// then no estimate of how long a chunk stays cached.
 func (c *Cafe) isFilling() bool { return c.bytes < c.config.CapacityBytes/fillingDivisor }
 
-// Gap returns the mean gap between requests of a chunk in seconds (Eq. 8). For an unseen chunk it is the largest gap of
-// its object's cached chunks, infinite if there are none.
+// Gap returns the mean gap between requests of a chunk in seconds (Eq. 8 of the paper). For an unseen chunk it is the
+// largest gap of the cached chunks of its object, or infinite if there are none.
 func (c *Cafe) Gap(now float64, key Key) float64 {
 	if e := c.entries[key]; e != nil {
 		return e.gap(now)
@@ -112,7 +113,7 @@
 	return largest
 }
 
-// Request implements Policy (Eq. 6 and 7).
+// Request implements Policy (Eq. 6 and 7 of the paper).
 func (c *Cafe) Request(now float64, key Key, size int64) Decision {
 	if math.IsNaN(c.firstRequest) {
 		c.firstRequest = now
@@ -124,7 +125,7 @@
 		return Decision{Cached: true}
 	}
 	admit, evicted := c.compareCosts(now, size, age, gap)
-	if e == nil { // an unseen chunk starts with a gap of the cache's age
+	if e == nil { // the cache age is the initial mean gap of an unseen chunk
 		e = &entry{key: key, meanGap: age, lastAccess: now}
 		c.entries[key] = e
 		c.ghosts.pushBack(e)
@@ -144,8 +145,8 @@
 	return decision
 }
 
-// compareCosts compares the cost of filling a chunk of a size with that of redirecting its request, and names the
-// chunks that the fill would displace.
+// compareCosts compares the cost of filling a chunk with the cost of redirecting its request. It reports whether the
+// fill is cheaper and returns the chunks that must be evicted for it.
 func (c *Cafe) compareCosts(now float64, size int64, age, gap float64) (admit bool, displaced []*entry) {
 	if size <= 0 || size > c.config.CapacityBytes {
 		return false, nil
@@ -168,23 +169,24 @@
 	return needed <= 0 && fill < redirect, displaced
 }
 
-// costOfFill is the cost of writing a chunk of a size, without that of what it displaces (Eq. 6, first term). It is
-// higher while little is left of the write budget.
+// costOfFill returns the cost of writing a chunk of the given size, without the cost of evictions (Eq. 6, first term).
+// It is higher while the write budget is low.
 func (c *Cafe) costOfFill(size int64) float64 {
 	return float64(size) * c.fillCost * (1 + c.budget.surcharge())
 }
 
-// costOfRedirect is the cost of passing on this request and those expected while the chunk would be cached (Eq. 7).
+// costOfRedirect returns the cost of redirecting this request and those expected while the chunk would be cached
+// (Eq. 7 of the paper).
 func (c *Cafe) costOfRedirect(size int64, age, gap float64) float64 {
 	return float64(size) * (c.redirectCost + age/gap*min(c.fillCost, c.redirectCost))
 }
 
-// costOfEviction is the cost of the requests expected for so many bytes of an evicted chunk (Eq. 6, second term).
+// costOfEviction returns the cost of the requests expected for size bytes of an evicted chunk (Eq. 6, second term).
 func (c *Cafe) costOfEviction(size int64, age, gap float64) float64 {
 	return float64(size) * age / max(gap, minGap) * min(c.fillCost, c.redirectCost)
 }
 
-// recordAccess updates a chunk's gap and its place in the order.
+// recordAccess updates the mean gap and last access of an entry and its position in the tree or list.
 func (c *Cafe) recordAccess(e *entry, now float64) {
 	if e.cached {
 		c.cached.Delete(e)
@@ -196,7 +198,7 @@
 	c.insert(e)
 }
 
-// insert puts an entry into the tree of cached chunks or the list of ghosts.
+// insert adds an entry to the tree of cached chunks or the list of ghost entries.
 func (c *Cafe) insert(e *entry) {
 	e.updateRank()
 	if e.cached {
@@ -206,7 +208,7 @@
 	}
 }
 
-// admit makes a ghost a cached chunk.
+// admit turns a ghost entry into the entry of a cached chunk.
 func (c *Cafe) admit(e *entry) {
 	c.ghosts.remove(e)
 	e.cached = true
@@ -216,7 +218,7 @@
 	c.insert(e)
 }
 
-// evict makes a cached chunk a ghost.
+// evict turns the entry of a cached chunk into a ghost entry.
 func (c *Cafe) evict(e *entry) {
 	c.cached.Delete(e)
 	e.cached = false
@@ -226,7 +228,7 @@
 	c.ghosts.pushBack(e)
 }
 
-// removeFromObject takes an entry out of the list of its object's entries.
+// removeFromObject removes an entry from the list of its object's cached chunks.
 func (c *Cafe) removeFromObject(e *entry) {
 	chunks := c.byObject[e.key.Object]
 	if i := slices.Index(chunks, e); i >= 0 {
@@ -242,7 +244,7 @@
 	c.byObject[e.key.Object] = chunks
 }
 
-// trimGhosts keeps the ghosts within their bound, dropping the least recently used first.
+// trimGhosts removes the least recently used ghost entries while there are more than MaxGhosts.
 func (c *Cafe) trimGhosts() {
 	for c.ghosts.count > c.config.MaxGhosts {
 		oldest := c.ghosts.front()
@@ -251,7 +253,7 @@
 	}
 }
 
-// Remove records that a chunk is not cached: it could not be written or read, or was purged.
+// Remove marks a chunk as not cached, because it could not be written or read, or was purged.
 func (c *Cafe) Remove(key Key) {
 	if e := c.entries[key]; e != nil && e.cached {
 		c.evict(e)
@@ -261,7 +263,7 @@
 
 // AccessHistory is the access history of a cached chunk. The index snapshot stores it.
 type AccessHistory struct {
-	MeanGap    float64 // seconds
+	MeanGap    float64 // mean seconds between requests
 	LastAccess float64 // Unix seconds
 }
 
@@ -274,8 +276,8 @@
 	return AccessHistory{MeanGap: e.meanGap, LastAccess: e.lastAccess}, true
 }
 
-// Restore adds a chunk that was found on the disk at a start. It returns the chunks to delete if the disk then holds
-// more than its capacity.
+// Restore adds a chunk that was found on the disk at a start. It returns the chunks that the caller must delete because
+// the cached chunks exceed the capacity.
 func (c *Cafe) Restore(key Key, size int64, history AccessHistory) []Key {
 	e := c.entries[key]
 	if e != nil && e.cached {
--- a/internal/diskcache/eviction/cafe_test.go
+++ b/internal/diskcache/eviction/cafe_test.go
@@ -12,8 +12,8 @@
 
 func key(o, p int) Key { return Key{uint64(o), uint32(p)} }
 
-// fullDisk returns a policy with a full disk of ten chunks of ten bytes, requested twice each, a second apart, until
-// t = 20.
+// fullDisk returns a policy with a full disk of ten chunks of ten bytes. Each chunk was requested twice, with one
+// request per second until t = 20.
 func fullDisk(alpha float64) *Cafe {
 	c := NewCafe(Config{Alpha: alpha, CapacityBytes: 100, MaxGhosts: 100})
 	for i := range 20 {
@@ -22,7 +22,8 @@
 	return c
 }
 
-// TestGapIsWeightedMean holds the paper's formula for the gap of a chunk. All admissions follow from it.
+// TestGapIsWeightedMean checks the formula of the paper for the mean gap of a chunk (Eq. 8), on which all admissions
+// depend.
 func TestGapIsWeightedMean(t *testing.T) {
 	c := NewCafe(Config{Alpha: 1, CapacityBytes: 100, MaxGhosts: 9})
 	c.Restore(key(1, 0), 10, AccessHistory{MeanGap: 8, LastAccess: 100})
@@ -31,8 +32,8 @@
 	assert.Equal(t, 0.25*2+0.75*7, c.Gap(106, key(1, 0))) //nolint:testifylint // exact by intent
 }
 
-// TestUnseenChunkTakesLargestGapOfItsObject asks for the gap of a chunk that was never requested. Without an
-// estimate from its object each new chunk of a popular object would be refused at first.
+// TestUnseenChunkTakesLargestGapOfItsObject checks the gap of a chunk that was never requested. Without an estimate
+// from its object, the first request for each new chunk of a popular object would not be admitted.
 func TestUnseenChunkTakesLargestGapOfItsObject(t *testing.T) {
 	c := NewCafe(Config{Alpha: 1, CapacityBytes: 100, MaxGhosts: 9})
 	c.Restore(key(1, 0), 10, AccessHistory{MeanGap: 8, LastAccess: 100})
@@ -41,8 +42,8 @@
 	assert.True(t, math.IsInf(c.Gap(100, key(2, 0)), 1))
 }
 
-// A more expensive fill requires a smaller gap: on a disk of chunks with gaps of 10 s, a chunk requested every 9 s is
-// admitted at alpha 1 and not at alpha 4.
+// TestAlphaChangesAdmission checks that a more expensive fill requires a smaller gap: on a disk of chunks with gaps of
+// 10 s, a chunk requested every 9 s must be admitted at alpha 1 and not at alpha 4.
 func TestAlphaChangesAdmission(t *testing.T) {
 	for alpha, want := range map[float64]bool{1: true, 4: false} {
 		c := NewCafe(Config{Alpha: alpha, CapacityBytes: 100, MaxGhosts: 100})
@@ -55,8 +56,8 @@
 	}
 }
 
-// TestNewChunkDisplacesLeastRequested requests a new chunk often on a full disk. A policy that evicts by age alone
-// would remove popular chunks. The least requested one must go.
+// TestNewChunkDisplacesLeastRequested requests a new chunk repeatedly on a full disk. The least requested chunk must be
+// evicted; a policy that evicts by age alone would evict popular chunks.
 func TestNewChunkDisplacesLeastRequested(t *testing.T) {
 	c := fullDisk(1)
 	for i := range 9 { // all but object 9 are requested repeatedly
@@ -71,18 +72,18 @@
 	assert.False(t, c.Contains(key(9, 0)))
 }
 
-// TestChunksRequestedOnceDoNotDisplace requests a thousand chunks once each. A scan of the entire catalog would empty
-// the disk of what is asked for again. None may be admitted, and the ghosts must stay bounded.
+// TestChunksRequestedOnceDoNotDisplace requests a thousand chunks once each, like a scan of the entire catalog. None
+// may be admitted, or the scan would evict all popular chunks, and the number of ghost entries must stay bounded.
 func TestChunksRequestedOnceDoNotDisplace(t *testing.T) {
 	c := fullDisk(2)
 	for i := range 1000 {
 		assert.False(t, c.Request(20+float64(i)/1000, key(100+i, 0), 10).Admit)
 	}
-	assert.LessOrEqual(t, c.Ghosts(), 100, "ghosts are bounded")
+	assert.LessOrEqual(t, c.Ghosts(), 100, "the number of ghost entries is bounded")
 }
 
-// TestWriteBudgetLimitsWrites admits and loses popular chunks for an hour. Without a budget the writes wear the disk
-// out within months. The bytes written must stay within a burst and the hour's share, and use them.
+// TestWriteBudgetLimitsWrites admits and removes popular chunks for an hour. Without a budget the writes would wear out
+// the disk within months. The bytes written must not exceed one burst plus the budget of one hour, and must use it.
 func TestWriteBudgetLimitsWrites(t *testing.T) {
 	daily := int64(24 * 1000) // a burst of 1000 bytes
 	c := NewCafe(Config{Alpha: 1, CapacityBytes: 1e6, MaxGhosts: 1000, DailyWriteBytes: daily})
@@ -95,12 +96,12 @@
 			c.Remove(key(i%500, 0))
 		}
 	}
-	assert.LessOrEqual(t, wrote, int64(2000), "a burst and an hour's share")
-	assert.Greater(t, wrote, int64(1000), "the budget is used")
+	assert.LessOrEqual(t, wrote, int64(2000), "at most one burst plus the budget of one hour")
+	assert.Greater(t, wrote, int64(1000), "the budget must be used")
 }
 
-// TestRemovedChunkIsAdmittedAgain removes a chunk that could not be read. Its room must be free, and its history
-// must stay, or a single bad sector would make a popular chunk unpopular.
+// TestRemovedChunkIsAdmittedAgain removes a chunk as after a read error. Its space must be freed, and its access
+// history must be retained, so that a popular chunk on a bad sector is admitted again at the next request.
 func TestRemovedChunkIsAdmittedAgain(t *testing.T) {
 	c := fullDisk(1)
 	c.Remove(key(3, 0))
@@ -109,8 +110,8 @@
 	assert.True(t, c.Request(21, key(3, 0), 10).Admit)
 }
 
-// TestRestoreStaysWithinSmallerDisk restores more than a disk holds that an operator has made smaller. The policy
-// would count more than there is room for, and never evict enough. The worst chunk must be given back for eviction.
+// TestRestoreStaysWithinSmallerDisk restores more chunks than fit, as after an operator has reduced the capacity. The
+// policy must not count more bytes than the capacity: Restore must return the chunk with the largest gap for eviction.
 func TestRestoreStaysWithinSmallerDisk(t *testing.T) {
 	c := NewCafe(Config{Alpha: 1, CapacityBytes: 25, MaxGhosts: 10})
 	assert.Empty(t, c.Restore(key(1, 0), 10, AccessHistory{MeanGap: 100, LastAccess: 10}))
@@ -123,7 +124,7 @@
 	modelMaxGhosts     = 20
 )
 
-// cafeModel plays drawn requests and losses and keeps its own list of what is cached.
+// cafeModel executes random requests and removals and maintains its own map of cached chunks.
 type cafeModel struct {
 	t      *rapid.T
 	policy *Cafe
@@ -145,7 +146,7 @@
 	}
 }
 
-// step plays a request, or the loss of a chunk.
+// step executes a random request or removal.
 func (m *cafeModel) step() {
 	m.now += rapid.Float64Range(0, 5).Draw(m.t, "dt")
 	k := key(rapid.IntRange(0, 15).Draw(m.t, "o"), rapid.IntRange(0, 3).Draw(m.t, "p"))
@@ -187,22 +188,22 @@
 	}
 }
 
-// checkOrder compares the tree's order with that of the gaps at a later time.
+// checkOrder checks that the order of the tree is that of descending gaps at a later time.
 func (m *cafeModel) checkOrder() {
 	last := math.Inf(1)
 	m.policy.cached.Ascend(func(e *entry) bool {
 		gap := e.gap(m.now + 50)
 		if gap > last+1e-6 {
-			m.t.Fatalf("a gap of %v after one of %v", gap, last)
+			m.t.Fatalf("entries are out of order: gap %v after gap %v", gap, last)
 		}
 		last = gap
 		return true
 	})
 }
 
-// TestCafeProperties plays any requests and losses. Bytes that are counted twice, or never, let the cache outgrow its
-// disk or stay empty. The accounting must agree, nothing may exceed its bound, and the tree's order must be that of the
-// gaps at any time (the paper's Theorem 1).
+// TestCafeProperties executes random requests and removals. If bytes were counted twice or not at all, the cache would
+// exceed its capacity or stay empty. The accounting must match the model, no limit may be exceeded, and the order of
+// the tree must be that of the gaps at any time (Theorem 1 of the paper).
 func TestCafeProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newCafeModel(t)
@@ -213,8 +214,8 @@
 	})
 }
 
-// TestXLRURedirectsFirstView holds the baseline's rule: a first view is not stored, a second one is. Comparisons
-// with a baseline that is wrong say nothing.
+// TestXLRURedirectsFirstView checks the admission rule of the baseline: chunks of a first view are not admitted, those
+// of a second view are. Comparisons with an incorrect baseline would be meaningless.
 func TestXLRURedirectsFirstView(t *testing.T) {
 	p := NewXLRU(100, 1)
 	assert.Equal(t, Decision{}, p.Request(0, key(1, 0), 10))
--- a/internal/diskcache/eviction/entry.go
+++ b/internal/diskcache/eviction/entry.go
@@ -1,32 +1,33 @@
 package eviction
 
-// gapWeight is the weight of the newest gap in the mean (Eq. 8; the paper's value in all experiments).
+// gapWeight is the weight of the newest gap between requests in the moving average (Eq. 8 of the paper, with the value
+// of all its experiments).
 const gapWeight = 0.25
 
-// EntryBytes is the approximate memory that a cached or remembered chunk takes: the entry and its places in the map,
-// the tree and its object's list.
+// EntryBytes is the approximate memory per entry in bytes: the entry itself and its references in the map, the tree and
+// the list of its object.
 const EntryBytes = 208
 
-// entry is a cached chunk, or a ghost: a chunk that is not cached and whose access history is remembered.
+// entry is the access history of a chunk. An entry of an uncached chunk is called a ghost entry.
 type entry struct {
 	key        Key
 	size       int64   // bytes
-	meanGap    float64 // seconds between requests, as of the last one
+	meanGap    float64 // moving average of the seconds between requests, as of the last request
 	lastAccess float64 // Unix seconds
-	rank       float64 // order by gap; the order is the same at any time (Theorem 1)
+	rank       float64 // sort key by descending mean gap; the order does not change over time (Theorem 1 of the paper)
 	cached     bool
-	prev       *entry // in the list of ghosts, by last access
+	prev       *entry // neighbours in the list of ghost entries, ordered by last access
 	next       *entry
 }
 
-// gap is the mean gap as of now, in seconds.
+// gap returns the mean gap between requests as of now, in seconds.
 func (e *entry) gap(now float64) float64 {
 	return gapWeight*(now-e.lastAccess) + (1-gapWeight)*e.meanGap
 }
 
 func (e *entry) updateRank() { e.rank = gapWeight*e.lastAccess - (1-gapWeight)*e.meanGap }
 
-// byRank orders entries by descending gap.
+// byRank reports whether a has a larger mean gap than b, or the same gap and a smaller key.
 func byRank(a, b *entry) bool {
 	if a.rank != b.rank {
 		return a.rank < b.rank
@@ -34,7 +35,7 @@
 	return a.key.Compare(b.key) < 0
 }
 
-// entryList is a doubly linked list of entries, least recently used first. It has to be initialized with init.
+// entryList is a doubly linked list of entries, least recently used first. Call init before use.
 type entryList struct {
 	root  entry
 	count int
@@ -54,7 +55,7 @@
 	l.count--
 }
 
-// front returns the least recently used entry, nil if the list is empty.
+// front returns the least recently used entry, or nil if the list is empty.
 func (l *entryList) front() *entry {
 	if l.count == 0 {
 		return nil
--- a/internal/diskcache/eviction/eviction.go
+++ b/internal/diskcache/eviction/eviction.go
@@ -1,14 +1,14 @@
-// Package eviction decides which chunks a disk admits and which it evicts. The policy that serves is [Cafe], after the
-// Cafe Cache of the paper (section 6); [LRU] and [XLRU] are baselines for comparison.
+// Package eviction implements admission and eviction policies for a disk cache. Production uses [Cafe], an
+// implementation of the Cafe Cache of the paper (section 6); [LRU] and [XLRU] are baselines for comparison.
 //
-// The package owns the set of cached chunks, their access history and the budget of writes. It does no I/O and has no
-// clock: every call passes the time in. A caller makes one request per access to a chunk, carries out the decision, and
-// reports with [Cafe.Remove] what it could not carry out.
+// The package owns the set of cached chunks, their access history and the write budget. It does no I/O and reads no
+// clock: the caller passes the time to every call. A caller makes one Request per access to a chunk, carries out the
+// decision, and calls [Cafe.Remove] for a chunk that could not be written.
 package eviction
 
 import "cmp"
 
-// Key names a chunk of an object.
+// Key identifies a chunk of an object.
 type Key struct {
 	Object uint64
 	Chunk  uint32
@@ -19,14 +19,14 @@
 	return cmp.Or(cmp.Compare(k.Object, other.Object), cmp.Compare(k.Chunk, other.Chunk))
 }
 
-// Decision says what is to be done with a requested chunk.
+// Decision is the result of a request for a chunk.
 type Decision struct {
-	Cached bool  // it was cached already
-	Admit  bool  // it is to be written and counts as cached from now on
-	Evict  []Key // chunks to delete for it
+	Cached bool  // the chunk is already cached
+	Admit  bool  // the caller must write the chunk, which counts as cached from now on
+	Evict  []Key // chunks the caller must delete to make space
 }
 
-// Policy is a cache policy. A request passes the time in seconds and the chunk's size in bytes.
+// Policy is an admission and eviction policy. now is the time in Unix seconds, size the chunk's size in bytes.
 type Policy interface {
 	Request(now float64, key Key, size int64) Decision
 }
--- a/internal/diskcache/eviction/golden_test.go
+++ b/internal/diskcache/eviction/golden_test.go
@@ -26,7 +26,7 @@
 	out.WriteByte('\n')
 }
 
-// cafeTrace plays a seeded script of requests, losses and restarts and prints every decision.
+// cafeTrace executes random requests, removals and restores determined by seed and returns a text of every decision.
 func cafeTrace(config Config, seed uint64, steps int) string {
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	var out strings.Builder
@@ -73,7 +73,8 @@
 	return out.String()
 }
 
-// The decisions of scripts drawn from a seed stay the same, by hash; they are printed without any Go name.
+// TestGoldenTraces checks by hash that the decisions for fixed seeds are the same as before. The texts contain no Go
+// identifiers, so renames do not change them.
 func TestGoldenTraces(t *testing.T) {
 	const steps = 4000
 	var sums strings.Builder
--- a/internal/diskcache/eviction/lru.go
+++ b/internal/diskcache/eviction/lru.go
@@ -1,9 +1,9 @@
 package eviction
 
-// LRU is a baseline that admits every chunk and evicts the least recently used one.
+// LRU is a baseline policy that admits every chunk and evicts the least recently used ones.
 type LRU struct{ lruCache }
 
-// NewLRU returns an empty LRU of a capacity in bytes.
+// NewLRU returns an empty LRU with a capacity in bytes.
 func NewLRU(capacity int64) *LRU { return &LRU{newLRUCache(capacity)} }
 
 // Request implements Policy.
@@ -14,7 +14,7 @@
 	return p.add(now, key, size)
 }
 
-// lruCache is a set of chunks in the order of their last use.
+// lruCache is a set of chunks ordered by last access.
 type lruCache struct {
 	capacity int64 // bytes
 	bytes    int64
@@ -28,7 +28,7 @@
 	return lruCache{capacity: capacity, entries: map[Key]*entry{}, order: order}
 }
 
-// touch marks a chunk as used and reports whether it is cached.
+// touch updates the last access of a chunk if it is cached, and reports whether it is.
 func (l *lruCache) touch(now float64, key Key) bool {
 	e := l.entries[key]
 	if e == nil {
--- a/internal/diskcache/eviction/writebudget.go
+++ b/internal/diskcache/eviction/writebudget.go
@@ -3,14 +3,14 @@
 import "math"
 
 const (
-	// burstShare is the share of the daily budget that may be written at once: one hour's.
+	// burstShare is the bucket size as a share of the daily budget: the budget of one hour.
 	burstShare = 1. / 24
-	// scarceShare is the share of the burst under which writing costs more, up to twice as much when it is empty.
+	// scarceShare is the fill level of the bucket below which the cost of writes rises, up to twice at an empty bucket.
 	scarceShare = 0.5
 	secondsADay = 86400
 )
 
-// writeBudget limits the bytes written per day with a token bucket. Without a daily limit it is infinite.
+// writeBudget limits the bytes written per day with a token bucket. It is unlimited if dailyBytes is 0.
 type writeBudget struct {
 	dailyBytes int64
 	tokens     float64 // bytes
@@ -23,7 +23,7 @@
 
 func (b *writeBudget) limited() bool { return b.dailyBytes > 0 }
 
-// refill adds the tokens gained since the last call.
+// refill adds the tokens accrued since the last call.
 func (b *writeBudget) refill(now float64) {
 	if b.refilledAt > 0 && now > b.refilledAt {
 		rate := float64(b.dailyBytes) / secondsADay
@@ -32,7 +32,7 @@
 	b.refilledAt = max(b.refilledAt, now)
 }
 
-// available is the number of bytes that may be written now.
+// available returns the number of bytes that may be written now, infinite without a daily limit.
 func (b *writeBudget) available(now float64) float64 {
 	if !b.limited() {
 		return math.Inf(1)
@@ -41,7 +41,7 @@
 	return b.tokens
 }
 
-// surcharge is the factor by which writing costs more, 0 to 1, while the budget is scarce.
+// surcharge returns the relative increase of the cost of a write, from 0 (enough tokens) to 1 (no tokens left).
 func (b *writeBudget) surcharge() float64 {
 	if !b.limited() {
 		return 0
--- a/internal/diskcache/eviction/xlru.go
+++ b/internal/diskcache/eviction/xlru.go
@@ -3,16 +3,16 @@
 import "math"
 
 const (
-	// viewPause is the pause in seconds after which a request for an object begins a new view. The paper's requests are
-	// complete ranges. Here a view requests chunk by chunk, and without the pause its second chunk would count as a
-	// second view.
+	// viewPause is the time in seconds without requests for an object after which a request begins a new view. In the
+	// paper, a request covers a complete range. Here a view requests one chunk at a time; without the pause, its
+	// second chunk would count as a second view.
 	viewPause = 30.0
-	// minSweepPause is the least time in seconds between two sweeps of old views.
+	// minSweepPause is the minimum time in seconds between two removals of old views.
 	minSweepPause = 60.0
 )
 
-// XLRU is a baseline, the paper's xLRU (section 5): an object's popularity is the time between its last two views, and
-// chunks are evicted by last use.
+// XLRU is a baseline policy, xLRU of the paper (section 5): the popularity of an object is the time between its last
+// two views, and the least recently used chunks are evicted.
 type XLRU struct {
 	lruCache
 	alpha   float64
@@ -20,20 +20,20 @@
 	sweptAt float64 // Unix seconds
 }
 
-// view is the last view of an object.
+// view is the most recent view of an object.
 type view struct {
 	lastRequest float64 // Unix seconds
-	admit       bool    // decided when the view began
+	admit       bool    // whether the view's chunks are admitted, decided at its first request
 }
 
-// NewXLRU returns an empty XLRU of a capacity in bytes.
+// NewXLRU returns an empty XLRU with a capacity in bytes. alpha is the same as in Config.
 func NewXLRU(capacity int64, alpha float64) *XLRU {
 	return &XLRU{lruCache: newLRUCache(capacity), alpha: alpha, views: map[uint64]*view{}}
 }
 
-// Request implements Policy (the paper's Figure 1 with Eq. 5).
+// Request implements Policy (Figure 1 of the paper with Eq. 5).
 func (p *XLRU) Request(now float64, key Key, size int64) Decision {
-	age := math.Inf(1) // while the disk is not full
+	age := math.Inf(1) // cache age, infinite while the disk is not full
 	if oldest := p.order.front(); oldest != nil && p.bytes+size > p.capacity {
 		age = now - oldest.lastAccess
 	}
@@ -56,7 +56,7 @@
 	return p.add(now, key, size)
 }
 
-// sweep forgets views too old to be admitted again.
+// sweep removes views that are too old to lead to an admission.
 func (p *XLRU) sweep(now, age float64) {
 	if math.IsInf(age, 1) || now < p.sweptAt+max(age, minSweepPause) {
 		return
--- a/internal/diskcache/fault_test.go
+++ b/internal/diskcache/fault_test.go
@@ -12,27 +12,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The folder on which faults are played: twenty chunks, eight a segment.
+// Content of the folder into which faults are injected: twenty chunks, eight per segment.
 const (
 	faultChunks    = 20
 	faultBodyBytes = 400
-	someChunks     = -1 // lost: at least one, and no more than a segment has
+	someChunks     = -1 // value of faultCase.lost: at least one chunk and at most those of one segment
 )
 
-// faultCase is one fault of a folder and what it may cost.
+// faultCase is a fault injected into a folder and the expected number of lost chunks.
 type faultCase struct {
 	name string
 	hurt func(t *testing.T, fs *vfs.FaultFS)
-	lost int // chunks, or someChunks
+	lost int // number of lost chunks, or someChunks
 	code FaultCode
 }
 
-// needsSnapshot says that the fault shows only at a start with a snapshot.
+// needsSnapshot reports whether the fault is detected only if the folder has a snapshot.
 func (c faultCase) needsSnapshot() bool {
 	return c.code == CodeMissingSegment || c.code == CodeBadSnapshot
 }
 
-// flipBit is damage to one bit of a file.
+// flipBit returns a function that flips one bit of a file.
 func flipBit(name string, offset int64, bit byte) func(*testing.T, *vfs.FaultFS) {
 	return func(t *testing.T, fs *vfs.FaultFS) {
 		t.Helper()
@@ -40,7 +40,8 @@
 	}
 }
 
-// faultCases are the faults that a folder can have, on the second record of the first segment where one is concerned.
+// faultCases returns one case per kind of fault. Faults of a single record affect the second record of the first
+// segment.
 func faultCases() []faultCase {
 	const first, second = "seg-00000001.cf", "seg-00000002.cf"
 	record := recordSize(len("t100"), faultBodyBytes)
@@ -74,7 +75,7 @@
 	}
 }
 
-// writeFaultFolder fills a folder with the chunks, a purge record and perhaps a snapshot.
+// writeFaultFolder fills a folder with faultChunks chunks, a purge record and optionally a snapshot.
 func writeFaultFolder(t *testing.T, fs *vfs.FaultFS, snapshot bool) {
 	t.Helper()
 	s, _, _ := open(t, fs)
@@ -89,7 +90,7 @@
 	require.NoError(t, s.Close())
 }
 
-// countLost reads every chunk and returns how many are lost. The others must have their bytes.
+// countLost reads every chunk and returns the number of lost ones. The others must have the expected body.
 func countLost(t *testing.T, s *Store) (lost int) {
 	t.Helper()
 	for i := range faultChunks {
@@ -103,9 +104,9 @@
 	return lost
 }
 
-// TestEachFaultCostsOnlyChunksConcerned damages a folder in each way, with and without a snapshot. A fault that ends
-// the start, or empties the folder, turns one bad sector into a cold cache. Each must cost the chunks concerned, be
-// reported once, lose no purge, and leave a store that goes on.
+// TestEachFaultCostsOnlyChunksConcerned injects each fault into a folder, with and without a snapshot. One bad sector
+// must not abort the start or empty the cache: only the affected chunks may be lost, the fault must be reported once,
+// no purge record may be lost, and the store must accept new chunks.
 func TestEachFaultCostsOnlyChunksConcerned(t *testing.T) {
 	for _, c := range faultCases() {
 		for _, snapshot := range []bool{false, true} {
@@ -117,7 +118,7 @@
 				writeFaultFolder(t, fs, snapshot)
 				c.hurt(t, fs)
 				s, rep, faults := open(t, fs)
-				assert.Len(t, rep.Records, 1, "no purge record is lost")
+				assert.Len(t, rep.Records, 1, "no purge record may be lost")
 				lost := countLost(t, s)
 				if c.lost == someChunks {
 					assert.Positive(t, lost)
@@ -129,17 +130,17 @@
 				for _, f := range *faults {
 					codes[f.Code]++
 				}
-				assert.Equal(t, 1, codes[c.code], "one line: %v", codes)
-				put(t, s, k(1, 0), 300, 50) // and it goes on
+				assert.Equal(t, 1, codes[c.code], "the fault must be reported once: %v", codes)
+				put(t, s, k(1, 0), 300, 50) // the store still accepts chunks
 				holds(t, s, k(1, 0), 300, 50)
 			})
 		}
 	}
 }
 
-// TestFullDiskFailsOnlyTheWrite fills the disk, and cuts a write short. A store that stops at the first failed
-// write, or leaves half a record, would lose what it has. Only the write may fail, with the code of its cause, and
-// later ones must succeed.
+// TestFullDiskFailsOnlyTheWrite fills the disk and injects a short write. A failed write must neither stop the store
+// nor leave a partial record that makes stored chunks unreadable. Only that write may fail, with the code of its cause,
+// and later writes must succeed.
 func TestFullDiskFailsOnlyTheWrite(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
 	s, _, faults := open(t, fs)
@@ -164,8 +165,9 @@
 	assert.False(t, s.Contains(k(2, 0)))
 }
 
-// A body may contain what looks like a record. When the header before it is damaged, the scan reaches it and must not
-// accept it: whoever made the body does not know the segment's salt.
+// TestRecordWithinBodyIsNotAccepted stores a body that contains bytes encoded like records and damages the header
+// before it, so that the scan reaches these bytes. The scan must not accept them as records: the author of the body
+// does not know the segment's salt.
 func TestRecordWithinBodyIsNotAccepted(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
 	s, _, _ := open(t, fs)
--- a/internal/diskcache/faultcounts.go
+++ b/internal/diskcache/faultcounts.go
@@ -2,11 +2,11 @@
 
 import "encoding/json"
 
-// FaultCounts is a number of faults by their code.
+// FaultCounts maps each fault code to the number of faults.
 type FaultCounts map[FaultCode]int
 
-// faultCodeKeys are the codes as keys of JSON, which readers of the tools' output rely on. They differ from the codes'
-// texts.
+// faultCodeKeys are the JSON keys of the fault codes in the tools' output. Scripts rely on them; they differ from the
+// texts that FaultCode.String returns.
 var faultCodeKeys = [...]string{
 	CodeBadHeader:      "bad-head",
 	CodeBadBody:        "bad-body",
@@ -21,7 +21,7 @@
 	CodeOtherFormat:    "other-format",
 }
 
-// MarshalJSON encodes the counts as an object with a key for each code.
+// MarshalJSON encodes the counts as a JSON object with one key per fault code.
 func (c FaultCounts) MarshalJSON() ([]byte, error) {
 	counts := make(map[string]int, len(c))
 	for code, count := range c {
--- a/internal/diskcache/faultcounts_test.go
+++ b/internal/diskcache/faultcounts_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFaultCodesAreThePublishedTexts holds the texts in log lines and counters, and the keys of JSON, which differ.
+// TestFaultCodesAreThePublishedTexts checks the texts of fault codes in log lines and counters, and their JSON keys.
 func TestFaultCodesAreThePublishedTexts(t *testing.T) {
 	texts := []string{
 		"bad_header", "bad_body", "truncated", "missing_segment", "bad_segment", "bad_purge_log", "bad_snapshot",
--- a/internal/diskcache/format.go
+++ b/internal/diskcache/format.go
@@ -8,65 +8,65 @@
 	"cairnfront/internal/diskcache/eviction"
 )
 
-// The format on the disk; docs/disk-cache-format.md names every byte. All numbers are little-endian. Names and magic
-// numbers are part of it: a "disk tier" is the disk cache, "PART" a chunk, "notices.log" the purge log.
+// The on-disk format; docs/disk-cache-format.md specifies every byte. All numbers are little-endian. The file names and
+// magic numbers are part of the format: a "disk tier" is the disk cache, "PART" a chunk, "notices.log" the purge log.
 const (
 	formatVersion = 1
 	formatText    = "cairnfront disk tier %d\n"
-	formatName    = "FORMAT" // the folder's version, as formatText
+	formatName    = "FORMAT" // file with the folder's format version, written as formatText
 	lockName      = "LOCK"
 	purgeLogName  = "notices.log"
 	snapshotName  = "index.snap"
 	segmentPrefix = "seg-"
 	segmentForm   = segmentPrefix + "%08x.cf"
-	newSuffix     = ".new" // of a file that is not yet renamed to its final name
+	newSuffix     = ".new" // suffix of a file that is not yet renamed to its final name
 
-	grain             = 8 // bytes; records begin at multiples of it
+	grain             = 8 // bytes; record offsets are multiples of it
 	segmentHeaderSize = 64
 	recordHeaderSize  = 64
 	maxTagBytes       = 256
-	maxBodyBytes      = 240000 // as the protocol's objects
+	maxBodyBytes      = 240000 // the protocol's limit for an object
 
 	segmentMagic = 0x4745534e52494143 // "CAIRNSEG"
 	recordMagic  = 0x54524150         // "PART"
 )
 
-// recordKind is the kind of a segment's record.
+// recordKind is the kind of a record in a segment.
 type recordKind byte
 
 const (
 	kindChunk  recordKind = 1
-	kindStruck recordKind = 2 // was torn; skipped
+	kindStruck recordKind = 2 // record whose body was torn by a power loss; recovery skips it
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 func segmentName(id uint32) string { return fmt.Sprintf(segmentForm, id) }
 
-// Meta describes a copy of a chunk.
+// Meta is the metadata of a cached copy of a chunk.
 type Meta struct {
 	eviction.Key
-	Group    uint16 // validity.UnknownGroup if the source named none
+	Group    uint16 // validity.UnknownGroup if the response named no group
 	Rank     uint8  // 0 to 3, the lowest is evicted first
 	IssuedAt int64  // Unix ms at which the origin issued the copy
 	ETag     string // entity tag
-	Seq      uint64 // sequence number of the write; the store assigns it
+	Seq      uint64 // sequence number of the write, assigned by the store
 }
 
-// Chunk is a copy of a chunk with its bytes.
+// Chunk is a cached copy of a chunk: metadata and body.
 type Chunk struct {
 	Meta
 	Body           []byte
-	ConfirmedEpoch uint16 // epoch in which its source last confirmed it
+	ConfirmedEpoch uint16 // validation epoch in which the upstream last confirmed the copy
 }
 
-// recordSize is the size of a record on the disk in bytes.
+// recordSize returns the on-disk size of a record in bytes, with header and padding.
 func recordSize(tag, body int) int64 {
 	return (int64(recordHeaderSize+tag+body) + grain - 1) / grain * grain
 }
 
-// saltedChecksum starts a checksum from the segment's salt. A body may contain what looks like a record. Its checksum
-// does not hold, because whoever made the body does not know the salt.
+// saltedChecksum returns the initial checksum value, derived from the segment's salt. A body may contain bytes that
+// look like a record. The checksum of such a record is wrong, because the author of the body does not know the salt.
 func saltedChecksum(salt uint64) uint32 {
 	return crc32.Checksum(binary.LittleEndian.AppendUint64(nil, salt), castagnoli)
 }
@@ -91,14 +91,14 @@
 		le.Uint32(b[segmentHeaderSize-4:]) != crc32.Checksum(b[:segmentHeaderSize-4], castagnoli):
 		return 0, errHeaderChecksum
 	case le.Uint32(b[8:]) != formatVersion:
-		return 0, fmt.Errorf("%w: %d, this program knows %d", errOtherVersion, le.Uint32(b[8:]), formatVersion)
+		return 0, fmt.Errorf("%w: %d, this program supports %d", errOtherVersion, le.Uint32(b[8:]), formatVersion)
 	case le.Uint32(b[12:]) != id:
 		return 0, fmt.Errorf("%w: %08x", errOtherSegment, le.Uint32(b[12:]))
 	}
 	return le.Uint64(b[16:]), nil
 }
 
-// appendRecord encodes a record: header, tag, body and padding up to the grain.
+// appendRecord appends an encoded record to b: header, entity tag, body, and padding to a multiple of grain.
 func appendRecord(b []byte, salt uint64, m Meta, body []byte, writtenMS int64) []byte {
 	start := len(b)
 	h := recordHeader{Meta: m, bodyLen: len(body), bodyChecksum: crc32.Checksum(body, castagnoli)}
@@ -107,7 +107,7 @@
 	return append(b, make([]byte, start+int(h.size())-len(b))...)
 }
 
-// recordHeader is the content of a record's header and tag.
+// recordHeader is the decoded header and entity tag of a record.
 type recordHeader struct {
 	Meta
 	bodyLen      int
@@ -115,10 +115,10 @@
 	struck       bool
 }
 
-// size is the size of the record on the disk in bytes, with header and padding.
+// size returns the on-disk size of the record in bytes, with header and padding.
 func (h recordHeader) size() int64 { return recordSize(len(h.ETag), h.bodyLen) }
 
-// appendRecordHeader encodes a record's header and tag.
+// appendRecordHeader appends the encoded header and entity tag of a record to b.
 func appendRecordHeader(b []byte, salt uint64, h recordHeader, writtenMS int64, kind recordKind) []byte {
 	start := len(b)
 	le := binary.LittleEndian
@@ -140,7 +140,7 @@
 	return append(b, h.ETag...)
 }
 
-// parseRecordHeader decodes a record's header and tag. After an error nothing of it may be used.
+// parseRecordHeader decodes a record's header and entity tag. After an error the result must not be used.
 func parseRecordHeader(b []byte, salt uint64) (recordHeader, error) {
 	le := binary.LittleEndian
 	if len(b) < recordHeaderSize || le.Uint32(b) != recordMagic {
--- a/internal/diskcache/fuzz_test.go
+++ b/internal/diskcache/fuzz_test.go
@@ -8,8 +8,8 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// FuzzParseRecordHeader parses any bytes as the header of a record. What is accepted must be within the bounds of
-// the format: a longer body would be read past the segment.
+// FuzzParseRecordHeader parses arbitrary bytes as a record header. An accepted header must be within the limits of the
+// format: with a longer body, the read would extend past the segment.
 func FuzzParseRecordHeader(f *testing.F) {
 	f.Add(appendRecord(nil, 7, meta(k(1, 2), 3), []byte("body"), 4), uint64(7))
 	f.Add(make([]byte, recordHeaderSize), uint64(0))
@@ -21,8 +21,8 @@
 	})
 }
 
-// FuzzOpen opens segments, logs and snapshots of arbitrary bytes: the store opens or returns an error, and serves no
-// chunk under another key.
+// FuzzOpen opens a folder whose segment, purge log and snapshot contain arbitrary bytes. OpenStore must either succeed
+// or return an error, and the store must not return a chunk under another key.
 func FuzzOpen(f *testing.F) {
 	fs := vfs.NewFaultFS(1)
 	s, _, err := OpenStore(fs, smallOptions(), true, nil)
--- a/internal/diskcache/golden_test.go
+++ b/internal/diskcache/golden_test.go
@@ -25,7 +25,7 @@
 	goldenDamaged = "testdata/golden/damaged"
 )
 
-// writeGoldenFolder writes a folder with three segments, several chunks of one object, a replaced chunk, purge
+// writeGoldenFolder creates a folder with three segments, several chunks of one object, a replaced chunk, purge
 // records, a snapshot, and records that the snapshot does not cover.
 func writeGoldenFolder(t *testing.T, path string) {
 	t.Helper()
@@ -90,7 +90,7 @@
 	return path
 }
 
-// describeFolder opens a folder and prints what the start found and every chunk with its hash.
+// describeFolder opens a folder and returns a text with the faults, the purge records and every chunk with its hash.
 func describeFolder(t *testing.T, path string) string {
 	t.Helper()
 	var out strings.Builder
@@ -121,8 +121,8 @@
 	return out.String()
 }
 
-// TestGoldenFolderIsReadAsWritten reads a folder that an earlier version wrote, and a damaged copy of it. A change
-// of the format would empty the disks of all installations at an update.
+// TestGoldenFolderIsReadAsWritten reads a folder written by an earlier version, and a damaged copy of it. With an
+// incompatible change of the format, all installations would lose their cached chunks at an update.
 func TestGoldenFolderIsReadAsWritten(t *testing.T) {
 	if os.Getenv(golden.UpdateVariable) == "1" {
 		require.NoError(t, os.RemoveAll(goldenFolder))
@@ -133,8 +133,8 @@
 	golden.Compare(t, "golden/damaged.txt", describeFolder(t, copyFolder(t, goldenDamaged)))
 }
 
-// writeDamagedFolder makes a copy with a bit flipped in a record's head and in a body, a segment cut off and garbage
-// after the purge records.
+// writeDamagedFolder copies the golden folder, flips a bit in a record header and in a body, truncates a segment and
+// appends garbage to the purge log.
 func writeDamagedFolder(t *testing.T) {
 	t.Helper()
 	require.NoError(t, os.RemoveAll(goldenDamaged))
@@ -154,7 +154,8 @@
 	change("notices.log", func(b []byte) []byte { return append(b, "garbage"...) })
 }
 
-// The snapshot is left out: it lists the segments in no order. The file is covered by the test of reading.
+// TestGoldenFolderIsWrittenTheSame compares the written files byte by byte. The snapshot is excluded, because it lists
+// the segments in random order; TestGoldenFolderIsReadAsWritten covers it.
 func TestGoldenFolderIsWrittenTheSame(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "folder")
 	writeGoldenFolder(t, path)
@@ -176,7 +177,7 @@
 	assert.Equal(t, describeFolder(t, copyFolder(t, goldenFolder)), describeFolder(t, path))
 }
 
-// TestGoldenHeaderBytes holds the bytes of the headers, which docs/disk-cache-format.md describes.
+// TestGoldenHeaderBytes compares the encoded headers with the bytes specified in docs/disk-cache-format.md.
 func TestGoldenHeaderBytes(t *testing.T) {
 	info := Meta{
 		Key:      eviction.Key{Object: 0x0102030405060708, Chunk: 0x0a0b0c0d},
@@ -194,7 +195,7 @@
 	golden.Compare(t, "golden/headers.txt", text)
 }
 
-// The tools' result goes to operators as JSON, keyed by what the fields were called first.
+// TestGoldenInspectionJSON checks the JSON keys of the tools' output, which differ from the names of the Go fields.
 func TestGoldenInspectionJSON(t *testing.T) {
 	result, err := Inspect(copyFolder(t, goldenFolder))
 	require.NoError(t, err)
@@ -204,7 +205,7 @@
 	golden.Compare(t, "golden/inspect.json", string(text)+"\n")
 }
 
-// The outcomes of scripts with a power loss, drawn from seeds, stay the same.
+// TestGoldenPowerLoss checks that power-loss runs of fixed seeds have the same results as before.
 func TestGoldenPowerLoss(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(4) {
--- a/internal/diskcache/index.go
+++ b/internal/diskcache/index.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// IndexBytesPerChunk is the memory that the index takes for a chunk: locationBytes for each slot, in tables that
-	// are 64% to 80% full once they have grown. Measured over a million chunks by BenchmarkOpen: 50 to 63.
+	// IndexBytesPerChunk is the index memory per chunk: locationBytes for each slot, in tables that are 64% to 80%
+	// full once they have grown. BenchmarkOpen with a million chunks reports 50 to 63 bytes.
 	IndexBytesPerChunk = 63
 
 	locationBytes = 40
-	shardCount    = 256  // so that growing a table copies few entries
+	shardCount    = 256  // many small tables, so that growing one copies few entries
 	minTableLen   = 16   // slots
-	maxLoad       = 0.80 // share of slots used; linear probing is short up to there
-	tableGrowth   = 1.25
-	reserveMargin = 1.05 // a shard may hold a little more than its even share
-	noSegment     = 0
+	maxLoad       = 0.80 // maximum load factor; probe sequences stay short up to this value
+	tableGrowth   = 1.25 // growth factor of a full table
+	reserveMargin = 1.05 // slots reserved relative to the average, as shards fill unevenly
+	noSegment     = 0    // segment ID of a free slot
 )
 
-// location says where a chunk's record lies. A free slot of the index has no segment.
+// location is the position of a chunk's record on the disk. In a free slot of the index, segment is noSegment.
 type location struct {
 	object         uint64
 	seq            uint64
 	chunk          uint32
 	segment        uint32
-	grains         uint32 // offset in the segment, in grains
-	size           uint32 // of the record, in bytes
-	confirmedEpoch uint16 // epoch in which the source last confirmed the copy
+	grains         uint32 // offset in the segment, in units of grain bytes
+	size           uint32 // size of the record in bytes
+	confirmedEpoch uint16 // validation epoch in which the upstream last confirmed the copy
 	rank           uint8
 }
 
@@ -46,17 +46,17 @@
 
 func (l *location) key() eviction.Key { return eviction.Key{Object: l.object, Chunk: l.chunk} }
 
-// offset is the record's offset in its segment in bytes.
+// offset returns the record's offset in its segment in bytes.
 func (l *location) offset() int64 { return int64(l.grains) * grain }
 
-// index is a sharded open-addressing table of locations. The zero value is empty.
+// index is a sharded open-addressing hash table of locations. The zero value is an empty index.
 type index struct {
 	tables [shardCount][]location
 	used   [shardCount]int
 	count  int
 }
 
-// hashKey mixes a key into 64 bits. The top eight select the shard.
+// hashKey returns a 64-bit hash of a key. The top eight bits select the shard.
 func hashKey(key eviction.Key) uint64 {
 	h := key.Object ^ uint64(key.Chunk)*0x9e3779b97f4a7c15
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
@@ -66,7 +66,7 @@
 
 func shardOf(hash uint64) uint64 { return hash >> 56 }
 
-// homeSlot is the slot at which the search for a hash begins.
+// homeSlot returns the slot at which probing for a hash begins.
 func homeSlot(hash uint64, tableLen int) int {
 	hi, _ := bits.Mul64(hash<<8, uint64(tableLen))
 	return int(hi)
@@ -79,7 +79,7 @@
 	return slot + 1
 }
 
-// find returns the location of a key, nil if there is none. It is valid until the next put or remove.
+// find returns the location of a key, or nil if there is none. The pointer is valid until the next put or remove.
 func (x *index) find(key eviction.Key) *location {
 	hash := hashKey(key)
 	table := x.tables[shardOf(hash)]
@@ -97,7 +97,7 @@
 	}
 }
 
-// put adds a location or replaces that of the same key.
+// put adds a location or replaces the location of the same key.
 func (x *index) put(loc location) {
 	if old := x.find(loc.key()); old != nil {
 		*old = loc
@@ -122,8 +122,8 @@
 	}
 }
 
-// reserve makes room for chunks in an empty index. Without it, chunks that arrive in the order of another table's slots
-// would cluster at the front of each small table that grows.
+// reserve allocates tables for the given number of chunks in an empty index. Without it, chunks inserted in the slot
+// order of another table would cluster at the front of each small table while it grows.
 func (x *index) reserve(chunks int) {
 	slots := int(float64(chunks) / shardCount * reserveMargin / maxLoad)
 	for shard := range x.tables {
@@ -131,7 +131,7 @@
 	}
 }
 
-// insert puts a location whose key is not in the table into the next free slot.
+// insert stores a location in the next free slot. Its key must not be in the table.
 func (x *index) insert(shard uint64, loc location) {
 	table := x.tables[shard]
 	slot := homeSlot(hashKey(loc.key()), len(table))
@@ -141,7 +141,8 @@
 	table[slot] = loc
 }
 
-// remove removes a key. Locations that follow it move up, so that no search ends too early.
+// remove deletes a key and reports whether it was present. Later locations of the probe sequence are shifted back, so
+// that no search ends at the freed slot.
 func (x *index) remove(key eviction.Key) bool {
 	loc := x.find(key)
 	if loc == nil {
@@ -157,7 +158,7 @@
 	for slot := nextSlot(gap, len(table)); table[slot].segment != noSegment; slot = nextSlot(slot, len(table)) {
 		home := homeSlot(hashKey(table[slot].key()), len(table))
 		distance := (slot - home + len(table)) % len(table)
-		// It may move into the gap unless its home lies behind the gap, around the end of the table.
+		// The location may move into the gap unless its home slot lies after the gap (modulo the table length).
 		if distance >= (slot-gap+len(table))%len(table) {
 			table[gap], gap = table[slot], slot
 		}
@@ -179,7 +180,7 @@
 	}
 }
 
-// MeasureIndexBytes returns the exact memory that an index of so many chunks takes for each: the slots of its tables.
+// MeasureIndexBytes builds an index with the given number of chunks and returns the memory of its slots per chunk.
 func MeasureIndexBytes(chunks int) float64 {
 	const chunksPerObject = 15
 	var x index
--- a/internal/diskcache/index_test.go
+++ b/internal/diskcache/index_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestIndexAgainstAMap compares the index with a map over drawn puts and removals. A removal that breaks a chain of
-// the table loses chunks that are on the disk. Both must hold the same.
+// TestIndexAgainstAMap applies random puts and removals to the index and to a map. Both must have the same content. A
+// removal that breaks a probe sequence of the table would lose chunks that are on the disk.
 func TestIndexAgainstAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x index
@@ -28,7 +28,7 @@
 			}
 		}
 		if x.count != len(want) {
-			t.Fatalf("%d places for %d", x.count, len(want))
+			t.Fatalf("index has %d locations, want %d", x.count, len(want))
 		}
 		for key, seq := range want {
 			if p := x.find(key); p == nil || p.seq != seq {
--- a/internal/diskcache/inspect.go
+++ b/internal/diskcache/inspect.go
@@ -14,15 +14,17 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// The operators' tools work on the folder of a stopped edge cache. A folder in use is refused by its lock.
+// The functions in this file implement the operators' tools for the folder of a stopped edge cache. Opening a folder
+// that is in use fails, because the running process holds its lock.
 
 const (
 	rankCount = 4
-	// toolPurgeLimit is the number of purges that the tools remember: in practice all.
+	// toolPurgeLimit is the number of purges that the tools remember. It is high enough for all purges in practice.
 	toolPurgeLimit = 1 << 30
 )
 
-// Inspection says what a folder holds. The JSON keys are part of the output of `disk-cache inspect --json`:
+// Inspection describes the content of a cache folder. The JSON keys are part of the output of
+// `disk-cache inspect --json`:
 //
 //	Followed: the last event; Doubted: the last unconfirmed sequence number; Floor: the purge floor;
 //	OldestDated: the oldest issue time; Uses: the usage of segments; Voided, Sound: invalidated and valid chunks
@@ -34,25 +36,25 @@
 	ByRank         [rankCount]int
 	Purges         int
 	LastEvent      uint64         `json:"Followed"`    // number of the last event applied
-	SuspectUpTo    uint64         `json:"Doubted"`     // highest sequence number that needs a confirmation
-	PurgeFloor     int64          `json:"Floor"`       // Unix ms
+	SuspectUpTo    uint64         `json:"Doubted"`     // highest sequence number that needs confirmation by the upstream
+	PurgeFloor     int64          `json:"Floor"`       // Unix ms up to which purges may have been discarded
 	OldestIssuedAt int64          `json:"OldestDated"` // Unix ms, 0 if there is no chunk
 	PurgeLogBytes  int64          `json:"LogBytes"`
 	SegmentUsage   []SegmentUsage `json:"Uses"`
 	FaultsByCode   FaultCounts
 	IndexBytes     int64
-	Invalidated    int `json:"Voided"` // chunks that a purge invalidates, counted by Verify
-	Valid          int `json:"Sound"`  // the other readable chunks, counted by Verify
+	Invalidated    int `json:"Voided"` // chunks invalidated by a purge, counted by Verify
+	Valid          int `json:"Sound"`  // readable chunks not invalidated by a purge, counted by Verify
 }
 
-// folder is an opened folder with what an inspection needs.
+// folder is an open cache folder with the purge state and the result of its inspection.
 type folder struct {
 	store      *Store
 	tracker    *validity.Tracker
 	inspection Inspection
 }
 
-// openFolder opens an existing folder. Each fault is counted by its code and passed to onFault.
+// openFolder opens an existing cache folder. Each fault is counted by its code and passed to onFault.
 func openFolder(path string, onFault func(StoreError)) (*folder, error) {
 	f := &folder{
 		tracker:    validity.NewTracker(toolPurgeLimit),
@@ -79,7 +81,7 @@
 	return f, nil
 }
 
-// describe fills the inspection from the store's and the tracker's state.
+// describe fills in the inspection from the state of the store and the tracker.
 func (f *folder) describe() {
 	in := &f.inspection
 	now := clock.Now().UnixMillis()
@@ -108,7 +110,8 @@
 
 func ignoreFault(StoreError) {}
 
-// Inspect says what a folder holds, from its headers and logs.
+// Inspect describes the content of a folder from record headers, the snapshot and the purge log. It reads no bodies
+// except those verified by recovery.
 func Inspect(path string) (Inspection, error) {
 	f, err := openFolder(path, ignoreFault)
 	if err != nil {
@@ -117,7 +120,7 @@
 	return f.inspection, f.store.Close()
 }
 
-// keys lists every chunk in order.
+// keys returns the keys of all chunks in ascending order.
 func (s *Store) keys() []eviction.Key {
 	var out []eviction.Key
 	s.Each(func(key eviction.Key, _ int64, _ uint8) bool {
@@ -128,7 +131,7 @@
 	return out
 }
 
-// Verify reads all of every chunk and calls onFault for each record that cannot be used. It returns the number of
+// Verify reads and checks every chunk completely and calls onFault for each invalid record. It returns the number of
 // faults. progress may be nil.
 func Verify(path string, onFault func(StoreError), progress func(done, all int)) (Inspection, int, error) {
 	faults := 0
@@ -161,8 +164,8 @@
 	return f.inspection, faults, f.store.Close()
 }
 
-// CompactAll rewrites every segment that has dead bytes or purged chunks. It returns the size of all segments in bytes
-// before and after.
+// CompactAll compacts every segment that has dead bytes or purged chunks. It returns the total size of all segments in
+// bytes before and after.
 func CompactAll(path string) (before, after int64, err error) {
 	f, err := openFolder(path, ignoreFault)
 	if err != nil {
@@ -197,8 +200,8 @@
 	})
 }
 
-// Export writes every chunk that no purge invalidates to a tar file, named OBJECT/CHUNK, with group, tag and issue
-// time as PAX records.
+// Export writes every chunk not invalidated by a purge to a tar archive, as file OBJECT/CHUNK with group, entity tag
+// and issue time in PAX records.
 func Export(path string, w io.Writer) (chunks int, err error) {
 	f, err := openFolder(path, ignoreFault)
 	if err != nil {
@@ -221,7 +224,7 @@
 
 func exportChunk(tarWriter *tar.Writer, chunk Chunk) error {
 	const exportMode = 0o640
-	// The names of the records are part of the export: "tag" is the ETag, "dated" the issue time.
+	// The PAX record names are part of the export format: "tag" is the ETag, "dated" the issue time.
 	header := &tar.Header{
 		Name:    fmt.Sprintf("%016x/%d", chunk.Object, chunk.Chunk),
 		Mode:    exportMode,
--- a/internal/diskcache/powerloss.go
+++ b/internal/diskcache/powerloss.go
@@ -13,46 +13,46 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// PowerLossResult says what a power-loss run showed.
+// PowerLossResult is the result of a power-loss test run.
 type PowerLossResult struct {
 	Ops        int      // disk operations up to the first restart
-	Checked    int      // chunks read after a restart
-	Recovered  int      // of them intact
-	Purges     int      // acknowledged before the power loss
-	Violations []string // what broke, one line each
+	Checked    int      // chunks read by the checks
+	Recovered  int      // chunks read successfully by the checks
+	Purges     int      // purges whose record was acknowledged as durable
+	Violations []string // violated guarantees, one line each
 }
 
-// Size of the script that a power-loss run plays.
+// Dimensions of a power-loss run.
 const (
-	powerLossStarts  = 3
+	powerLossStarts  = 3 // sessions, each ended by a restart
 	powerLossSteps   = 45
 	powerLossObjects = 8
-	powerLossChunks  = 3 // of an object
+	powerLossChunks  = 3 // per object
 )
 
-// powerLossRun plays a script of puts, purges, compactions and snapshots on a faulty disk whose power fails in the
+// powerLossRun executes random puts, purges, compactions and snapshots on a simulated disk that loses power in the
 // middle, and checks the content after each restart. Tests and the lab use it.
 type powerLossRun struct {
 	seed uint64
-	cut  int // operation at which the power fails, 0 for the end
+	cut  int // number of the disk operation at which the power fails; 0 means only at the end
 
-	// Faults that tests inject to show that the checks fail.
-	unsyncedLog   bool
-	uncheckedBody bool
+	// Faults injected by tests to show that the checks detect them.
+	unsyncedLog   bool // purge records are acknowledged without a sync
+	uncheckedBody bool // chunks with a wrong body checksum are served
 
 	rnd      *rand.Rand
 	fs       *vfs.FaultFS
 	options  StoreOptions
 	clock    int64                             // Unix ms
-	start    int                               // number of the current one, from 0
-	versions map[eviction.Key]map[int64][]byte // every version ever put; only one of these may be served
-	purgedAt map[uint64]int64                  // acknowledged purges
-	synced   map[eviction.Key]int64            // newest version that a sync has covered, unless deleted
+	start    int                               // number of the current session, from 0
+	versions map[eviction.Key]map[int64][]byte // bodies ever put, by issue time; a chunk served must equal one of them
+	purgedAt map[uint64]int64                  // Unix ms of the last acknowledged purge of each object
+	synced   map[eviction.Key]int64            // issue time of the newest synced version, unless deleted since
 	result   PowerLossResult
 }
 
-// RunPowerLoss plays the script drawn from the seed with a power loss at the disk operation numbered cut, 0 for none
-// before the end.
+// RunPowerLoss executes the random operations determined by seed, with a power loss at the disk operation numbered cut.
+// If cut is 0, the power does not fail before the end of the first session.
 func RunPowerLoss(seed uint64, cut int) PowerLossResult {
 	return (&powerLossRun{seed: seed, cut: cut}).run()
 }
@@ -82,8 +82,8 @@
 	return p.result
 }
 
-// powerLossAfter is the operation at which the power fails in this session: the given one in the first, one during or
-// soon after recovery in the second, none in the third.
+// powerLossAfter returns the number of the operation at which the power fails in the current session: the given one in
+// the first session, one during or soon after recovery in the second, and none (0) in the third.
 func (p *powerLossRun) powerLossAfter() int {
 	switch p.start {
 	case 0:
@@ -99,17 +99,18 @@
 	p.result.Violations = append(p.result.Violations, line)
 }
 
-// powerLossSession is the time between two restarts.
+// powerLossSession is the part of a run between two restarts.
 type powerLossSession struct {
 	*powerLossRun
 	store    *Store
 	tracker  *validity.Tracker
 	restored []validity.Record
-	log      []validity.Record      // appended in this session
-	current  map[eviction.Key]int64 // the version of each chunk that the index names
+	log      []validity.Record      // purge records appended in this session
+	current  map[eviction.Key]int64 // issue time of the current version of each chunk in the index
 }
 
-// playSession opens the folder, checks its content and continues the script until the power fails or the script ends.
+// playSession opens the folder, checks its content and executes powerLossSteps random operations. After a power loss
+// the remaining operations fail without effect.
 func (p *powerLossRun) playSession() {
 	store, report, err := OpenStore(p.fs, p.options, true, nil)
 	if err != nil {
@@ -130,10 +131,11 @@
 		l.step()
 	}
 	l.check(false)
-	_ = store.Close() // fails where the power did
+	_ = store.Close() // fails after a power loss
 }
 
-// step plays one act of the script. What fails after the power did is not acknowledged and needs no check.
+// step executes one random operation. Operations that fail after a power loss are not acknowledged, so their errors are
+// ignored.
 func (l *powerLossSession) step() {
 	l.clock += int64(1 + l.rnd.IntN(3))
 	key := eviction.Key{
@@ -184,7 +186,7 @@
 	}
 }
 
-// shortLog is the shortest log that restores the purges so far.
+// shortLog returns the shortest list of records that restores the purges so far.
 func (l *powerLossSession) shortLog() []validity.Record {
 	tracker := validity.NewTracker(0)
 	tracker.Restore(append(l.restored, l.log...), 0, l.clock)
@@ -207,8 +209,8 @@
 
 func versionTag(version int64) string { return fmt.Sprint("v", version) }
 
-// check reads every chunk and returns the versions served. Each must be all of a version that was put under that name.
-// afterRestart also checks that nothing synced is gone and no acknowledged purge forgotten.
+// check reads every chunk and returns the versions served. Each served chunk must equal a version that was put under
+// its key. With afterRestart, it also checks that every synced chunk and every acknowledged purge is still present.
 func (l *powerLossSession) check(afterRestart bool) map[eviction.Key]int64 {
 	served := map[eviction.Key]int64{}
 	for object := range uint64(powerLossObjects) {
@@ -226,7 +228,7 @@
 	return served
 }
 
-// checkChunk checks one chunk and reports whether the power is still on.
+// checkChunk checks one chunk, adds its version to served, and reports whether the power is still on.
 func (l *powerLossSession) checkChunk(
 	key eviction.Key, afterRestart bool, served map[eviction.Key]int64,
 ) (powerOn bool) {
@@ -255,7 +257,7 @@
 	return true
 }
 
-// ignoreBadBody plays a store that does not check bodies: what it would serve torn is a violation.
+// ignoreBadBody simulates a store that does not verify body checksums: each torn body it would serve is a violation.
 func (l *powerLossSession) ignoreBadBody(key eviction.Key, err error) error {
 	var fault StoreError
 	if errors.As(err, &fault) && fault.Code == CodeBadBody {
--- a/internal/diskcache/powerloss_test.go
+++ b/internal/diskcache/powerloss_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// powerLoss plays the script drawn from the seed with a power loss at the operation numbered cut and requires that
-// nothing broke. It returns the number of operations up to the first restart.
+// powerLoss calls RunPowerLoss with a power loss at the operation numbered cut and requires that no guarantee is
+// violated. It returns the number of operations up to the first restart.
 func powerLoss(t require.TestingT, seed uint64, cut int) (ops int) {
 	out := RunPowerLoss(seed, cut)
-	require.Empty(t, out.Violations, "seed %d, cut at %d", seed, cut)
+	require.Empty(t, out.Violations, "seed %d, power loss at operation %d", seed, cut)
 	return out.Ops
 }
 
-// The power fails at every single write, sync, renaming, removal and truncation of the script, twice with other draws
-// of what survives unsynced.
+// TestPowerLossAtEveryOperation simulates a power loss at every single write, sync, renaming, removal and truncation of
+// the run, twice with different random choices of which unsynced writes survive.
 func TestPowerLossAtEveryOperation(t *testing.T) {
 	ops := powerLoss(t, 1, 0)
 	require.Greater(t, ops, 100)
@@ -27,8 +27,8 @@
 	}
 }
 
-// The checks of a power-loss run can fail: a log that is not synced loses an acknowledged purge, and a body that is not
-// verified is served torn.
+// TestPowerLossChecksFailWithoutGuards shows that the checks of a power-loss run detect faults: an acknowledged purge
+// lost because the log is not synced, and a torn body served because its checksum is not verified.
 func TestPowerLossChecksFailWithoutGuards(t *testing.T) {
 	for name, breakIt := range map[string]func(*powerLossRun){
 		"log without a sync": func(p *powerLossRun) { p.unsyncedLog = true },
--- a/internal/diskcache/purgelog.go
+++ b/internal/diskcache/purgelog.go
@@ -9,11 +9,11 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// purgeLogBatch is the number of records of the purge log that are read at once.
+// purgeLogBatch is the number of purge log records per read.
 const purgeLogBatch = 1024
 
-// readPurgeLog reads the purge log up to the first invalid record and truncates it there: the rest was never
-// acknowledged, and records written later must not follow it.
+// readPurgeLog reads the purge log up to the first invalid record and truncates the log there. The bytes after it were
+// never acknowledged, and new records must not be appended behind an invalid one.
 func (s *Store) readPurgeLog() ([]validity.Record, error) {
 	size, err := s.openPurgeLog()
 	if err != nil {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// AppendPurgeRecords writes records to the purge log. When it returns without an error they survive a power loss.
+// AppendPurgeRecords appends records to the purge log and syncs it. After it returns nil they survive a power loss.
 func (s *Store) AppendPurgeRecords(records []validity.Record) error {
 	var b []byte
 	for _, r := range records {
@@ -88,15 +88,15 @@
 	return nil
 }
 
-// PurgeLogBytes returns the length of the purge log.
+// PurgeLogBytes returns the size of the purge log.
 func (s *Store) PurgeLogBytes() int64 {
 	s.purgeLogMu.Lock()
 	defer s.purgeLogMu.Unlock()
 	return s.purgeLogSize
 }
 
-// RewritePurgeLog replaces the purge log by an equivalent shorter one. It calls records once no other record can be
-// appended.
+// RewritePurgeLog replaces the purge log by an equivalent shorter one. It calls records while it holds the log's lock,
+// so that no record is appended in between.
 func (s *Store) RewritePurgeLog(records func() []validity.Record) error {
 	s.purgeLogMu.Lock()
 	defer s.purgeLogMu.Unlock()
@@ -111,7 +111,7 @@
 	if err != nil {
 		return s.reportWriteError(StoreError{File: purgeLogName, Err: err})
 	}
-	_ = s.purgeLog.Close() // the file was replaced
+	_ = s.purgeLog.Close() // the old file was replaced
 	s.purgeLog, s.purgeLogSize = file, int64(len(b))
 	return nil
 }
--- a/internal/diskcache/purgequeue.go
+++ b/internal/diskcache/purgequeue.go
@@ -7,17 +7,17 @@
 	"cairnfront/internal/diskcache/validity"
 )
 
-// maxPendingRecords bounds the purge records that wait for the disk, validity.RecordSize bytes each.
+// maxPendingRecords is the maximum length of the purge queue; each record takes validity.RecordSize bytes.
 const maxPendingRecords = 65536
 
-// purgeQueue is the queue of purge records that wait for the disk.
+// purgeQueue is a bounded queue of purge records to be written to the purge log.
 type purgeQueue struct {
 	mu         sync.Mutex
 	pending    []validity.Record
-	rewriteLog bool          // too many waited, or the log has grown: the complete log is written again
-	writing    bool          // a write is under way
-	ready      chan struct{} // wakes the writer
-	written    sync.Cond     // of mu
+	rewriteLog bool          // the queue overflowed or the log is long: the next write replaces the complete log
+	writing    bool          // a write is in progress
+	ready      chan struct{} // wakes the goroutine that writes the log
+	written    sync.Cond     // uses mu; signalled after a successful write
 }
 
 func (w *purgeQueue) init() {
@@ -31,7 +31,7 @@
 	return len(w.pending)
 }
 
-// enqueue appends records to the queue. A full queue is replaced by a rewrite of the complete log.
+// enqueue appends records to the queue. If the queue overflows, it is emptied and the complete log is rewritten.
 func (w *purgeQueue) enqueue(records []validity.Record) {
 	if len(records) == 0 {
 		return
@@ -54,7 +54,7 @@
 	w.mu.Unlock()
 }
 
-// flush waits until every record is on the disk, or the context ends.
+// flush waits until every record has been written, or the context is cancelled.
 func (w *purgeQueue) flush(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		w.mu.Lock()
@@ -70,7 +70,7 @@
 	return ctx.Err()
 }
 
-// take empties the queue for a write.
+// take removes all queued records for a write.
 func (w *purgeQueue) take() (records []validity.Record, rewrite bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -79,8 +79,8 @@
 	return records, rewrite
 }
 
-// finish ends a write; after an error its records go back to the front of the queue. It reports whether the queue
-// is empty.
+// finish ends a write. If it failed, its records return to the front of the queue. It reports whether the queue is
+// empty.
 func (w *purgeQueue) finish(records []validity.Record, rewrite bool, err error) (empty bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/diskcache/recovery.go
+++ b/internal/diskcache/recovery.go
@@ -12,23 +12,24 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// RecoveryReport says what opening a folder found. The JSON keys are part of the output of
+// RecoveryReport describes the state found when a folder is opened. The JSON keys are part of the output of
 // `disk-cache inspect --json`.
 type RecoveryReport struct {
 	Chunks       int `json:"Parts"`
 	Segments     int
-	Bytes        int64 // of live records
-	Scanned      int64 // bytes read of segments
-	FromSnapshot int   // chunks that the snapshot named
+	Bytes        int64 // size of all live records
+	Scanned      int64 // bytes read from segments
+	FromSnapshot int   // chunks loaded from the snapshot
 	Records      []validity.Record
 	Faults       int
 	Took         time.Duration
-	Known        map[eviction.Key]eviction.AccessHistory `json:"-"` // from the snapshot, nil without one
+	Known        map[eviction.Key]eviction.AccessHistory `json:"-"` // from the snapshot; nil if there is none
 	SnapshotUsed bool
 	Created      bool
 }
 
-// recover reads the folder: format, purge log, segments, snapshot, and the records that the snapshot does not cover.
+// recover restores the store's state from the folder: format version, purge log, segments, snapshot, and finally the
+// records that the snapshot does not cover.
 func (s *Store) recover(report *RecoveryReport, withHistory bool) error {
 	names, err := s.fs.List()
 	if err != nil {
@@ -44,7 +45,7 @@
 		return err
 	}
 	covered := s.readSnapshot(report, withHistory)
-	for _, r := range report.Records { // new chunks must be above every sequence number that is suspect
+	for _, r := range report.Records { // new chunks must get sequence numbers above every suspect one
 		s.lastSeq = max(s.lastSeq, r.Seq)
 	}
 	ids := make([]uint32, 0, len(s.segments))
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// checkFormat checks the folder's format version and writes it into a new folder.
+// checkFormat verifies the folder's format version, or writes the version file into a new folder.
 func (s *Store) checkFormat(names []string, report *RecoveryReport) error {
 	if slices.Contains(names, formatName) {
 		version, parsed, err := s.readFormat()
@@ -78,7 +79,7 @@
 				"%w: version %d, this program reads version %d; empty the folder or use the program that wrote it",
 				ErrUnsupportedFormat, version, formatVersion)
 		}
-		// The file was torn by a power loss at the first start. It is written again.
+		// A power loss at the first start has torn the file. It is rewritten.
 	} else if i := slices.IndexFunc(names, holdsData); i >= 0 {
 		return fmt.Errorf("%w: file %s without a file %s", ErrUnsupportedFormat, names[i], formatName)
 	}
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// readFormat reads the format version; parsed is false if the file's text is not one.
+// readFormat reads the folder's format version. parsed is false if the file does not contain a version.
 func (s *Store) readFormat() (version int, parsed bool, err error) {
 	const maxFormatBytes = 64
 	file, err := s.fs.Open(formatName)
@@ -98,17 +99,17 @@
 	}
 	defer func() { _ = file.Close() }() // only read
 	text := make([]byte, maxFormatBytes)
-	n, _ := file.ReadAt(text, 0) // a short file ends with io.EOF; what cannot be read does not parse
+	n, _ := file.ReadAt(text, 0) // io.EOF is expected; after any other error the text does not parse
 	_, parseErr := fmt.Sscanf(string(text[:n]), formatText, &version)
 	return version, parseErr == nil, nil
 }
 
-// holdsData reports whether a file's name shows that the folder was in use.
+// holdsData reports whether a file name belongs to a segment or purge log, that is, the folder contains cache data.
 func holdsData(name string) bool {
 	return strings.HasPrefix(name, segmentPrefix) || name == purgeLogName
 }
 
-// replaceFile writes all of a small file or nothing.
+// replaceFile atomically replaces the content of a small file.
 func (s *Store) replaceFile(name string, content []byte) error {
 	file, err := s.fs.Create(name + newSuffix)
 	if err != nil {
@@ -131,11 +132,11 @@
 func (s *Store) openSegments(names []string) error {
 	for _, name := range names {
 		if strings.HasSuffix(name, newSuffix) {
-			_ = s.fs.Remove(name) // or the next start removes it
+			_ = s.fs.Remove(name) // if this fails, the next start removes the file
 			continue
 		}
 		var id uint32
-		// A name that does not parse is no segment's.
+		// Files with other names are not segments and are ignored.
 		if n, _ := fmt.Sscanf(name, segmentForm, &id); n != 1 || name != segmentName(id) {
 			continue
 		}
--- a/internal/diskcache/scan.go
+++ b/internal/diskcache/scan.go
@@ -6,28 +6,28 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// Windows of a scan in bytes: narrow where bodies are long and only headers are needed.
+// Read sizes of a scan in bytes. The narrow one is used after long records, where only headers are needed.
 const (
 	wideWindow   = 256 << 10
 	narrowWindow = 4 << 10
-	longRecord   = 64 << 10
+	longRecord   = 64 << 10 // record size above which the next read is narrow
 )
 
-// segmentScan reads a segment's records through a window.
+// segmentScan reads the records of a segment sequentially through a buffered window.
 type segmentScan struct {
 	store     *Store
 	segment   *segment
 	buf       []byte
-	window    []byte // bytes of the file from base on
+	window    []byte // bytes of the file that start at offset base
 	base      int64
-	width     int
+	width     int // size of the next read
 	bytesRead int64
 }
 
-// scan enters a segment's records from an offset on into the index and returns the bytes it read. After bytes that are
-// no record it goes on at the next record: a power loss may lose earlier writes and leave later ones. verifyBodies is
-// set for the last segment, the only one that can hold unsynced records: their bodies are read too, so that a torn new
-// copy does not hide an intact older one.
+// scan adds a segment's records from an offset on to the index and returns the number of bytes read. It skips bytes
+// that are not a valid record and resumes at the next record, because a power loss may lose earlier writes while later
+// ones survive. verifyBodies is set for the last segment, the only one that can contain unsynced records: bodies are
+// verified too, so that a torn new copy does not replace an intact older one.
 func (s *Store) scan(seg *segment, from int64, verifyBodies bool) (int64, error) {
 	c := &segmentScan{
 		store:   s,
@@ -61,8 +61,8 @@
 	return c.bytesRead, nil
 }
 
-// fill makes sure that the window holds the header and tag at an offset. If ok is false the scan ends, with err after a
-// power loss.
+// fill ensures that the window contains the record header and entity tag at an offset. If ok is false the scan must
+// end; err is set only after a power loss.
 func (c *segmentScan) fill(offset int64) (ok bool, err error) {
 	end := c.base + int64(len(c.window))
 	complete := offset+recordHeaderSize+maxTagBytes <= end || end >= c.segment.size
@@ -87,7 +87,7 @@
 	return true, nil
 }
 
-// parse parses the record header at an offset.
+// parse decodes the record header at an offset.
 func (c *segmentScan) parse(offset int64) (recordHeader, *StoreError) {
 	h, err := parseRecordHeader(c.window[offset-c.base:], c.segment.salt)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return h, nil
 }
 
-// enter takes a record into the index, or strikes it if its body is torn.
+// enter adds a record to the index, or marks it as torn if its body fails verification.
 func (c *segmentScan) enter(offset int64, h recordHeader, verifyBody bool) error {
 	loc := newLocation(c.segment.id, offset, h.size(), h.Meta)
 	if verifyBody {
@@ -138,8 +138,9 @@
 	return nil
 }
 
-// strike marks a torn record, so that it does not hide an older copy at a later start, when its segment is no longer
-// the last. If the write fails the next start tries again; only a power loss is returned.
+// strike marks a record as torn on the disk. Otherwise it would replace an older copy at a later start, when its
+// segment is no longer the last one and bodies are not verified. If the write fails, the next start retries it; only a
+// power loss is returned as an error.
 func (s *Store) strike(seg *segment, offset int64, h recordHeader) error {
 	_, err := seg.file.WriteAt(appendRecordHeader(nil, seg.salt, h, 0, kindStruck), offset)
 	if err == nil {
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// indexScanned takes a scanned record into the index unless a newer one of its chunk is there.
+// indexScanned adds a scanned record to the index unless the index has the same or a newer record of the chunk.
 func (s *Store) indexScanned(seg *segment, loc location, h recordHeader) {
 	seg.oldestIssuedAt = min(seg.oldestIssuedAt, h.IssuedAt)
 	s.lastSeq = max(s.lastSeq, h.Seq)
--- a/internal/diskcache/segment.go
+++ b/internal/diskcache/segment.go
@@ -15,23 +15,23 @@
 	salt           uint64
 	file           vfs.File
 	size           int64 // bytes written
-	liveBytes      int64 // bytes of records that the index names
-	oldestIssuedAt int64 // Unix ms, of its oldest record, live or not
+	liveBytes      int64 // bytes of records that the index refers to
+	oldestIssuedAt int64 // Unix ms; earliest issue time of its records, live or dead
 	sealed         bool
-	readers        int  // reads under way; the last one closes the file of a removed segment
-	removed        bool // compacted away, or the store is closed
+	readers        int  // reads in progress; the last one closes the file of a removed segment
+	removed        bool // the segment was compacted, or the store is closed
 }
 
-// closeIfRemoved closes the file of a removed segment that nobody reads. The caller holds Store.mu.
+// closeIfRemoved closes the file of a removed segment if no read of it is in progress. The caller must hold Store.mu.
 func (g *segment) closeIfRemoved() {
 	if g.removed && g.readers == 0 && g.file != nil {
-		_ = g.file.Close() // only read since it was sealed, or synced by Close
+		_ = g.file.Close() // no unsynced writes: sealed before, or synced by Store.Close
 		g.file = nil
 	}
 }
 
-// Put writes a chunk and returns the sequence number that the store gave it. Its error is ErrChunkTooLong, a StoreError
-// for a write that failed, or that the store is closed.
+// Put writes a chunk and returns the sequence number assigned to it. The error wraps ErrChunkTooLong, is a StoreError
+// if the write failed, or reports that the store is closed.
 func (s *Store) Put(m Meta, body []byte) (uint64, error) {
 	if len(m.ETag) > maxTagBytes || len(body) > maxBodyBytes {
 		return 0, fmt.Errorf("write chunk: %w: %d and %d bytes", ErrChunkTooLong, len(m.ETag), len(body))
@@ -49,8 +49,8 @@
 	return m.Seq, s.append(m, body, nil)
 }
 
-// append writes a record to the active segment and enters it into the index. moved is the location of a record that a
-// compaction moves, nil for a new one. The caller holds writeMu.
+// append writes a record to the active segment and adds it to the index. moved is the old location if compaction moves
+// an existing record, and nil for a new record. The caller must hold writeMu.
 func (s *Store) append(m Meta, body []byte, moved *location) error {
 	size := recordSize(len(m.ETag), len(body))
 	if err := s.prepareActive(size); err != nil {
@@ -60,7 +60,7 @@
 	offset := seg.size
 	record := appendRecord(nil, seg.salt, m, body, clock.UnixMillis(s.options.Clock()))
 	if _, err := seg.file.WriteAt(record, offset); err != nil {
-		// The next record overwrites this one.
+		// seg.size is unchanged, so the next record overwrites this partial one.
 		return s.reportWriteError(StoreError{
 			File:   seg.name,
 			Offset: offset,
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// indexAppended enters an appended record. A moved record replaces the location of the same copy only: if the copy was
-// deleted or replaced meanwhile, the record is dead. The caller holds mu.
+// indexAppended adds an appended record to the index. A moved record replaces only the location of the same copy: if
+// the copy was deleted or replaced during the move, the record is dead. The caller must hold mu.
 func (s *Store) indexAppended(seg *segment, offset, size int64, m Meta, moved *location) {
 	old := s.index.find(m.Key)
 	if moved != nil && (old == nil || old.seq != moved.seq) {
@@ -94,7 +94,7 @@
 	s.index.put(loc)
 }
 
-// prepareActive makes sure that the active segment has room for a record, and starts a new segment if not.
+// prepareActive ensures that the active segment has space for a record. Otherwise it seals it and creates a new one.
 func (s *Store) prepareActive(size int64) error {
 	if s.active != nil && s.active.size+size <= s.options.SegmentBytes {
 		return nil
@@ -134,12 +134,12 @@
 	}
 	header := appendSegmentHeader(nil, id, seg.salt, clock.UnixMillis(s.options.Clock()))
 	if _, err := file.WriteAt(header, 0); err != nil {
-		_ = file.Close() // the failed write is what counts
+		_ = file.Close() // the write error is returned instead
 		_ = s.fs.Remove(seg.name)
 		return nil, err
 	}
 	if err := errors.Join(file.Sync(), s.fs.SyncDir()); err != nil {
-		_ = file.Close() // the failed sync is what counts
+		_ = file.Close() // the sync error is returned instead
 		return nil, err
 	}
 	seg.file = file
--- a/internal/diskcache/snapshot.go
+++ b/internal/diskcache/snapshot.go
@@ -4,8 +4,9 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// The format of the index snapshot. The snapshot only speeds up a start: the headers of the records that it covers need
-// not be read. No chunk is served on its word; each read verifies the record's header and checksums.
+// Sizes and magic number of the index snapshot. The snapshot only speeds up a start: the headers of the records it
+// covers need not be read. A chunk is never served on the evidence of the snapshot alone; each read verifies the
+// record's header and checksums.
 const (
 	snapshotMagic        = 0x5844494e52494143 // "CAIRNIDX"
 	snapshotHeaderSize   = 32
@@ -13,10 +14,10 @@
 	snapshotEntrySize    = 64
 	snapshotChecksumSize = 4
 	snapshotBufferSize   = 256 << 10
-	maxSnapshotEntries   = 1 << 40 // bounds the arithmetic on a damaged header
+	maxSnapshotEntries   = 1 << 40 // prevents an integer overflow if the header is damaged
 )
 
-// fileCursor reads and writes a file sequentially.
+// fileCursor is an io.Reader and io.Writer that accesses a file sequentially.
 type fileCursor struct {
 	file   vfs.File
 	offset int64
--- a/internal/diskcache/snapshot_read.go
+++ b/internal/diskcache/snapshot_read.go
@@ -12,8 +12,8 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// readSnapshot enters what the snapshot names into the index and returns the offset up to which it covers each segment.
-// Nothing is taken from a snapshot that cannot be used.
+// readSnapshot loads the index snapshot and returns the offset up to which it covers each segment. An invalid snapshot
+// is discarded completely.
 func (s *Store) readSnapshot(report *RecoveryReport, withHistory bool) map[uint32]int64 {
 	file, err := s.fs.Open(snapshotName)
 	if err != nil {
@@ -46,9 +46,9 @@
 	sum     uint32
 	buf     []byte
 	covered map[uint32]int64                        // offset up to which each existing segment is covered
-	missing map[uint32]bool                         // segments that do not exist, or not as the snapshot knew them
-	history map[eviction.Key]eviction.AccessHistory // nil if not wanted
-	entered int
+	missing map[uint32]bool                         // segments that do not exist or have another salt
+	history map[eviction.Key]eviction.AccessHistory // nil if access histories are not loaded
+	entered int                                     // number of entries added to the index
 }
 
 func newSnapshotReader(s *Store, file vfs.File) *snapshotReader {
@@ -62,7 +62,7 @@
 	}
 }
 
-// next reads n bytes, which are valid until the next call.
+// next reads the next n bytes and adds them to the checksum. The slice is valid until the next call.
 func (r *snapshotReader) next(n int) ([]byte, error) {
 	_, err := io.ReadFull(r.in, r.buf[:n])
 	r.sum = crc32.Update(r.sum, castagnoli, r.buf[:n])
--- a/internal/diskcache/snapshot_write.go
+++ b/internal/diskcache/snapshot_write.go
@@ -11,14 +11,14 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// HistoryFunc returns the access history of a cached chunk, if there is one.
+// HistoryFunc returns the access history of a cached chunk, and false if there is none.
 type HistoryFunc func(eviction.Key) (eviction.AccessHistory, bool)
 
-// WriteSnapshot writes the index with the access history of each chunk; history may be nil.
+// WriteSnapshot writes the index and the access history of each chunk to the snapshot file; history may be nil.
 func (s *Store) WriteSnapshot(history HistoryFunc) error {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
-	if s.active != nil { // what the snapshot names must be durable
+	if s.active != nil { // records listed in the snapshot must be durable
 		if err := s.active.file.Sync(); err != nil {
 			return s.reportWriteError(StoreError{File: s.active.name, Err: err})
 		}
@@ -34,13 +34,13 @@
 		err = errors.Join(s.fs.Rename(newName, snapshotName), s.fs.SyncDir())
 	}
 	if err != nil {
-		_ = s.fs.Remove(newName) // or the next start removes it
+		_ = s.fs.Remove(newName) // if this fails, the next start removes the file
 		return s.reportWriteError(StoreError{File: snapshotName, Err: err})
 	}
 	return nil
 }
 
-// snapshotContent is a copy of the store's state.
+// snapshotContent is a copy of the store's state to be written to a snapshot.
 type snapshotContent struct {
 	locations []location
 	segments  []segment
@@ -61,7 +61,7 @@
 	return content
 }
 
-// write writes and syncs the snapshot.
+// write encodes the snapshot into a file and syncs it.
 func (c *snapshotContent) write(file vfs.File, history HistoryFunc) error {
 	w := &checksumWriter{buf: bufio.NewWriterSize(&fileCursor{file: file}, snapshotBufferSize)}
 	w.write(c.appendHeader(nil))
@@ -99,7 +99,7 @@
 	return le.AppendUint64(b, uint64(seg.oldestIssuedAt))
 }
 
-// appendSnapshotEntry encodes a location. A chunk without an access history has a gap of NaN.
+// appendSnapshotEntry encodes a location and its access history. Without an access history the mean gap is NaN.
 func appendSnapshotEntry(b []byte, loc *location, history HistoryFunc) []byte {
 	access := eviction.AccessHistory{MeanGap: math.NaN()}
 	if history != nil {
@@ -120,7 +120,7 @@
 	return le.AppendUint64(b, 0)
 }
 
-// checksumWriter sums what it writes. Flush of its buffer returns the first error.
+// checksumWriter computes the checksum of the bytes written to buf. Flushing buf returns the first write error.
 type checksumWriter struct {
 	buf *bufio.Writer
 	sum uint32
--- a/internal/diskcache/store.go
+++ b/internal/diskcache/store.go
@@ -1,13 +1,14 @@
-// Package diskcache stores chunks of objects on a disk, for an edge cache that is to be warm after a crash.
+// Package diskcache stores chunks of objects on a disk, so that an edge cache is still warm after a restart or crash.
 //
-// [Store] is a log-structured store: append-only segments, an index in memory, an index snapshot and a purge log.
-// [Cache] puts it into the path of requests: bounded queues, the eviction policy and the validity of copies. The
-// package owns the folder on the disk, which docs/disk-cache-format.md describes byte by byte. It does not fetch,
-// serve or interpret chunks.
+// [Store] is a log-structured store: append-only segments, an in-memory index, an index snapshot and a purge log.
+// [Cache] makes it usable on the request path: it adds bounded queues, an eviction policy and validity checks. The
+// package owns the folder on the disk, whose format docs/disk-cache-format.md specifies byte by byte. It does not
+// fetch, serve or interpret chunks.
 //
-// Durability: a chunk survives a power loss once the Sync after its Put has returned. Before that all of it survives or
-// nothing; half a chunk is never served. Purge records survive once AppendPurgeRecords has returned. A deleted chunk
-// may reappear after a restart, where a logged purge invalidates it as before.
+// Durability: a chunk survives a power loss once a Sync that follows its Put has returned. Before that, either the
+// complete chunk survives or nothing of it; a torn chunk is never served. Purge records survive a power loss once
+// AppendPurgeRecords has returned. A deleted chunk may reappear after a restart; the logged purge then invalidates it
+// again.
 package diskcache
 
 import (
@@ -21,17 +22,17 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// defaultSegmentBytes is the size at which a segment is sealed unless configured.
+// defaultSegmentBytes is the default size at which a segment is sealed.
 const defaultSegmentBytes = 64 << 20
 
-// noRecord is the issue time of the oldest record where there is none.
+// noRecord is the value of the oldest issue time when there are no records.
 const noRecord = math.MaxInt64
 
-// StoreOptions configure a Store. The zero value has defaults.
+// StoreOptions configures a Store. Zero fields are replaced by defaults.
 type StoreOptions struct {
 	SegmentBytes int64 // size at which a segment is sealed
 	Clock        func() time.Time
-	Salt         func() uint64 // for tests; otherwise random
+	Salt         func() uint64 // returns the salt of a new segment; random if nil, set by tests only
 }
 
 func (o StoreOptions) withDefaults() StoreOptions {
@@ -49,36 +50,36 @@
 
 func randomSalt() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // never fails: it ends the process instead
+	_, _ = rand.Read(b[:]) // never returns an error: it crashes the process instead
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// Store is a folder of chunks. It is safe for concurrent use; writers wait for each other.
+// Store is a log-structured store of chunks in one folder. It is safe for concurrent use; writes are serialized.
 //
-// The index takes IndexBytesPerChunk bytes of memory for each chunk.
+// The index uses IndexBytesPerChunk bytes of memory per chunk.
 type Store struct {
 	fs      vfs.FS
 	options StoreOptions
 	unlock  func()
 	onFault func(StoreError) // never nil
 
-	writeMu sync.Mutex // held by appends, the end of compactions and snapshots
+	writeMu sync.Mutex // held while appending records, compacting and writing a snapshot
 	active  *segment
 	nextID  uint32
 
-	purgeLogMu   sync.Mutex // held by writers of the purge log
+	purgeLogMu   sync.Mutex // held while writing the purge log
 	purgeLog     vfs.File
 	purgeLogSize int64 // bytes of valid records
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	index    index
 	segments map[uint32]*segment
 	lastSeq  uint64
 	closed   bool
 }
 
-// OpenStore opens a folder, or initializes an empty one. Each fault found is passed to onFault, which may be nil; it
-// costs the chunks concerned. withHistory says whether the access histories of the snapshot are wanted.
+// OpenStore opens a cache folder, or initializes an empty one. Each fault found is passed to onFault, which may be nil;
+// only the affected chunks are lost. withHistory selects whether the access histories in the snapshot are loaded.
 func OpenStore(fs vfs.FS, o StoreOptions, withHistory bool, onFault func(StoreError)) (*Store, RecoveryReport, error) {
 	if onFault == nil {
 		onFault = func(StoreError) {}
@@ -114,7 +115,7 @@
 	return s, report, nil
 }
 
-// Sync returns once every chunk put before it survives a power loss.
+// Sync flushes the active segment. After it returns nil, every chunk put before the call survives a power loss.
 func (s *Store) Sync() error {
 	s.writeMu.Lock()
 	seg := s.active
@@ -125,7 +126,7 @@
 	return seg.file.Sync()
 }
 
-// Close syncs and releases the folder.
+// Close syncs the active segment, closes all files and releases the lock of the folder.
 func (s *Store) Close() error {
 	err := s.Sync()
 	s.writeMu.Lock()
--- a/internal/diskcache/store_bench_test.go
+++ b/internal/diskcache/store_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// benchStore is a store in a real folder.
+// benchStore opens a store in a temporary folder of the operating system.
 func benchStore(b *testing.B) *Store {
 	b.Helper()
 	d, err := vfs.MakeDir(filepath.Join(b.TempDir(), "t"))
@@ -53,8 +53,8 @@
 	}
 }
 
-// BenchmarkOpen opens a store of a million chunks of 24 bytes, with and without the snapshot, and reports the heap that
-// the index takes for a chunk and the peak of the heap.
+// BenchmarkOpen opens a store with a million chunks of 24 bytes, with and without a snapshot. It reports the heap size
+// of the index per chunk and the peak heap size.
 func BenchmarkOpen(b *testing.B) {
 	const chunks = 1_000_000
 	d, _ := vfs.MakeDir(filepath.Join(b.TempDir(), "t"))
--- a/internal/diskcache/store_index.go
+++ b/internal/diskcache/store_index.go
@@ -4,21 +4,21 @@
 	"cairnfront/internal/diskcache/eviction"
 )
 
-// LastSeq returns the highest sequence number written.
+// LastSeq returns the highest sequence number assigned so far.
 func (s *Store) LastSeq() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastSeq
 }
 
-// Chunks returns the number of chunks stored.
+// Chunks returns the number of stored chunks.
 func (s *Store) Chunks() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.index.count
 }
 
-// Sizes returns the bytes of live records and of all segments.
+// Sizes returns the total bytes of live records and of all segments.
 func (s *Store) Sizes() (live, all int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,8 +29,8 @@
 	return live, all
 }
 
-// OldestIssuedAt returns the issue time of the oldest record, live or not, in Unix ms; the largest int64 if there is
-// none.
+// OldestIssuedAt returns the earliest issue time of all records, live or dead, in Unix ms. It is the largest int64 if
+// there are no records.
 func (s *Store) OldestIssuedAt() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,14 +41,14 @@
 	return oldest
 }
 
-// Contains reports whether the index has a chunk.
+// Contains reports whether a chunk is stored. It reads the index only.
 func (s *Store) Contains(key eviction.Key) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.index.find(key) != nil
 }
 
-// Confirm records the epoch in which a chunk's source has confirmed the copy with that sequence number.
+// Confirm records the validation epoch in which the upstream confirmed the copy with the given sequence number.
 func (s *Store) Confirm(key eviction.Key, seq uint64, epoch uint16) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,13 +57,13 @@
 	}
 }
 
-// Delete removes a chunk from the index. Compaction reclaims its bytes; after a restart the chunk may be there again.
+// Delete removes a chunk from the index. Compaction reclaims its bytes later; the chunk may reappear after a restart.
 func (s *Store) Delete(key eviction.Key) bool {
 	const anySeq = 0
 	return s.deleteIf(key, anySeq)
 }
 
-// deleteIf removes a chunk if its copy has that sequence number, or any if seq is 0.
+// deleteIf removes a chunk if its copy has the given sequence number; a seq of 0 matches any copy.
 func (s *Store) deleteIf(key eviction.Key, seq uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +75,7 @@
 	return s.index.remove(key)
 }
 
-// Each calls f for every chunk with its size on the disk until f returns false. f must not use the store.
+// Each calls f for every chunk, with its on-disk size, until f returns false. f must not call methods of the store.
 func (s *Store) Each(f func(key eviction.Key, size int64, rank uint8) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/diskcache/store_read.go
+++ b/internal/diskcache/store_read.go
@@ -10,8 +10,8 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// Get reads a chunk and verifies it. ErrNotFound reports that it is not stored. A StoreError costs the chunk, which is
-// deleted.
+// Get reads a chunk and verifies its checksums. It returns ErrNotFound if the chunk is not stored. If it returns a
+// StoreError, the chunk was deleted.
 func (s *Store) Get(key eviction.Key) (Chunk, error) {
 	s.mu.Lock()
 	found := s.index.find(key)
@@ -52,7 +52,7 @@
 	return Chunk{}, fault
 }
 
-// readRecord reads the record at a location and verifies it against the index and its checksums.
+// readRecord reads the record at a location and verifies its checksums and that it matches the index.
 func (s *Store) readRecord(seg *segment, loc location) (Chunk, error) {
 	buf := make([]byte, loc.size)
 	n, err := seg.file.ReadAt(buf, loc.offset())
--- a/internal/diskcache/store_test.go
+++ b/internal/diskcache/store_test.go
@@ -18,7 +18,7 @@
 
 func k(o, p int) eviction.Key { return eviction.Key{Object: uint64(o), Chunk: uint32(p)} }
 
-// body derives the bytes of a chunk from its key and issue time, so that a wrong one is detected.
+// body returns pseudo-random bytes determined by a chunk's key and issue time, so that a mix-up of bodies is detected.
 func body(key eviction.Key, dated int64, n int) []byte {
 	b := make([]byte, n)
 	r := rand.New(rand.NewPCG(key.Object<<8|uint64(key.Chunk), uint64(dated)))
@@ -65,8 +65,8 @@
 }
 
 // TestChunksSurviveReopeningRealFolder reopens a folder of the operating system, with and without a snapshot. All
-// chunks must be there, replaced ones in their new version, deleted ones not in this session, and only what the
-// snapshot lacks may be read.
+// chunks must be present, replaced ones in their new version. A deleted chunk must not be found in the same session,
+// and recovery may read only the records that the snapshot does not cover.
 func TestChunksSurviveReopeningRealFolder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cache")
 	d, err := vfs.MakeDir(path)
@@ -94,7 +94,7 @@
 	assert.Empty(t, *faults)
 	assert.True(t, rep.SnapshotUsed)
 	assert.Equal(t, eviction.AccessHistory{MeanGap: 3, LastAccess: 4}, rep.Known[k(7, 0)])
-	assert.Less(t, rep.Scanned, int64(9000), "only what the snapshot does not cover")
+	assert.Less(t, rep.Scanned, int64(9000), "only records not covered by the snapshot are read")
 	holds(t, s, k(7, 0), 200, 33)
 	holds(t, s, k(9, 0), 100, 309)
 	holds(t, s, k(99, 0), 300, 40)
@@ -103,9 +103,9 @@
 	require.NoError(t, s.Close())
 }
 
-// TestCompactionReclaimsSpaceAndKeepsWantedChunks deletes most chunks and compacts. A compaction that loses a live
-// record costs a chunk; one that keeps dead ones fills the disk. The space must shrink, and the wanted chunks must
-// be readable after a reopening.
+// TestCompactionReclaimsSpaceAndKeepsWantedChunks deletes most chunks and compacts. Compaction must not lose live
+// records, and it must drop dead ones, or the disk would fill up. The used space must shrink, and the chunks that the
+// filter accepts must be readable after the folder is reopened.
 func TestCompactionReclaimsSpaceAndKeepsWantedChunks(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
 	s, _, _ := open(t, fs)
@@ -139,14 +139,14 @@
 	holds(t, s, k(36, 0), 100, 400)
 }
 
-// A chunk that is deleted while a compaction moves it stays deleted.
+// TestChunkDeletedDuringMoveStaysDeleted deletes each chunk while compaction moves it. It must stay deleted.
 func TestChunkDeletedDuringMoveStaysDeleted(t *testing.T) {
 	s, _, _ := open(t, vfs.NewFaultFS(1))
 	for i := range 12 {
 		put(t, s, k(i, 0), 100, 400)
 	}
 	_, err := s.Compact(1, func(m Meta) bool {
-		s.Delete(m.Key) // a purge arrives in between
+		s.Delete(m.Key) // simulates a purge during the move
 		return true
 	})
 	require.NoError(t, err)
@@ -161,8 +161,8 @@
 	return open(t, fs)
 }
 
-// TestOtherFormatIsRefused opens folders of another version, and one with data but without a version. Read as if
-// they were of this version they would give wrong chunks. Both must be refused, with both versions in the message.
+// TestOtherFormatIsRefused opens a folder of another format version, and one with data but without a version file. If
+// they were read as this version, wrong chunks would be served. Both must be rejected; the error names both versions.
 func TestOtherFormatIsRefused(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
 	h, _ := fs.Create(formatName)
@@ -176,9 +176,9 @@
 	assert.ErrorIs(t, err, ErrUnsupportedFormat)
 }
 
-// TestChunkThatTheFormatCannotHoldIsRefused puts a tag and a body over their bounds. Written all the same, the
-// record would be unreadable and hide what follows it. Each must be refused with an error of its own, and not as a
-// fault of the disk.
+// TestChunkThatTheFormatCannotHoldIsRefused puts an entity tag and a body above the size limits of the format. If they
+// were written, the record would be unreadable and the records after it would be lost. Put must return ErrChunkTooLong
+// and report no disk fault.
 func TestChunkThatTheFormatCannotHoldIsRefused(t *testing.T) {
 	s, _, faults := open(t, vfs.NewFaultFS(1))
 	long := meta(k(1, 0), 100)
@@ -191,7 +191,7 @@
 	assert.Zero(t, s.Chunks())
 }
 
-// interruptFS calls a function in the middle of a read.
+// interruptFS calls the function then once, during the first read of a record.
 type interruptFS struct {
 	vfs.FS
 	then func()
@@ -215,8 +215,8 @@
 	return f.File.ReadAt(p, at)
 }
 
-// A chunk is deleted and its segment compacted away while it is being read and sent: the bytes are the requested ones,
-// and the file is closed after the last reader.
+// TestChunkDeletedWhileRead deletes a chunk and compacts its segment during a read of the chunk. The read must return
+// the requested bytes, and the file must be closed only after the last reader has finished.
 func TestChunkDeletedWhileRead(t *testing.T) {
 	disk := vfs.NewFaultFS(1)
 	s, _, _ := open(t, disk)
@@ -233,7 +233,7 @@
 	}
 	p, err := s.Get(k(1, 0))
 	require.NoError(t, err)
-	assert.Nil(t, disk.Contents("seg-00000001.cf"), "the segment is gone")
+	assert.Nil(t, disk.Contents("seg-00000001.cf"), "compaction must remove the segment")
 	put(t, s, k(1, 0), 200, 400)
 	assert.True(t, bytes.Equal(body(k(1, 0), 100, 400), p.Body))
 	holds(t, s, k(1, 0), 200, 400)
--- a/internal/diskcache/validity/golden_test.go
+++ b/internal/diskcache/validity/golden_test.go
@@ -11,7 +11,7 @@
 	"cairnfront/internal/golden"
 )
 
-// TestGoldenRecordBytes holds the bytes of each kind of purge record, which docs/disk-cache-format.md describes.
+// TestGoldenRecordBytes compares each kind of encoded record with the bytes specified in docs/disk-cache-format.md.
 func TestGoldenRecordBytes(t *testing.T) {
 	var text strings.Builder
 	for kind := PurgeObject; kind <= PurgeFloor; kind++ {
@@ -38,20 +38,20 @@
 }
 
 const (
-	tracePurgeLimit = 24 // purges that the tracker of a trace remembers
+	tracePurgeLimit = 24 // maximum number of purges that the tracker remembers
 	traceObjects    = 60
 	traceGroups     = 6
 )
 
-// validityTrace plays a seeded script of events, restarts and questions and prints every decision.
+// validityTrace executes random events, restarts and evaluations on a tracker and prints every decision.
 type validityTrace struct {
 	random  *rand.Rand
 	out     strings.Builder
 	tracker *Tracker
-	log     []Record // as on the disk
+	log     []Record // content of the purge log on the disk
 	now     int64    // Unix ms
-	lastSeq uint64   // of the copies on the disk
-	number  uint64   // of the last event sent
+	lastSeq uint64   // highest sequence number on the disk
+	number  uint64   // number of the last event sent
 }
 
 func (p *validityTrace) write(records []Record) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// step plays one drawn act.
+// step executes one random action.
 func (p *validityTrace) step() {
 	p.now += int64(p.random.IntN(900))
 	switch choice := p.random.IntN(20); {
@@ -108,7 +108,7 @@
 	}
 }
 
-// restart begins with what the log holds, perhaps with the clock set back.
+// restart creates a new tracker from the log, with the clock set back by a random time below 4 s.
 func (p *validityTrace) restart() {
 	p.tracker = NewTracker(tracePurgeLimit)
 	p.now -= int64(p.random.IntN(4000))
@@ -117,7 +117,7 @@
 	fmt.Fprintf(&p.out, "restart: ask %d\n", p.tracker.ResumeAfter())
 }
 
-// question asks whether a drawn copy may be served.
+// question evaluates a random copy and prints the verdict.
 func (p *validityTrace) question() {
 	c := Copy{
 		Object:         uint64(p.random.IntN(traceObjects)),
@@ -156,7 +156,8 @@
 	return p.out.String()
 }
 
-// The decisions of a script drawn from a seed stay the same, by hash; they are printed without any Go name.
+// TestGoldenTrace checks by hash that the decisions for a fixed seed are the same as before. The text contains no Go
+// identifiers, so renames do not change it.
 func TestGoldenTrace(t *testing.T) {
 	trace := playValidityTrace(11, 3000)
 	golden.Compare(
--- a/internal/diskcache/validity/purges.go
+++ b/internal/diskcache/validity/purges.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// DefaultMaxPurges is the number of purged objects that are remembered unless configured.
+	// DefaultMaxPurges is the default limit of purged objects that are remembered.
 	DefaultMaxPurges = 65536
-	// BytesPerPurge is the approximate memory that a remembered purge takes: key, time and share of the map.
+	// BytesPerPurge is the approximate memory per remembered purge: key, time and map overhead.
 	BytesPerPurge = 64
-	// forgetShare is the divisor of the share of purges that a full memory forgets at once. It bounds how often the
-	// purges are sorted.
+	// forgetShare divides the number of purges: when the limit is exceeded, 1/forgetShare of the purges are discarded
+	// at once. This bounds how often the purges are sorted.
 	forgetShare = 8
 )
 
-// purgeSet remembers the time of the newest purge of each object and group, in Unix ms.
+// purgeSet stores the time of the newest purge of each object and group, in Unix ms.
 type purgeSet struct {
 	objects     map[uint64]int64
 	groups      map[uint16]int64
-	newestGroup int64 // newest purge of any group, for copies of an unknown group
-	floor       int64 // purges up to this time may be forgotten
-	limit       int   // of objects
+	newestGroup int64 // time of the newest purge of any group, for copies of an unknown group
+	floor       int64 // purges up to this time may have been discarded
+	limit       int   // maximum length of objects
 }
 
 func newPurgeSet(limit int) purgeSet {
@@ -42,7 +42,7 @@
 	p.newestGroup = max(p.newestGroup, at)
 }
 
-// covers reports whether a purge invalidates a copy. A copy issued in the millisecond of the purge is invalidated.
+// covers reports whether a purge invalidates a copy. A copy issued in the same millisecond as the purge is invalidated.
 func (p *purgeSet) covers(c Copy) bool {
 	if at, ok := p.objects[c.Object]; ok && c.IssuedAt <= at {
 		return true
@@ -54,8 +54,8 @@
 	return ok && c.IssuedAt <= at
 }
 
-// trim forgets the oldest purges of objects when there are more than the limit, raises the floor to the newest one
-// forgotten, and reports whether it did.
+// trim discards the oldest purges of objects if there are more than the limit, raises the floor to the newest discarded
+// purge, and reports whether it discarded any.
 func (p *purgeSet) trim() bool {
 	if len(p.objects) <= p.limit {
 		return false
@@ -74,7 +74,7 @@
 	return true
 }
 
-// prune forgets purges older than a time.
+// prune discards purges older than the given time.
 func (p *purgeSet) prune(before int64) {
 	for object, at := range p.objects {
 		if at < before {
@@ -88,7 +88,7 @@
 	}
 }
 
-// records lists the purges in a fixed order.
+// records returns the purges as records in a deterministic order.
 func (p *purgeSet) records(now int64) []Record {
 	var out []Record
 	for object, at := range p.objects {
--- a/internal/diskcache/validity/record.go
+++ b/internal/diskcache/validity/record.go
@@ -7,7 +7,7 @@
 	"hash/crc32"
 )
 
-// RecordSize is the size in bytes of an encoded record. Eight records fill a disk sector, so none straddles two.
+// RecordSize is the size of an encoded record in bytes. Eight records fill a disk sector, so no record spans two.
 const RecordSize = 64
 
 const (
@@ -18,23 +18,23 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrBadRecord reports bytes that are not a valid record.
+// ErrBadRecord is returned for bytes that are not a valid record.
 var ErrBadRecord = errors.New("bad record")
 
-// Kind is the kind of a record.
+// Kind is the kind of a record in the purge log.
 type Kind byte
 
-// The kinds of record; the values are part of the format on disk.
+// Kinds of records; the values are part of the on-disk format.
 const (
 	PurgeObject Kind = 1 + iota
 	PurgeGroup
-	Checkpoint // position in the event stream and the clock
-	Gap        // copies up to Seq may be older than a purge that was missed
-	PurgeFloor // purges up to PurgedAt were forgotten
+	Checkpoint // position in the event stream and time of writing
+	Gap        // purges may have been missed: copies up to sequence number Seq need confirmation
+	PurgeFloor // purges up to PurgedAt may have been discarded
 )
 
-// Record is a state change that must survive a power loss. The JSON keys are part of the output of
-// `disk-cache inspect --json`: At is the purge's time, Sum the checksum, Heard the time of writing.
+// Record is a state change of the tracker that must survive a power loss. The JSON keys are part of the output of
+// `disk-cache inspect --json`: At is the time of the purge, Sum the checksum, Heard the time of writing.
 type Record struct {
 	Kind      Kind
 	Group     uint16
@@ -42,11 +42,11 @@
 	PurgedAt  int64 `json:"At"` // Unix ms
 	Number    uint64
 	Checksum  uint32 `json:"Sum"`
-	WrittenAt int64  `json:"Heard"` // Unix ms by the cache's own clock
+	WrittenAt int64  `json:"Heard"` // Unix ms by the edge cache's own clock
 	Seq       uint64
 }
 
-// AppendRecord encodes a record as described in docs/disk-cache-format.md.
+// AppendRecord appends a record to b, encoded as specified in docs/disk-cache-format.md.
 func AppendRecord(b []byte, r Record) []byte {
 	start := len(b)
 	b = binary.LittleEndian.AppendUint16(b, recordMagic)
@@ -63,17 +63,17 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], castagnoli))
 }
 
-// ParseRecord decodes the first RecordSize bytes of b. Its errors wrap ErrBadRecord.
+// ParseRecord decodes a record from the first RecordSize bytes of b. Its errors wrap ErrBadRecord.
 func ParseRecord(b []byte) (Record, error) {
 	if len(b) < RecordSize {
 		return Record{}, fmt.Errorf("%w: %d bytes of %d", ErrBadRecord, len(b), RecordSize)
 	}
 	le := binary.LittleEndian
 	if le.Uint16(b) != recordMagic || le.Uint32(b[checksumAt:]) != crc32.Checksum(b[:checksumAt], castagnoli) {
-		return Record{}, fmt.Errorf("%w: its checksum does not hold", ErrBadRecord)
+		return Record{}, fmt.Errorf("%w: checksum mismatch", ErrBadRecord)
 	}
 	if b[3] != recordVersion {
-		return Record{}, fmt.Errorf("%w: version %d, this program knows %d", ErrBadRecord, b[3], recordVersion)
+		return Record{}, fmt.Errorf("%w: version %d, this program supports %d", ErrBadRecord, b[3], recordVersion)
 	}
 	r := Record{
 		Kind:      Kind(b[2]),
--- a/internal/diskcache/validity/tracker.go
+++ b/internal/diskcache/validity/tracker.go
@@ -1,37 +1,37 @@
 package validity
 
 const (
-	maxSilenceMS = 5000 // without an event, after which purges may have been missed: five heartbeats
-	clockSlackMS = 2000 // by which the clock may run behind what it showed before; more means that it was set back
+	maxSilenceMS = 5000 // maximum time without an event or heartbeat: five heartbeat intervals
+	clockSlackMS = 2000 // clock differences up to this value are tolerated; a larger step back means a clock change
 )
 
-// Tracker is the state of what is known about purges and the event stream. It is not safe for concurrent use.
+// Tracker tracks purges and the state of the event stream. It is not safe for concurrent use.
 //
-// Its memory is bounded by the limit of purges, BytesPerPurge each.
+// Its memory is bounded by the limit of purges, with BytesPerPurge bytes each.
 type Tracker struct {
 	purges purgeSet
 
-	number   uint64 // of the last event applied
-	checksum uint32 // of the last event applied
+	number   uint64 // number of the last applied event
+	checksum uint32 // checksum of the last applied event
 
 	clockHighWater int64 // Unix ms, the latest time ever seen
 	lastEventAt    int64 // Unix ms of the last event or heartbeat
 
-	continuous bool // events of this connection continue from what was applied before
-	caughtUp   bool // a heartbeat has shown once that all earlier events were applied
-	pristine   bool // no event was applied and nothing is on the disk: no copy can have missed a purge
+	continuous bool // the events of this connection are verified to continue from the last applied event
+	caughtUp   bool // a heartbeat has shown that all earlier events were applied
+	pristine   bool // no event was applied and the disk is empty, so no copy can have missed a purge
 
-	suspectUpTo uint64 // highest sequence number that needs a confirmation
+	suspectUpTo uint64 // highest sequence number of copies that need confirmation by the upstream
 	epoch       uint16
 }
 
-// NewTracker returns an empty tracker that remembers up to maxPurges purges of objects; 0 means DefaultMaxPurges.
+// NewTracker returns an empty Tracker that remembers up to maxPurges purges of objects; 0 means DefaultMaxPurges.
 func NewTracker(maxPurges int) *Tracker {
 	return &Tracker{purges: newPurgeSet(maxPurges), pristine: true, epoch: 1}
 }
 
 // Restore applies the records of earlier runs in their order. lastSeq is the highest sequence number on the disk, now
-// the time in Unix ms. The returned records have to be written.
+// the time in Unix ms. The caller must write the returned records.
 func (t *Tracker) Restore(records []Record, lastSeq uint64, now int64) []Record {
 	for _, r := range records {
 		t.restoreRecord(r)
@@ -44,8 +44,8 @@
 	return append(out, t.trimPurges(now)...)
 }
 
-// clockWasSetBack says whether the clock shows an earlier time than it did before, both in Unix ms. Copies would look
-// younger than they are, and purges older than they are; so all copies on the disk have to be confirmed.
+// clockWasSetBack reports whether now is earlier than the latest time seen before, both in Unix ms. Copies would look
+// younger and purges older than they are, so all copies on the disk need confirmation by the upstream.
 func clockWasSetBack(now, clockHighWater int64) bool { return now < clockHighWater-clockSlackMS }
 
 func (t *Tracker) restoreRecord(r Record) {
@@ -58,7 +58,7 @@
 		t.suspectUpTo = max(t.suspectUpTo, r.Seq)
 	case PurgeFloor:
 		t.purges.floor = max(t.purges.floor, r.PurgedAt)
-	case Checkpoint: // only what each record has
+	case Checkpoint: // has only the fields common to all kinds, applied below
 	}
 	if r.Number > 0 {
 		t.number, t.checksum = r.Number, r.Checksum
@@ -66,8 +66,8 @@
 	t.clockHighWater = max(t.clockHighWater, r.WrittenAt)
 }
 
-// ResumeAfter returns the number after which events have to be requested. The last event applied is requested again,
-// to verify that the stream continues from it.
+// ResumeAfter returns the event number after which the stream must be requested. The last applied event is requested
+// again, to verify that the stream continues from it.
 func (t *Tracker) ResumeAfter() uint64 {
 	if t.number == 0 {
 		return 0
@@ -75,17 +75,17 @@
 	return t.number - 1
 }
 
-// Position returns the number of the last event applied and whether this connection is known to continue from it.
+// Position returns the number of the last applied event and whether this connection is verified to continue from it.
 func (t *Tracker) Position() (number uint64, continuous bool) { return t.number, t.continuous }
 
-// StreamOpened records that a new connection to the event stream was opened.
+// StreamOpened records that a new connection to the event stream was opened. Continuity must be verified again.
 func (t *Tracker) StreamOpened() {
 	t.continuous = t.number == 0
 }
 
-// Apply applies an event. lastSeq is the highest sequence number written so far. The returned records have to be
-// written. If reconnect is true, the stream's numbering has restarted and all events have to be requested again, after
-// the number that ResumeAfter returns.
+// Apply applies an event. lastSeq is the highest sequence number written so far. The caller must write the returned
+// records. If reconnect is true, the numbering of the stream has restarted and the caller must request all events
+// again, after the number that ResumeAfter returns.
 func (t *Tracker) Apply(now int64, lastSeq uint64, event Event) (write []Record, reconnect bool) {
 	t.clockHighWater = max(t.clockHighWater, now)
 	if !t.continuous {
@@ -107,36 +107,36 @@
 	return append(write, t.trimPurges(now)...), false
 }
 
-// verifyContinuity takes the first event of a connection. The last event that was applied, sent once more, shows that
-// the stream continues. Another one shows that the service was set up anew and numbers its events from the start:
-// purges that it announced meanwhile are not known here, and their numbers would be taken for old ones.
+// verifyContinuity handles the first event of a connection. If it is the last applied event, the stream continues from
+// there. Any other event shows that the service was set up again and numbers its events from the start: purges that it
+// announced in the meantime are unknown here, and their numbers would look like those of events already applied.
 func (t *Tracker) verifyContinuity(now int64, lastSeq uint64, event Event) (write []Record, reconnect bool) {
 	if !t.isLastApplied(event) {
 		t.number, t.checksum = 0, 0
 		return t.missedEvents(lastSeq, now), true
 	}
 	t.continuous = true
-	if !t.UpToDate(now) { // events that were missed in the silence follow
+	if !t.UpToDate(now) { // events missed during the silence follow
 		t.caughtUp = false
 	}
 	t.lastEventAt = now
 	return nil, false
 }
 
-// isLastApplied reports whether the event is the last one applied, sent once more.
+// isLastApplied reports whether the event is the last applied event, sent again.
 func (t *Tracker) isLastApplied(event Event) bool {
 	return !event.Heartbeat && event.Number == t.number && event.Checksum == t.checksum
 }
 
-// skips reports whether events may be missing before this one.
+// skips reports whether events before this one may be missing.
 func (t *Tracker) skips(event Event) bool {
 	if t.number > 0 {
 		return event.Number > t.number+1
 	}
-	return event.Number > 1 && !t.pristine // the service no longer keeps its first events
+	return event.Number > 1 && !t.pristine // the service no longer stores its first events
 }
 
-// record remembers the purge of an event, if it is one, and returns the event as a record.
+// record adds the purge of an event, if it is one, to the known purges, and returns the record of the event.
 func (t *Tracker) record(event Event, now int64) Record {
 	r := Record{
 		Kind:      Checkpoint,
@@ -158,7 +158,7 @@
 	return r
 }
 
-// missedEvents notes that purges may have been missed. An empty disk holds no copy that they could concern.
+// missedEvents records that purges may have been missed. On an empty disk there is no copy that they could affect.
 func (t *Tracker) missedEvents(lastSeq uint64, now int64) []Record {
 	if lastSeq == 0 {
 		return nil
@@ -166,14 +166,14 @@
 	return []Record{t.suspect(lastSeq, now)}
 }
 
-// suspect starts a new epoch: copies up to lastSeq need a confirmation.
+// suspect starts a new epoch, in which copies up to sequence number lastSeq need confirmation by the upstream.
 func (t *Tracker) suspect(lastSeq uint64, now int64) Record {
 	t.suspectUpTo = max(t.suspectUpTo, lastSeq)
 	t.epoch++
 	return Record{Kind: Gap, Seq: lastSeq, WrittenAt: now}
 }
 
-// trimPurges keeps the memory of purges within its bound. Copies older than what was forgotten stay unconfirmed.
+// trimPurges limits the number of remembered purges. Copies older than a discarded purge stay unconfirmed.
 func (t *Tracker) trimPurges(now int64) []Record {
 	if !t.purges.trim() {
 		return nil
@@ -181,7 +181,7 @@
 	return []Record{{Kind: PurgeFloor, PurgedAt: t.purges.floor, WrittenAt: now}}
 }
 
-// Checkpoint returns a record of the clock and the position in the stream. It is worth writing from time to time.
+// Checkpoint returns a record of the time and the position in the stream. The caller should write one periodically.
 func (t *Tracker) Checkpoint(now int64) Record {
 	t.clockHighWater = max(t.clockHighWater, now)
 	return Record{
@@ -192,15 +192,15 @@
 	}
 }
 
-// PrunePurges forgets purges older than every copy that can still turn up. oldest is the time of the oldest copy on the
-// disk or on its way to it, in Unix ms.
+// PrunePurges discards purges older than every copy that they could affect. oldest is the earliest issue time, in Unix
+// ms, of all copies on the disk or in transit to it.
 func (t *Tracker) PrunePurges(oldest int64) { t.purges.prune(oldest) }
 
-// UpToDate reports whether no purge can have been missed: the stream was caught up with and is not silent. Otherwise
-// every copy is unconfirmed. A connection that hangs looks like one without news; the missing heartbeats show it.
+// UpToDate reports whether no purge can have been missed: the tracker has caught up with the stream, and the stream is
+// not silent. Otherwise every copy is unconfirmed. A hung connection and one without events differ only by heartbeats.
 func (t *Tracker) UpToDate(now int64) bool { return t.caughtUp && now-t.lastEventAt <= maxSilenceMS }
 
-// Evaluate says how a copy may be used now.
+// Evaluate returns whether a copy may be served now. now is in Unix ms.
 func (t *Tracker) Evaluate(now int64, c Copy) Verdict {
 	if t.IsInvalidated(c) {
 		return Invalidated
@@ -211,26 +211,26 @@
 	return Valid
 }
 
-// mayHaveMissedPurge says whether a copy may be older than a purge that is not known: one that was forgotten, or one of
-// a gap in the event stream. A copy in memory or from before a gap counts again once its source has confirmed it in the
-// present epoch.
+// mayHaveMissedPurge reports whether a copy may be older than an unknown purge: one that was discarded, or one in a gap
+// of the event stream. A copy in memory, or one written before a gap, is valid again once the upstream has confirmed it
+// in the current epoch.
 func (t *Tracker) mayHaveMissedPurge(c Copy) bool {
 	beforeGap := c.Seq == 0 || c.Seq <= t.suspectUpTo
 	return c.IssuedAt <= t.purges.floor || beforeGap && c.ConfirmedEpoch != t.epoch
 }
 
-// isFromFuture says whether a copy's issue time is later than the clock, in Unix ms. Such a copy would seem to be newer
-// than every purge.
+// isFromFuture reports whether a copy's issue time is later than now, in Unix ms. Such a copy would look newer than
+// every purge.
 func isFromFuture(now int64, c Copy) bool { return c.IssuedAt > now+clockSlackMS }
 
 // IsInvalidated reports whether a known purge invalidates a copy.
 func (t *Tracker) IsInvalidated(c Copy) bool { return t.purges.covers(c) }
 
-// Epoch returns the present epoch. A new one starts whenever purges may have been missed. A confirmation by the source
-// counts only if it was requested in the present epoch.
+// Epoch returns the current validation epoch. A new epoch starts whenever purges may have been missed. A confirmation
+// by the upstream counts only if it was requested in the current epoch.
 func (t *Tracker) Epoch() uint16 { return t.epoch }
 
-// Status describes the tracker for operators.
+// Status returns the state of the tracker for operators.
 func (t *Tracker) Status(now int64) Status {
 	return Status{
 		Number:         t.number,
@@ -243,7 +243,7 @@
 	}
 }
 
-// Records returns the shortest list of records that restores the tracker, for rewriting a log that has grown.
+// Records returns the shortest list of records that restores the tracker's state, for rewriting a long log.
 func (t *Tracker) Records(now int64) []Record {
 	out := t.purges.records(now)
 	if t.suspectUpTo > 0 {
--- a/internal/diskcache/validity/tracker_test.go
+++ b/internal/diskcache/validity/tracker_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startMS is the time at which the tests begin, in Unix ms.
+// startMS is the start time of the tests in Unix ms.
 const startMS = int64(1_800_000_000_000)
 
-// caughtUpTracker has applied events up to number 7; ten copies are on its disk.
+// caughtUpTracker returns a tracker that has applied events 1 to 7 with ten copies on the disk, and its records.
 func caughtUpTracker() (*Tracker, []Record) {
 	c := NewTracker(0)
 	c.StreamOpened()
@@ -32,9 +32,9 @@
 
 var olderCopy = Copy{Object: 1, Group: 3, IssuedAt: startMS - 5000, Seq: 4}
 
-// TestPurgeInvalidatesCopiesNotYounger purges an object and a group. A copy issued in the millisecond of the purge
-// may be older than it, and one of an unknown group may belong to the purged one: both must be invalid. Younger ones
-// and others must stay valid.
+// TestPurgeInvalidatesCopiesNotYounger purges an object and a group. A copy issued in the same millisecond as the purge
+// may be older than it, and a copy of an unknown group may belong to the purged group: both must be invalid. Younger
+// copies and those of other objects and groups must stay valid.
 func TestPurgeInvalidatesCopiesNotYounger(t *testing.T) {
 	c, _ := caughtUpTracker()
 	assert.Equal(t, Valid, c.Evaluate(startMS, olderCopy))
@@ -52,8 +52,8 @@
 	)
 }
 
-// TestPurgesSurviveRestart restarts after a purge. Without the log the purged copy on the disk would be served
-// again. It must stay invalid, and the last event must be requested again.
+// TestPurgesSurviveRestart restarts the tracker after a purge. Without the log, the purged copy on the disk would be
+// served again. It must stay invalid, and the last event must be requested again.
 func TestPurgesSurviveRestart(t *testing.T) {
 	c, log := caughtUpTracker()
 	w, _ := c.Apply(startMS, 10, Event{Number: 8, Checksum: 5, Purge: true, Object: 1, PurgedAt: startMS})
@@ -62,9 +62,9 @@
 	assert.Equal(t, uint64(7), c.ResumeAfter())
 }
 
-// TestCopiesAreUnconfirmedUntilCaughtUpAfterRestart restarts and reads the events that were missed. A purge may be
-// among them, so that a copy which is served before may be purged. All must be unconfirmed until the stream has
-// caught up.
+// TestCopiesAreUnconfirmedUntilCaughtUpAfterRestart restarts the tracker and applies the events published meanwhile.
+// They may contain a purge of a copy on the disk. All copies must be unconfirmed until the tracker has caught up with
+// the stream.
 func TestCopiesAreUnconfirmedUntilCaughtUpAfterRestart(t *testing.T) {
 	_, log := caughtUpTracker()
 	c := restarted(log, startMS+9000)
@@ -78,8 +78,9 @@
 	assert.Equal(t, Valid, c.Evaluate(startMS+9000, Copy{Object: 2, IssuedAt: startMS, Seq: 5}))
 }
 
-// The stream carries another event under the last number, nothing from there on, or only later events: in each case
-// the copies stay unconfirmed, after another restart too, until their source confirms them.
+// TestRestartedNumberingLeavesCopiesUnconfirmed reconnects to a stream that has another event with the last number, no
+// events from that number on, or only later events. In each case the copies must be unconfirmed, also after another
+// restart, until the upstream confirms them.
 func TestRestartedNumberingLeavesCopiesUnconfirmed(t *testing.T) {
 	for name, first := range map[string]Event{
 		"another event":  {Number: 7, Checksum: 1},
@@ -90,7 +91,7 @@
 			_, log := caughtUpTracker()
 			c := restarted(log, startMS+9000)
 			w, re := c.Apply(startMS+9000, 10, first)
-			assert.True(t, re, "all events have to be read again")
+			assert.True(t, re, "all events must be requested again")
 			assert.Equal(t, uint64(0), c.ResumeAfter())
 			log = append(log, w...)
 			c.StreamOpened()
@@ -104,7 +105,7 @@
 				t,
 				Valid,
 				c.Evaluate(startMS+9100, Copy{Object: 1, IssuedAt: startMS + 9050, Seq: 11}),
-				"fetched since",
+				"fetched after the gap",
 			)
 			confirmed := olderCopy
 			confirmed.ConfirmedEpoch = c.Epoch()
@@ -113,14 +114,14 @@
 			c = restarted(log, startMS+20000)
 			c.Apply(startMS+20000, 11, Event{Number: 3, Checksum: 2})
 			c.Apply(startMS+20000, 11, Event{Heartbeat: true})
-			assert.Equal(t, Unconfirmed, c.Evaluate(startMS+20000, olderCopy), "a restart does not confirm it")
+			assert.Equal(t, Unconfirmed, c.Evaluate(startMS+20000, olderCopy), "a restart must not confirm the copy")
 			assert.Equal(t, Valid, c.Evaluate(startMS+20000, Copy{Object: 1, IssuedAt: startMS + 9050, Seq: 11}))
 		})
 	}
 }
 
-// TestGapOnOpenStreamLeavesCopiesUnconfirmed skips an event on an open stream. The event may have been a purge.
-// Copies from before must be unconfirmed, later ones valid.
+// TestGapOnOpenStreamLeavesCopiesUnconfirmed skips an event number on an open stream. The missing event may have been a
+// purge. Copies written before the gap must be unconfirmed, later ones valid.
 func TestGapOnOpenStreamLeavesCopiesUnconfirmed(t *testing.T) {
 	c, _ := caughtUpTracker()
 	c.Apply(startMS, 10, Event{Number: 9})
@@ -128,9 +129,9 @@
 	assert.Equal(t, Valid, c.Evaluate(startMS, Copy{Object: 1, IssuedAt: startMS, Seq: 11}))
 }
 
-// TestSilentStreamLeavesCopiesUnconfirmed lets the stream fall silent. A connection that is cut without notice looks
-// like one without events, and purges are missed. After the greatest silence copies must be unconfirmed, and valid
-// again once the stream goes on.
+// TestSilentStreamLeavesCopiesUnconfirmed sends no event or heartbeat for longer than maxSilenceMS. A broken connection
+// looks like one without events, so purges may be missed. Copies must be unconfirmed after that time, and valid again
+// once the stream continues.
 func TestSilentStreamLeavesCopiesUnconfirmed(t *testing.T) {
 	c, _ := caughtUpTracker()
 	assert.Equal(t, Valid, c.Evaluate(startMS+maxSilenceMS, olderCopy))
@@ -141,8 +142,9 @@
 	assert.Equal(t, Valid, c.Evaluate(startMS+9000, olderCopy), "continuous")
 }
 
-// TestClockSetBackLeavesCopiesUnconfirmed restarts with a clock that was set back by a minute. Copies would look
-// younger than purges that they are older than. They must be unconfirmed, those issued in the future too.
+// TestClockSetBackLeavesCopiesUnconfirmed restarts the tracker after the clock was set back by a minute. New purges
+// would have earlier times than the copies they invalidate. The copies on the disk must be unconfirmed, and so must
+// copies with an issue time in the future.
 func TestClockSetBackLeavesCopiesUnconfirmed(t *testing.T) {
 	_, log := caughtUpTracker()
 	c := NewTracker(0)
@@ -160,8 +162,9 @@
 	)
 }
 
-// TestForgottenPurgesLeaveCopiesUnconfirmed sends more purges than are remembered. Copies whose purge was forgotten
-// would be valid again. Whatever may be older than a forgotten purge must not be valid, after a restart too.
+// TestForgottenPurgesLeaveCopiesUnconfirmed applies more purges than the tracker remembers. Copies whose purge was
+// discarded would be valid again. A copy that may be older than a discarded purge must not be valid, also after a
+// restart.
 func TestForgottenPurgesLeaveCopiesUnconfirmed(t *testing.T) {
 	c, _ := caughtUpTracker()
 	c.purges.limit = 16
@@ -179,14 +182,14 @@
 		t,
 		Valid,
 		c.Evaluate(startMS, Copy{Object: 1000, IssuedAt: startMS - 2000, Seq: 11}),
-		"its purge may be forgotten",
+		"its purge may have been discarded",
 	)
 	c = NewTracker(16)
 	c.Restore(log, 10, startMS)
 	assert.NotEqual(t, Valid, c.Evaluate(startMS, Copy{Object: 1000, IssuedAt: startMS - 2000, Seq: 11}))
 }
 
-// interleaving is a discovery service with its events and a tracker with its log, driven by named steps.
+// interleaving simulates a discovery service with its events and a tracker with its log, driven by named steps.
 type interleaving struct {
 	tracker *Tracker
 	log     []Record
@@ -207,7 +210,7 @@
 	return x
 }
 
-// connect reads the stream to its end, and again from the start where the tracker asks for it.
+// connect reads the stream to its end. It reconnects and reads again if the tracker requests it.
 func (x *interleaving) connect() {
 	const attempts = 3
 	for range attempts {
@@ -252,14 +255,14 @@
 	case "restart":
 		x.tracker = NewTracker(0)
 		x.log = append(x.log, x.tracker.Restore(x.log, 5, x.now)...)
-	case "reset": // the service restarts its numbering and has forgotten the purge
+	case "reset": // the service restarts its numbering and has lost the purge
 		x.events = []Event{{Number: 1, Checksum: x.sum}}
 	}
 	x.connect()
 }
 
-// Every interleaving of what the service can send and a cache can go through, to a depth of six: after none of them
-// is a copy valid that a published purge invalidates.
+// TestNoInterleavingForgetsPurge executes every sequence of up to six steps of the service and the edge cache. After
+// none of them may a copy be valid that a published purge invalidates.
 func TestNoInterleavingForgetsPurge(t *testing.T) {
 	const depth = 6
 	steps := []string{"purge", "other", "restart", "reconnect", "reset"}
@@ -290,7 +293,8 @@
 	assert.Greater(t, runs, 15000)
 }
 
-// FuzzParseRecord parses any bytes as a purge record. What is accepted must be the same after it was encoded again.
+// FuzzParseRecord parses arbitrary bytes as a record. An accepted record must be unchanged after encoding and parsing
+// it again.
 func FuzzParseRecord(f *testing.F) {
 	f.Add(AppendRecord(
 		nil,
@@ -307,8 +311,9 @@
 	})
 }
 
-// TestEventSentAgainDoesNotCatchUpAfterSilence: after a long silence and a reconnect the last event comes again, before
-// those that were missed. A heartbeat that names a later event catches up no more than that.
+// TestEventSentAgainDoesNotCatchUpAfterSilence reconnects after a long silence. The stream sends the last applied event
+// again before the missed events. Neither that event nor a heartbeat with the number of a later event may count as
+// caught up with the stream.
 func TestEventSentAgainDoesNotCatchUpAfterSilence(t *testing.T) {
 	c, _ := caughtUpTracker()
 	now := startMS + maxSilenceMS + 1
--- a/internal/diskcache/validity/validity.go
+++ b/internal/diskcache/validity/validity.go
@@ -1,59 +1,59 @@
 // Package validity decides whether a cached copy may be served. It tracks the purges announced by the discovery service
 // and whether any of them may have been missed.
 //
-// The package owns the memory of purges, the position in the event stream and the validation epoch. It does no I/O and
-// has no clock: the caller passes the time in, writes the records that come out in their order, and hands them back to
+// The package owns the set of known purges, the position in the event stream and the validation epoch. It does no I/O
+// and reads no clock: the caller passes the time, writes the returned records in order, and passes them to
 // [Tracker.Restore] after a restart.
 //
-// Continuity with the event stream is verified, not assumed. After a reconnect the tracker asks for the last event that
-// it applied once more. The same number with the same checksum shows that the stream continues where it stopped.
-// Another event under that number, a gap or silence means that purges may have been missed: copies of that time are
-// then served only after their source has confirmed them.
+// Continuity of the event stream is verified after each reconnect: the tracker requests the last applied event again.
+// The same number with the same checksum shows that the stream continues from there. Another event with that number, a
+// gap in the numbers, or silence means that purges may have been missed. Copies from before that time are then served
+// only after the upstream has confirmed them.
 package validity
 
-// Verdict says how a cached copy may be used.
+// Verdict is the decision whether a cached copy may be served.
 type Verdict int
 
-// The verdicts on a copy.
+// Verdicts on a cached copy.
 const (
-	Valid       Verdict = iota // may be served
-	Unconfirmed                // may be served once its source has confirmed its tag
-	Invalidated                // purged, must not be served
+	Valid       Verdict = iota // the copy may be served
+	Unconfirmed                // the copy may be served only after the upstream has confirmed its entity tag
+	Invalidated                // the copy was purged and must not be served
 )
 
 func (v Verdict) String() string { return [...]string{"valid", "unconfirmed", "invalidated"}[v] }
 
-// UnknownGroup is the group of a copy whose source did not name one. A purge of any group applies to it.
+// UnknownGroup is the group of a copy if the upstream did not specify one. A purge of any group applies to it.
 const UnknownGroup = 0xffff
 
-// Copy describes a cached copy that is to be evaluated.
+// Copy describes a cached copy for Tracker.Evaluate.
 type Copy struct {
 	Object         uint64
 	Group          uint16
 	IssuedAt       int64  // Unix ms at which the origin issued the copy
 	Seq            uint64 // sequence number on the disk, 0 for a copy in memory
-	ConfirmedEpoch uint16 // epoch in which the source delivered or last confirmed the copy, see Tracker.Epoch
+	ConfirmedEpoch uint16 // epoch in which the upstream delivered or last confirmed the copy, see Tracker.Epoch
 }
 
-// Event is one event of the discovery service's stream.
+// Event is one event of the discovery service's event stream.
 type Event struct {
 	Number    uint64
-	Checksum  uint32 // of the event as received
-	Heartbeat bool   // nothing new; the receiver has caught up
-	Purge     bool
-	ByGroup   bool // a purge of Group instead of Object
+	Checksum  uint32 // checksum of the encoded event as received
+	Heartbeat bool   // no new event; the receiver has caught up with the stream
+	Purge     bool   // the event is a purge of Object or Group
+	ByGroup   bool   // the purge applies to Group instead of Object
 	Object    uint64
 	Group     uint16
 	PurgedAt  int64 // Unix ms
 }
 
-// Status describes a tracker for operators.
+// Status describes the state of a Tracker for operators.
 type Status struct {
-	Number         uint64 // of the last event applied
+	Number         uint64 // number of the last applied event
 	UpToDate       bool   // no purge can have been missed
-	Continuous     bool   // the connection is known to continue from Number
-	SuspectUpTo    uint64 // highest sequence number of copies that need a confirmation
-	PurgeFloor     int64  // Unix ms up to which purges were forgotten
-	Purges         int    // remembered
+	Continuous     bool   // the event stream is verified to continue from Number
+	SuspectUpTo    uint64 // highest sequence number of copies that need confirmation by the upstream
+	PurgeFloor     int64  // Unix ms up to which purges may have been discarded
+	Purges         int    // number of remembered purges
 	ClockHighWater int64  // Unix ms, the latest time ever seen
 }
--- a/internal/diskcache/vfs/dir.go
+++ b/internal/diskcache/vfs/dir.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// Permissions of what Dir makes.
+// Permissions of directories and files that Dir creates.
 const (
 	dirMode  = 0o750
 	fileMode = 0o640
@@ -18,7 +18,7 @@
 // Dir is the path of a real directory. It implements FS.
 type Dir string
 
-// MakeDir creates a directory, with its parents, if it does not exist.
+// MakeDir creates a directory and its parents if they do not exist.
 func MakeDir(path string) (Dir, error) {
 	if err := os.MkdirAll(path, dirMode); err != nil {
 		return "", fmt.Errorf("create folder: %w", err)
@@ -26,7 +26,7 @@
 	return Dir(path), nil
 }
 
-// osFile is a file of the operating system. It implements File.
+// osFile adapts an os.File to File.
 type osFile struct{ *os.File }
 
 func (f osFile) Size() (int64, error) {
@@ -94,7 +94,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Lock implements FS. The operating system releases the lock when the process ends.
+// Lock implements FS with flock(2). The operating system releases the lock when the process ends.
 func (d Dir) Lock(name string) (func(), error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
--- a/internal/diskcache/vfs/faultfile.go
+++ b/internal/diskcache/vfs/faultfile.go
@@ -2,24 +2,24 @@
 
 import "io"
 
-// sectorBytes is the size of what a disk writes completely or not at all.
+// sectorBytes is the size of a sector, which a disk writes atomically.
 const sectorBytes = 512
 
 // inode is the content of a file.
 type inode struct {
-	data    []byte // as the running system sees it
-	medium  []byte // as the medium has it
+	data    []byte // content as the running system sees it
+	medium  []byte // content on the medium
 	pending []pendingWrite
 }
 
-// pendingWrite is a write or truncation that is not synced.
+// pendingWrite is an unsynced write or truncation.
 type pendingWrite struct {
-	offset   int64 // of a truncation: the new size
+	offset   int64 // new file size in case of a truncation
 	data     []byte
 	truncate bool
 }
 
-// commit brings those sectors of a write to the medium that keep selects.
+// commit writes to the medium those sectors of a pending write for which keep returns true.
 func (n *inode) commit(w pendingWrite, keep func() bool) {
 	if w.truncate {
 		if keep() {
@@ -37,7 +37,7 @@
 	}
 }
 
-// overwrite writes p at an offset and grows data as needed.
+// overwrite copies p into data at an offset, grows data as needed and returns it.
 func overwrite(data, p []byte, offset int64) []byte {
 	if end := offset + int64(len(p)); end > int64(len(data)) {
 		data = resize(data, end)
@@ -93,7 +93,7 @@
 	return n, err
 }
 
-// writable is how many bytes of a write take effect, and the error of a write cut short.
+// writable returns the number of bytes of a write that take effect, and the error of a short write.
 func (h *faultFile) writable(size int, offset int64) (int, error) {
 	growth := max(offset+int64(size)-int64(len(h.node.data)), 0)
 	if h.fs.CapacityBytes > 0 && h.fs.usedBytes()+growth > h.fs.CapacityBytes {
--- a/internal/diskcache/vfs/faultfs.go
+++ b/internal/diskcache/vfs/faultfs.go
@@ -8,46 +8,48 @@
 	"sync"
 )
 
-// Errors of a FaultFS.
+// Errors returned by a FaultFS.
 var (
 	// ErrPowerLoss is returned by every call between a power loss and the restart.
 	ErrPowerLoss = errors.New("the power is off")
-	// ErrIO is returned by a read that FailRead selects, and by a sync that FailSync selects.
+	// ErrIO is returned by reads selected by FailRead and by syncs selected by FailSync.
 	ErrIO = errors.New("input/output error")
 )
 
-// FaultFS is a directory in memory with the faults of real disks. Until a file is synced, each sector of each write and
-// each change of its size may or may not be on the medium after a power loss, in any combination. Until the directory
-// is synced, the same holds for each creation, renaming and removal. The choices are drawn from the seed.
+// FaultFS is an in-memory directory that simulates the faults of real disks. Until a file is synced, each sector of
+// each write and each change of the file size may or may not survive a power loss, in any combination. Until the
+// directory is synced, the same applies to each creation, renaming and removal. Which changes survive is determined by
+// the seed.
 //
 // The exported fields may be set between calls.
 type FaultFS struct {
-	// PowerLossAfter is the number of the write, sync, rename, removal or truncation at which the power fails, 0 for
-	// never.
+	// PowerLossAfter is the number of the operation (write, sync, rename, removal or truncation) at which the power
+	// fails; 0 means never.
 	PowerLossAfter int
-	// CapacityBytes is the number of bytes that fit, 0 for any number.
+	// CapacityBytes is the capacity of the disk; 0 means no limit.
 	CapacityBytes int64
 	// FailRead selects reads that fail.
 	FailRead func(name string, offset int64) bool
-	// ShortWrite selects writes that stop half way.
+	// ShortWrite selects writes that stop after half of their bytes.
 	ShortWrite func() bool
-	// FailSync selects syncs of files that fail. What was to be synced never comes to the medium, though the running
-	// system still reads it.
+	// FailSync selects file syncs that fail. The unsynced writes never reach the medium, though the running system
+	// still reads them.
 	FailSync func() bool
 
 	mu         sync.Mutex
 	rnd        *rand.Rand
-	names      map[string]*inode // as the running system sees them
-	durable    map[string]*inode // as the medium has them
+	names      map[string]*inode // directory entries as the running system sees them
+	durable    map[string]*inode // directory entries on the medium
 	unsynced   []nameChange
 	poweredOff bool
 	locked     bool
 	opCount    int
-	release    chan struct{} // closed when a hang ends
+	release    chan struct{} // closed when the current hang ends
 	hanging    bool
 }
 
-// nameChange says which inode a name stands for, nil for none. A renaming changes two names at once.
+// nameChange is a directory change: the new inode of each changed name, or nil for a removed name. A rename changes two
+// names at once.
 type nameChange map[string]*inode
 
 func (c nameChange) apply(names map[string]*inode) {
@@ -60,7 +62,7 @@
 	}
 }
 
-// NewFaultFS returns an empty directory.
+// NewFaultFS returns an empty directory whose random choices are determined by seed.
 func NewFaultFS(seed uint64) *FaultFS {
 	return &FaultFS{
 		rnd:     rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
@@ -76,7 +78,7 @@
 	return f.opCount
 }
 
-// Hang makes every call wait until release is called.
+// Hang makes every later call block until release is called.
 func (f *FaultFS) Hang() (release func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,7 +92,7 @@
 	}
 }
 
-// enter waits until no hang is under way and reports whether the power is on. It returns with mu locked.
+// enter waits until no hang is in progress and returns ErrPowerLoss if the power is off. It returns with mu locked.
 func (f *FaultFS) enter() error {
 	f.mu.Lock()
 	for f.hanging {
@@ -105,8 +107,8 @@
 	return nil
 }
 
-// countOp counts an operation and reports whether the power failed during it. Such an operation may or may not take
-// effect.
+// countOp counts an operation and reports whether the power failed during it. Such an operation may or may not have
+// taken effect after the restart.
 func (f *FaultFS) countOp() (powerLost bool) {
 	f.opCount++
 	if f.PowerLossAfter > 0 && f.opCount >= f.PowerLossAfter {
@@ -115,7 +117,7 @@
 	return f.poweredOff
 }
 
-// Restart turns the power on again; only what is on the medium remains.
+// Restart turns the power on again. Only the data on the medium remains.
 func (f *FaultFS) Restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,9 +143,9 @@
 	}
 }
 
-// restore settles which unsynced writes of a file are on the medium.
+// restore chooses at random which unsynced writes of a file have reached the medium.
 func (f *FaultFS) restore(node *inode) {
-	survival := [3]float64{0, 0.5, 1}[f.rnd.IntN(3)] // none, some or all survive
+	survival := [3]float64{0, 0.5, 1}[f.rnd.IntN(3)] // probability that a sector survives: none, some or all
 	for _, w := range node.pending {
 		node.commit(w, func() bool { return f.rnd.Float64() < survival })
 	}
@@ -250,7 +252,7 @@
 	return nil
 }
 
-// Lock implements FS. There is one lock whatever its name.
+// Lock implements FS. The directory has a single lock; its name is ignored.
 func (f *FaultFS) Lock(string) (func(), error) {
 	defer f.mu.Unlock()
 	if err := f.enter(); err != nil {
@@ -267,7 +269,7 @@
 	}, nil
 }
 
-// FlipBit inverts a bit of a file, on the medium and as the running system sees it.
+// FlipBit inverts a bit of a file, both on the medium and in the content that the running system sees.
 func (f *FaultFS) FlipBit(name string, offset int64, bit byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -279,7 +281,7 @@
 	}
 }
 
-// Contents returns a copy of a file as the running system sees it, nil if there is none.
+// Contents returns a copy of a file as the running system sees it, or nil if there is none.
 func (f *FaultFS) Contents(name string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -289,7 +291,7 @@
 	return nil
 }
 
-// usedBytes is the size of all files.
+// usedBytes returns the total size of all files.
 func (f *FaultFS) usedBytes() (sum int64) {
 	for _, node := range f.names {
 		sum += int64(len(node.data))
--- a/internal/diskcache/vfs/vfs.go
+++ b/internal/diskcache/vfs/vfs.go
@@ -1,8 +1,8 @@
-// Package vfs is the file system as the disk cache and the write-ahead log see it: one directory without
+// Package vfs is the file system interface of the disk cache and the write-ahead log: one directory without
 // subdirectories, whose files are read and written at offsets.
 //
-// [Dir] is a real directory. [FaultFS] is one in memory that loses power, fills up, hangs and flips bits on request.
-// The package does not cache, buffer or retry anything.
+// [Dir] is a real directory. [FaultFS] is an in-memory directory that simulates power losses, full disks, hangs and
+// flipped bits. The package does not cache, buffer or retry anything.
 package vfs
 
 import (
@@ -10,7 +10,7 @@
 	"io/fs"
 )
 
-// Errors that callers tell apart. Both file systems wrap them.
+// Errors that callers distinguish. Both implementations of FS wrap them.
 var (
 	ErrNoSpace  = errors.New("no space left")
 	ErrLocked   = errors.New("in use by another process")
@@ -23,24 +23,24 @@
 	WriteAt(p []byte, offset int64) (int, error)
 	Size() (int64, error)
 	Truncate(size int64) error
-	// Sync returns once everything written before survives a power loss.
+	// Sync makes earlier writes and truncations durable: after it returns nil, they survive a power loss.
 	Sync() error
 	Close() error
 }
 
-// FS is a directory. Names contain no separators. What Create, Rename and Remove did survives a power loss only after
-// the next SyncDir.
+// FS is a directory. Names contain no separators. The effects of Create, Rename and Remove survive a power loss only
+// after the next SyncDir.
 type FS interface {
-	// Create makes an empty file, or empties an existing one, and opens it for reading and writing.
+	// Create creates a file, or truncates an existing one, and opens it for reading and writing.
 	Create(name string) (File, error)
-	// Open opens a file for reading and writing; ErrNotExist if there is none.
+	// Open opens a file for reading and writing. It returns ErrNotExist if there is none.
 	Open(name string) (File, error)
-	// Rename replaces an existing file of the new name.
+	// Rename renames a file and replaces an existing file of the new name.
 	Rename(from, to string) error
 	Remove(name string) error
-	// List returns the names of all files in order.
+	// List returns the names of all files in lexical order.
 	List() ([]string, error)
 	SyncDir() error
-	// Lock takes the directory for this process until release is called; ErrLocked if another process holds it.
+	// Lock locks the directory for this process until release is called. It returns ErrLocked if it is locked already.
 	Lock(name string) (release func(), err error)
 }
