--- a/internal/diskcache/vfs/vfs_test.go
+++ b/internal/diskcache/vfs/vfs_test.go
@@ -17,7 +17,7 @@
 	return file
 }
 
-// Both file systems behave alike while nothing fails.
+// TestFileSystemsBehaveAlike runs the same operations on Dir and FaultFS. Without faults both must behave the same.
 func TestFileSystemsBehaveAlike(t *testing.T) {
 	dir, err := MakeDir(t.TempDir() + "/a/b")
 	require.NoError(t, err)
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestPowerLossKeepsWhatWasSynced loses the power between a sync and a later write, on the faulty disk that the
-// other tests use. A disk that loses too little hides faults of the store. What was synced must be there, and the
-// later write must be lost in some runs.
+// TestPowerLossKeepsWhatWasSynced simulates a power loss after an unsynced write that follows a sync. Synced data must
+// survive, and the unsynced write must be lost for some seeds: a simulated disk that loses too little would hide faults
+// of the store in the tests that use it.
 func TestPowerLossKeepsWhatWasSynced(t *testing.T) {
 	lost := false
 	for seed := range uint64(20) {
@@ -78,18 +78,18 @@
 		assert.Contains(t, []string{"synced", "UNSYNC"}, content, "a sector is written completely or not at all")
 		lost = lost || content == "synced"
 	}
-	assert.True(t, lost, "an unsynced write can be lost")
+	assert.True(t, lost, "an unsynced write must be lost for some seed")
 }
 
-// TestFaultsAreReturned fills the faulty disk, fails a read and flips a bit. Faults that it does not play would
-// leave the tests of the store without a cause to fail. Each must show as it does on a real disk.
+// TestFaultsAreReturned fills the simulated disk, fails a read and flips a bit. Each fault must have the same effect as
+// on a real disk, because the tests of the store inject faults this way.
 func TestFaultsAreReturned(t *testing.T) {
 	fs := NewFaultFS(1)
 	file := writeFile(t, fs, "file", "0123456789")
 	fs.CapacityBytes = 12
 	n, err := file.WriteAt([]byte("abcdef"), 10)
 	require.ErrorIs(t, err, ErrNoSpace)
-	assert.Equal(t, 3, n, "half of it is written")
+	assert.Equal(t, 3, n, "a short write writes half of its bytes")
 	fs.CapacityBytes = 0
 	fs.FailRead = func(name string, offset int64) bool { return name == "file" && offset == 4 }
 	_, err = file.ReadAt(make([]byte, 1), 4)
