--- a/internal/diskcache/cache.go
+++ b/internal/diskcache/cache.go
@@ -33,13 +33,13 @@
 }
 
 const (
-	// liveShare is the share of the space for live chunks. The rest holds dead records until compaction reclaims them.
-	liveShare = 0.85
-	// restoredGapSeconds is the mean time between requests assumed for a chunk whose access history was lost in a
+	// liveSpaceShare is the share of the space for live chunks. The rest holds dead records until they are compacted.
+	liveSpaceShare = 0.85
+	// restoredMeanGapSeconds is the mean time between requests assumed for a chunk whose access history was lost in a
 	// crash. It is short enough that the chunk is not evicted immediately.
-	restoredGapSeconds = 600
-	// retryPause is the delay after a failed write before the next write.
-	retryPause = time.Second
+	restoredMeanGapSeconds = 600
+	// writeRetryDelay is the delay after a failed write before the next write.
+	writeRetryDelay = time.Second
 )
 
 // Counter increments telemetry counters.
@@ -84,7 +84,7 @@
 		tracker: validity.NewTracker(config.MaxPurges),
 		policy: eviction.NewCafe(eviction.Config{
 			Alpha:           config.Alpha,
-			CapacityBytes:   int64(float64(config.SpaceBytes) * liveShare),
+			CapacityBytes:   int64(float64(config.SpaceBytes) * liveSpaceShare),
 			MaxGhosts:       config.MaxGhosts,
 			DailyWriteBytes: config.DailyWriteBytes,
 		}),
@@ -99,8 +99,8 @@
 	c.store = store
 	now := c.now()
 	c.purgeRecords.enqueue(c.tracker.Restore(report.Records, store.LastSeq(), now.UnixMillis()))
-	c.restorePolicy(report.Known, now.Seconds())
-	report.Known, report.Records = nil, nil
+	c.restorePolicy(report.AccessHistories, now.Seconds())
+	report.AccessHistories, report.Records = nil, nil
 	return c, report, nil
 }
 
@@ -119,7 +119,7 @@
 	for _, chunk := range all {
 		history, ok := known[chunk.key]
 		if !ok || history.LastAccess > now {
-			history = eviction.AccessHistory{MeanGap: restoredGapSeconds, LastAccess: now}
+			history = eviction.AccessHistory{MeanGap: restoredMeanGapSeconds, LastAccess: now}
 		}
 		for _, evicted := range c.policy.Restore(chunk.key, chunk.size, history) {
 			c.store.Delete(evicted)
@@ -169,14 +169,14 @@
 // Status describes the state of a Cache for operators.
 type Status struct {
 	validity.Status
-	Chunks         int
-	LiveBytes      int64
-	DiskBytes      int64
-	WriteBudget    float64 // bytes that may be written now
-	Ghosts         int     // uncached chunks whose access history is retained
-	IndexBytes     int64
-	PendingRecords int // purge records queued for writing
-	PendingWrites  int // chunks queued for writing
+	Chunks          int
+	LiveBytes       int64
+	DiskBytes       int64
+	WriteBudget     float64 // bytes that may be written now
+	UncachedEntries int     // uncached chunks whose access history is retained
+	IndexBytes      int64
+	PendingRecords  int // purge records queued for writing
+	PendingWrites   int // chunks queued for writing
 }
 
 // Status returns the current state.
@@ -190,7 +190,7 @@
 	s.LiveBytes, s.DiskBytes = c.store.Sizes()
 	c.policyMu.Lock()
 	s.WriteBudget = c.policy.WriteBudget(now.Seconds())
-	s.Ghosts = c.policy.Ghosts()
+	s.UncachedEntries = c.policy.UncachedEntries()
 	c.policyMu.Unlock()
 	s.IndexBytes = int64(s.Chunks) * IndexBytesPerChunk
 	s.PendingRecords = c.purgeRecords.count()
--- a/internal/diskcache/cache_events.go
+++ b/internal/diskcache/cache_events.go
@@ -7,15 +7,15 @@
 	"cairnfront/internal/diskcache/validity"
 )
 
-// inFlightTime is the maximum age of a copy that may still arrive; purges of this period are not pruned. It consists of
-// one hour in transit and one hour by which this machine's wall clock may have been ahead at the start.
-const inFlightTime = 2 * time.Hour
+// maxTransitTime is the maximum age of a copy that may still arrive; purges of this period are not pruned. It consists
+// of one hour in transit and one hour by which this machine's wall clock may have been ahead at the start.
+const maxTransitTime = 2 * time.Hour
 
 // Evaluate returns how a copy in memory or on the disk may be used now.
-func (c *Cache) Evaluate(copied validity.Copy) validity.Verdict {
+func (c *Cache) Evaluate(evaluated validity.Copy) validity.Verdict {
 	c.trackerMu.Lock()
 	defer c.trackerMu.Unlock()
-	return c.tracker.Evaluate(c.now().UnixMillis(), copied)
+	return c.tracker.Evaluate(c.now().UnixMillis(), evaluated)
 }
 
 func (c *Cache) purged(m Meta) bool {
@@ -78,7 +78,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(retryPause):
+			case <-time.After(writeRetryDelay):
 			}
 		}
 	}
@@ -89,18 +89,18 @@
 	records, rewrite := c.purgeRecords.take()
 	var err error
 	if rewrite {
-		err = c.store.RewritePurgeLog(c.shortestLog)
+		err = c.store.RewritePurgeLog(c.minimalPurgeLog)
 	} else if len(records) > 0 {
 		err = c.store.AppendPurgeRecords(records)
 	}
 	return c.purgeRecords.finish(records, rewrite, err)
 }
 
-// shortestLog prunes purges and returns the shortest list of records that restores the tracker's state.
-func (c *Cache) shortestLog() []validity.Record {
+// minimalPurgeLog prunes purges and returns the shortest list of records that restores the tracker's state.
+func (c *Cache) minimalPurgeLog() []validity.Record {
 	now, oldest := c.now(), c.store.OldestIssuedAt()
 	c.trackerMu.Lock()
 	defer c.trackerMu.Unlock()
-	c.tracker.PrunePurges(min(oldest, now.Add(-inFlightTime).UnixMillis()))
+	c.tracker.PrunePurges(min(oldest, now.Add(-maxTransitTime).UnixMillis()))
 	return c.tracker.Records(now.UnixMillis())
 }
--- a/internal/diskcache/cache_maintenance.go
+++ b/internal/diskcache/cache_maintenance.go
@@ -13,7 +13,7 @@
 const (
 	maintenanceInterval = 500 * time.Millisecond
 	checkpointInterval  = 10 * time.Second // between checkpoint records, which hold the clock and stream position
-	longPurgeLogBytes   = 4 << 20          // size above which the purge log is rewritten
+	maxPurgeLogBytes    = 4 << 20          // size above which the purge log is rewritten
 )
 
 // maintenanceLoop periodically compacts segments, requests rewrites of a long purge log, and writes checkpoints and
@@ -34,7 +34,7 @@
 			checkpointAt = now
 			c.writeCheckpoint(now)
 		}
-		if c.store.PurgeLogBytes() > longPurgeLogBytes {
+		if c.store.PurgeLogBytes() > maxPurgeLogBytes {
 			c.purgeRecords.requestRewrite()
 			c.purgeRecords.enqueue([]validity.Record{{Kind: validity.Checkpoint}}) // wakes purgeRecordLoop
 		}
@@ -64,7 +64,7 @@
 
 // compact compacts segments until none is below the threshold. Chunks that a purge has invalidated are dropped.
 func (c *Cache) compact(ctx context.Context) {
-	wanted := func(m Meta) bool {
+	retain := func(m Meta) bool {
 		if c.purged(m) {
 			c.removeFromPolicy(m.Key)
 			return false
@@ -76,7 +76,7 @@
 		if !ok {
 			return
 		}
-		result, err := c.store.Compact(id, wanted)
+		result, err := c.store.Compact(id, retain)
 		c.counter.IncBy(telemetry.DiskBytesFreed, result.Freed)
 		if err != nil {
 			c.counter.Inc(telemetry.DiskCompactionsFailed)
--- a/internal/diskcache/cache_test.go
+++ b/internal/diskcache/cache_test.go
@@ -17,14 +17,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-type counts struct {
+type testCounter struct {
 	mu sync.Mutex
 	m  map[string]int64
 }
 
-func (c *counts) Inc(counter telemetry.Counter) { c.IncBy(counter, 1) }
+func (c *testCounter) Inc(counter telemetry.Counter) { c.IncBy(counter, 1) }
 
-func (c *counts) IncBy(counter telemetry.Counter, n int64) {
+func (c *testCounter) IncBy(counter telemetry.Counter, n int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.m == nil {
@@ -33,7 +33,7 @@
 	c.m[counter.String()] += n
 }
 
-func (c *counts) get(name string) int64 { c.mu.Lock(); defer c.mu.Unlock(); return c.m[name] }
+func (c *testCounter) get(name string) int64 { c.mu.Lock(); defer c.mu.Unlock(); return c.m[name] }
 
 var testConfig = Config{
 	SpaceBytes: 1 << 20, SegmentBytes: 16 << 10, Alpha: 1, MaxGhosts: 1000, Readers: 2, ReadQueue: 4,
@@ -41,7 +41,7 @@
 }
 
 // openStopped opens a cache without calling Run.
-func openStopped(t *testing.T, fs vfs.FS, config Config, counters *counts) *Cache {
+func openStopped(t *testing.T, fs vfs.FS, config Config, counters *testCounter) *Cache {
 	t.Helper()
 	cache, _, err := OpenCache(fs, config, counters, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
@@ -49,9 +49,9 @@
 }
 
 // running opens a cache, starts Run and catches up with an event stream of one event. The returned function stops Run.
-func running(t *testing.T, fs vfs.FS, config Config) (*Cache, *counts, func()) {
+func startCache(t *testing.T, fs vfs.FS, config Config) (*Cache, *testCounter, func()) {
 	t.Helper()
-	counters := &counts{}
+	counters := &testCounter{}
 	cache := openStopped(t, fs, config, counters)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -65,12 +65,13 @@
 	return cache, counters, stop
 }
 
-func admitted(t *testing.T, cache *Cache, object int, dated int64) {
+func admitAndWait(t *testing.T, cache *Cache, object int, issuedAt int64) {
 	t.Helper()
 	for range 2 { // the policy does not admit the first request
-		cache.Admit(meta(k(object, 0), dated), body(k(object, 0), dated, 300), cache.Epoch())
+		cache.Admit(meta(chunkKey(object, 0), issuedAt), body(chunkKey(object, 0), issuedAt, 300), cache.Epoch())
 	}
-	require.Eventually(t, func() bool { return cache.store.Contains(k(object, 0)) }, 5*time.Second, time.Millisecond)
+	require.Eventually(
+		t, func() bool { return cache.store.Contains(chunkKey(object, 0)) }, 5*time.Second, time.Millisecond)
 }
 
 // TestRestartKeepsChunksNotPurgedMeanwhile restarts a cache and applies purges that were published while it was down.
@@ -78,27 +79,27 @@
 // cache is not empty after a restart.
 func TestRestartKeepsChunksNotPurgedMeanwhile(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	cache, _, stop := running(t, fs, testConfig)
+	cache, _, stop := startCache(t, fs, testConfig)
 	for object := range 5 {
-		admitted(t, cache, object, 100)
+		admitAndWait(t, cache, object, 100)
 	}
-	_, verdict, err := cache.Get(k(1, 0))
+	_, verdict, err := cache.Get(chunkKey(1, 0))
 	require.NoError(t, err)
 	assert.Equal(t, validity.Valid, verdict)
 	stop()
 	require.NoError(t, cache.Close())
 
-	cache, _, _ = running(t, fs, testConfig)
+	cache, _, _ = startCache(t, fs, testConfig)
 	cache.Apply(validity.Event{Number: 2, Purge: true, Object: 1, PurgedAt: 150})
 	cache.Apply(validity.Event{Number: 3, Purge: true, ByGroup: true, Group: 2, PurgedAt: 150})
-	_, _, err = cache.Get(k(1, 0))
+	_, _, err = cache.Get(chunkKey(1, 0))
 	require.ErrorIs(t, err, ErrInvalidated)
-	_, _, err = cache.Get(k(2, 0))
+	_, _, err = cache.Get(chunkKey(2, 0))
 	require.ErrorIs(t, err, ErrInvalidated)
-	chunk, verdict, err := cache.Get(k(3, 0))
+	chunk, verdict, err := cache.Get(chunkKey(3, 0))
 	require.NoError(t, err)
 	assert.Equal(t, validity.Valid, verdict)
-	assert.Equal(t, body(k(3, 0), 100, 300), chunk.Body)
+	assert.Equal(t, body(chunkKey(3, 0), 100, 300), chunk.Body)
 }
 
 // TestFlushedPurgeSurvivesPowerLoss simulates a power loss after a purge was flushed. If the acknowledged purge were
@@ -106,8 +107,8 @@
 // requested again.
 func TestFlushedPurgeSurvivesPowerLoss(t *testing.T) {
 	fs := vfs.NewFaultFS(3)
-	cache, _, stop := running(t, fs, testConfig)
-	admitted(t, cache, 1, 100)
+	cache, _, stop := startCache(t, fs, testConfig)
+	admitAndWait(t, cache, 1, 100)
 	require.NoError(t, cache.store.Sync())
 	cache.Apply(validity.Event{Number: 2, Checksum: 9, Purge: true, Object: 1, PurgedAt: 150})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -117,7 +118,7 @@
 	_ = cache.store.Sync()
 	stop()
 	fs.Restart()
-	cache = openStopped(t, fs, testConfig, &counts{})
+	cache = openStopped(t, fs, testConfig, &testCounter{})
 	assert.Equal(t, validity.Invalidated, cache.Evaluate(validity.Copy{Object: 1, IssuedAt: 100, Seq: 1}))
 	assert.Equal(t, uint64(1), cache.ResumeAfter(), "the last event must be requested again")
 }
@@ -126,28 +127,28 @@
 // full. New chunks must be declined once the write queue is full, and purges must still take effect.
 func TestHangingDiskCostsOnlyMisses(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	cache, counters, stop := running(t, fs, testConfig)
+	cache, counters, stop := startCache(t, fs, testConfig)
 	for object := range 30 {
-		admitted(t, cache, object, 100)
+		admitAndWait(t, cache, object, 100)
 	}
 	release := fs.Hang()
-	slow, busy := 0, 0
+	timedOut, rejected := 0, 0
 	for object := range 30 {
-		_, _, err := cache.Get(k(object, 0))
+		_, _, err := cache.Get(chunkKey(object, 0))
 		switch {
 		case errors.Is(err, ErrReadTimeout):
-			slow++
+			timedOut++
 		case errors.Is(err, ErrReadQueueFull):
-			busy++
+			rejected++
 		default:
 			t.Fatalf("a read from a hanging disk: %v", err)
 		}
 	}
-	assert.LessOrEqual(t, slow, testConfig.Readers+testConfig.ReadQueue)
-	assert.Equal(t, 30, slow+busy)
+	assert.LessOrEqual(t, timedOut, testConfig.Readers+testConfig.ReadQueue)
+	assert.Equal(t, 30, timedOut+rejected)
 	for object := range 500 {
 		for range 2 {
-			cache.Admit(meta(k(1000+object, 0), 100), body(k(1000+object, 0), 100, 300), cache.Epoch())
+			cache.Admit(meta(chunkKey(1000+object, 0), 100), body(chunkKey(1000+object, 0), 100, 300), cache.Epoch())
 		}
 	}
 	assert.Positive(t, counters.get("disk_offer_queue_full_total"))
@@ -161,7 +162,7 @@
 	)
 	release()
 	readable := func() bool {
-		_, _, err := cache.Get(k(1, 0))
+		_, _, err := cache.Get(chunkKey(1, 0))
 		return err == nil
 	}
 	require.Eventually(t, readable, 5*time.Second, time.Millisecond)
@@ -173,15 +174,15 @@
 // the disk after the purge and must not be treated as newer: it must not be readable.
 func TestPurgeAppliesToChunkBeingWritten(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	cache, _, _ := running(t, fs, testConfig)
+	cache, _, _ := startCache(t, fs, testConfig)
 	release := fs.Hang()
 	for range 2 {
-		cache.Admit(meta(k(1, 0), 100), body(k(1, 0), 100, 300), cache.Epoch())
+		cache.Admit(meta(chunkKey(1, 0), 100), body(chunkKey(1, 0), 100, 300), cache.Epoch())
 	}
 	cache.Apply(validity.Event{Number: 2, Purge: true, Object: 1, PurgedAt: 150})
 	release()
-	admitted(t, cache, 2, 200)
-	_, _, err := cache.Get(k(1, 0))
+	admitAndWait(t, cache, 2, 200)
+	_, _, err := cache.Get(chunkKey(1, 0))
 	assert.Error(t, err)
 }
 
@@ -189,16 +190,16 @@
 // chunk may be older than a missed purge, and a new sequence number would make it look newer. It must not be admitted,
 // and older copies must be unconfirmed until the upstream confirms them.
 func TestFillRequestedInEarlierEpochIsNotStored(t *testing.T) {
-	cache, _, _ := running(t, vfs.NewFaultFS(1), testConfig)
-	admitted(t, cache, 1, 100)
+	cache, _, _ := startCache(t, vfs.NewFaultFS(1), testConfig)
+	admitAndWait(t, cache, 1, 100)
 	before := cache.Epoch()
 	cache.Apply(validity.Event{Number: 9}) // a gap
-	assert.False(t, cache.Admit(meta(k(2, 0), 100), body(k(2, 0), 100, 300), before))
-	_, verdict, err := cache.Get(k(1, 0))
+	assert.False(t, cache.Admit(meta(chunkKey(2, 0), 100), body(chunkKey(2, 0), 100, 300), before))
+	_, verdict, err := cache.Get(chunkKey(1, 0))
 	require.NoError(t, err)
 	assert.Equal(t, validity.Unconfirmed, verdict)
-	cache.Confirm(k(1, 0), cache.store.LastSeq(), cache.Epoch())
-	_, verdict, _ = cache.Get(k(1, 0))
+	cache.Confirm(chunkKey(1, 0), cache.store.LastSeq(), cache.Epoch())
+	_, verdict, _ = cache.Get(chunkKey(1, 0))
 	assert.Equal(t, validity.Valid, verdict)
 }
 
@@ -207,10 +208,10 @@
 func TestSpaceStaysWithinBound(t *testing.T) {
 	config := testConfig
 	config.SpaceBytes = 64 << 10
-	cache, _, _ := running(t, vfs.NewFaultFS(1), config)
+	cache, _, _ := startCache(t, vfs.NewFaultFS(1), config)
 	for i := range 3000 {
 		object := i % 400
-		cache.Admit(meta(k(object, 0), 100), body(k(object, 0), 100, 300), cache.Epoch())
+		cache.Admit(meta(chunkKey(object, 0), 100), body(chunkKey(object, 0), 100, 300), cache.Epoch())
 		if i%50 == 0 {
 			cache.compact(context.Background())
 			_, all := cache.store.Sizes()
@@ -223,7 +224,7 @@
 // dropped from the queue would be lost at a restart. The complete log must be rewritten instead.
 func TestFullRecordQueueRewritesPurgeLog(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	cache, _, stop := running(t, fs, testConfig)
+	cache, _, stop := startCache(t, fs, testConfig)
 	release := fs.Hang()
 	for n := range uint64(maxPendingRecords + 10) {
 		cache.Apply(validity.Event{Number: 2 + n, Purge: true, Object: n % 1000, PurgedAt: int64(n)})
@@ -234,7 +235,7 @@
 	require.NoError(t, cache.Flush(ctx))
 	stop()
 	require.NoError(t, cache.Close())
-	reopened := openStopped(t, fs, testConfig, &counts{})
+	reopened := openStopped(t, fs, testConfig, &testCounter{})
 	assert.Equal(t, uint64(maxPendingRecords+10), reopened.ResumeAfter())
 }
 
@@ -242,17 +243,17 @@
 // because the policy would not count its space.
 func TestChunkEvictedWhileWaitingIsNotWritten(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	cache, counters, _ := running(t, fs, testConfig)
+	cache, counters, _ := startCache(t, fs, testConfig)
 	release := fs.Hang()
 	for range 2 {
-		cache.Admit(meta(k(1, 0), 100), body(k(1, 0), 100, 300), cache.Epoch())
-		cache.Admit(meta(k(2, 0), 100), body(k(2, 0), 100, 300), cache.Epoch())
-		cache.Admit(meta(k(3, 0), 100), body(k(3, 0), 100, 300), cache.Epoch())
+		cache.Admit(meta(chunkKey(1, 0), 100), body(chunkKey(1, 0), 100, 300), cache.Epoch())
+		cache.Admit(meta(chunkKey(2, 0), 100), body(chunkKey(2, 0), 100, 300), cache.Epoch())
+		cache.Admit(meta(chunkKey(3, 0), 100), body(chunkKey(3, 0), 100, 300), cache.Epoch())
 	}
-	cache.removeFromPolicy(k(2, 0)) // simulates an eviction by another chunk
+	cache.removeFromPolicy(chunkKey(2, 0)) // simulates an eviction by another chunk
 	release()
 	bothWritten := func() bool { return counters.get("disk_chunks_written_total") == 2 }
 	require.Eventually(t, bothWritten, 5*time.Second, time.Millisecond)
-	assert.False(t, cache.store.Contains(k(2, 0)))
-	assert.True(t, cache.store.Contains(k(3, 0)))
+	assert.False(t, cache.store.Contains(chunkKey(2, 0)))
+	assert.True(t, cache.store.Contains(chunkKey(3, 0)))
 }
--- a/internal/diskcache/cache_write.go
+++ b/internal/diskcache/cache_write.go
@@ -33,7 +33,7 @@
 
 // Admit offers a fetched chunk to the eviction policy. An admitted chunk is written in the background. epoch is the
 // value of Epoch when the chunk was requested: a copy from an earlier epoch may have missed a purge and is not stored.
-func (c *Cache) Admit(m Meta, body []byte, epoch uint16) (admitted bool) {
+func (c *Cache) Admit(m Meta, body []byte, epoch uint16) (admitAndWait bool) {
 	if c.Epoch() != epoch || c.writesPaused() {
 		return false
 	}
@@ -59,8 +59,8 @@
 	}
 }
 
-// writesPaused reports whether a write failed less than retryPause ago. While a disk is full or broken, every write
-// would block and then fail, so no chunks are admitted during this time.
+// writesPaused reports whether a write failed less than writeRetryDelay ago. While a disk is full or broken, every
+// write would block and then fail, so no chunks are admitted during this time.
 func (c *Cache) writesPaused() bool { return int64(c.now()) < c.writesPausedUntil.Load() }
 
 // Delete removes a chunk from the index and from the eviction policy.
@@ -124,7 +124,7 @@
 	}
 	if _, err := c.store.Put(request.meta, request.body); err != nil {
 		c.removeFromPolicy(key)
-		c.writesPausedUntil.Store(int64(c.now().Add(retryPause)))
+		c.writesPausedUntil.Store(int64(c.now().Add(writeRetryDelay)))
 		c.counter.Inc(telemetry.DiskWritesFailed)
 		return false
 	}
--- a/internal/diskcache/compaction.go
+++ b/internal/diskcache/compaction.go
@@ -9,12 +9,12 @@
 
 // Thresholds of compaction, as fractions.
 const (
-	// sparseShare is the share of live bytes below which a segment is compacted: less is written than reclaimed.
-	sparseShare = 0.5
-	// tightShare is the disk usage, as a share of the space, above which segments up to denseShare are compacted too.
-	tightShare = 0.92
-	// denseShare is the share of live bytes from which compaction reclaims too little even if disk usage is high.
-	denseShare = 0.95
+	// sparseLiveShare is the share of live bytes below which a segment is compacted: less is written than reclaimed.
+	sparseLiveShare = 0.5
+	// highUsageShare is the share of the space in use above which segments up to denseLiveShare are compacted too.
+	highUsageShare = 0.92
+	// denseLiveShare is the share of live bytes from which compaction reclaims too little even if disk usage is high.
+	denseLiveShare = 0.95
 )
 
 // SegmentUsage describes the size and live bytes of a segment. The JSON keys are part of the output of
@@ -44,10 +44,10 @@
 // maxLiveShare returns the share of live bytes below which a segment is compacted. It is higher while disk usage is
 // high: without space for the next segment, no chunk could be written at all.
 func maxLiveShare(usedBytes, spaceBytes int64) float64 {
-	if float64(usedBytes) > tightShare*float64(spaceBytes) {
-		return denseShare
+	if float64(usedBytes) > highUsageShare*float64(spaceBytes) {
+		return denseLiveShare
 	}
-	return sparseShare
+	return sparseLiveShare
 }
 
 // SegmentUsage returns the usage of each segment.
@@ -76,10 +76,10 @@
 	written int64 // bytes of moved records
 }
 
-// Compact rewrites a sealed segment: live records for which wanted returns true are copied to the active segment, then
+// Compact rewrites a sealed segment: live records for which retain returns true are copied to the active segment, then
 // the file is removed. After a crash a record may exist twice, with the same sequence number. Concurrent writes are
 // allowed.
-func (s *Store) Compact(id uint32, wanted func(Meta) bool) (CompactionResult, error) {
+func (s *Store) Compact(id uint32, retain func(Meta) bool) (CompactionResult, error) {
 	var result CompactionResult
 	seg, live, err := s.beginCompaction(id)
 	if err != nil {
@@ -92,14 +92,14 @@
 		seg.closeIfRemoved()
 	}()
 	for i := range live {
-		if err := s.moveRecord(seg, &live[i], wanted, &result); err != nil {
+		if err := s.moveRecord(seg, &live[i], retain, &result); err != nil {
 			return result, err
 		}
 	}
 	if err := s.Sync(); err != nil { // moved records must be durable before their old segment is removed
 		return result, s.reportWriteError(StoreError{File: seg.name, Err: err})
 	}
-	if err := s.forgetSegment(seg); err != nil {
+	if err := s.removeSegment(seg); err != nil {
 		return result, err
 	}
 	result.Freed = seg.size - result.written
@@ -128,9 +128,9 @@
 	return seg, live, nil
 }
 
-// moveRecord copies a record to the active segment. It deletes the chunk instead if wanted returns false or the record
+// moveRecord copies a record to the active segment. It deletes the chunk instead if retain returns false or the record
 // cannot be read.
-func (s *Store) moveRecord(seg *segment, loc *location, wanted func(Meta) bool, result *CompactionResult) error {
+func (s *Store) moveRecord(seg *segment, loc *location, retain func(Meta) bool, result *CompactionResult) error {
 	chunk, err := s.readRecord(seg, *loc)
 	if errors.Is(err, vfs.ErrPowerLoss) {
 		return err
@@ -147,7 +147,7 @@
 		})
 		return nil //nolint:nilerr // reported: it costs this chunk only, and the compaction goes on
 	}
-	if !wanted(chunk.Meta) {
+	if !retain(chunk.Meta) {
 		result.Dropped++
 		s.deleteIf(loc.key(), loc.seq)
 		return nil
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// forgetSegment removes a segment from the store's state. All its records must have been moved or deleted.
-func (s *Store) forgetSegment(seg *segment) error {
+// removeSegment removes a segment from the store's state. All its records must have been moved or deleted.
+func (s *Store) removeSegment(seg *segment) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if seg.liveBytes != 0 { // unreachable: nothing is appended to a sealed segment
--- a/internal/diskcache/errors.go
+++ b/internal/diskcache/errors.go
@@ -14,31 +14,31 @@
 
 // The codes of faults.
 const (
-	CodeBadHeader      FaultCode = iota + 1 // a record's header is invalid
-	CodeBadBody                             // a record's body does not match its checksum
-	CodeTruncated                           // a segment ends in the middle of a record
-	CodeMissingSegment                      // a segment listed in the index snapshot does not exist
-	CodeBadSegment                          // a segment's header is invalid or cannot be read
-	CodeBadPurgeLog                         // the purge log contains bytes that are not a valid record
-	CodeBadSnapshot                         // the index snapshot is invalid
-	CodeReadFailed                          // a disk read failed
-	CodeDiskFull                            // a write failed because the disk has no space left
-	CodeWriteFailed                         // a write failed for a reason other than lack of space
-	CodeOtherFormat                         // the folder has an unsupported format version
+	CodeBadHeader         FaultCode = iota + 1 // a record's header is invalid
+	CodeBadBody                                // a record's body does not match its checksum
+	CodeTruncated                              // a segment ends in the middle of a record
+	CodeMissingSegment                         // a segment listed in the index snapshot does not exist
+	CodeBadSegment                             // a segment's header is invalid or cannot be read
+	CodeBadPurgeLog                            // the purge log contains bytes that are not a valid record
+	CodeBadSnapshot                            // the index snapshot is invalid
+	CodeReadFailed                             // a disk read failed
+	CodeDiskFull                               // a write failed because the disk has no space left
+	CodeWriteFailed                            // a write failed for a reason other than lack of space
+	CodeUnsupportedFormat                      // the folder has an unsupported format version
 )
 
 var faultCodeTexts = [...]string{
-	CodeBadHeader:      "bad_header",
-	CodeBadBody:        "bad_body",
-	CodeTruncated:      "truncated",
-	CodeMissingSegment: "missing_segment",
-	CodeBadSegment:     "bad_segment",
-	CodeBadPurgeLog:    "bad_purge_log",
-	CodeBadSnapshot:    "bad_snapshot",
-	CodeReadFailed:     "read_failed",
-	CodeDiskFull:       "disk_full",
-	CodeWriteFailed:    "write_failed",
-	CodeOtherFormat:    "unsupported_format",
+	CodeBadHeader:         "bad_header",
+	CodeBadBody:           "bad_body",
+	CodeTruncated:         "truncated",
+	CodeMissingSegment:    "missing_segment",
+	CodeBadSegment:        "bad_segment",
+	CodeBadPurgeLog:       "bad_purge_log",
+	CodeBadSnapshot:       "bad_snapshot",
+	CodeReadFailed:        "read_failed",
+	CodeDiskFull:          "disk_full",
+	CodeWriteFailed:       "write_failed",
+	CodeUnsupportedFormat: "unsupported_format",
 }
 
 // String returns the text of the code as used in log lines and metrics.
@@ -56,28 +56,28 @@
 	// ErrChunkTooLong is returned for a chunk whose entity tag or body is longer than the format allows.
 	ErrChunkTooLong = errors.New("tag or body is too long")
 
-	errClosed       = errors.New("disk cache is closed")
-	errNotSealed    = errors.New("segment does not exist or is not sealed, or the disk cache is closed")
-	errLiveBytes    = errors.New("segment still has live bytes")
-	errShortHeader  = errors.New("header is too short")
-	errOtherVersion = errors.New("unsupported version")
-	errOtherSegment = errors.New("header belongs to another segment")
+	errClosed             = errors.New("disk cache is closed")
+	errNotSealed          = errors.New("segment does not exist or is not sealed, or the disk cache is closed")
+	errLiveBytes          = errors.New("segment still has live bytes")
+	errShortHeader        = errors.New("header is too short")
+	errUnsupportedVersion = errors.New("unsupported version")
+	errWrongSegment       = errors.New("header belongs to another segment")
 )
 
 // Reasons why a record is invalid. Each is wrapped in a StoreError, whose code classifies the fault.
 var (
-	errNoRecord       = errors.New("no record at this offset")
-	errHeaderChecksum = errors.New("head's checksum does not hold")
-	errBodyChecksum   = errors.New("body's checksum does not hold")
-	errOtherRecord    = errors.New("record belongs to another chunk")
-	errUnknownRecord  = errors.New("record has an unknown version or kind")
-	errRecordTooLong  = errors.New("record's tag or body is too long")
-	errRecordCutOff   = errors.New("file ends in the middle of the record")
+	errNoRecord        = errors.New("no record at this offset")
+	errHeaderChecksum  = errors.New("head's checksum does not hold")
+	errBodyChecksum    = errors.New("body's checksum does not hold")
+	errWrongChunk      = errors.New("record belongs to another chunk")
+	errUnknownRecord   = errors.New("record has an unknown version or kind")
+	errRecordTooLong   = errors.New("record's tag or body is too long")
+	errRecordTruncated = errors.New("file ends in the middle of the record")
 )
 
 // Reasons why an index snapshot, or a part of it, is invalid.
 var (
-	errNoSnapshot          = errors.New("not a snapshot of the supported version")
+	errNotASnapshot        = errors.New("not a snapshot of the supported version")
 	errSnapshotSize        = errors.New("snapshot size does not match its header")
 	errSnapshotChecksum    = errors.New("snapshot checksum mismatch")
 	errSnapshotSegment     = errors.New("snapshot covers a segment up to an invalid offset")
--- a/internal/diskcache/eviction/cafe.go
+++ b/internal/diskcache/eviction/cafe.go
@@ -27,14 +27,14 @@
 // request, both estimated from the mean gap between requests (inter-arrival time) of chunks. It is not safe for
 // concurrent use.
 //
-// Its memory is EntryBytes for each cached chunk and each of up to MaxGhosts ghost entries.
+// Its memory is EntryBytes for each cached chunk and each of up to MaxGhosts uncached chunks.
 type Cafe struct {
 	config       Config
 	fillCost     float64 // C_F of the paper
 	redirectCost float64 // C_R of the paper
 	entries      map[Key]*entry
 	cached       *btree.BTreeG[*entry] // cached chunks, largest mean gap first
-	ghosts       entryList             // uncached chunks, least recently requested first
+	uncached     entryList             // uncached chunks, least recently requested first
 	byObject     map[uint64][]*entry   // cached chunks of each object
 	chunks       int                   // number of cached chunks
 	bytes        int64                 // total size of cached chunks
@@ -52,12 +52,12 @@
 		fillCost:     2 * config.Alpha / (config.Alpha + 1),
 		redirectCost: 2 / (config.Alpha + 1),
 		entries:      map[Key]*entry{},
-		cached:       btree.NewG(treeDegree, byRank),
+		cached:       btree.NewG(treeDegree, byDescendingGap),
 		byObject:     map[uint64][]*entry{},
 		firstRequest: math.NaN(),
 		budget:       newWriteBudget(config.DailyWriteBytes),
 	}
-	c.ghosts.init()
+	c.uncached.init()
 	return c
 }
 
@@ -67,8 +67,8 @@
 // Chunks returns the number of cached chunks.
 func (c *Cafe) Chunks() int { return c.chunks }
 
-// Ghosts returns the number of uncached chunks whose access history is retained.
-func (c *Cafe) Ghosts() int { return c.ghosts.count }
+// UncachedEntries returns the number of uncached chunks whose access history is retained.
+func (c *Cafe) UncachedEntries() int { return c.uncached.count }
 
 // Contains reports whether a chunk is cached.
 func (c *Cafe) Contains(key Key) bool {
@@ -128,7 +128,7 @@
 	if e == nil { // the cache age is the initial mean gap of an unseen chunk
 		e = &entry{key: key, meanGap: age, lastAccess: now}
 		c.entries[key] = e
-		c.ghosts.pushBack(e)
+		c.uncached.pushBack(e)
 	}
 	e.size = size
 	c.recordAccess(e, now)
@@ -138,10 +138,10 @@
 			decision.Evict = append(decision.Evict, victim.key)
 			c.evict(victim)
 		}
-		c.budget.take(size)
+		c.budget.spend(size)
 		c.admit(e)
 	}
-	c.trimGhosts()
+	c.trimUncached()
 	return decision
 }
 
@@ -191,26 +191,26 @@
 	if e.cached {
 		c.cached.Delete(e)
 	} else {
-		c.ghosts.remove(e)
+		c.uncached.remove(e)
 	}
 	e.meanGap = e.gap(now)
 	e.lastAccess = max(now, e.lastAccess)
 	c.insert(e)
 }
 
-// insert adds an entry to the tree of cached chunks or the list of ghost entries.
+// insert adds an entry to the tree of cached chunks or the list of uncached ones.
 func (c *Cafe) insert(e *entry) {
-	e.updateRank()
+	e.updateSortKey()
 	if e.cached {
 		c.cached.ReplaceOrInsert(e)
 	} else {
-		c.ghosts.pushBack(e)
+		c.uncached.pushBack(e)
 	}
 }
 
-// admit turns a ghost entry into the entry of a cached chunk.
+// admit marks the chunk of an entry as cached and moves the entry from the list to the tree.
 func (c *Cafe) admit(e *entry) {
-	c.ghosts.remove(e)
+	c.uncached.remove(e)
 	e.cached = true
 	c.chunks++
 	c.bytes += e.size
@@ -218,14 +218,14 @@
 	c.insert(e)
 }
 
-// evict turns the entry of a cached chunk into a ghost entry.
+// evict marks the chunk of an entry as uncached and moves the entry from the tree to the list.
 func (c *Cafe) evict(e *entry) {
 	c.cached.Delete(e)
 	e.cached = false
 	c.chunks--
 	c.bytes -= e.size
 	c.removeFromObject(e)
-	c.ghosts.pushBack(e)
+	c.uncached.pushBack(e)
 }
 
 // removeFromObject removes an entry from the list of its object's cached chunks.
@@ -244,11 +244,11 @@
 	c.byObject[e.key.Object] = chunks
 }
 
-// trimGhosts removes the least recently used ghost entries while there are more than MaxGhosts.
-func (c *Cafe) trimGhosts() {
-	for c.ghosts.count > c.config.MaxGhosts {
-		oldest := c.ghosts.front()
-		c.ghosts.remove(oldest)
+// trimUncached removes the least recently used entries of uncached chunks while there are more than MaxGhosts.
+func (c *Cafe) trimUncached() {
+	for c.uncached.count > c.config.MaxGhosts {
+		oldest := c.uncached.front()
+		c.uncached.remove(oldest)
 		delete(c.entries, oldest.key)
 	}
 }
@@ -257,7 +257,7 @@
 func (c *Cafe) Remove(key Key) {
 	if e := c.entries[key]; e != nil && e.cached {
 		c.evict(e)
-		c.trimGhosts()
+		c.trimUncached()
 	}
 }
 
@@ -286,7 +286,7 @@
 	if e == nil {
 		e = &entry{key: key}
 		c.entries[key] = e
-		c.ghosts.pushBack(e)
+		c.uncached.pushBack(e)
 	}
 	e.size = size
 	e.meanGap = max(history.MeanGap, 0)
@@ -298,6 +298,6 @@
 		evicted = append(evicted, victim.key)
 		c.evict(victim)
 	}
-	c.trimGhosts()
+	c.trimUncached()
 	return evicted
 }
--- a/internal/diskcache/eviction/cafe_test.go
+++ b/internal/diskcache/eviction/cafe_test.go
@@ -73,13 +73,13 @@
 }
 
 // TestChunksRequestedOnceDoNotDisplace requests a thousand chunks once each, like a scan of the entire catalog. None
-// may be admitted, or the scan would evict all popular chunks, and the number of ghost entries must stay bounded.
+// may be admitted, or the scan would evict all popular chunks, and the number of uncached entries must stay bounded.
 func TestChunksRequestedOnceDoNotDisplace(t *testing.T) {
 	c := fullDisk(2)
 	for i := range 1000 {
 		assert.False(t, c.Request(20+float64(i)/1000, key(100+i, 0), 10).Admit)
 	}
-	assert.LessOrEqual(t, c.Ghosts(), 100, "the number of ghost entries is bounded")
+	assert.LessOrEqual(t, c.UncachedEntries(), 100, "the number of uncached entries is bounded")
 }
 
 // TestWriteBudgetLimitsWrites admits and removes popular chunks for an hour. Without a budget the writes would wear out
@@ -121,7 +121,7 @@
 
 const (
 	modelCapacityBytes = 500
-	modelMaxGhosts     = 20
+	modelMaxUncached   = 20
 )
 
 // cafeModel executes random requests and removals and maintains its own map of cached chunks.
@@ -138,7 +138,7 @@
 		policy: NewCafe(Config{
 			Alpha:           rapid.SampledFrom([]float64{0.5, 1, 2, 4}).Draw(t, "alpha"),
 			CapacityBytes:   modelCapacityBytes,
-			MaxGhosts:       modelMaxGhosts,
+			MaxGhosts:       modelMaxUncached,
 			DailyWriteBytes: rapid.SampledFrom([]int64{0, 100000}).Draw(t, "daily"),
 		}),
 		now:    1000,
@@ -161,9 +161,9 @@
 func (m *cafeModel) request(k Key) {
 	size := int64(10 + k.Object*7)
 	decision := m.policy.Request(m.now, k, size)
-	_, had := m.cached[k]
-	if decision.Cached != had {
-		m.t.Fatalf("cached %v, was cached %v", decision.Cached, had)
+	_, present := m.cached[k]
+	if decision.Cached != present {
+		m.t.Fatalf("cached %v, was cached %v", decision.Cached, present)
 	}
 	if decision.Admit {
 		m.cached[k] = size
@@ -182,8 +182,9 @@
 	for _, size := range m.cached {
 		sum += size
 	}
-	if sum != c.Bytes() || len(m.cached) != c.Chunks() || sum > modelCapacityBytes || c.Ghosts() > modelMaxGhosts ||
-		len(c.entries) != c.Chunks()+c.Ghosts() || c.cached.Len() != c.Chunks() {
+	if sum != c.Bytes() || len(m.cached) != c.Chunks() ||
+		sum > modelCapacityBytes || c.UncachedEntries() > modelMaxUncached ||
+		len(c.entries) != c.Chunks()+c.UncachedEntries() || c.cached.Len() != c.Chunks() {
 		m.t.Fatalf("accounting disagrees: %d %d, %d %d", sum, c.Bytes(), len(m.cached), c.Chunks())
 	}
 }
--- a/internal/diskcache/eviction/entry.go
+++ b/internal/diskcache/eviction/entry.go
@@ -8,15 +8,15 @@
 // the list of its object.
 const EntryBytes = 208
 
-// entry is the access history of a chunk. An entry of an uncached chunk is called a ghost entry.
+// entry is the access history of a chunk. Entries of uncached chunks are known as ghost entries in the literature.
 type entry struct {
 	key        Key
 	size       int64   // bytes
 	meanGap    float64 // moving average of the seconds between requests, as of the last request
 	lastAccess float64 // Unix seconds
-	rank       float64 // sort key by descending mean gap; the order does not change over time (Theorem 1 of the paper)
+	sortKey    float64 // sort key by descending mean gap; the order does not change over time (Theorem 1 of the paper)
 	cached     bool
-	prev       *entry // neighbours in the list of ghost entries, ordered by last access
+	prev       *entry // neighbours in the list of uncached entries, ordered by last access
 	next       *entry
 }
 
@@ -25,12 +25,12 @@
 	return gapWeight*(now-e.lastAccess) + (1-gapWeight)*e.meanGap
 }
 
-func (e *entry) updateRank() { e.rank = gapWeight*e.lastAccess - (1-gapWeight)*e.meanGap }
+func (e *entry) updateSortKey() { e.sortKey = gapWeight*e.lastAccess - (1-gapWeight)*e.meanGap }
 
-// byRank reports whether a has a larger mean gap than b, or the same gap and a smaller key.
-func byRank(a, b *entry) bool {
-	if a.rank != b.rank {
-		return a.rank < b.rank
+// byDescendingGap reports whether a has a larger mean gap than b, or the same gap and a smaller key.
+func byDescendingGap(a, b *entry) bool {
+	if a.sortKey != b.sortKey {
+		return a.sortKey < b.sortKey
 	}
 	return a.key.Compare(b.key) < 0
 }
--- a/internal/diskcache/eviction/writebudget.go
+++ b/internal/diskcache/eviction/writebudget.go
@@ -5,9 +5,9 @@
 const (
 	// burstShare is the bucket size as a share of the daily budget: the budget of one hour.
 	burstShare = 1. / 24
-	// scarceShare is the fill level of the bucket below which the cost of writes rises, up to twice at an empty bucket.
-	scarceShare = 0.5
-	secondsADay = 86400
+	// lowBudgetShare is the fill level of the bucket below which the cost of writes rises. It doubles at an empty bucket.
+	lowBudgetShare = 0.5
+	secondsPerDay  = 86400
 )
 
 // writeBudget limits the bytes written per day with a token bucket. It is unlimited if dailyBytes is 0.
@@ -26,7 +26,7 @@
 // refill adds the tokens accrued since the last call.
 func (b *writeBudget) refill(now float64) {
 	if b.refilledAt > 0 && now > b.refilledAt {
-		rate := float64(b.dailyBytes) / secondsADay
+		rate := float64(b.dailyBytes) / secondsPerDay
 		b.tokens = min(b.tokens+rate*(now-b.refilledAt), float64(b.dailyBytes)*burstShare)
 	}
 	b.refilledAt = max(b.refilledAt, now)
@@ -47,7 +47,7 @@
 		return 0
 	}
 	burst := float64(b.dailyBytes) * burstShare
-	return max(0, 1-b.tokens/burst/scarceShare)
+	return max(0, 1-b.tokens/burst/lowBudgetShare)
 }
 
-func (b *writeBudget) take(size int64) { b.tokens -= float64(size) }
+func (b *writeBudget) spend(size int64) { b.tokens -= float64(size) }
--- a/internal/diskcache/eviction/xlru.go
+++ b/internal/diskcache/eviction/xlru.go
@@ -3,21 +3,21 @@
 import "math"
 
 const (
-	// viewPause is the time in seconds without requests for an object after which a request begins a new view. In the
-	// paper, a request covers a complete range. Here a view requests one chunk at a time; without the pause, its
+	// minViewInterval is the time in seconds without requests for an object after which a request begins a new view. In
+	// the paper, a request covers a complete range. Here a view requests one chunk at a time; without this interval, its
 	// second chunk would count as a second view.
-	viewPause = 30.0
-	// minSweepPause is the minimum time in seconds between two removals of old views.
-	minSweepPause = 60.0
+	minViewInterval = 30.0
+	// minSweepInterval is the minimum time in seconds between two removals of old views.
+	minSweepInterval = 60.0
 )
 
 // XLRU is a baseline policy, xLRU of the paper (section 5): the popularity of an object is the time between its last
 // two views, and the least recently used chunks are evicted.
 type XLRU struct {
 	lruCache
-	alpha   float64
-	views   map[uint64]*view
-	sweptAt float64 // Unix seconds
+	alpha       float64
+	views       map[uint64]*view
+	lastSweepAt float64 // Unix seconds
 }
 
 // view is the most recent view of an object.
@@ -42,11 +42,11 @@
 	case v == nil:
 		v = &view{}
 		p.views[key.Object] = v
-	case now-v.lastRequest > viewPause:
+	case now-v.lastRequest > minViewInterval:
 		v.admit = (now-v.lastRequest)*p.alpha <= age
 	}
 	v.lastRequest = now
-	p.sweep(now, age)
+	p.removeOldViews(now, age)
 	if p.touch(now, key) {
 		return Decision{Cached: true}
 	}
@@ -57,11 +57,11 @@
 }
 
 // sweep removes views that are too old to lead to an admission.
-func (p *XLRU) sweep(now, age float64) {
-	if math.IsInf(age, 1) || now < p.sweptAt+max(age, minSweepPause) {
+func (p *XLRU) removeOldViews(now, age float64) {
+	if math.IsInf(age, 1) || now < p.lastSweepAt+max(age, minSweepInterval) {
 		return
 	}
-	p.sweptAt = now
+	p.lastSweepAt = now
 	for object, v := range p.views {
 		if now-v.lastRequest > age {
 			delete(p.views, object)
--- a/internal/diskcache/fault_test.go
+++ b/internal/diskcache/fault_test.go
@@ -21,10 +21,10 @@
 
 // faultCase is a fault injected into a folder and the expected number of lost chunks.
 type faultCase struct {
-	name string
-	hurt func(t *testing.T, fs *vfs.FaultFS)
-	lost int // number of lost chunks, or someChunks
-	code FaultCode
+	name   string
+	inject func(t *testing.T, fs *vfs.FaultFS)
+	lost   int // number of lost chunks, or someChunks
+	code   FaultCode
 }
 
 // needsSnapshot reports whether the fault is detected only if the folder has a snapshot.
@@ -80,7 +80,7 @@
 	t.Helper()
 	s, _, _ := open(t, fs)
 	for i := range faultChunks {
-		put(t, s, k(i, 0), 100, faultBodyBytes)
+		put(t, s, chunkKey(i, 0), 100, faultBodyBytes)
 	}
 	purge := validity.Record{Kind: validity.PurgeObject, Object: 77, PurgedAt: 5}
 	require.NoError(t, s.AppendPurgeRecords([]validity.Record{purge}))
@@ -94,12 +94,12 @@
 func countLost(t *testing.T, s *Store) (lost int) {
 	t.Helper()
 	for i := range faultChunks {
-		p, err := s.Get(k(i, 0))
+		p, err := s.Get(chunkKey(i, 0))
 		if err != nil {
 			lost++
 			continue
 		}
-		assert.True(t, bytes.Equal(body(k(i, 0), 100, faultBodyBytes), p.Body))
+		assert.True(t, bytes.Equal(body(chunkKey(i, 0), 100, faultBodyBytes), p.Body))
 	}
 	return lost
 }
@@ -116,9 +116,9 @@
 			t.Run(fmt.Sprint(c.name, snapshot), func(t *testing.T) {
 				fs := vfs.NewFaultFS(1)
 				writeFaultFolder(t, fs, snapshot)
-				c.hurt(t, fs)
-				s, rep, faults := open(t, fs)
-				assert.Len(t, rep.Records, 1, "no purge record may be lost")
+				c.inject(t, fs)
+				s, report, faults := open(t, fs)
+				assert.Len(t, report.Records, 1, "no purge record may be lost")
 				lost := countLost(t, s)
 				if c.lost == someChunks {
 					assert.Positive(t, lost)
@@ -131,8 +131,8 @@
 					codes[f.Code]++
 				}
 				assert.Equal(t, 1, codes[c.code], "the fault must be reported once: %v", codes)
-				put(t, s, k(1, 0), 300, 50) // the store still accepts chunks
-				holds(t, s, k(1, 0), 300, 50)
+				put(t, s, chunkKey(1, 0), 300, 50) // the store still accepts chunks
+				requireStored(t, s, chunkKey(1, 0), 300, 50)
 			})
 		}
 	}
@@ -144,25 +144,25 @@
 func TestFullDiskFailsOnlyTheWrite(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
 	s, _, faults := open(t, fs)
-	put(t, s, k(1, 0), 100, 400)
+	put(t, s, chunkKey(1, 0), 100, 400)
 	fs.CapacityBytes = 1000
-	_, err := s.Put(meta(k(2, 0), 100), body(k(2, 0), 100, 900))
+	_, err := s.Put(meta(chunkKey(2, 0), 100), body(chunkKey(2, 0), 100, 900))
 	var f StoreError
 	require.ErrorAs(t, err, &f)
 	assert.Equal(t, CodeDiskFull, f.Code)
 	assert.Len(t, *faults, 1)
-	holds(t, s, k(1, 0), 100, 400)
+	requireStored(t, s, chunkKey(1, 0), 100, 400)
 	fs.CapacityBytes = 0
 	short := true
 	fs.ShortWrite = func() bool { short = !short; return !short }
-	_, err = s.Put(meta(k(3, 0), 100), body(k(3, 0), 100, 900))
+	_, err = s.Put(meta(chunkKey(3, 0), 100), body(chunkKey(3, 0), 100, 900))
 	require.ErrorAs(t, err, &f)
 	assert.Equal(t, CodeWriteFailed, f.Code)
 	fs.ShortWrite = nil
-	put(t, s, k(3, 0), 100, 800)
+	put(t, s, chunkKey(3, 0), 100, 800)
 	s, _, _ = reopen(t, fs, s)
-	holds(t, s, k(3, 0), 100, 800)
-	assert.False(t, s.Contains(k(2, 0)))
+	requireStored(t, s, chunkKey(3, 0), 100, 800)
+	assert.False(t, s.Contains(chunkKey(2, 0)))
 }
 
 // TestRecordWithinBodyIsNotAccepted stores a body that contains bytes encoded like records and damages the header
@@ -171,16 +171,16 @@
 func TestRecordWithinBodyIsNotAccepted(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
 	s, _, _ := open(t, fs)
-	forged := appendRecord(nil, 0, meta(k(666, 0), 1), []byte("not what it was"), 0)
+	forged := appendRecord(nil, 0, meta(chunkKey(666, 0), 1), []byte("not what it was"), 0)
 	for len(forged) < 3000 {
-		forged = appendRecord(forged, 0, meta(k(666, len(forged)), 1), []byte("nor this"), 0)
+		forged = appendRecord(forged, 0, meta(chunkKey(666, len(forged)), 1), []byte("nor this"), 0)
 	}
-	_, err := s.Put(meta(k(1, 0), 100), forged)
+	_, err := s.Put(meta(chunkKey(1, 0), 100), forged)
 	require.NoError(t, err)
-	put(t, s, k(2, 0), 100, 100)
+	put(t, s, chunkKey(2, 0), 100, 100)
 	require.NoError(t, s.Close())
 	fs.FlipBit("seg-00000001.cf", segmentHeaderSize+9, 0)
 	s, _, _ = open(t, fs)
 	assert.Equal(t, 1, s.Chunks())
-	holds(t, s, k(2, 0), 100, 100)
+	requireStored(t, s, chunkKey(2, 0), 100, 100)
 }
--- a/internal/diskcache/format.go
+++ b/internal/diskcache/format.go
@@ -11,20 +11,20 @@
 // The on-disk format; docs/disk-cache-format.md specifies every byte. All numbers are little-endian. The file names and
 // magic numbers are part of the format: a "disk tier" is the disk cache, "PART" a chunk, "notices.log" the purge log.
 const (
-	formatVersion = 1
-	formatText    = "cairnfront disk tier %d\n"
-	formatName    = "FORMAT" // file with the folder's format version, written as formatText
-	lockName      = "LOCK"
-	purgeLogName  = "notices.log"
-	snapshotName  = "index.snap"
-	segmentPrefix = "seg-"
-	segmentForm   = segmentPrefix + "%08x.cf"
-	newSuffix     = ".new" // suffix of a file that is not yet renamed to its final name
-
-	grain             = 8 // bytes; record offsets are multiples of it
+	formatVersion     = 1
+	formatFileContent = "cairnfront disk tier %d\n"
+	formatFileName    = "FORMAT" // file with the folder's format version, written as formatFileContent
+	lockFileName      = "LOCK"
+	purgeLogName      = "notices.log"
+	snapshotName      = "index.snap"
+	segmentPrefix     = "seg-"
+	segmentNameFormat = segmentPrefix + "%08x.cf"
+	tempSuffix        = ".new" // suffix of a file that is not yet renamed to its final name
+
+	recordAlignment   = 8 // bytes; record offsets are multiples of it
 	segmentHeaderSize = 64
 	recordHeaderSize  = 64
-	maxTagBytes       = 256
+	maxETagBytes      = 256
 	maxBodyBytes      = 240000 // the protocol's limit for an object
 
 	segmentMagic = 0x4745534e52494143 // "CAIRNSEG"
@@ -35,13 +35,13 @@
 type recordKind byte
 
 const (
-	kindChunk  recordKind = 1
-	kindStruck recordKind = 2 // record whose body was torn by a power loss; recovery skips it
+	kindChunk recordKind = 1
+	kindTorn  recordKind = 2 // record whose body was torn by a power loss; recovery skips it
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func segmentName(id uint32) string { return fmt.Sprintf(segmentForm, id) }
+func segmentName(id uint32) string { return fmt.Sprintf(segmentNameFormat, id) }
 
 // Meta is the metadata of a cached copy of a chunk.
 type Meta struct {
@@ -62,7 +62,7 @@
 
 // recordSize returns the on-disk size of a record in bytes, with header and padding.
 func recordSize(tag, body int) int64 {
-	return (int64(recordHeaderSize+tag+body) + grain - 1) / grain * grain
+	return (int64(recordHeaderSize+tag+body) + recordAlignment - 1) / recordAlignment * recordAlignment
 }
 
 // saltedChecksum returns the initial checksum value, derived from the segment's salt. A body may contain bytes that
@@ -91,14 +91,14 @@
 		le.Uint32(b[segmentHeaderSize-4:]) != crc32.Checksum(b[:segmentHeaderSize-4], castagnoli):
 		return 0, errHeaderChecksum
 	case le.Uint32(b[8:]) != formatVersion:
-		return 0, fmt.Errorf("%w: %d, this program supports %d", errOtherVersion, le.Uint32(b[8:]), formatVersion)
+		return 0, fmt.Errorf("%w: %d, this program supports %d", errUnsupportedVersion, le.Uint32(b[8:]), formatVersion)
 	case le.Uint32(b[12:]) != id:
-		return 0, fmt.Errorf("%w: %08x", errOtherSegment, le.Uint32(b[12:]))
+		return 0, fmt.Errorf("%w: %08x", errWrongSegment, le.Uint32(b[12:]))
 	}
 	return le.Uint64(b[16:]), nil
 }
 
-// appendRecord appends an encoded record to b: header, entity tag, body, and padding to a multiple of grain.
+// appendRecord appends an encoded record to b: header, entity tag, body, and padding to a multiple of recordAlignment.
 func appendRecord(b []byte, salt uint64, m Meta, body []byte, writtenMS int64) []byte {
 	start := len(b)
 	h := recordHeader{Meta: m, bodyLen: len(body), bodyChecksum: crc32.Checksum(body, castagnoli)}
@@ -112,7 +112,7 @@
 	Meta
 	bodyLen      int
 	bodyChecksum uint32
-	struck       bool
+	torn         bool
 }
 
 // size returns the on-disk size of the record in bytes, with header and padding.
@@ -147,7 +147,7 @@
 		return recordHeader{}, errNoRecord
 	}
 	tagLen := int(le.Uint16(b[6:]))
-	if tagLen > maxTagBytes || len(b) < recordHeaderSize+tagLen {
+	if tagLen > maxETagBytes || len(b) < recordHeaderSize+tagLen {
 		return recordHeader{}, fmt.Errorf("%w: a tag of %d bytes", errRecordTooLong, tagLen)
 	}
 	sum := crc32.Update(saltedChecksum(salt), castagnoli, b[:recordHeaderSize-4])
@@ -156,7 +156,7 @@
 		return recordHeader{}, errHeaderChecksum
 	}
 	kind := recordKind(b[5])
-	if b[4] != formatVersion || kind != kindChunk && kind != kindStruck {
+	if b[4] != formatVersion || kind != kindChunk && kind != kindTorn {
 		return recordHeader{}, fmt.Errorf("%w: version %d, kind %d", errUnknownRecord, b[4], kind)
 	}
 	h := recordHeader{
@@ -170,7 +170,7 @@
 		},
 		bodyLen:      int(le.Uint32(b[40:])),
 		bodyChecksum: le.Uint32(b[44:]),
-		struck:       kind == kindStruck,
+		torn:         kind == kindTorn,
 	}
 	if h.bodyLen > maxBodyBytes {
 		return recordHeader{}, fmt.Errorf("%w: a body of %d bytes", errRecordTooLong, h.bodyLen)
--- a/internal/diskcache/fuzz_test.go
+++ b/internal/diskcache/fuzz_test.go
@@ -11,11 +11,11 @@
 // FuzzParseRecordHeader parses arbitrary bytes as a record header. An accepted header must be within the limits of the
 // format: with a longer body, the read would extend past the segment.
 func FuzzParseRecordHeader(f *testing.F) {
-	f.Add(appendRecord(nil, 7, meta(k(1, 2), 3), []byte("body"), 4), uint64(7))
+	f.Add(appendRecord(nil, 7, meta(chunkKey(1, 2), 3), []byte("body"), 4), uint64(7))
 	f.Add(make([]byte, recordHeaderSize), uint64(0))
 	f.Fuzz(func(t *testing.T, b []byte, salt uint64) {
 		h, err := parseRecordHeader(b, salt)
-		if err == nil && (h.bodyLen > maxBodyBytes || len(h.ETag) > maxTagBytes || h.size() < recordHeaderSize) {
+		if err == nil && (h.bodyLen > maxBodyBytes || len(h.ETag) > maxETagBytes || h.size() < recordHeaderSize) {
 			t.Fatalf("%+v", h)
 		}
 	})
@@ -25,12 +25,12 @@
 // or return an error, and the store must not return a chunk under another key.
 func FuzzOpen(f *testing.F) {
 	fs := vfs.NewFaultFS(1)
-	s, _, err := OpenStore(fs, smallOptions(), true, nil)
+	s, _, err := OpenStore(fs, testOptions(), true, nil)
 	if err != nil {
 		f.Fatal(err)
 	}
 	for i := range 5 {
-		_, _ = s.Put(meta(k(i, 0), 100), body(k(i, 0), 100, 90))
+		_, _ = s.Put(meta(chunkKey(i, 0), 100), body(chunkKey(i, 0), 100, 90))
 	}
 	_ = s.AppendPurgeRecords([]validity.Record{{Kind: validity.PurgeObject, Object: 1, PurgedAt: 5}})
 	_ = s.WriteSnapshot(nil)
@@ -39,7 +39,7 @@
 	f.Fuzz(func(t *testing.T, seg, snap, log []byte) {
 		fs := vfs.NewFaultFS(1)
 		files := map[string][]byte{
-			formatName:        []byte("cairnfront disk tier 1\n"),
+			formatFileName:    []byte("cairnfront disk tier 1\n"),
 			"seg-00000001.cf": seg,
 			snapshotName:      snap,
 			purgeLogName:      log,
@@ -48,7 +48,7 @@
 			h, _ := fs.Create(name)
 			_, _ = h.WriteAt(b, 0)
 		}
-		s, _, err := OpenStore(fs, smallOptions(), true, nil)
+		s, _, err := OpenStore(fs, testOptions(), true, nil)
 		if err != nil {
 			return
 		}
@@ -59,7 +59,7 @@
 				t.Fatalf("%v for %v", p.Key, key)
 			}
 		}
-		if _, err := s.Put(meta(k(1, 1), 1), []byte("x")); err != nil {
+		if _, err := s.Put(meta(chunkKey(1, 1), 1), []byte("x")); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/diskcache/golden_test.go
+++ b/internal/diskcache/golden_test.go
@@ -112,7 +112,7 @@
 			fmt.Fprintf(&out, "%016x/%d: %v\n", key.Object, key.Chunk, err)
 			continue
 		}
-		history, known := report.Known[key]
+		history, known := report.AccessHistories[key]
 		fmt.Fprintf(&out, "%016x/%d seq=%d group=%d rank=%d at=%d tag=%s bytes=%d known=%v gap=%v last=%v sha256=%x\n",
 			key.Object, key.Chunk, chunk.Seq, chunk.Group, chunk.Rank, chunk.IssuedAt, chunk.ETag, len(chunk.Body),
 			known, history.MeanGap, history.LastAccess, sha256.Sum256(chunk.Body))
@@ -188,10 +188,10 @@
 		Seq:      0x31323334353637,
 	}
 	const salt = 0x4142434445464748
-	struck := recordHeader{Meta: info, bodyLen: 10, bodyChecksum: 0x81828384}
+	torn := recordHeader{Meta: info, bodyLen: 10, bodyChecksum: 0x81828384}
 	text := "segment\n" + hex.Dump(appendSegmentHeader(nil, 0x51525354, salt, 0x61626364656667)) +
 		"record\n" + hex.Dump(appendRecord(nil, salt, info, []byte("some bytes"), 0x71727374757677)) +
-		"struck\n" + hex.Dump(appendRecordHeader(nil, salt, struck, 0, kindStruck))
+		"struck\n" + hex.Dump(appendRecordHeader(nil, salt, torn, 0, kindTorn))
 	golden.Compare(t, "golden/headers.txt", text)
 }
 
@@ -209,10 +209,10 @@
 func TestGoldenPowerLoss(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(4) {
-		for _, cut := range []int{0, 3, 11, 24, 47, 80, 113} {
-			result := RunPowerLoss(seed, cut)
+		for _, powerLossAt := range []int{0, 3, 11, 24, 47, 80, 113} {
+			result := RunPowerLoss(seed, powerLossAt)
 			fmt.Fprintf(&text, "seed %d cut %d: ops=%d checked=%d recovered=%d purges=%d violations=%d\n",
-				seed, cut, result.Ops, result.Checked, result.Recovered, result.Purges, len(result.Violations))
+				seed, powerLossAt, result.Ops, result.Checked, result.Recovered, result.Purges, len(result.Violations))
 		}
 	}
 	golden.Compare(t, "golden/powerloss.txt", text.String())
--- a/internal/diskcache/index.go
+++ b/internal/diskcache/index.go
@@ -26,7 +26,7 @@
 	seq            uint64
 	chunk          uint32
 	segment        uint32
-	grains         uint32 // offset in the segment, in units of grain bytes
+	alignedOffset  uint32 // offset in the segment, in units of recordAlignment bytes
 	size           uint32 // size of the record in bytes
 	confirmedEpoch uint16 // validation epoch in which the upstream last confirmed the copy
 	rank           uint8
@@ -34,20 +34,20 @@
 
 func newLocation(segmentID uint32, offset, size int64, m Meta) location {
 	return location{
-		object:  m.Object,
-		seq:     m.Seq,
-		chunk:   m.Chunk,
-		segment: segmentID,
-		grains:  uint32(offset / grain),
-		size:    uint32(size),
-		rank:    m.Rank,
+		object:        m.Object,
+		seq:           m.Seq,
+		chunk:         m.Chunk,
+		segment:       segmentID,
+		alignedOffset: uint32(offset / recordAlignment),
+		size:          uint32(size),
+		rank:          m.Rank,
 	}
 }
 
 func (l *location) key() eviction.Key { return eviction.Key{Object: l.object, Chunk: l.chunk} }
 
 // offset returns the record's offset in its segment in bytes.
-func (l *location) offset() int64 { return int64(l.grains) * grain }
+func (l *location) offset() int64 { return int64(l.alignedOffset) * recordAlignment }
 
 // index is a sharded open-addressing hash table of locations. The zero value is an empty index.
 type index struct {
--- a/internal/diskcache/index_test.go
+++ b/internal/diskcache/index_test.go
@@ -15,10 +15,10 @@
 		var x index
 		want := map[eviction.Key]uint64{}
 		for n := range rapid.IntRange(1, 3000).Draw(t, "n") {
-			key := k(n*7919%rapid.SampledFrom([]int{50, 400}).Draw(t, "wide"), 0)
+			key := chunkKey(n*7919%rapid.SampledFrom([]int{50, 400}).Draw(t, "wide"), 0)
 			if n%3 == 0 {
-				_, had := want[key]
-				if x.remove(key) != had {
+				_, present := want[key]
+				if x.remove(key) != present {
 					t.Fatalf("remove of %v", key)
 				}
 				delete(want, key)
--- a/internal/diskcache/inspect.go
+++ b/internal/diskcache/inspect.go
@@ -36,7 +36,7 @@
 	ByRank         [rankCount]int
 	Purges         int
 	LastEvent      uint64         `json:"Followed"`    // number of the last event applied
-	SuspectUpTo    uint64         `json:"Doubted"`     // highest sequence number that needs confirmation by the upstream
+	SuspectUpTo    uint64         `json:"Doubted"`     // highest sequence number that needs confirmation
 	PurgeFloor     int64          `json:"Floor"`       // Unix ms up to which purges may have been discarded
 	OldestIssuedAt int64          `json:"OldestDated"` // Unix ms, 0 if there is no chunk
 	PurgeLogBytes  int64          `json:"LogBytes"`
@@ -65,8 +65,8 @@
 	if err != nil {
 		return f, fmt.Errorf("read folder %s: %w", path, err)
 	}
-	if !slices.Contains(names, formatName) {
-		return f, fmt.Errorf("open %s: %w: no file %s", path, ErrNoDiskCache, formatName)
+	if !slices.Contains(names, formatFileName) {
+		return f, fmt.Errorf("open %s: %w: no file %s", path, ErrNoDiskCache, formatFileName)
 	}
 	store, report, err := OpenStore(dir, StoreOptions{}, true, func(fault StoreError) {
 		f.inspection.FaultsByCode[fault.Code]++
@@ -195,12 +195,12 @@
 		}
 	}
 	return f.store.WriteSnapshot(func(key eviction.Key) (eviction.AccessHistory, bool) {
-		history, ok := f.inspection.Known[key]
+		history, ok := f.inspection.AccessHistories[key]
 		return history, ok
 	})
 }
 
-// Export writes every chunk not invalidated by a purge to a tar archive, as file OBJECT/CHUNK with group, entity tag
+// Export writes every chunk not invalidated by a purge to a tar file, as member OBJECT/CHUNK with group, entity tag
 // and issue time in PAX records.
 func Export(path string, w io.Writer) (chunks int, err error) {
 	f, err := openFolder(path, ignoreFault)
--- a/internal/diskcache/powerloss.go
+++ b/internal/diskcache/powerloss.go
@@ -24,43 +24,43 @@
 
 // Dimensions of a power-loss run.
 const (
-	powerLossStarts  = 3 // sessions, each ended by a restart
-	powerLossSteps   = 45
-	powerLossObjects = 8
-	powerLossChunks  = 3 // per object
+	powerLossSessions = 3 // sessions, each ended by a restart
+	powerLossSteps    = 45
+	powerLossObjects  = 8
+	powerLossChunks   = 3 // per object
 )
 
 // powerLossRun executes random puts, purges, compactions and snapshots on a simulated disk that loses power in the
 // middle, and checks the content after each restart. Tests and the lab use it.
 type powerLossRun struct {
-	seed uint64
-	cut  int // number of the disk operation at which the power fails; 0 means only at the end
+	seed        uint64
+	powerLossAt int // number of the disk operation at which the power fails; 0 means only at the end
 
 	// Faults injected by tests to show that the checks detect them.
-	unsyncedLog   bool // purge records are acknowledged without a sync
-	uncheckedBody bool // chunks with a wrong body checksum are served
+	skipLogSync      bool // purge records are acknowledged without a sync
+	skipBodyChecksum bool // chunks with a wrong body checksum are served
 
-	rnd      *rand.Rand
+	random   *rand.Rand
 	fs       *vfs.FaultFS
 	options  StoreOptions
 	clock    int64                             // Unix ms
-	start    int                               // number of the current session, from 0
+	session  int                               // number of the current session, from 0
 	versions map[eviction.Key]map[int64][]byte // bodies ever put, by issue time; a chunk served must equal one of them
 	purgedAt map[uint64]int64                  // Unix ms of the last acknowledged purge of each object
 	synced   map[eviction.Key]int64            // issue time of the newest synced version, unless deleted since
 	result   PowerLossResult
 }
 
-// RunPowerLoss executes the random operations determined by seed, with a power loss at the disk operation numbered cut.
-// If cut is 0, the power does not fail before the end of the first session.
-func RunPowerLoss(seed uint64, cut int) PowerLossResult {
-	return (&powerLossRun{seed: seed, cut: cut}).run()
+// RunPowerLoss executes the random operations determined by seed, with a power loss at the disk operation numbered
+// powerLossAt. If powerLossAt is 0, the power does not fail before the end of the first session.
+func RunPowerLoss(seed uint64, powerLossAt int) PowerLossResult {
+	return (&powerLossRun{seed: seed, powerLossAt: powerLossAt}).run()
 }
 
 func (p *powerLossRun) run() PowerLossResult {
 	const segmentBytes = 2500
-	p.rnd = rand.New(rand.NewPCG(p.seed, 77))
-	p.fs = vfs.NewFaultFS(p.seed*31 + uint64(p.cut))
+	p.random = rand.New(rand.NewPCG(p.seed, 77))
+	p.fs = vfs.NewFaultFS(p.seed*31 + uint64(p.powerLossAt))
 	salt := p.seed
 	p.options = StoreOptions{
 		SegmentBytes: segmentBytes,
@@ -71,10 +71,10 @@
 	p.purgedAt = map[uint64]int64{}
 	p.synced = map[eviction.Key]int64{}
 	p.clock = 1000
-	for p.start = range powerLossStarts {
+	for p.session = range powerLossSessions {
 		p.fs.PowerLossAfter = p.powerLossAfter()
-		p.playSession()
-		if p.start == 0 {
+		p.runSession()
+		if p.session == 0 {
 			p.result.Ops = p.fs.OpCount()
 		}
 		p.fs.Restart()
@@ -85,17 +85,17 @@
 // powerLossAfter returns the number of the operation at which the power fails in the current session: the given one in
 // the first session, one during or soon after recovery in the second, and none (0) in the third.
 func (p *powerLossRun) powerLossAfter() int {
-	switch p.start {
+	switch p.session {
 	case 0:
-		return p.cut
+		return p.powerLossAt
 	case 1:
-		return 1 + int(p.seed+uint64(p.cut))%25
+		return 1 + int(p.seed+uint64(p.powerLossAt))%25
 	}
 	return 0
 }
 
 func (p *powerLossRun) violation(format string, args ...any) {
-	line := fmt.Sprintf("start %d: ", p.start) + fmt.Sprintf(format, args...)
+	line := fmt.Sprintf("start %d: ", p.session) + fmt.Sprintf(format, args...)
 	p.result.Violations = append(p.result.Violations, line)
 }
 
@@ -109,9 +109,9 @@
 	current  map[eviction.Key]int64 // issue time of the current version of each chunk in the index
 }
 
-// playSession opens the folder, checks its content and executes powerLossSteps random operations. After a power loss
+// runSession opens the folder, checks its content and executes powerLossSteps random operations. After a power loss
 // the remaining operations fail without effect.
-func (p *powerLossRun) playSession() {
+func (p *powerLossRun) runSession() {
 	store, report, err := OpenStore(p.fs, p.options, true, nil)
 	if err != nil {
 		if !errors.Is(err, vfs.ErrPowerLoss) {
@@ -119,91 +119,91 @@
 		}
 		return
 	}
-	l := &powerLossSession{
+	s := &powerLossSession{
 		powerLossRun: p,
 		store:        store,
 		tracker:      validity.NewTracker(0),
 		restored:     report.Records,
 	}
-	l.tracker.Restore(report.Records, store.LastSeq(), p.clock)
-	l.current = l.check(true)
+	s.tracker.Restore(report.Records, store.LastSeq(), p.clock)
+	s.current = s.check(true)
 	for range powerLossSteps {
-		l.step()
+		s.step()
 	}
-	l.check(false)
+	s.check(false)
 	_ = store.Close() // fails after a power loss
 }
 
 // step executes one random operation. Operations that fail after a power loss are not acknowledged, so their errors are
 // ignored.
-func (l *powerLossSession) step() {
-	l.clock += int64(1 + l.rnd.IntN(3))
+func (s *powerLossSession) step() {
+	s.clock += int64(1 + s.random.IntN(3))
 	key := eviction.Key{
-		Object: uint64(l.rnd.IntN(powerLossObjects)),
-		Chunk:  uint32(l.rnd.IntN(powerLossChunks)),
+		Object: uint64(s.random.IntN(powerLossObjects)),
+		Chunk:  uint32(s.random.IntN(powerLossChunks)),
 	}
-	switch l.rnd.IntN(12) {
+	switch s.random.IntN(12) {
 	case 0, 1:
-		l.purge(key.Object)
+		s.purge(key.Object)
 	case 2:
-		if id, ok := PickCompaction(l.store.SegmentUsage(), 1); ok {
-			_, _ = l.store.Compact(id, func(m Meta) bool { return m.IssuedAt > l.purgedAt[m.Object] })
+		if id, ok := PickCompaction(s.store.SegmentUsage(), 1); ok {
+			_, _ = s.store.Compact(id, func(m Meta) bool { return m.IssuedAt > s.purgedAt[m.Object] })
 		}
 	case 3:
-		_ = l.store.WriteSnapshot(func(eviction.Key) (eviction.AccessHistory, bool) {
+		_ = s.store.WriteSnapshot(func(eviction.Key) (eviction.AccessHistory, bool) {
 			return eviction.AccessHistory{MeanGap: 1, LastAccess: 2}, true
 		})
 	case 4:
-		if l.store.Sync() == nil {
-			for key, version := range l.current {
-				l.synced[key] = version
+		if s.store.Sync() == nil {
+			for key, version := range s.current {
+				s.synced[key] = version
 			}
 		}
 	case 5:
-		l.store.Delete(key)
-		delete(l.synced, key)
-		delete(l.current, key)
+		s.store.Delete(key)
+		delete(s.synced, key)
+		delete(s.current, key)
 	case 6:
-		_ = l.store.RewritePurgeLog(l.shortLog)
+		_ = s.store.RewritePurgeLog(s.minimalLog)
 	default:
-		l.put(key)
+		s.put(key)
 	}
 }
 
-func (l *powerLossSession) purge(object uint64) {
-	record := validity.Record{Kind: validity.PurgeObject, Object: object, PurgedAt: l.clock}
-	l.log = append(l.log, record)
-	if l.unsyncedLog {
-		if _, err := l.store.purgeLog.WriteAt(validity.AppendRecord(nil, record), l.store.purgeLogSize); err == nil {
-			l.store.purgeLogSize += validity.RecordSize
-			l.purgedAt[object] = l.clock
+func (s *powerLossSession) purge(object uint64) {
+	record := validity.Record{Kind: validity.PurgeObject, Object: object, PurgedAt: s.clock}
+	s.log = append(s.log, record)
+	if s.skipLogSync {
+		if _, err := s.store.purgeLog.WriteAt(validity.AppendRecord(nil, record), s.store.purgeLogSize); err == nil {
+			s.store.purgeLogSize += validity.RecordSize
+			s.purgedAt[object] = s.clock
 		}
 		return
 	}
-	if l.store.AppendPurgeRecords([]validity.Record{record}) == nil {
-		l.purgedAt[object] = l.clock
-		l.result.Purges++
+	if s.store.AppendPurgeRecords([]validity.Record{record}) == nil {
+		s.purgedAt[object] = s.clock
+		s.result.Purges++
 	}
 }
 
-// shortLog returns the shortest list of records that restores the purges so far.
-func (l *powerLossSession) shortLog() []validity.Record {
+// minimalLog returns the shortest list of records that restores the purges so far.
+func (s *powerLossSession) minimalLog() []validity.Record {
 	tracker := validity.NewTracker(0)
-	tracker.Restore(append(l.restored, l.log...), 0, l.clock)
-	return tracker.Records(l.clock)
+	tracker.Restore(append(s.restored, s.log...), 0, s.clock)
+	return tracker.Records(s.clock)
 }
 
-func (l *powerLossSession) put(key eviction.Key) {
-	body := make([]byte, 20+l.rnd.IntN(700))
+func (s *powerLossSession) put(key eviction.Key) {
+	body := make([]byte, 20+s.random.IntN(700))
 	for i := range body {
-		body[i] = byte(l.rnd.Uint32())
+		body[i] = byte(s.random.Uint32())
 	}
-	if l.versions[key] == nil {
-		l.versions[key] = map[int64][]byte{}
+	if s.versions[key] == nil {
+		s.versions[key] = map[int64][]byte{}
 	}
-	l.versions[key][l.clock] = body
-	if _, err := l.store.Put(Meta{Key: key, IssuedAt: l.clock, ETag: versionTag(l.clock)}, body); err == nil {
-		l.current[key] = l.clock
+	s.versions[key][s.clock] = body
+	if _, err := s.store.Put(Meta{Key: key, IssuedAt: s.clock, ETag: versionTag(s.clock)}, body); err == nil {
+		s.current[key] = s.clock
 	}
 }
 
@@ -211,59 +211,59 @@
 
 // check reads every chunk and returns the versions served. Each served chunk must equal a version that was put under
 // its key. With afterRestart, it also checks that every synced chunk and every acknowledged purge is still present.
-func (l *powerLossSession) check(afterRestart bool) map[eviction.Key]int64 {
+func (s *powerLossSession) check(afterRestart bool) map[eviction.Key]int64 {
 	served := map[eviction.Key]int64{}
 	for object := range uint64(powerLossObjects) {
 		for chunk := range uint32(powerLossChunks) {
 			key := eviction.Key{Object: object, Chunk: chunk}
-			if !l.checkChunk(key, afterRestart, served) {
+			if !s.checkChunk(key, afterRestart, served) {
 				return served
 			}
 		}
-		at := l.purgedAt[object]
-		if afterRestart && at > 0 && !l.tracker.IsInvalidated(validity.Copy{Object: object, IssuedAt: at}) {
-			l.violation("object %d: the purge at %d was acknowledged and is forgotten", object, at)
+		at := s.purgedAt[object]
+		if afterRestart && at > 0 && !s.tracker.IsInvalidated(validity.Copy{Object: object, IssuedAt: at}) {
+			s.violation("object %d: the purge at %d was acknowledged and is forgotten", object, at)
 		}
 	}
 	return served
 }
 
 // checkChunk checks one chunk, adds its version to served, and reports whether the power is still on.
-func (l *powerLossSession) checkChunk(
+func (s *powerLossSession) checkChunk(
 	key eviction.Key, afterRestart bool, served map[eviction.Key]int64,
 ) (powerOn bool) {
-	chunk, err := l.store.Get(key)
-	if l.uncheckedBody && err != nil {
-		err = l.ignoreBadBody(key, err)
+	chunk, err := s.store.Get(key)
+	if s.skipBodyChecksum && err != nil {
+		err = s.ignoreBadBody(key, err)
 	}
 	if errors.Is(err, vfs.ErrPowerLoss) {
 		return false
 	}
-	l.result.Checked++
+	s.result.Checked++
 	if err != nil {
-		version := l.synced[key]
-		if afterRestart && version > 0 && version > l.purgedAt[key.Object] {
-			l.violation("object %d chunk %d: version %d was synced and is gone: %v",
+		version := s.synced[key]
+		if afterRestart && version > 0 && version > s.purgedAt[key.Object] {
+			s.violation("object %d chunk %d: version %d was synced and is gone: %v",
 				key.Object, key.Chunk, version, err)
 		}
 		return true
 	}
-	l.result.Recovered++
+	s.result.Recovered++
 	served[key] = chunk.IssuedAt
-	body, known := l.versions[key][chunk.IssuedAt]
+	body, known := s.versions[key][chunk.IssuedAt]
 	if !known || !bytes.Equal(body, chunk.Body) || chunk.ETag != versionTag(chunk.IssuedAt) {
-		l.violation("object %d chunk %d: wrong bytes for version %d", key.Object, key.Chunk, chunk.IssuedAt)
+		s.violation("object %d chunk %d: wrong bytes for version %d", key.Object, key.Chunk, chunk.IssuedAt)
 	}
 	return true
 }
 
 // ignoreBadBody simulates a store that does not verify body checksums: each torn body it would serve is a violation.
-func (l *powerLossSession) ignoreBadBody(key eviction.Key, err error) error {
+func (s *powerLossSession) ignoreBadBody(key eviction.Key, err error) error {
 	var fault StoreError
 	if errors.As(err, &fault) && fault.Code == CodeBadBody {
-		l.violation("object %d chunk %d: torn bytes", key.Object, key.Chunk)
+		s.violation("object %d chunk %d: torn bytes", key.Object, key.Chunk)
 	}
-	if l.store.index.find(key) != nil {
+	if s.store.index.find(key) != nil {
 		return nil
 	}
 	return err
--- a/internal/diskcache/powerloss_test.go
+++ b/internal/diskcache/powerloss_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// powerLoss calls RunPowerLoss with a power loss at the operation numbered cut and requires that no guarantee is
-// violated. It returns the number of operations up to the first restart.
-func powerLoss(t require.TestingT, seed uint64, cut int) (ops int) {
-	out := RunPowerLoss(seed, cut)
-	require.Empty(t, out.Violations, "seed %d, power loss at operation %d", seed, cut)
+// powerLoss calls RunPowerLoss with a power loss at the operation numbered powerLossAt and requires that no guarantee
+// is violated. It returns the number of operations up to the first restart.
+func powerLoss(t require.TestingT, seed uint64, powerLossAt int) (ops int) {
+	out := RunPowerLoss(seed, powerLossAt)
+	require.Empty(t, out.Violations, "seed %d, power loss at operation %d", seed, powerLossAt)
 	return out.Ops
 }
 
@@ -20,9 +20,9 @@
 func TestPowerLossAtEveryOperation(t *testing.T) {
 	ops := powerLoss(t, 1, 0)
 	require.Greater(t, ops, 100)
-	for cut := 1; cut <= ops; cut++ {
+	for powerLossAt := 1; powerLossAt <= ops; powerLossAt++ {
 		for s := range uint64(2) {
-			powerLoss(t, 1+s*1000, cut)
+			powerLoss(t, 1+s*1000, powerLossAt)
 		}
 	}
 }
@@ -30,15 +30,15 @@
 // TestPowerLossChecksFailWithoutGuards shows that the checks of a power-loss run detect faults: an acknowledged purge
 // lost because the log is not synced, and a torn body served because its checksum is not verified.
 func TestPowerLossChecksFailWithoutGuards(t *testing.T) {
-	for name, breakIt := range map[string]func(*powerLossRun){
-		"log without a sync": func(p *powerLossRun) { p.unsyncedLog = true },
-		"body not checked":   func(p *powerLossRun) { p.uncheckedBody = true },
+	for name, disableGuard := range map[string]func(*powerLossRun){
+		"log without a sync": func(p *powerLossRun) { p.skipLogSync = true },
+		"body not checked":   func(p *powerLossRun) { p.skipBodyChecksum = true },
 	} {
 		wrong := 0
 		for seed := range uint64(40) {
-			for cut := 20; cut < 100; cut += 7 {
-				p := powerLossRun{seed: seed, cut: cut}
-				breakIt(&p)
+			for powerLossAt := 20; powerLossAt < 100; powerLossAt += 7 {
+				p := powerLossRun{seed: seed, powerLossAt: powerLossAt}
+				disableGuard(&p)
 				wrong += len(p.run().Violations)
 			}
 		}
--- a/internal/diskcache/purgequeue.go
+++ b/internal/diskcache/purgequeue.go
@@ -20,76 +20,76 @@
 	written    sync.Cond     // uses mu; signalled after a successful write
 }
 
-func (w *purgeQueue) init() {
-	w.ready = make(chan struct{}, 1)
-	w.written.L = &w.mu
+func (q *purgeQueue) init() {
+	q.ready = make(chan struct{}, 1)
+	q.written.L = &q.mu
 }
 
-func (w *purgeQueue) count() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.pending)
+func (q *purgeQueue) count() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.pending)
 }
 
 // enqueue appends records to the queue. If the queue overflows, it is emptied and the complete log is rewritten.
-func (w *purgeQueue) enqueue(records []validity.Record) {
+func (q *purgeQueue) enqueue(records []validity.Record) {
 	if len(records) == 0 {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.pending = append(w.pending, records...)
-	if len(w.pending) > maxPendingRecords {
-		w.pending, w.rewriteLog = nil, true
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.pending = append(q.pending, records...)
+	if len(q.pending) > maxPendingRecords {
+		q.pending, q.rewriteLog = nil, true
 	}
 	select {
-	case w.ready <- struct{}{}:
+	case q.ready <- struct{}{}:
 	default:
 	}
 }
 
-func (w *purgeQueue) requestRewrite() {
-	w.mu.Lock()
-	w.rewriteLog = true
-	w.mu.Unlock()
+func (q *purgeQueue) requestRewrite() {
+	q.mu.Lock()
+	q.rewriteLog = true
+	q.mu.Unlock()
 }
 
 // flush waits until every record has been written, or the context is cancelled.
-func (w *purgeQueue) flush(ctx context.Context) error {
+func (q *purgeQueue) flush(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.written.Broadcast()
+		q.mu.Lock()
+		defer q.mu.Unlock()
+		q.written.Broadcast()
 	})
 	defer stop()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for (len(w.pending) > 0 || w.rewriteLog || w.writing) && ctx.Err() == nil {
-		w.written.Wait()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for (len(q.pending) > 0 || q.rewriteLog || q.writing) && ctx.Err() == nil {
+		q.written.Wait()
 	}
 	return ctx.Err()
 }
 
 // take removes all queued records for a write.
-func (w *purgeQueue) take() (records []validity.Record, rewrite bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	records, rewrite = w.pending, w.rewriteLog
-	w.pending, w.rewriteLog, w.writing = nil, false, true
+func (q *purgeQueue) take() (records []validity.Record, rewrite bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	records, rewrite = q.pending, q.rewriteLog
+	q.pending, q.rewriteLog, q.writing = nil, false, true
 	return records, rewrite
 }
 
 // finish ends a write. If it failed, its records return to the front of the queue. It reports whether the queue is
 // empty.
-func (w *purgeQueue) finish(records []validity.Record, rewrite bool, err error) (empty bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.writing = false
+func (q *purgeQueue) finish(records []validity.Record, rewrite bool, err error) (empty bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.writing = false
 	if err != nil {
-		w.pending = append(records, w.pending...)
-		w.rewriteLog = w.rewriteLog || rewrite
+		q.pending = append(records, q.pending...)
+		q.rewriteLog = q.rewriteLog || rewrite
 		return false
 	}
-	w.written.Broadcast()
-	return len(w.pending) == 0 && !w.rewriteLog
+	q.written.Broadcast()
+	return len(q.pending) == 0 && !q.rewriteLog
 }
--- a/internal/diskcache/recovery.go
+++ b/internal/diskcache/recovery.go
@@ -15,17 +15,17 @@
 // RecoveryReport describes the state found when a folder is opened. The JSON keys are part of the output of
 // `disk-cache inspect --json`.
 type RecoveryReport struct {
-	Chunks       int `json:"Parts"`
-	Segments     int
-	Bytes        int64 // size of all live records
-	Scanned      int64 // bytes read from segments
-	FromSnapshot int   // chunks loaded from the snapshot
-	Records      []validity.Record
-	Faults       int
-	Took         time.Duration
-	Known        map[eviction.Key]eviction.AccessHistory `json:"-"` // from the snapshot; nil if there is none
-	SnapshotUsed bool
-	Created      bool
+	Chunks          int `json:"Parts"`
+	Segments        int
+	Bytes           int64 // size of all live records
+	Scanned         int64 // bytes read from segments
+	FromSnapshot    int   // chunks loaded from the snapshot
+	Records         []validity.Record
+	Faults          int
+	Took            time.Duration
+	AccessHistories map[eviction.Key]eviction.AccessHistory `json:"-"` // from the snapshot; nil if there is none
+	SnapshotUsed    bool
+	Created         bool
 }
 
 // recover restores the store's state from the folder: format version, purge log, segments, snapshot, and finally the
@@ -66,10 +66,10 @@
 
 // checkFormat verifies the folder's format version, or writes the version file into a new folder.
 func (s *Store) checkFormat(names []string, report *RecoveryReport) error {
-	if slices.Contains(names, formatName) {
+	if slices.Contains(names, formatFileName) {
 		version, parsed, err := s.readFormat()
 		if err != nil {
-			return fmt.Errorf("read %s: %w", formatName, err)
+			return fmt.Errorf("read %s: %w", formatFileName, err)
 		}
 		if parsed && version == formatVersion {
 			return nil
@@ -80,12 +80,12 @@
 				ErrUnsupportedFormat, version, formatVersion)
 		}
 		// A power loss at the first start has torn the file. It is rewritten.
-	} else if i := slices.IndexFunc(names, holdsData); i >= 0 {
-		return fmt.Errorf("%w: file %s without a file %s", ErrUnsupportedFormat, names[i], formatName)
+	} else if i := slices.IndexFunc(names, isCacheFile); i >= 0 {
+		return fmt.Errorf("%w: file %s without a file %s", ErrUnsupportedFormat, names[i], formatFileName)
 	}
 	report.Created = true
-	if err := s.replaceFile(formatName, fmt.Appendf(nil, formatText, formatVersion)); err != nil {
-		return fmt.Errorf("write %s: %w", formatName, err)
+	if err := s.replaceFile(formatFileName, fmt.Appendf(nil, formatFileContent, formatVersion)); err != nil {
+		return fmt.Errorf("write %s: %w", formatFileName, err)
 	}
 	return nil
 }
@@ -93,25 +93,25 @@
 // readFormat reads the folder's format version. parsed is false if the file does not contain a version.
 func (s *Store) readFormat() (version int, parsed bool, err error) {
 	const maxFormatBytes = 64
-	file, err := s.fs.Open(formatName)
+	file, err := s.fs.Open(formatFileName)
 	if err != nil {
 		return 0, false, err
 	}
 	defer func() { _ = file.Close() }() // only read
 	text := make([]byte, maxFormatBytes)
 	n, _ := file.ReadAt(text, 0) // io.EOF is expected; after any other error the text does not parse
-	_, parseErr := fmt.Sscanf(string(text[:n]), formatText, &version)
+	_, parseErr := fmt.Sscanf(string(text[:n]), formatFileContent, &version)
 	return version, parseErr == nil, nil
 }
 
-// holdsData reports whether a file name belongs to a segment or purge log, that is, the folder contains cache data.
-func holdsData(name string) bool {
+// isCacheFile reports whether a file name belongs to a segment or purge log, that is, the folder contains cache data.
+func isCacheFile(name string) bool {
 	return strings.HasPrefix(name, segmentPrefix) || name == purgeLogName
 }
 
 // replaceFile atomically replaces the content of a small file.
 func (s *Store) replaceFile(name string, content []byte) error {
-	file, err := s.fs.Create(name + newSuffix)
+	file, err := s.fs.Create(name + tempSuffix)
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 	if err = errors.Join(err, file.Close()); err != nil {
 		return err
 	}
-	if err := s.fs.Rename(name+newSuffix, name); err != nil {
+	if err := s.fs.Rename(name+tempSuffix, name); err != nil {
 		return err
 	}
 	return s.fs.SyncDir()
@@ -131,13 +131,13 @@
 // openSegments opens every segment and removes files that were never renamed to their final name.
 func (s *Store) openSegments(names []string) error {
 	for _, name := range names {
-		if strings.HasSuffix(name, newSuffix) {
+		if strings.HasSuffix(name, tempSuffix) {
 			_ = s.fs.Remove(name) // if this fails, the next start removes the file
 			continue
 		}
 		var id uint32
 		// Files with other names are not segments and are ignored.
-		if n, _ := fmt.Sscanf(name, segmentForm, &id); n != 1 || name != segmentName(id) {
+		if n, _ := fmt.Sscanf(name, segmentNameFormat, &id); n != 1 || name != segmentName(id) {
 			continue
 		}
 		s.nextID = max(s.nextID, id+1)
--- a/internal/diskcache/scan.go
+++ b/internal/diskcache/scan.go
@@ -8,9 +8,9 @@
 
 // Read sizes of a scan in bytes. The narrow one is used after long records, where only headers are needed.
 const (
-	wideWindow   = 256 << 10
-	narrowWindow = 4 << 10
-	longRecord   = 64 << 10 // record size above which the next read is narrow
+	wideWindowBytes   = 256 << 10
+	narrowWindowBytes = 4 << 10
+	longRecordBytes   = 64 << 10 // record size above which the next read is narrow
 )
 
 // segmentScan reads the records of a segment sequentially through a buffered window.
@@ -20,7 +20,7 @@
 	buf       []byte
 	window    []byte // bytes of the file that start at offset base
 	base      int64
-	width     int // size of the next read
+	readSize  int // size of the next read
 	bytesRead int64
 }
 
@@ -30,29 +30,29 @@
 // verified too, so that a torn new copy does not replace an intact older one.
 func (s *Store) scan(seg *segment, from int64, verifyBodies bool) (int64, error) {
 	c := &segmentScan{
-		store:   s,
-		segment: seg,
-		buf:     make([]byte, wideWindow),
-		width:   wideWindow,
+		store:    s,
+		segment:  seg,
+		buf:      make([]byte, wideWindowBytes),
+		readSize: wideWindowBytes,
 	}
-	inGarbage := false
+	inInvalidBytes := false
 	for offset := from; offset+recordHeaderSize <= seg.size; {
-		if ok, err := c.fill(offset); !ok {
+		if ok, err := c.fillWindow(offset); !ok {
 			return c.bytesRead, err
 		}
-		h, fault := c.parse(offset)
+		h, fault := c.parseHeader(offset)
 		if fault != nil {
-			if !inGarbage || fault.Code == CodeTruncated {
+			if !inInvalidBytes || fault.Code == CodeTruncated {
 				s.onFault(*fault)
 			}
-			inGarbage = true
-			offset += grain
-			c.width = wideWindow
+			inInvalidBytes = true
+			offset += recordAlignment
+			c.readSize = wideWindowBytes
 			continue
 		}
-		inGarbage = false
-		if !h.struck {
-			if err := c.enter(offset, h, verifyBodies); err != nil {
+		inInvalidBytes = false
+		if !h.torn {
+			if err := c.addRecord(offset, h, verifyBodies); err != nil {
 				return c.bytesRead, err
 			}
 		}
@@ -63,13 +63,13 @@
 
 // fill ensures that the window contains the record header and entity tag at an offset. If ok is false the scan must
 // end; err is set only after a power loss.
-func (c *segmentScan) fill(offset int64) (ok bool, err error) {
+func (c *segmentScan) fillWindow(offset int64) (ok bool, err error) {
 	end := c.base + int64(len(c.window))
-	complete := offset+recordHeaderSize+maxTagBytes <= end || end >= c.segment.size
+	complete := offset+recordHeaderSize+maxETagBytes <= end || end >= c.segment.size
 	if offset >= c.base && complete {
 		return true, nil
 	}
-	n, err := c.segment.file.ReadAt(c.buf[:min(int64(c.width), c.segment.size-offset)], offset)
+	n, err := c.segment.file.ReadAt(c.buf[:min(int64(c.readSize), c.segment.size-offset)], offset)
 	if errors.Is(err, vfs.ErrPowerLoss) {
 		return false, err
 	}
@@ -88,7 +88,7 @@
 }
 
 // parse decodes the record header at an offset.
-func (c *segmentScan) parse(offset int64) (recordHeader, *StoreError) {
+func (c *segmentScan) parseHeader(offset int64) (recordHeader, *StoreError) {
 	h, err := parseRecordHeader(c.window[offset-c.base:], c.segment.salt)
 	if err != nil {
 		return h, &StoreError{
@@ -104,14 +104,14 @@
 			File:   c.segment.name,
 			Offset: offset,
 			Key:    h.Key,
-			Err:    errRecordCutOff,
+			Err:    errRecordTruncated,
 		}
 	}
 	return h, nil
 }
 
-// enter adds a record to the index, or marks it as torn if its body fails verification.
-func (c *segmentScan) enter(offset int64, h recordHeader, verifyBody bool) error {
+// addRecord adds a record to the index, or marks it as torn if its body fails verification.
+func (c *segmentScan) addRecord(offset int64, h recordHeader, verifyBody bool) error {
 	loc := newLocation(c.segment.id, offset, h.size(), h.Meta)
 	if verifyBody {
 		_, err := c.store.readRecord(c.segment, loc)
@@ -127,22 +127,22 @@
 				Key:    h.Key,
 				Err:    err,
 			})
-			return c.store.strike(c.segment, offset, h)
+			return c.store.markTorn(c.segment, offset, h)
 		}
 	}
 	c.store.indexScanned(c.segment, loc, h)
-	c.width = wideWindow
-	if h.size() > longRecord {
-		c.width = narrowWindow
+	c.readSize = wideWindowBytes
+	if h.size() > longRecordBytes {
+		c.readSize = narrowWindowBytes
 	}
 	return nil
 }
 
-// strike marks a record as torn on the disk. Otherwise it would replace an older copy at a later start, when its
+// markTorn marks a record as torn on the disk. Otherwise it would replace an older copy at a later start, when its
 // segment is no longer the last one and bodies are not verified. If the write fails, the next start retries it; only a
 // power loss is returned as an error.
-func (s *Store) strike(seg *segment, offset int64, h recordHeader) error {
-	_, err := seg.file.WriteAt(appendRecordHeader(nil, seg.salt, h, 0, kindStruck), offset)
+func (s *Store) markTorn(seg *segment, offset int64, h recordHeader) error {
+	_, err := seg.file.WriteAt(appendRecordHeader(nil, seg.salt, h, 0, kindTorn), offset)
 	if err == nil {
 		err = seg.file.Sync()
 	}
--- a/internal/diskcache/segment.go
+++ b/internal/diskcache/segment.go
@@ -33,7 +33,7 @@
 // Put writes a chunk and returns the sequence number assigned to it. The error wraps ErrChunkTooLong, is a StoreError
 // if the write failed, or reports that the store is closed.
 func (s *Store) Put(m Meta, body []byte) (uint64, error) {
-	if len(m.ETag) > maxTagBytes || len(body) > maxBodyBytes {
+	if len(m.ETag) > maxETagBytes || len(body) > maxBodyBytes {
 		return 0, fmt.Errorf("write chunk: %w: %d and %d bytes", ErrChunkTooLong, len(m.ETag), len(body))
 	}
 	s.writeMu.Lock()
@@ -94,7 +94,7 @@
 	s.index.put(loc)
 }
 
-// prepareActive ensures that the active segment has space for a record. Otherwise it seals it and creates a new one.
+// prepareActive ensures that the active segment has space for a record. A full segment is sealed and a new one created.
 func (s *Store) prepareActive(size int64) error {
 	if s.active != nil && s.active.size+size <= s.options.SegmentBytes {
 		return nil
--- a/internal/diskcache/snapshot_read.go
+++ b/internal/diskcache/snapshot_read.go
@@ -33,22 +33,22 @@
 		return nil
 	}
 	report.SnapshotUsed = true
-	report.FromSnapshot = r.entered
-	report.Known = r.history
+	report.FromSnapshot = r.entriesLoaded
+	report.AccessHistories = r.history
 	return r.covered
 }
 
 // snapshotReader reads a snapshot into a store.
 type snapshotReader struct {
-	store   *Store
-	file    vfs.File
-	in      *bufio.Reader
-	sum     uint32
-	buf     []byte
-	covered map[uint32]int64                        // offset up to which each existing segment is covered
-	missing map[uint32]bool                         // segments that do not exist or have another salt
-	history map[eviction.Key]eviction.AccessHistory // nil if access histories are not loaded
-	entered int                                     // number of entries added to the index
+	store         *Store
+	file          vfs.File
+	in            *bufio.Reader
+	sum           uint32
+	buf           []byte
+	covered       map[uint32]int64                        // offset up to which each existing segment is covered
+	missing       map[uint32]bool                         // segments that do not exist or have another salt
+	history       map[eviction.Key]eviction.AccessHistory // nil if access histories are not loaded
+	entriesLoaded int                                     // number of entries added to the index
 }
 
 func newSnapshotReader(s *Store, file vfs.File) *snapshotReader {
@@ -104,7 +104,7 @@
 		return 0, 0, 0, err
 	}
 	if le.Uint64(b) != snapshotMagic || le.Uint32(b[8:]) != formatVersion {
-		return 0, 0, 0, fmt.Errorf("%w: %d", errNoSnapshot, formatVersion)
+		return 0, 0, 0, fmt.Errorf("%w: %d", errNotASnapshot, formatVersion)
 	}
 	segments, entries, lastSeq = le.Uint32(b[12:]), le.Uint64(b[16:]), le.Uint64(b[24:])
 	size, err := r.file.Size()
@@ -133,7 +133,7 @@
 		})
 		return nil
 	}
-	if upTo < segmentHeaderSize || upTo%grain != 0 {
+	if upTo < segmentHeaderSize || upTo%recordAlignment != 0 {
 		return fmt.Errorf("%w: segment %08x, offset %d", errSnapshotSegment, id, upTo)
 	}
 	r.covered[id] = min(upTo, seg.size)
@@ -156,17 +156,17 @@
 		return err
 	}
 	loc := location{
-		object:  le.Uint64(b),
-		seq:     le.Uint64(b[8:]),
-		chunk:   le.Uint32(b[16:]),
-		segment: le.Uint32(b[20:]),
-		grains:  le.Uint32(b[24:]),
-		size:    le.Uint32(b[28:]),
-		rank:    b[32],
+		object:        le.Uint64(b),
+		seq:           le.Uint64(b[8:]),
+		chunk:         le.Uint32(b[16:]),
+		segment:       le.Uint32(b[20:]),
+		alignedOffset: le.Uint32(b[24:]),
+		size:          le.Uint32(b[28:]),
+		rank:          b[32],
 	}
 	covered, exists := r.covered[loc.segment]
 	missing := r.missing[loc.segment]
-	const maxRecordSize = recordHeaderSize + maxTagBytes + maxBodyBytes + grain
+	const maxRecordSize = recordHeaderSize + maxETagBytes + maxBodyBytes + recordAlignment
 	if !exists && !missing || loc.size < recordHeaderSize || loc.size > maxRecordSize {
 		return errSnapshotEntry
 	}
@@ -178,7 +178,7 @@
 	}
 	r.store.segments[loc.segment].liveBytes += int64(loc.size)
 	r.store.index.put(loc)
-	r.entered++
+	r.entriesLoaded++
 	if gap := math.Float64frombits(le.Uint64(b[40:])); r.history != nil && !math.IsNaN(gap) {
 		access := eviction.AccessHistory{MeanGap: gap, LastAccess: math.Float64frombits(le.Uint64(b[48:]))}
 		r.history[loc.key()] = access
--- a/internal/diskcache/snapshot_write.go
+++ b/internal/diskcache/snapshot_write.go
@@ -24,17 +24,17 @@
 		}
 	}
 	content := s.copyIndex()
-	const newName = snapshotName + newSuffix
-	file, err := s.fs.Create(newName)
+	const tempName = snapshotName + tempSuffix
+	file, err := s.fs.Create(tempName)
 	if err != nil {
 		return s.reportWriteError(StoreError{File: snapshotName, Err: err})
 	}
 	err = content.write(file, history)
 	if err = errors.Join(err, file.Close()); err == nil {
-		err = errors.Join(s.fs.Rename(newName, snapshotName), s.fs.SyncDir())
+		err = errors.Join(s.fs.Rename(tempName, snapshotName), s.fs.SyncDir())
 	}
 	if err != nil {
-		_ = s.fs.Remove(newName) // if this fails, the next start removes the file
+		_ = s.fs.Remove(tempName) // if this fails, the next start removes the file
 		return s.reportWriteError(StoreError{File: snapshotName, Err: err})
 	}
 	return nil
@@ -112,7 +112,7 @@
 	b = le.AppendUint64(b, loc.seq)
 	b = le.AppendUint32(b, loc.chunk)
 	b = le.AppendUint32(b, loc.segment)
-	b = le.AppendUint32(b, loc.grains)
+	b = le.AppendUint32(b, loc.alignedOffset)
 	b = le.AppendUint32(b, loc.size)
 	b = append(b, loc.rank, 0, 0, 0, 0, 0, 0, 0)
 	b = le.AppendUint64(b, math.Float64bits(access.MeanGap))
--- a/internal/diskcache/store.go
+++ b/internal/diskcache/store.go
@@ -86,7 +86,7 @@
 	}
 	startedAt := time.Now()
 	report := RecoveryReport{}
-	unlock, err := fs.Lock(lockName)
+	unlock, err := fs.Lock(lockFileName)
 	if err != nil {
 		return nil, report, fmt.Errorf("open disk cache: %w", err)
 	}
--- a/internal/diskcache/store_bench_test.go
+++ b/internal/diskcache/store_bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// benchStore opens a store in a temporary folder of the operating system.
-func benchStore(b *testing.B) *Store {
+// openBenchStore opens a store in a temporary folder of the operating system.
+func openBenchStore(b *testing.B) *Store {
 	b.Helper()
 	d, err := vfs.MakeDir(filepath.Join(b.TempDir(), "t"))
 	require.NoError(b, err)
@@ -25,12 +25,12 @@
 func BenchmarkPut(b *testing.B) {
 	for _, n := range []int{4 << 10, 100 << 10} {
 		b.Run(fmt.Sprint(n>>10, "KB"), func(b *testing.B) {
-			s := benchStore(b)
-			x := body(k(1, 1), 1, n)
+			s := openBenchStore(b)
+			x := body(chunkKey(1, 1), 1, n)
 			b.SetBytes(int64(n))
 			b.ReportAllocs()
 			for i := range b.N {
-				_, _ = s.Put(meta(k(i%500, 0), 1), x)
+				_, _ = s.Put(meta(chunkKey(i%500, 0), 1), x)
 			}
 		})
 	}
@@ -39,15 +39,15 @@
 func BenchmarkGet(b *testing.B) {
 	for _, n := range []int{4 << 10, 100 << 10} {
 		b.Run(fmt.Sprint(n>>10, "KB"), func(b *testing.B) {
-			s := benchStore(b)
+			s := openBenchStore(b)
 			for i := range 500 {
-				_, _ = s.Put(meta(k(i, 0), 1), body(k(i, 0), 1, n))
+				_, _ = s.Put(meta(chunkKey(i, 0), 1), body(chunkKey(i, 0), 1, n))
 			}
 			b.SetBytes(int64(n))
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				_, _ = s.Get(k(i*37%500, 0))
+				_, _ = s.Get(chunkKey(i*37%500, 0))
 			}
 		})
 	}
@@ -62,7 +62,7 @@
 	require.NoError(b, err)
 	for i := range chunks {
 		_, err := s.Put(
-			Meta{Key: k(i/15, i%15), IssuedAt: 1, ETag: "4be0c1927d55a6f3"},
+			Meta{Key: chunkKey(i/15, i%15), IssuedAt: 1, ETag: "4be0c1927d55a6f3"},
 			[]byte("a body of 24 bytes, so. "),
 		)
 		require.NoError(b, err)
@@ -80,16 +80,16 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				s, rep, err := OpenStore(d, StoreOptions{}, false, nil)
+				s, report, err := OpenStore(d, StoreOptions{}, false, nil)
 				require.NoError(b, err)
 				runtime.ReadMemStats(&after)
-				top := float64(after.HeapSys-after.HeapReleased) / (1 << 20)
+				peakHeapMB := float64(after.HeapSys-after.HeapReleased) / (1 << 20)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				require.Equal(b, chunks, rep.Chunks)
+				require.Equal(b, chunks, report.Chunks)
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/chunks, "B/chunk")
-				b.ReportMetric(top, "MB-heap")
-				b.ReportMetric(rep.Took.Seconds(), "s/open")
+				b.ReportMetric(peakHeapMB, "MB-heap")
+				b.ReportMetric(report.Took.Seconds(), "s/open")
 				require.NoError(b, s.Close())
 			}
 		})
--- a/internal/diskcache/store_read.go
+++ b/internal/diskcache/store_read.go
@@ -63,10 +63,10 @@
 	if err != nil {
 		return Chunk{}, corruptRecordError{CodeBadHeader, err}
 	}
-	if h.struck || h.Key != loc.key() || h.Seq != loc.seq || h.size() != int64(loc.size) {
+	if h.torn || h.Key != loc.key() || h.Seq != loc.seq || h.size() != int64(loc.size) {
 		return Chunk{}, corruptRecordError{
 			CodeBadHeader,
-			fmt.Errorf("%w: object %016x chunk %d", errOtherRecord, h.Object, h.Chunk),
+			fmt.Errorf("%w: object %016x chunk %d", errWrongChunk, h.Object, h.Chunk),
 		}
 	}
 	body := buf[recordHeaderSize+len(h.ETag):][:h.bodyLen:h.bodyLen]
--- a/internal/diskcache/store_test.go
+++ b/internal/diskcache/store_test.go
@@ -16,23 +16,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-func k(o, p int) eviction.Key { return eviction.Key{Object: uint64(o), Chunk: uint32(p)} }
+func chunkKey(object, chunk int) eviction.Key {
+	return eviction.Key{Object: uint64(object), Chunk: uint32(chunk)}
+}
 
 // body returns pseudo-random bytes determined by a chunk's key and issue time, so that a mix-up of bodies is detected.
-func body(key eviction.Key, dated int64, n int) []byte {
+func body(key eviction.Key, issuedAt int64, n int) []byte {
 	b := make([]byte, n)
-	r := rand.New(rand.NewPCG(key.Object<<8|uint64(key.Chunk), uint64(dated)))
+	r := rand.New(rand.NewPCG(key.Object<<8|uint64(key.Chunk), uint64(issuedAt)))
 	for i := range b {
 		b[i] = byte(r.Uint32())
 	}
 	return b
 }
 
-func meta(key eviction.Key, dated int64) Meta {
-	return Meta{Key: key, Group: uint16(key.Object % 5), IssuedAt: dated, ETag: fmt.Sprintf("t%d", dated), Rank: 2}
+func meta(key eviction.Key, issuedAt int64) Meta {
+	return Meta{
+		Key: key, Group: uint16(key.Object % 5), IssuedAt: issuedAt, ETag: fmt.Sprintf("t%d", issuedAt), Rank: 2,
+	}
 }
 
-func smallOptions() StoreOptions {
+func testOptions() StoreOptions {
 	salt := uint64(0)
 	return StoreOptions{
 		SegmentBytes: 4096, Salt: func() uint64 { salt++; return salt * 0x9e3779b97f4a7c15 },
@@ -43,25 +47,25 @@
 func open(t *testing.T, fs vfs.FS) (*Store, RecoveryReport, *[]StoreError) {
 	t.Helper()
 	var faults []StoreError
-	s, rep, err := OpenStore(fs, smallOptions(), true, func(f StoreError) { faults = append(faults, f) })
+	s, report, err := OpenStore(fs, testOptions(), true, func(f StoreError) { faults = append(faults, f) })
 	require.NoError(t, err)
-	return s, rep, &faults
+	return s, report, &faults
 }
 
-func put(t *testing.T, s *Store, key eviction.Key, dated int64, n int) {
+func put(t *testing.T, s *Store, key eviction.Key, issuedAt int64, n int) {
 	t.Helper()
-	_, err := s.Put(meta(key, dated), body(key, dated, n))
+	_, err := s.Put(meta(key, issuedAt), body(key, issuedAt, n))
 	require.NoError(t, err)
 }
 
-func holds(t *testing.T, s *Store, key eviction.Key, dated int64, n int) {
+func requireStored(t *testing.T, s *Store, key eviction.Key, issuedAt int64, n int) {
 	t.Helper()
 	p, err := s.Get(key)
 	require.NoError(t, err)
-	assert.Equal(t, dated, p.IssuedAt)
-	assert.Equal(t, meta(key, dated).ETag, p.ETag)
+	assert.Equal(t, issuedAt, p.IssuedAt)
+	assert.Equal(t, meta(key, issuedAt).ETag, p.ETag)
 	assert.Equal(t, uint16(key.Object%5), p.Group)
-	assert.True(t, bytes.Equal(body(key, dated, n), p.Body))
+	assert.True(t, bytes.Equal(body(key, issuedAt, n), p.Body))
 }
 
 // TestChunksSurviveReopeningRealFolder reopens a folder of the operating system, with and without a snapshot. All
@@ -72,33 +76,33 @@
 	d, err := vfs.MakeDir(path)
 	require.NoError(t, err)
 	for _, snapshot := range []bool{false, true} {
-		s, rep, _ := open(t, d)
-		assert.Equal(t, !snapshot, rep.Created)
+		s, report, _ := open(t, d)
+		assert.Equal(t, !snapshot, report.Created)
 		for i := range 50 {
-			put(t, s, k(i, 0), 100, 300+i)
-			put(t, s, k(i, 1), 100, 10)
+			put(t, s, chunkKey(i, 0), 100, 300+i)
+			put(t, s, chunkKey(i, 1), 100, 10)
 		}
-		put(t, s, k(7, 0), 200, 33)
-		s.Delete(k(8, 0))
-		_, err := s.Get(k(8, 0))
+		put(t, s, chunkKey(7, 0), 200, 33)
+		s.Delete(chunkKey(8, 0))
+		_, err := s.Get(chunkKey(8, 0))
 		require.ErrorIs(t, err, ErrNotFound)
 		if snapshot {
 			require.NoError(t, s.WriteSnapshot(func(eviction.Key) (eviction.AccessHistory, bool) {
 				return eviction.AccessHistory{MeanGap: 3, LastAccess: 4}, true
 			}))
-			put(t, s, k(99, 0), 300, 40)
+			put(t, s, chunkKey(99, 0), 300, 40)
 		}
 		require.NoError(t, s.Close())
 	}
-	s, rep, faults := open(t, d)
+	s, report, faults := open(t, d)
 	assert.Empty(t, *faults)
-	assert.True(t, rep.SnapshotUsed)
-	assert.Equal(t, eviction.AccessHistory{MeanGap: 3, LastAccess: 4}, rep.Known[k(7, 0)])
-	assert.Less(t, rep.Scanned, int64(9000), "only records not covered by the snapshot are read")
-	holds(t, s, k(7, 0), 200, 33)
-	holds(t, s, k(9, 0), 100, 309)
-	holds(t, s, k(99, 0), 300, 40)
-	_, _, err = OpenStore(d, smallOptions(), false, nil)
+	assert.True(t, report.SnapshotUsed)
+	assert.Equal(t, eviction.AccessHistory{MeanGap: 3, LastAccess: 4}, report.AccessHistories[chunkKey(7, 0)])
+	assert.Less(t, report.Scanned, int64(9000), "only records not covered by the snapshot are read")
+	requireStored(t, s, chunkKey(7, 0), 200, 33)
+	requireStored(t, s, chunkKey(9, 0), 100, 309)
+	requireStored(t, s, chunkKey(99, 0), 300, 40)
+	_, _, err = OpenStore(d, testOptions(), false, nil)
 	require.ErrorIs(t, err, vfs.ErrLocked)
 	require.NoError(t, s.Close())
 }
@@ -110,11 +114,11 @@
 	fs := vfs.NewFaultFS(1)
 	s, _, _ := open(t, fs)
 	for i := range 40 {
-		put(t, s, k(i, 0), 100, 400)
+		put(t, s, chunkKey(i, 0), 100, 400)
 	}
 	for i := range 40 {
 		if i%4 != 0 {
-			s.Delete(k(i, 0))
+			s.Delete(chunkKey(i, 0))
 		}
 	}
 	_, before := s.Sizes()
@@ -130,20 +134,20 @@
 	assert.Less(t, after, before/2)
 	assert.Equal(t, 9, s.Chunks())
 	assert.Less(t, float64(after)/float64(live), 2.2)
-	holds(t, s, k(8, 0), 100, 400)
-	_, err := s.Get(k(4, 0))
+	requireStored(t, s, chunkKey(8, 0), 100, 400)
+	_, err := s.Get(chunkKey(4, 0))
 	require.ErrorIs(t, err, ErrNotFound)
 	require.NoError(t, s.Close())
 	s, _, faults := open(t, fs)
 	assert.Empty(t, *faults)
-	holds(t, s, k(36, 0), 100, 400)
+	requireStored(t, s, chunkKey(36, 0), 100, 400)
 }
 
 // TestChunkDeletedDuringMoveStaysDeleted deletes each chunk while compaction moves it. It must stay deleted.
 func TestChunkDeletedDuringMoveStaysDeleted(t *testing.T) {
 	s, _, _ := open(t, vfs.NewFaultFS(1))
 	for i := range 12 {
-		put(t, s, k(i, 0), 100, 400)
+		put(t, s, chunkKey(i, 0), 100, 400)
 	}
 	_, err := s.Compact(1, func(m Meta) bool {
 		s.Delete(m.Key) // simulates a purge during the move
@@ -151,7 +155,7 @@
 	})
 	require.NoError(t, err)
 	for i := range 7 {
-		assert.False(t, s.Contains(k(i, 0)), i)
+		assert.False(t, s.Contains(chunkKey(i, 0)), i)
 	}
 }
 
@@ -165,14 +169,14 @@
 // they were read as this version, wrong chunks would be served. Both must be rejected; the error names both versions.
 func TestOtherFormatIsRefused(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	h, _ := fs.Create(formatName)
+	h, _ := fs.Create(formatFileName)
 	_, _ = h.WriteAt([]byte("cairnfront disk tier 9\n"), 0)
-	_, _, err := OpenStore(fs, smallOptions(), false, nil)
+	_, _, err := OpenStore(fs, testOptions(), false, nil)
 	require.ErrorIs(t, err, ErrUnsupportedFormat)
 	require.ErrorContains(t, err, "version 9, this program reads version 1")
 	fs = vfs.NewFaultFS(1)
 	_, _ = fs.Create("seg-00000001.cf")
-	_, _, err = OpenStore(fs, smallOptions(), false, nil)
+	_, _, err = OpenStore(fs, testOptions(), false, nil)
 	assert.ErrorIs(t, err, ErrUnsupportedFormat)
 }
 
@@ -181,20 +185,20 @@
 // and report no disk fault.
 func TestChunkThatTheFormatCannotHoldIsRefused(t *testing.T) {
 	s, _, faults := open(t, vfs.NewFaultFS(1))
-	long := meta(k(1, 0), 100)
-	long.ETag = strings.Repeat("t", maxTagBytes+1)
+	long := meta(chunkKey(1, 0), 100)
+	long.ETag = strings.Repeat("t", maxETagBytes+1)
 	_, err := s.Put(long, nil)
 	require.ErrorIs(t, err, ErrChunkTooLong)
-	_, err = s.Put(meta(k(1, 0), 100), make([]byte, maxBodyBytes+1))
+	_, err = s.Put(meta(chunkKey(1, 0), 100), make([]byte, maxBodyBytes+1))
 	require.ErrorIs(t, err, ErrChunkTooLong)
 	assert.Empty(t, *faults)
 	assert.Zero(t, s.Chunks())
 }
 
-// interruptFS calls the function then once, during the first read of a record.
+// interruptFS calls duringRead once, during the first read of a record.
 type interruptFS struct {
 	vfs.FS
-	then func()
+	duringRead func()
 }
 
 type interruptFile struct {
@@ -208,9 +212,9 @@
 }
 
 func (f interruptFile) ReadAt(p []byte, at int64) (int, error) {
-	if then := f.fs.then; then != nil && at > 0 {
-		f.fs.then = nil
-		then()
+	if duringRead := f.fs.duringRead; duringRead != nil && at > 0 {
+		f.fs.duringRead = nil
+		duringRead()
 	}
 	return f.File.ReadAt(p, at)
 }
@@ -221,21 +225,21 @@
 	disk := vfs.NewFaultFS(1)
 	s, _, _ := open(t, disk)
 	for i := range 20 {
-		put(t, s, k(i, 0), 100, 400)
+		put(t, s, chunkKey(i, 0), 100, 400)
 	}
 	require.NoError(t, s.Close())
 	fs := &interruptFS{FS: disk}
 	s, _, _ = open(t, fs)
-	fs.then = func() {
-		s.Delete(k(1, 0))
+	fs.duringRead = func() {
+		s.Delete(chunkKey(1, 0))
 		_, err := s.Compact(1, func(Meta) bool { return true })
 		assert.NoError(t, err)
 	}
-	p, err := s.Get(k(1, 0))
+	p, err := s.Get(chunkKey(1, 0))
 	require.NoError(t, err)
 	assert.Nil(t, disk.Contents("seg-00000001.cf"), "compaction must remove the segment")
-	put(t, s, k(1, 0), 200, 400)
-	assert.True(t, bytes.Equal(body(k(1, 0), 100, 400), p.Body))
-	holds(t, s, k(1, 0), 200, 400)
-	holds(t, s, k(2, 0), 100, 400)
+	put(t, s, chunkKey(1, 0), 200, 400)
+	assert.True(t, bytes.Equal(body(chunkKey(1, 0), 100, 400), p.Body))
+	requireStored(t, s, chunkKey(1, 0), 200, 400)
+	requireStored(t, s, chunkKey(2, 0), 100, 400)
 }
--- a/internal/diskcache/validity/golden_test.go
+++ b/internal/diskcache/validity/golden_test.go
@@ -60,11 +60,11 @@
 }
 
 func (p *validityTrace) apply(event Event) {
-	records, again := p.tracker.Apply(p.now, p.lastSeq, event)
+	records, reconnect := p.tracker.Apply(p.now, p.lastSeq, event)
 	fmt.Fprintf(&p.out, "event %d beat=%v purge=%v all=%v -> again=%v\n",
-		event.Number, event.Heartbeat, event.Purge, event.ByGroup, again)
+		event.Number, event.Heartbeat, event.Purge, event.ByGroup, reconnect)
 	p.write(records)
-	if again {
+	if reconnect {
 		p.tracker.StreamOpened()
 	}
 }
@@ -118,7 +118,7 @@
 }
 
 // question evaluates a random copy and prints the verdict.
-func (p *validityTrace) question() {
+func (p *validityTrace) evaluateRandomCopy() {
 	c := Copy{
 		Object:         uint64(p.random.IntN(traceObjects)),
 		Group:          uint16(p.random.IntN(traceGroups)),
@@ -134,12 +134,12 @@
 
 func (p *validityTrace) printState() {
 	s := p.tracker.Status(p.now)
-	position, linked := p.tracker.Position()
+	position, continuous := p.tracker.Position()
 	fmt.Fprintf(&p.out, "state %d %v %v %d %d %d %d %d %v %d\n", s.Number, s.UpToDate, s.Continuous, s.SuspectUpTo,
-		s.PurgeFloor, s.Purges, s.ClockHighWater, position, linked, p.tracker.Epoch())
+		s.PurgeFloor, s.Purges, s.ClockHighWater, position, continuous, p.tracker.Epoch())
 }
 
-func playValidityTrace(seed uint64, steps int) string {
+func runValidityTrace(seed uint64, steps int) string {
 	p := &validityTrace{
 		random:  rand.New(rand.NewPCG(seed, 5)),
 		tracker: NewTracker(tracePurgeLimit),
@@ -149,7 +149,7 @@
 	for range steps {
 		p.step()
 		for range 3 {
-			p.question()
+			p.evaluateRandomCopy()
 		}
 		p.printState()
 	}
@@ -159,7 +159,7 @@
 // TestGoldenTrace checks by hash that the decisions for a fixed seed are the same as before. The text contains no Go
 // identifiers, so renames do not change it.
 func TestGoldenTrace(t *testing.T) {
-	trace := playValidityTrace(11, 3000)
+	trace := runValidityTrace(11, 3000)
 	golden.Compare(
 		t,
 		"trace.txt",
--- a/internal/diskcache/validity/purges.go
+++ b/internal/diskcache/validity/purges.go
@@ -10,9 +10,9 @@
 	DefaultMaxPurges = 65536
 	// BytesPerPurge is the approximate memory per remembered purge: key, time and map overhead.
 	BytesPerPurge = 64
-	// forgetShare divides the number of purges: when the limit is exceeded, 1/forgetShare of the purges are discarded
+	// trimDivisor divides the number of purges: when the limit is exceeded, 1/trimDivisor of the purges are discarded
 	// at once. This bounds how often the purges are sorted.
-	forgetShare = 8
+	trimDivisor = 8
 )
 
 // purgeSet stores the time of the newest purge of each object and group, in Unix ms.
@@ -42,8 +42,8 @@
 	p.newestGroup = max(p.newestGroup, at)
 }
 
-// covers reports whether a purge invalidates a copy. A copy issued in the same millisecond as the purge is invalidated.
-func (p *purgeSet) covers(c Copy) bool {
+// invalidates reports whether a purge invalidates a copy. This includes copies issued in the same millisecond.
+func (p *purgeSet) invalidates(c Copy) bool {
 	if at, ok := p.objects[c.Object]; ok && c.IssuedAt <= at {
 		return true
 	}
@@ -65,7 +65,7 @@
 		times = append(times, at)
 	}
 	slices.Sort(times)
-	p.floor = max(p.floor, times[len(times)/forgetShare])
+	p.floor = max(p.floor, times[len(times)/trimDivisor])
 	for object, at := range p.objects {
 		if at <= p.floor {
 			delete(p.objects, object)
--- a/internal/diskcache/validity/tracker.go
+++ b/internal/diskcache/validity/tracker.go
@@ -39,7 +39,7 @@
 	t.pristine = lastSeq == 0 && t.number == 0
 	var out []Record
 	if lastSeq > 0 && clockWasSetBack(now, t.clockHighWater) {
-		out = append(out, t.suspect(lastSeq, now))
+		out = append(out, t.markSuspect(lastSeq, now))
 	}
 	return append(out, t.trimPurges(now)...)
 }
@@ -99,11 +99,11 @@
 	if event.Number <= t.number {
 		return nil, false
 	}
-	if t.skips(event) {
-		write = append(write, t.missedEvents(lastSeq, now)...)
+	if t.hasGapBefore(event) {
+		write = append(write, t.recordMissedEvents(lastSeq, now)...)
 	}
 	t.number, t.checksum = event.Number, event.Checksum
-	write = append(write, t.record(event, now))
+	write = append(write, t.recordEvent(event, now))
 	return append(write, t.trimPurges(now)...), false
 }
 
@@ -113,7 +113,7 @@
 func (t *Tracker) verifyContinuity(now int64, lastSeq uint64, event Event) (write []Record, reconnect bool) {
 	if !t.isLastApplied(event) {
 		t.number, t.checksum = 0, 0
-		return t.missedEvents(lastSeq, now), true
+		return t.recordMissedEvents(lastSeq, now), true
 	}
 	t.continuous = true
 	if !t.UpToDate(now) { // events missed during the silence follow
@@ -128,8 +128,8 @@
 	return !event.Heartbeat && event.Number == t.number && event.Checksum == t.checksum
 }
 
-// skips reports whether events before this one may be missing.
-func (t *Tracker) skips(event Event) bool {
+// hasGapBefore reports whether events before this one may be missing.
+func (t *Tracker) hasGapBefore(event Event) bool {
 	if t.number > 0 {
 		return event.Number > t.number+1
 	}
@@ -137,7 +137,7 @@
 }
 
 // record adds the purge of an event, if it is one, to the known purges, and returns the record of the event.
-func (t *Tracker) record(event Event, now int64) Record {
+func (t *Tracker) recordEvent(event Event, now int64) Record {
 	r := Record{
 		Kind:      Checkpoint,
 		Number:    event.Number,
@@ -158,16 +158,16 @@
 	return r
 }
 
-// missedEvents records that purges may have been missed. On an empty disk there is no copy that they could affect.
-func (t *Tracker) missedEvents(lastSeq uint64, now int64) []Record {
+// recordMissedEvents records that purges may have been missed. On an empty disk there is no copy they could affect.
+func (t *Tracker) recordMissedEvents(lastSeq uint64, now int64) []Record {
 	if lastSeq == 0 {
 		return nil
 	}
-	return []Record{t.suspect(lastSeq, now)}
+	return []Record{t.markSuspect(lastSeq, now)}
 }
 
 // suspect starts a new epoch, in which copies up to sequence number lastSeq need confirmation by the upstream.
-func (t *Tracker) suspect(lastSeq uint64, now int64) Record {
+func (t *Tracker) markSuspect(lastSeq uint64, now int64) Record {
 	t.suspectUpTo = max(t.suspectUpTo, lastSeq)
 	t.epoch++
 	return Record{Kind: Gap, Seq: lastSeq, WrittenAt: now}
@@ -224,7 +224,7 @@
 func isFromFuture(now int64, c Copy) bool { return c.IssuedAt > now+clockSlackMS }
 
 // IsInvalidated reports whether a known purge invalidates a copy.
-func (t *Tracker) IsInvalidated(c Copy) bool { return t.purges.covers(c) }
+func (t *Tracker) IsInvalidated(c Copy) bool { return t.purges.invalidates(c) }
 
 // Epoch returns the current validation epoch. A new epoch starts whenever purges may have been missed. A confirmation
 // by the upstream counts only if it was requested in the current epoch.
--- a/internal/diskcache/validity/tracker_test.go
+++ b/internal/diskcache/validity/tracker_test.go
@@ -16,8 +16,8 @@
 	c.StreamOpened()
 	var log []Record
 	for n := range uint64(7) {
-		w, _ := c.Apply(startMS, 10, Event{Number: n + 1, Checksum: uint32(n) + 100})
-		log = append(log, w...)
+		records, _ := c.Apply(startMS, 10, Event{Number: n + 1, Checksum: uint32(n) + 100})
+		log = append(log, records...)
 	}
 	c.Apply(startMS, 10, Event{Heartbeat: true})
 	return c, log
@@ -56,8 +56,8 @@
 // served again. It must stay invalid, and the last event must be requested again.
 func TestPurgesSurviveRestart(t *testing.T) {
 	c, log := caughtUpTracker()
-	w, _ := c.Apply(startMS, 10, Event{Number: 8, Checksum: 5, Purge: true, Object: 1, PurgedAt: startMS})
-	c = restarted(append(log, w...), startMS+1000)
+	records, _ := c.Apply(startMS, 10, Event{Number: 8, Checksum: 5, Purge: true, Object: 1, PurgedAt: startMS})
+	c = restarted(append(log, records...), startMS+1000)
 	assert.Equal(t, Invalidated, c.Evaluate(startMS+1000, olderCopy))
 	assert.Equal(t, uint64(7), c.ResumeAfter())
 }
@@ -69,8 +69,8 @@
 	_, log := caughtUpTracker()
 	c := restarted(log, startMS+9000)
 	assert.Equal(t, Unconfirmed, c.Evaluate(startMS+9000, olderCopy), "no event applied")
-	_, re := c.Apply(startMS+9000, 10, Event{Number: 7, Checksum: 106})
-	assert.False(t, re)
+	_, reconnect := c.Apply(startMS+9000, 10, Event{Number: 7, Checksum: 106})
+	assert.False(t, reconnect)
 	assert.Equal(t, Unconfirmed, c.Evaluate(startMS+9000, olderCopy), "continuous, not caught up")
 	c.Apply(startMS+9000, 10, Event{Number: 8, Purge: true, Object: 1, PurgedAt: startMS + 3000})
 	c.Apply(startMS+9000, 10, Event{Heartbeat: true})
@@ -90,14 +90,14 @@
 		t.Run(name, func(t *testing.T) {
 			_, log := caughtUpTracker()
 			c := restarted(log, startMS+9000)
-			w, re := c.Apply(startMS+9000, 10, first)
-			assert.True(t, re, "all events must be requested again")
+			records, reconnect := c.Apply(startMS+9000, 10, first)
+			assert.True(t, reconnect, "all events must be requested again")
 			assert.Equal(t, uint64(0), c.ResumeAfter())
-			log = append(log, w...)
+			log = append(log, records...)
 			c.StreamOpened()
 			for n := range uint64(3) {
-				w, _ = c.Apply(startMS+9100, 10, Event{Number: n + 1, Checksum: uint32(n)})
-				log = append(log, w...)
+				records, _ = c.Apply(startMS+9100, 10, Event{Number: n + 1, Checksum: uint32(n)})
+				log = append(log, records...)
 			}
 			c.Apply(startMS+9100, 10, Event{Heartbeat: true})
 			assert.Equal(t, Unconfirmed, c.Evaluate(startMS+9100, olderCopy))
@@ -148,8 +148,8 @@
 func TestClockSetBackLeavesCopiesUnconfirmed(t *testing.T) {
 	_, log := caughtUpTracker()
 	c := NewTracker(0)
-	w := c.Restore(log, 10, startMS-60000)
-	assert.Len(t, w, 1)
+	records := c.Restore(log, 10, startMS-60000)
+	assert.Len(t, records, 1)
 	c.StreamOpened()
 	c.Apply(startMS-60000, 10, Event{Number: 7, Checksum: 106})
 	c.Apply(startMS-60000, 10, Event{Heartbeat: true})
@@ -170,12 +170,12 @@
 	c.purges.limit = 16
 	var log []Record
 	for n := range uint64(40) {
-		w, _ := c.Apply(
+		records, _ := c.Apply(
 			startMS,
 			10,
 			Event{Number: 8 + n, Purge: true, Object: 1000 + n, PurgedAt: startMS - 1000 + int64(n)},
 		)
-		log = append(log, w...)
+		log = append(log, records...)
 	}
 	assert.LessOrEqual(t, len(c.purges.objects), 16)
 	assert.NotEqual(
@@ -227,9 +227,9 @@
 		if !event.Heartbeat && event.Number <= number {
 			continue
 		}
-		records, again := x.tracker.Apply(x.now, 5, event)
+		records, mustReconnect := x.tracker.Apply(x.now, 5, event)
 		x.log = append(x.log, records...)
-		if again {
+		if mustReconnect {
 			return true
 		}
 	}
--- a/internal/diskcache/vfs/faultfile.go
+++ b/internal/diskcache/vfs/faultfile.go
@@ -20,9 +20,9 @@
 }
 
 // commit writes to the medium those sectors of a pending write for which keep returns true.
-func (n *inode) commit(w pendingWrite, keep func() bool) {
+func (n *inode) commit(w pendingWrite, survives func() bool) {
 	if w.truncate {
-		if keep() {
+		if survives() {
 			n.medium = resize(n.medium, w.offset)
 		}
 		return
@@ -30,7 +30,7 @@
 	end := w.offset + int64(len(w.data))
 	for offset := w.offset; offset < end; {
 		next := min((offset/sectorBytes+1)*sectorBytes, end)
-		if keep() {
+		if survives() {
 			n.medium = overwrite(n.medium, w.data[offset-w.offset:next-w.offset], offset)
 		}
 		offset = next
@@ -62,7 +62,7 @@
 
 func (h *faultFile) ReadAt(p []byte, offset int64) (int, error) {
 	defer h.fs.mu.Unlock()
-	if err := h.fs.enter(); err != nil {
+	if err := h.fs.beginOp(); err != nil {
 		return 0, err
 	}
 	if h.fs.FailRead != nil && h.fs.FailRead(h.name, offset) {
@@ -80,10 +80,10 @@
 
 func (h *faultFile) WriteAt(p []byte, offset int64) (int, error) {
 	defer h.fs.mu.Unlock()
-	if err := h.fs.enter(); err != nil {
+	if err := h.fs.beginOp(); err != nil {
 		return 0, err
 	}
-	n, err := h.writable(len(p), offset)
+	n, err := h.writableBytes(len(p), offset)
 	w := pendingWrite{offset: offset, data: append([]byte(nil), p[:n]...)}
 	h.node.data = overwrite(h.node.data, w.data, offset)
 	h.node.pending = append(h.node.pending, w)
@@ -94,7 +94,7 @@
 }
 
 // writable returns the number of bytes of a write that take effect, and the error of a short write.
-func (h *faultFile) writable(size int, offset int64) (int, error) {
+func (h *faultFile) writableBytes(size int, offset int64) (int, error) {
 	growth := max(offset+int64(size)-int64(len(h.node.data)), 0)
 	if h.fs.CapacityBytes > 0 && h.fs.usedBytes()+growth > h.fs.CapacityBytes {
 		return size / 2, ErrNoSpace
@@ -107,7 +107,7 @@
 
 func (h *faultFile) Size() (int64, error) {
 	defer h.fs.mu.Unlock()
-	if err := h.fs.enter(); err != nil {
+	if err := h.fs.beginOp(); err != nil {
 		return 0, err
 	}
 	return int64(len(h.node.data)), nil
@@ -115,7 +115,7 @@
 
 func (h *faultFile) Truncate(size int64) error {
 	defer h.fs.mu.Unlock()
-	if err := h.fs.enter(); err != nil {
+	if err := h.fs.beginOp(); err != nil {
 		return err
 	}
 	h.node.data = resize(h.node.data, size)
@@ -128,7 +128,7 @@
 
 func (h *faultFile) Sync() error {
 	defer h.fs.mu.Unlock()
-	if err := h.fs.enter(); err != nil {
+	if err := h.fs.beginOp(); err != nil {
 		return err
 	}
 	if h.fs.countOp() {
--- a/internal/diskcache/vfs/faultfs.go
+++ b/internal/diskcache/vfs/faultfs.go
@@ -37,7 +37,7 @@
 	FailSync func() bool
 
 	mu         sync.Mutex
-	rnd        *rand.Rand
+	random     *rand.Rand
 	names      map[string]*inode // directory entries as the running system sees them
 	durable    map[string]*inode // directory entries on the medium
 	unsynced   []nameChange
@@ -65,7 +65,7 @@
 // NewFaultFS returns an empty directory whose random choices are determined by seed.
 func NewFaultFS(seed uint64) *FaultFS {
 	return &FaultFS{
-		rnd:     rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
+		random:  rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		names:   map[string]*inode{},
 		durable: map[string]*inode{},
 	}
@@ -92,8 +92,8 @@
 	}
 }
 
-// enter waits until no hang is in progress and returns ErrPowerLoss if the power is off. It returns with mu locked.
-func (f *FaultFS) enter() error {
+// beginOp waits until no hang is in progress and returns ErrPowerLoss if the power is off. It returns with mu locked.
+func (f *FaultFS) beginOp() error {
 	f.mu.Lock()
 	for f.hanging {
 		release := f.release
@@ -122,7 +122,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, change := range f.unsynced {
-		if f.rnd.IntN(2) == 0 { // later changes may survive while earlier ones are lost
+		if f.random.IntN(2) == 0 { // later changes may survive while earlier ones are lost
 			change.apply(f.durable)
 		}
 	}
@@ -145,9 +145,9 @@
 
 // restore chooses at random which unsynced writes of a file have reached the medium.
 func (f *FaultFS) restore(node *inode) {
-	survival := [3]float64{0, 0.5, 1}[f.rnd.IntN(3)] // probability that a sector survives: none, some or all
+	survivalProbability := [3]float64{0, 0.5, 1}[f.random.IntN(3)] // of each sector: none, some or all survive
 	for _, w := range node.pending {
-		node.commit(w, func() bool { return f.rnd.Float64() < survival })
+		node.commit(w, func() bool { return f.random.Float64() < survivalProbability })
 	}
 	node.pending = nil
 	node.data = append([]byte(nil), node.medium...)
@@ -170,7 +170,7 @@
 // Create implements FS.
 func (f *FaultFS) Create(name string) (File, error) {
 	defer f.mu.Unlock()
-	if err := f.enter(); err != nil {
+	if err := f.beginOp(); err != nil {
 		return nil, err
 	}
 	node := &inode{}
@@ -184,7 +184,7 @@
 // Open implements FS.
 func (f *FaultFS) Open(name string) (File, error) {
 	defer f.mu.Unlock()
-	if err := f.enter(); err != nil {
+	if err := f.beginOp(); err != nil {
 		return nil, err
 	}
 	node := f.names[name]
@@ -197,7 +197,7 @@
 // Rename implements FS.
 func (f *FaultFS) Rename(from, to string) error {
 	defer f.mu.Unlock()
-	if err := f.enter(); err != nil {
+	if err := f.beginOp(); err != nil {
 		return err
 	}
 	node := f.names[from]
@@ -214,7 +214,7 @@
 // Remove implements FS.
 func (f *FaultFS) Remove(name string) error {
 	defer f.mu.Unlock()
-	if err := f.enter(); err != nil {
+	if err := f.beginOp(); err != nil {
 		return err
 	}
 	if f.names[name] == nil {
@@ -230,7 +230,7 @@
 // List implements FS.
 func (f *FaultFS) List() ([]string, error) {
 	defer f.mu.Unlock()
-	if err := f.enter(); err != nil {
+	if err := f.beginOp(); err != nil {
 		return nil, err
 	}
 	return sortedNames(f.names), nil
@@ -239,7 +239,7 @@
 // SyncDir implements FS.
 func (f *FaultFS) SyncDir() error {
 	defer f.mu.Unlock()
-	if err := f.enter(); err != nil {
+	if err := f.beginOp(); err != nil {
 		return err
 	}
 	if f.countOp() {
@@ -255,7 +255,7 @@
 // Lock implements FS. The directory has a single lock; its name is ignored.
 func (f *FaultFS) Lock(string) (func(), error) {
 	defer f.mu.Unlock()
-	if err := f.enter(); err != nil {
+	if err := f.beginOp(); err != nil {
 		return nil, err
 	}
 	if f.locked {
