--- a/internal/diskcache/cache_test.go
+++ b/internal/diskcache/cache_test.go
@@ -48,7 +48,8 @@
 	return cache
 }
 
-// running opens a cache, starts Run and catches up with an event stream of one event. The returned function stops Run.
+// startCache opens a cache, starts Run and catches up with an event stream of one event. The returned function stops
+// Run.
 func startCache(t *testing.T, fs vfs.FS, config Config) (*Cache, *testCounter, func()) {
 	t.Helper()
 	counters := &testCounter{}
@@ -74,10 +75,10 @@
 		t, func() bool { return cache.store.Contains(chunkKey(object, 0)) }, 5*time.Second, time.Millisecond)
 }
 
-// TestRestartKeepsChunksNotPurgedMeanwhile restarts a cache and applies purges that were published while it was down.
+// TestRestartRetainsChunksNotPurged restarts a cache and applies purges that were published while it was down.
 // Chunks purged meanwhile must be invalid, so that no purged copy is served. All others must be valid, so that the
 // cache is not empty after a restart.
-func TestRestartKeepsChunksNotPurgedMeanwhile(t *testing.T) {
+func TestRestartRetainsChunksNotPurged(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
 	cache, _, stop := startCache(t, fs, testConfig)
 	for object := range 5 {
@@ -123,9 +124,9 @@
 	assert.Equal(t, uint64(1), cache.ResumeAfter(), "the last event must be requested again")
 }
 
-// TestHangingDiskCostsOnlyMisses hangs the disk. Reads must fail after their timeout, or at once if the read queue is
+// TestHangingDiskCausesOnlyMisses hangs the disk. Reads must fail after their timeout, or at once if the read queue is
 // full. New chunks must be declined once the write queue is full, and purges must still take effect.
-func TestHangingDiskCostsOnlyMisses(t *testing.T) {
+func TestHangingDiskCausesOnlyMisses(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
 	cache, counters, stop := startCache(t, fs, testConfig)
 	for object := range 30 {
@@ -141,7 +142,7 @@
 		case errors.Is(err, ErrReadQueueFull):
 			rejected++
 		default:
-			t.Fatalf("a read from a hanging disk: %v", err)
+			t.Fatalf("unexpected error of a read from a hanging disk: %v", err)
 		}
 	}
 	assert.LessOrEqual(t, timedOut, testConfig.Readers+testConfig.ReadQueue)
--- a/internal/diskcache/eviction/cafe_test.go
+++ b/internal/diskcache/eviction/cafe_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestNewChunkDisplacesLeastRequested requests a new chunk repeatedly on a full disk. The least requested chunk must be
+// TestNewChunkEvictsLeastRequested requests a new chunk repeatedly on a full disk. The least requested chunk must be
 // evicted; a policy that evicts by age alone would evict popular chunks.
-func TestNewChunkDisplacesLeastRequested(t *testing.T) {
+func TestNewChunkEvictsLeastRequested(t *testing.T) {
 	c := fullDisk(1)
 	for i := range 9 { // all but object 9 are requested repeatedly
 		for j := range 4 {
@@ -72,9 +72,9 @@
 	assert.False(t, c.Contains(key(9, 0)))
 }
 
-// TestChunksRequestedOnceDoNotDisplace requests a thousand chunks once each, like a scan of the entire catalog. None
+// TestChunksRequestedOnceAreNotAdmitted requests a thousand chunks once each, like a scan of the entire catalog. None
 // may be admitted, or the scan would evict all popular chunks, and the number of uncached entries must stay bounded.
-func TestChunksRequestedOnceDoNotDisplace(t *testing.T) {
+func TestChunksRequestedOnceAreNotAdmitted(t *testing.T) {
 	c := fullDisk(2)
 	for i := range 1000 {
 		assert.False(t, c.Request(20+float64(i)/1000, key(100+i, 0), 10).Admit)
@@ -110,9 +110,9 @@
 	assert.True(t, c.Request(21, key(3, 0), 10).Admit)
 }
 
-// TestRestoreStaysWithinSmallerDisk restores more chunks than fit, as after an operator has reduced the capacity. The
+// TestRestoreEvictsAboveCapacity restores more chunks than fit, as after an operator has reduced the capacity. The
 // policy must not count more bytes than the capacity: Restore must return the chunk with the largest gap for eviction.
-func TestRestoreStaysWithinSmallerDisk(t *testing.T) {
+func TestRestoreEvictsAboveCapacity(t *testing.T) {
 	c := NewCafe(Config{Alpha: 1, CapacityBytes: 25, MaxGhosts: 10})
 	assert.Empty(t, c.Restore(key(1, 0), 10, AccessHistory{MeanGap: 100, LastAccess: 10}))
 	assert.Empty(t, c.Restore(key(2, 0), 10, AccessHistory{MeanGap: 1, LastAccess: 10}))
@@ -163,14 +163,14 @@
 	decision := m.policy.Request(m.now, k, size)
 	_, present := m.cached[k]
 	if decision.Cached != present {
-		m.t.Fatalf("cached %v, was cached %v", decision.Cached, present)
+		m.t.Fatalf("Decision.Cached is %v, want %v", decision.Cached, present)
 	}
 	if decision.Admit {
 		m.cached[k] = size
 	}
 	for _, evicted := range decision.Evict {
 		if _, ok := m.cached[evicted]; !ok {
-			m.t.Fatalf("%v is evicted and was not cached", evicted)
+			m.t.Fatalf("chunk %v was evicted but was not cached", evicted)
 		}
 		delete(m.cached, evicted)
 	}
@@ -185,7 +185,8 @@
 	if sum != c.Bytes() || len(m.cached) != c.Chunks() ||
 		sum > modelCapacityBytes || c.UncachedEntries() > modelMaxUncached ||
 		len(c.entries) != c.Chunks()+c.UncachedEntries() || c.cached.Len() != c.Chunks() {
-		m.t.Fatalf("accounting disagrees: %d %d, %d %d", sum, c.Bytes(), len(m.cached), c.Chunks())
+		m.t.Fatalf("accounting differs from the model: bytes %d %d, chunks %d %d",
+			sum, c.Bytes(), len(m.cached), c.Chunks())
 	}
 }
 
@@ -215,9 +216,9 @@
 	})
 }
 
-// TestXLRURedirectsFirstView checks the admission rule of the baseline: chunks of a first view are not admitted, those
-// of a second view are. Comparisons with an incorrect baseline would be meaningless.
-func TestXLRURedirectsFirstView(t *testing.T) {
+// TestXLRUDoesNotAdmitFirstView checks the admission rule of the baseline: chunks of a first view are not admitted,
+// those of a second view are. Comparisons with an incorrect baseline would be meaningless.
+func TestXLRUDoesNotAdmitFirstView(t *testing.T) {
 	p := NewXLRU(100, 1)
 	assert.Equal(t, Decision{}, p.Request(0, key(1, 0), 10))
 	assert.Equal(t, Decision{}, p.Request(1, key(1, 1), 10), "the same view")
--- a/internal/diskcache/eviction/writebudget.go
+++ b/internal/diskcache/eviction/writebudget.go
@@ -5,7 +5,8 @@
 const (
 	// burstShare is the bucket size as a share of the daily budget: the budget of one hour.
 	burstShare = 1. / 24
-	// lowBudgetShare is the fill level of the bucket below which the cost of writes rises. It doubles at an empty bucket.
+	// lowBudgetShare is the fill level of the bucket below which the cost of writes rises. The cost is doubled when the
+	// bucket is empty.
 	lowBudgetShare = 0.5
 	secondsPerDay  = 86400
 )
--- a/internal/diskcache/eviction/xlru.go
+++ b/internal/diskcache/eviction/xlru.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	// minViewInterval is the time in seconds without requests for an object after which a request begins a new view. In
-	// the paper, a request covers a complete range. Here a view requests one chunk at a time; without this interval, its
-	// second chunk would count as a second view.
+	// minViewInterval is the time in seconds without requests for an object after which a request begins a new view.
+	// In the paper, a request covers a complete range. Here a view requests one chunk at a time; without this
+	// interval, its second chunk would count as a second view.
 	minViewInterval = 30.0
 	// minSweepInterval is the minimum time in seconds between two removals of old views.
 	minSweepInterval = 60.0
@@ -56,7 +56,7 @@
 	return p.add(now, key, size)
 }
 
-// sweep removes views that are too old to lead to an admission.
+// removeOldViews removes views that are too old to lead to an admission.
 func (p *XLRU) removeOldViews(now, age float64) {
 	if math.IsInf(age, 1) || now < p.lastSweepAt+max(age, minSweepInterval) {
 		return
--- a/internal/diskcache/fault_test.go
+++ b/internal/diskcache/fault_test.go
@@ -78,36 +78,36 @@
 // writeFaultFolder fills a folder with faultChunks chunks, a purge record and optionally a snapshot.
 func writeFaultFolder(t *testing.T, fs *vfs.FaultFS, snapshot bool) {
 	t.Helper()
-	s, _, _ := open(t, fs)
+	store, _, _ := open(t, fs)
 	for i := range faultChunks {
-		put(t, s, chunkKey(i, 0), 100, faultBodyBytes)
+		put(t, store, chunkKey(i, 0), 100, faultBodyBytes)
 	}
 	purge := validity.Record{Kind: validity.PurgeObject, Object: 77, PurgedAt: 5}
-	require.NoError(t, s.AppendPurgeRecords([]validity.Record{purge}))
+	require.NoError(t, store.AppendPurgeRecords([]validity.Record{purge}))
 	if snapshot {
-		require.NoError(t, s.WriteSnapshot(nil))
+		require.NoError(t, store.WriteSnapshot(nil))
 	}
-	require.NoError(t, s.Close())
+	require.NoError(t, store.Close())
 }
 
 // countLost reads every chunk and returns the number of lost ones. The others must have the expected body.
-func countLost(t *testing.T, s *Store) (lost int) {
+func countLost(t *testing.T, store *Store) (lost int) {
 	t.Helper()
 	for i := range faultChunks {
-		p, err := s.Get(chunkKey(i, 0))
+		chunk, err := store.Get(chunkKey(i, 0))
 		if err != nil {
 			lost++
 			continue
 		}
-		assert.True(t, bytes.Equal(body(chunkKey(i, 0), 100, faultBodyBytes), p.Body))
+		assert.True(t, bytes.Equal(body(chunkKey(i, 0), 100, faultBodyBytes), chunk.Body))
 	}
 	return lost
 }
 
-// TestEachFaultCostsOnlyChunksConcerned injects each fault into a folder, with and without a snapshot. One bad sector
+// TestEachFaultLosesOnlyAffectedChunks injects each fault into a folder, with and without a snapshot. One bad sector
 // must not abort the start or empty the cache: only the affected chunks may be lost, the fault must be reported once,
 // no purge record may be lost, and the store must accept new chunks.
-func TestEachFaultCostsOnlyChunksConcerned(t *testing.T) {
+func TestEachFaultLosesOnlyAffectedChunks(t *testing.T) {
 	for _, c := range faultCases() {
 		for _, snapshot := range []bool{false, true} {
 			if !snapshot && c.needsSnapshot() {
@@ -117,9 +117,9 @@
 				fs := vfs.NewFaultFS(1)
 				writeFaultFolder(t, fs, snapshot)
 				c.inject(t, fs)
-				s, report, faults := open(t, fs)
+				store, report, faults := open(t, fs)
 				assert.Len(t, report.Records, 1, "no purge record may be lost")
-				lost := countLost(t, s)
+				lost := countLost(t, store)
 				if c.lost == someChunks {
 					assert.Positive(t, lost)
 					assert.Less(t, lost, 9)
@@ -127,12 +127,12 @@
 					assert.Equal(t, c.lost, lost)
 				}
 				codes := map[FaultCode]int{}
-				for _, f := range *faults {
-					codes[f.Code]++
+				for _, fault := range *faults {
+					codes[fault.Code]++
 				}
 				assert.Equal(t, 1, codes[c.code], "the fault must be reported once: %v", codes)
-				put(t, s, chunkKey(1, 0), 300, 50) // the store still accepts chunks
-				requireStored(t, s, chunkKey(1, 0), 300, 50)
+				put(t, store, chunkKey(1, 0), 300, 50) // the store still accepts chunks
+				requireStored(t, store, chunkKey(1, 0), 300, 50)
 			})
 		}
 	}
@@ -143,26 +143,26 @@
 // and later writes must succeed.
 func TestFullDiskFailsOnlyTheWrite(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	s, _, faults := open(t, fs)
-	put(t, s, chunkKey(1, 0), 100, 400)
+	store, _, faults := open(t, fs)
+	put(t, store, chunkKey(1, 0), 100, 400)
 	fs.CapacityBytes = 1000
-	_, err := s.Put(meta(chunkKey(2, 0), 100), body(chunkKey(2, 0), 100, 900))
-	var f StoreError
-	require.ErrorAs(t, err, &f)
-	assert.Equal(t, CodeDiskFull, f.Code)
+	_, err := store.Put(meta(chunkKey(2, 0), 100), body(chunkKey(2, 0), 100, 900))
+	var fault StoreError
+	require.ErrorAs(t, err, &fault)
+	assert.Equal(t, CodeDiskFull, fault.Code)
 	assert.Len(t, *faults, 1)
-	requireStored(t, s, chunkKey(1, 0), 100, 400)
+	requireStored(t, store, chunkKey(1, 0), 100, 400)
 	fs.CapacityBytes = 0
 	short := true
 	fs.ShortWrite = func() bool { short = !short; return !short }
-	_, err = s.Put(meta(chunkKey(3, 0), 100), body(chunkKey(3, 0), 100, 900))
-	require.ErrorAs(t, err, &f)
-	assert.Equal(t, CodeWriteFailed, f.Code)
+	_, err = store.Put(meta(chunkKey(3, 0), 100), body(chunkKey(3, 0), 100, 900))
+	require.ErrorAs(t, err, &fault)
+	assert.Equal(t, CodeWriteFailed, fault.Code)
 	fs.ShortWrite = nil
-	put(t, s, chunkKey(3, 0), 100, 800)
-	s, _, _ = reopen(t, fs, s)
-	requireStored(t, s, chunkKey(3, 0), 100, 800)
-	assert.False(t, s.Contains(chunkKey(2, 0)))
+	put(t, store, chunkKey(3, 0), 100, 800)
+	store, _, _ = reopen(t, fs, store)
+	requireStored(t, store, chunkKey(3, 0), 100, 800)
+	assert.False(t, store.Contains(chunkKey(2, 0)))
 }
 
 // TestRecordWithinBodyIsNotAccepted stores a body that contains bytes encoded like records and damages the header
@@ -170,17 +170,17 @@
 // does not know the segment's salt.
 func TestRecordWithinBodyIsNotAccepted(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	s, _, _ := open(t, fs)
+	store, _, _ := open(t, fs)
 	forged := appendRecord(nil, 0, meta(chunkKey(666, 0), 1), []byte("not what it was"), 0)
 	for len(forged) < 3000 {
 		forged = appendRecord(forged, 0, meta(chunkKey(666, len(forged)), 1), []byte("nor this"), 0)
 	}
-	_, err := s.Put(meta(chunkKey(1, 0), 100), forged)
+	_, err := store.Put(meta(chunkKey(1, 0), 100), forged)
 	require.NoError(t, err)
-	put(t, s, chunkKey(2, 0), 100, 100)
-	require.NoError(t, s.Close())
+	put(t, store, chunkKey(2, 0), 100, 100)
+	require.NoError(t, store.Close())
 	fs.FlipBit("seg-00000001.cf", segmentHeaderSize+9, 0)
-	s, _, _ = open(t, fs)
-	assert.Equal(t, 1, s.Chunks())
-	requireStored(t, s, chunkKey(2, 0), 100, 100)
+	store, _, _ = open(t, fs)
+	assert.Equal(t, 1, store.Chunks())
+	requireStored(t, store, chunkKey(2, 0), 100, 100)
 }
--- a/internal/diskcache/faultcounts_test.go
+++ b/internal/diskcache/faultcounts_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFaultCodesAreThePublishedTexts checks the texts of fault codes in log lines and counters, and their JSON keys.
-func TestFaultCodesAreThePublishedTexts(t *testing.T) {
+// TestFaultCodeTextsAndJSONKeys checks the texts of fault codes in log lines and counters, and their JSON keys.
+func TestFaultCodeTextsAndJSONKeys(t *testing.T) {
 	texts := []string{
 		"bad_header", "bad_body", "truncated", "missing_segment", "bad_segment", "bad_purge_log", "bad_snapshot",
 		"read_failed", "disk_full", "write_failed", "unsupported_format",
--- a/internal/diskcache/format.go
+++ b/internal/diskcache/format.go
@@ -39,7 +39,7 @@
 	kindTorn  recordKind = 2 // record whose body was torn by a power loss; recovery skips it
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var crc32cTable = crc32.MakeTable(crc32.Castagnoli)
 
 func segmentName(id uint32) string { return fmt.Sprintf(segmentNameFormat, id) }
 
@@ -68,7 +68,7 @@
 // saltedChecksum returns the initial checksum value, derived from the segment's salt. A body may contain bytes that
 // look like a record. The checksum of such a record is wrong, because the author of the body does not know the salt.
 func saltedChecksum(salt uint64) uint32 {
-	return crc32.Checksum(binary.LittleEndian.AppendUint64(nil, salt), castagnoli)
+	return crc32.Checksum(binary.LittleEndian.AppendUint64(nil, salt), crc32cTable)
 }
 
 func appendSegmentHeader(b []byte, id uint32, salt uint64, createdMS int64) []byte {
@@ -79,7 +79,7 @@
 	b = binary.LittleEndian.AppendUint64(b, salt)
 	b = binary.LittleEndian.AppendUint64(b, uint64(createdMS))
 	b = append(b, make([]byte, start+segmentHeaderSize-4-len(b))...)
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], castagnoli))
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], crc32cTable))
 }
 
 func parseSegmentHeader(b []byte, id uint32) (salt uint64, err error) {
@@ -88,7 +88,7 @@
 	case len(b) < segmentHeaderSize:
 		return 0, fmt.Errorf("%w: %d bytes", errShortHeader, len(b))
 	case le.Uint64(b) != segmentMagic,
-		le.Uint32(b[segmentHeaderSize-4:]) != crc32.Checksum(b[:segmentHeaderSize-4], castagnoli):
+		le.Uint32(b[segmentHeaderSize-4:]) != crc32.Checksum(b[:segmentHeaderSize-4], crc32cTable):
 		return 0, errHeaderChecksum
 	case le.Uint32(b[8:]) != formatVersion:
 		return 0, fmt.Errorf("%w: %d, this program supports %d", errUnsupportedVersion, le.Uint32(b[8:]), formatVersion)
@@ -101,7 +101,7 @@
 // appendRecord appends an encoded record to b: header, entity tag, body, and padding to a multiple of recordAlignment.
 func appendRecord(b []byte, salt uint64, m Meta, body []byte, writtenMS int64) []byte {
 	start := len(b)
-	h := recordHeader{Meta: m, bodyLen: len(body), bodyChecksum: crc32.Checksum(body, castagnoli)}
+	h := recordHeader{Meta: m, bodyLen: len(body), bodyChecksum: crc32.Checksum(body, crc32cTable)}
 	b = appendRecordHeader(b, salt, h, writtenMS, kindChunk)
 	b = append(b, body...)
 	return append(b, make([]byte, start+int(h.size())-len(b))...)
@@ -135,8 +135,8 @@
 	b = le.AppendUint32(b, h.bodyChecksum)
 	b = le.AppendUint64(b, uint64(writtenMS))
 	b = le.AppendUint32(b, 0)
-	sum := crc32.Update(saltedChecksum(salt), castagnoli, b[start:])
-	b = le.AppendUint32(b, crc32.Update(sum, castagnoli, []byte(h.ETag)))
+	sum := crc32.Update(saltedChecksum(salt), crc32cTable, b[start:])
+	b = le.AppendUint32(b, crc32.Update(sum, crc32cTable, []byte(h.ETag)))
 	return append(b, h.ETag...)
 }
 
@@ -150,8 +150,8 @@
 	if tagLen > maxETagBytes || len(b) < recordHeaderSize+tagLen {
 		return recordHeader{}, fmt.Errorf("%w: a tag of %d bytes", errRecordTooLong, tagLen)
 	}
-	sum := crc32.Update(saltedChecksum(salt), castagnoli, b[:recordHeaderSize-4])
-	sum = crc32.Update(sum, castagnoli, b[recordHeaderSize:recordHeaderSize+tagLen])
+	sum := crc32.Update(saltedChecksum(salt), crc32cTable, b[:recordHeaderSize-4])
+	sum = crc32.Update(sum, crc32cTable, b[recordHeaderSize:recordHeaderSize+tagLen])
 	if le.Uint32(b[recordHeaderSize-4:]) != sum {
 		return recordHeader{}, errHeaderChecksum
 	}
--- a/internal/diskcache/fuzz_test.go
+++ b/internal/diskcache/fuzz_test.go
@@ -25,16 +25,16 @@
 // or return an error, and the store must not return a chunk under another key.
 func FuzzOpen(f *testing.F) {
 	fs := vfs.NewFaultFS(1)
-	s, _, err := OpenStore(fs, testOptions(), true, nil)
+	store, _, err := OpenStore(fs, testOptions(), true, nil)
 	if err != nil {
 		f.Fatal(err)
 	}
 	for i := range 5 {
-		_, _ = s.Put(meta(chunkKey(i, 0), 100), body(chunkKey(i, 0), 100, 90))
+		_, _ = store.Put(meta(chunkKey(i, 0), 100), body(chunkKey(i, 0), 100, 90))
 	}
-	_ = s.AppendPurgeRecords([]validity.Record{{Kind: validity.PurgeObject, Object: 1, PurgedAt: 5}})
-	_ = s.WriteSnapshot(nil)
-	_ = s.Close()
+	_ = store.AppendPurgeRecords([]validity.Record{{Kind: validity.PurgeObject, Object: 1, PurgedAt: 5}})
+	_ = store.WriteSnapshot(nil)
+	_ = store.Close()
 	f.Add(fs.Contents("seg-00000001.cf"), fs.Contents(snapshotName), fs.Contents(purgeLogName))
 	f.Fuzz(func(t *testing.T, seg, snap, log []byte) {
 		fs := vfs.NewFaultFS(1)
@@ -48,18 +48,18 @@
 			h, _ := fs.Create(name)
 			_, _ = h.WriteAt(b, 0)
 		}
-		s, _, err := OpenStore(fs, testOptions(), true, nil)
+		store, _, err := OpenStore(fs, testOptions(), true, nil)
 		if err != nil {
 			return
 		}
 		var keys []eviction.Key
-		s.Each(func(key eviction.Key, _ int64, _ uint8) bool { keys = append(keys, key); return true })
+		store.Each(func(key eviction.Key, _ int64, _ uint8) bool { keys = append(keys, key); return true })
 		for _, key := range keys {
-			if p, err := s.Get(key); err == nil && p.Key != key {
-				t.Fatalf("%v for %v", p.Key, key)
+			if chunk, err := store.Get(key); err == nil && chunk.Key != key {
+				t.Fatalf("Get returned chunk %v for key %v", chunk.Key, key)
 			}
 		}
-		if _, err := s.Put(meta(chunkKey(1, 1), 1), []byte("x")); err != nil {
+		if _, err := store.Put(meta(chunkKey(1, 1), 1), []byte("x")); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/diskcache/index.go
+++ b/internal/diskcache/index.go
@@ -14,7 +14,7 @@
 	locationBytes = 40
 	shardCount    = 256  // many small tables, so that growing one copies few entries
 	minTableLen   = 16   // slots
-	maxLoad       = 0.80 // maximum load factor; probe sequences stay short up to this value
+	maxLoadFactor = 0.80 // maximum load factor; probe sequences stay short up to this value
 	tableGrowth   = 1.25 // growth factor of a full table
 	reserveMargin = 1.05 // slots reserved relative to the average, as shards fill unevenly
 	noSegment     = 0    // segment ID of a free slot
@@ -104,7 +104,7 @@
 		return
 	}
 	shard := shardOf(hashKey(loc.key()))
-	if float64(x.used[shard]+1) > maxLoad*float64(len(x.tables[shard])) {
+	if float64(x.used[shard]+1) > maxLoadFactor*float64(len(x.tables[shard])) {
 		x.grow(shard)
 	}
 	x.insert(shard, loc)
@@ -125,7 +125,7 @@
 // reserve allocates tables for the given number of chunks in an empty index. Without it, chunks inserted in the slot
 // order of another table would cluster at the front of each small table while it grows.
 func (x *index) reserve(chunks int) {
-	slots := int(float64(chunks) / shardCount * reserveMargin / maxLoad)
+	slots := int(float64(chunks) / shardCount * reserveMargin / maxLoadFactor)
 	for shard := range x.tables {
 		x.tables[shard] = make([]location, max(slots, minTableLen))
 	}
--- a/internal/diskcache/index_test.go
+++ b/internal/diskcache/index_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestIndexAgainstAMap applies random puts and removals to the index and to a map. Both must have the same content. A
+// TestIndexMatchesMap applies random puts and removals to the index and to a map. Both must have the same content. A
 // removal that breaks a probe sequence of the table would lose chunks that are on the disk.
-func TestIndexAgainstAMap(t *testing.T) {
+func TestIndexMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x index
 		want := map[eviction.Key]uint64{}
@@ -19,7 +19,7 @@
 			if n%3 == 0 {
 				_, present := want[key]
 				if x.remove(key) != present {
-					t.Fatalf("remove of %v", key)
+					t.Fatalf("remove(%v) returned the wrong result", key)
 				}
 				delete(want, key)
 			} else {
@@ -32,7 +32,7 @@
 		}
 		for key, seq := range want {
 			if p := x.find(key); p == nil || p.seq != seq {
-				t.Fatalf("%v is lost", key)
+				t.Fatalf("key %v is missing or has the wrong sequence number", key)
 			}
 		}
 	})
--- a/internal/diskcache/purgelog.go
+++ b/internal/diskcache/purgelog.go
@@ -9,8 +9,8 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// purgeLogBatch is the number of purge log records per read.
-const purgeLogBatch = 1024
+// purgeLogReadRecords is the number of purge log records per read.
+const purgeLogReadRecords = 1024
 
 // readPurgeLog reads the purge log up to the first invalid record and truncates the log there. The bytes after it were
 // never acknowledged, and new records must not be appended behind an invalid one.
@@ -20,7 +20,7 @@
 		return nil, err
 	}
 	var records []validity.Record
-	buf := make([]byte, purgeLogBatch*validity.RecordSize)
+	buf := make([]byte, purgeLogReadRecords*validity.RecordSize)
 	for s.purgeLogSize < size {
 		n, err := s.purgeLog.ReadAt(buf[:min(int64(len(buf)), size-s.purgeLogSize)], s.purgeLogSize)
 		if err != nil && !errors.Is(err, io.EOF) {
--- a/internal/diskcache/recovery.go
+++ b/internal/diskcache/recovery.go
@@ -178,7 +178,7 @@
 		salt:           salt,
 		file:           file,
 		size:           size,
-		oldestIssuedAt: noRecord,
+		oldestIssuedAt: noIssueTime,
 		sealed:         true,
 	}
 	return nil
--- a/internal/diskcache/scan.go
+++ b/internal/diskcache/scan.go
@@ -61,8 +61,8 @@
 	return c.bytesRead, nil
 }
 
-// fill ensures that the window contains the record header and entity tag at an offset. If ok is false the scan must
-// end; err is set only after a power loss.
+// fillWindow ensures that the window contains the record header and entity tag at an offset. If ok is false the scan
+// must end; err is set only after a power loss.
 func (c *segmentScan) fillWindow(offset int64) (ok bool, err error) {
 	end := c.base + int64(len(c.window))
 	complete := offset+recordHeaderSize+maxETagBytes <= end || end >= c.segment.size
@@ -87,7 +87,7 @@
 	return true, nil
 }
 
-// parse decodes the record header at an offset.
+// parseHeader decodes the record header at an offset.
 func (c *segmentScan) parseHeader(offset int64) (recordHeader, *StoreError) {
 	h, err := parseRecordHeader(c.window[offset-c.base:], c.segment.salt)
 	if err != nil {
--- a/internal/diskcache/segment.go
+++ b/internal/diskcache/segment.go
@@ -126,7 +126,7 @@
 		name:           segmentName(id),
 		salt:           s.options.Salt(),
 		size:           segmentHeaderSize,
-		oldestIssuedAt: noRecord,
+		oldestIssuedAt: noIssueTime,
 	}
 	file, err := s.fs.Create(seg.name)
 	if err != nil {
--- a/internal/diskcache/snapshot_read.go
+++ b/internal/diskcache/snapshot_read.go
@@ -28,7 +28,7 @@
 		s.onFault(StoreError{Code: CodeBadSnapshot, File: snapshotName, Err: err})
 		s.index, s.lastSeq = index{}, 0
 		for _, seg := range s.segments {
-			seg.liveBytes, seg.oldestIssuedAt = 0, noRecord
+			seg.liveBytes, seg.oldestIssuedAt = 0, noIssueTime
 		}
 		return nil
 	}
@@ -65,7 +65,7 @@
 // next reads the next n bytes and adds them to the checksum. The slice is valid until the next call.
 func (r *snapshotReader) next(n int) ([]byte, error) {
 	_, err := io.ReadFull(r.in, r.buf[:n])
-	r.sum = crc32.Update(r.sum, castagnoli, r.buf[:n])
+	r.sum = crc32.Update(r.sum, crc32cTable, r.buf[:n])
 	return r.buf[:n], err
 }
 
--- a/internal/diskcache/snapshot_write.go
+++ b/internal/diskcache/snapshot_write.go
@@ -127,6 +127,6 @@
 }
 
 func (w *checksumWriter) write(b []byte) {
-	w.sum = crc32.Update(w.sum, castagnoli, b)
+	w.sum = crc32.Update(w.sum, crc32cTable, b)
 	_, _ = w.buf.Write(b) // Flush returns the error
 }
--- a/internal/diskcache/store.go
+++ b/internal/diskcache/store.go
@@ -25,8 +25,8 @@
 // defaultSegmentBytes is the default size at which a segment is sealed.
 const defaultSegmentBytes = 64 << 20
 
-// noRecord is the value of the oldest issue time when there are no records.
-const noRecord = math.MaxInt64
+// noIssueTime is the value of the oldest issue time when there are no records.
+const noIssueTime = math.MaxInt64
 
 // StoreOptions configures a Store. Zero fields are replaced by defaults.
 type StoreOptions struct {
--- a/internal/diskcache/store_index.go
+++ b/internal/diskcache/store_index.go
@@ -34,7 +34,7 @@
 func (s *Store) OldestIssuedAt() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	oldest := int64(noRecord)
+	oldest := int64(noIssueTime)
 	for _, seg := range s.segments {
 		oldest = min(oldest, seg.oldestIssuedAt)
 	}
--- a/internal/diskcache/store_read.go
+++ b/internal/diskcache/store_read.go
@@ -70,7 +70,7 @@
 		}
 	}
 	body := buf[recordHeaderSize+len(h.ETag):][:h.bodyLen:h.bodyLen]
-	if crc32.Checksum(body, castagnoli) != h.bodyChecksum {
+	if crc32.Checksum(body, crc32cTable) != h.bodyChecksum {
 		return Chunk{}, corruptRecordError{CodeBadBody, errBodyChecksum}
 	}
 	return Chunk{Meta: h.Meta, Body: body, ConfirmedEpoch: loc.confirmedEpoch}, nil
--- a/internal/diskcache/store_test.go
+++ b/internal/diskcache/store_test.go
@@ -23,9 +23,9 @@
 // body returns pseudo-random bytes determined by a chunk's key and issue time, so that a mix-up of bodies is detected.
 func body(key eviction.Key, issuedAt int64, n int) []byte {
 	b := make([]byte, n)
-	r := rand.New(rand.NewPCG(key.Object<<8|uint64(key.Chunk), uint64(issuedAt)))
+	random := rand.New(rand.NewPCG(key.Object<<8|uint64(key.Chunk), uint64(issuedAt)))
 	for i := range b {
-		b[i] = byte(r.Uint32())
+		b[i] = byte(random.Uint32())
 	}
 	return b
 }
@@ -47,25 +47,25 @@
 func open(t *testing.T, fs vfs.FS) (*Store, RecoveryReport, *[]StoreError) {
 	t.Helper()
 	var faults []StoreError
-	s, report, err := OpenStore(fs, testOptions(), true, func(f StoreError) { faults = append(faults, f) })
+	store, report, err := OpenStore(fs, testOptions(), true, func(f StoreError) { faults = append(faults, f) })
 	require.NoError(t, err)
-	return s, report, &faults
+	return store, report, &faults
 }
 
-func put(t *testing.T, s *Store, key eviction.Key, issuedAt int64, n int) {
+func put(t *testing.T, store *Store, key eviction.Key, issuedAt int64, n int) {
 	t.Helper()
-	_, err := s.Put(meta(key, issuedAt), body(key, issuedAt, n))
+	_, err := store.Put(meta(key, issuedAt), body(key, issuedAt, n))
 	require.NoError(t, err)
 }
 
-func requireStored(t *testing.T, s *Store, key eviction.Key, issuedAt int64, n int) {
+func requireStored(t *testing.T, store *Store, key eviction.Key, issuedAt int64, n int) {
 	t.Helper()
-	p, err := s.Get(key)
+	chunk, err := store.Get(key)
 	require.NoError(t, err)
-	assert.Equal(t, issuedAt, p.IssuedAt)
-	assert.Equal(t, meta(key, issuedAt).ETag, p.ETag)
-	assert.Equal(t, uint16(key.Object%5), p.Group)
-	assert.True(t, bytes.Equal(body(key, issuedAt, n), p.Body))
+	assert.Equal(t, issuedAt, chunk.IssuedAt)
+	assert.Equal(t, meta(key, issuedAt).ETag, chunk.ETag)
+	assert.Equal(t, uint16(key.Object%5), chunk.Group)
+	assert.True(t, bytes.Equal(body(key, issuedAt, n), chunk.Body))
 }
 
 // TestChunksSurviveReopeningRealFolder reopens a folder of the operating system, with and without a snapshot. All
@@ -73,104 +73,105 @@
 // and recovery may read only the records that the snapshot does not cover.
 func TestChunksSurviveReopeningRealFolder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cache")
-	d, err := vfs.MakeDir(path)
+	dir, err := vfs.MakeDir(path)
 	require.NoError(t, err)
 	for _, snapshot := range []bool{false, true} {
-		s, report, _ := open(t, d)
+		store, report, _ := open(t, dir)
 		assert.Equal(t, !snapshot, report.Created)
 		for i := range 50 {
-			put(t, s, chunkKey(i, 0), 100, 300+i)
-			put(t, s, chunkKey(i, 1), 100, 10)
+			put(t, store, chunkKey(i, 0), 100, 300+i)
+			put(t, store, chunkKey(i, 1), 100, 10)
 		}
-		put(t, s, chunkKey(7, 0), 200, 33)
-		s.Delete(chunkKey(8, 0))
-		_, err := s.Get(chunkKey(8, 0))
+		put(t, store, chunkKey(7, 0), 200, 33)
+		store.Delete(chunkKey(8, 0))
+		_, err := store.Get(chunkKey(8, 0))
 		require.ErrorIs(t, err, ErrNotFound)
 		if snapshot {
-			require.NoError(t, s.WriteSnapshot(func(eviction.Key) (eviction.AccessHistory, bool) {
+			require.NoError(t, store.WriteSnapshot(func(eviction.Key) (eviction.AccessHistory, bool) {
 				return eviction.AccessHistory{MeanGap: 3, LastAccess: 4}, true
 			}))
-			put(t, s, chunkKey(99, 0), 300, 40)
+			put(t, store, chunkKey(99, 0), 300, 40)
 		}
-		require.NoError(t, s.Close())
+		require.NoError(t, store.Close())
 	}
-	s, report, faults := open(t, d)
+	store, report, faults := open(t, dir)
 	assert.Empty(t, *faults)
 	assert.True(t, report.SnapshotUsed)
 	assert.Equal(t, eviction.AccessHistory{MeanGap: 3, LastAccess: 4}, report.AccessHistories[chunkKey(7, 0)])
 	assert.Less(t, report.Scanned, int64(9000), "only records not covered by the snapshot are read")
-	requireStored(t, s, chunkKey(7, 0), 200, 33)
-	requireStored(t, s, chunkKey(9, 0), 100, 309)
-	requireStored(t, s, chunkKey(99, 0), 300, 40)
-	_, _, err = OpenStore(d, testOptions(), false, nil)
+	requireStored(t, store, chunkKey(7, 0), 200, 33)
+	requireStored(t, store, chunkKey(9, 0), 100, 309)
+	requireStored(t, store, chunkKey(99, 0), 300, 40)
+	_, _, err = OpenStore(dir, testOptions(), false, nil)
 	require.ErrorIs(t, err, vfs.ErrLocked)
-	require.NoError(t, s.Close())
+	require.NoError(t, store.Close())
 }
 
-// TestCompactionReclaimsSpaceAndKeepsWantedChunks deletes most chunks and compacts. Compaction must not lose live
+// TestCompactionReclaimsSpaceAndRetainsLiveChunks deletes most chunks and compacts. Compaction must not lose live
 // records, and it must drop dead ones, or the disk would fill up. The used space must shrink, and the chunks that the
 // filter accepts must be readable after the folder is reopened.
-func TestCompactionReclaimsSpaceAndKeepsWantedChunks(t *testing.T) {
+func TestCompactionReclaimsSpaceAndRetainsLiveChunks(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	s, _, _ := open(t, fs)
+	store, _, _ := open(t, fs)
 	for i := range 40 {
-		put(t, s, chunkKey(i, 0), 100, 400)
+		put(t, store, chunkKey(i, 0), 100, 400)
 	}
 	for i := range 40 {
 		if i%4 != 0 {
-			s.Delete(chunkKey(i, 0))
+			store.Delete(chunkKey(i, 0))
 		}
 	}
-	_, before := s.Sizes()
+	_, before := store.Sizes()
 	for range 20 {
-		id, ok := PickCompaction(s.SegmentUsage(), 1<<30)
+		id, ok := PickCompaction(store.SegmentUsage(), 1<<30)
 		if !ok {
 			break
 		}
-		_, err := s.Compact(id, func(m Meta) bool { return m.Object != 4 })
+		_, err := store.Compact(id, func(m Meta) bool { return m.Object != 4 })
 		require.NoError(t, err)
 	}
-	live, after := s.Sizes()
+	live, after := store.Sizes()
 	assert.Less(t, after, before/2)
-	assert.Equal(t, 9, s.Chunks())
+	assert.Equal(t, 9, store.Chunks())
 	assert.Less(t, float64(after)/float64(live), 2.2)
-	requireStored(t, s, chunkKey(8, 0), 100, 400)
-	_, err := s.Get(chunkKey(4, 0))
+	requireStored(t, store, chunkKey(8, 0), 100, 400)
+	_, err := store.Get(chunkKey(4, 0))
 	require.ErrorIs(t, err, ErrNotFound)
-	require.NoError(t, s.Close())
-	s, _, faults := open(t, fs)
+	require.NoError(t, store.Close())
+	store, _, faults := open(t, fs)
 	assert.Empty(t, *faults)
-	requireStored(t, s, chunkKey(36, 0), 100, 400)
+	requireStored(t, store, chunkKey(36, 0), 100, 400)
 }
 
 // TestChunkDeletedDuringMoveStaysDeleted deletes each chunk while compaction moves it. It must stay deleted.
 func TestChunkDeletedDuringMoveStaysDeleted(t *testing.T) {
-	s, _, _ := open(t, vfs.NewFaultFS(1))
+	store, _, _ := open(t, vfs.NewFaultFS(1))
 	for i := range 12 {
-		put(t, s, chunkKey(i, 0), 100, 400)
+		put(t, store, chunkKey(i, 0), 100, 400)
 	}
-	_, err := s.Compact(1, func(m Meta) bool {
-		s.Delete(m.Key) // simulates a purge during the move
+	_, err := store.Compact(1, func(m Meta) bool {
+		store.Delete(m.Key) // simulates a purge during the move
 		return true
 	})
 	require.NoError(t, err)
 	for i := range 7 {
-		assert.False(t, s.Contains(chunkKey(i, 0)), i)
+		assert.False(t, store.Contains(chunkKey(i, 0)), i)
 	}
 }
 
-func reopen(t *testing.T, fs vfs.FS, s *Store) (*Store, RecoveryReport, *[]StoreError) {
+func reopen(t *testing.T, fs vfs.FS, store *Store) (*Store, RecoveryReport, *[]StoreError) {
 	t.Helper()
-	require.NoError(t, s.Close())
+	require.NoError(t, store.Close())
 	return open(t, fs)
 }
 
-// TestOtherFormatIsRefused opens a folder of another format version, and one with data but without a version file. If
-// they were read as this version, wrong chunks would be served. Both must be rejected; the error names both versions.
-func TestOtherFormatIsRefused(t *testing.T) {
+// TestUnsupportedFormatIsRejected opens a folder of another format version, and one with data but without a version
+// file. If they were read as this version, wrong chunks would be served. Both must be rejected, and the error for the
+// other version names both versions.
+func TestUnsupportedFormatIsRejected(t *testing.T) {
 	fs := vfs.NewFaultFS(1)
-	h, _ := fs.Create(formatFileName)
-	_, _ = h.WriteAt([]byte("cairnfront disk tier 9\n"), 0)
+	file, _ := fs.Create(formatFileName)
+	_, _ = file.WriteAt([]byte("cairnfront disk tier 9\n"), 0)
 	_, _, err := OpenStore(fs, testOptions(), false, nil)
 	require.ErrorIs(t, err, ErrUnsupportedFormat)
 	require.ErrorContains(t, err, "version 9, this program reads version 1")
@@ -180,19 +181,19 @@
 	assert.ErrorIs(t, err, ErrUnsupportedFormat)
 }
 
-// TestChunkThatTheFormatCannotHoldIsRefused puts an entity tag and a body above the size limits of the format. If they
+// TestTooLongChunkIsRejected puts an entity tag and a body above the size limits of the format. If they
 // were written, the record would be unreadable and the records after it would be lost. Put must return ErrChunkTooLong
 // and report no disk fault.
-func TestChunkThatTheFormatCannotHoldIsRefused(t *testing.T) {
-	s, _, faults := open(t, vfs.NewFaultFS(1))
+func TestTooLongChunkIsRejected(t *testing.T) {
+	store, _, faults := open(t, vfs.NewFaultFS(1))
 	long := meta(chunkKey(1, 0), 100)
 	long.ETag = strings.Repeat("t", maxETagBytes+1)
-	_, err := s.Put(long, nil)
+	_, err := store.Put(long, nil)
 	require.ErrorIs(t, err, ErrChunkTooLong)
-	_, err = s.Put(meta(chunkKey(1, 0), 100), make([]byte, maxBodyBytes+1))
+	_, err = store.Put(meta(chunkKey(1, 0), 100), make([]byte, maxBodyBytes+1))
 	require.ErrorIs(t, err, ErrChunkTooLong)
 	assert.Empty(t, *faults)
-	assert.Zero(t, s.Chunks())
+	assert.Zero(t, store.Chunks())
 }
 
 // interruptFS calls duringRead once, during the first read of a record.
@@ -223,23 +224,23 @@
 // the requested bytes, and the file must be closed only after the last reader has finished.
 func TestChunkDeletedWhileRead(t *testing.T) {
 	disk := vfs.NewFaultFS(1)
-	s, _, _ := open(t, disk)
+	store, _, _ := open(t, disk)
 	for i := range 20 {
-		put(t, s, chunkKey(i, 0), 100, 400)
+		put(t, store, chunkKey(i, 0), 100, 400)
 	}
-	require.NoError(t, s.Close())
+	require.NoError(t, store.Close())
 	fs := &interruptFS{FS: disk}
-	s, _, _ = open(t, fs)
+	store, _, _ = open(t, fs)
 	fs.duringRead = func() {
-		s.Delete(chunkKey(1, 0))
-		_, err := s.Compact(1, func(Meta) bool { return true })
+		store.Delete(chunkKey(1, 0))
+		_, err := store.Compact(1, func(Meta) bool { return true })
 		assert.NoError(t, err)
 	}
-	p, err := s.Get(chunkKey(1, 0))
+	chunk, err := store.Get(chunkKey(1, 0))
 	require.NoError(t, err)
 	assert.Nil(t, disk.Contents("seg-00000001.cf"), "compaction must remove the segment")
-	put(t, s, chunkKey(1, 0), 200, 400)
-	assert.True(t, bytes.Equal(body(chunkKey(1, 0), 100, 400), p.Body))
-	requireStored(t, s, chunkKey(1, 0), 200, 400)
-	requireStored(t, s, chunkKey(2, 0), 100, 400)
+	put(t, store, chunkKey(1, 0), 200, 400)
+	assert.True(t, bytes.Equal(body(chunkKey(1, 0), 100, 400), chunk.Body))
+	requireStored(t, store, chunkKey(1, 0), 200, 400)
+	requireStored(t, store, chunkKey(2, 0), 100, 400)
 }
--- a/internal/diskcache/validity/golden_test.go
+++ b/internal/diskcache/validity/golden_test.go
@@ -117,7 +117,7 @@
 	fmt.Fprintf(&p.out, "restart: ask %d\n", p.tracker.ResumeAfter())
 }
 
-// question evaluates a random copy and prints the verdict.
+// evaluateRandomCopy evaluates a random copy and prints the verdict.
 func (p *validityTrace) evaluateRandomCopy() {
 	c := Copy{
 		Object:         uint64(p.random.IntN(traceObjects)),
--- a/internal/diskcache/validity/record.go
+++ b/internal/diskcache/validity/record.go
@@ -16,7 +16,7 @@
 	checksumAt    = RecordSize - 4
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var crc32cTable = crc32.MakeTable(crc32.Castagnoli)
 
 // ErrBadRecord is returned for bytes that are not a valid record.
 var ErrBadRecord = errors.New("bad record")
@@ -60,7 +60,7 @@
 	b = binary.LittleEndian.AppendUint64(b, r.Seq)
 	b = binary.LittleEndian.AppendUint32(b, r.Checksum)
 	b = append(b, make([]byte, start+checksumAt-len(b))...)
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], castagnoli))
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], crc32cTable))
 }
 
 // ParseRecord decodes a record from the first RecordSize bytes of b. Its errors wrap ErrBadRecord.
@@ -69,7 +69,7 @@
 		return Record{}, fmt.Errorf("%w: %d bytes of %d", ErrBadRecord, len(b), RecordSize)
 	}
 	le := binary.LittleEndian
-	if le.Uint16(b) != recordMagic || le.Uint32(b[checksumAt:]) != crc32.Checksum(b[:checksumAt], castagnoli) {
+	if le.Uint16(b) != recordMagic || le.Uint32(b[checksumAt:]) != crc32.Checksum(b[:checksumAt], crc32cTable) {
 		return Record{}, fmt.Errorf("%w: checksum mismatch", ErrBadRecord)
 	}
 	if b[3] != recordVersion {
--- a/internal/diskcache/validity/tracker.go
+++ b/internal/diskcache/validity/tracker.go
@@ -136,7 +136,7 @@
 	return event.Number > 1 && !t.pristine // the service no longer stores its first events
 }
 
-// record adds the purge of an event, if it is one, to the known purges, and returns the record of the event.
+// recordEvent adds the purge of an event, if it is one, to the known purges, and returns the record of the event.
 func (t *Tracker) recordEvent(event Event, now int64) Record {
 	r := Record{
 		Kind:      Checkpoint,
@@ -166,7 +166,7 @@
 	return []Record{t.markSuspect(lastSeq, now)}
 }
 
-// suspect starts a new epoch, in which copies up to sequence number lastSeq need confirmation by the upstream.
+// markSuspect starts a new epoch, in which copies up to sequence number lastSeq need confirmation by the upstream.
 func (t *Tracker) markSuspect(lastSeq uint64, now int64) Record {
 	t.suspectUpTo = max(t.suspectUpTo, lastSeq)
 	t.epoch++
--- a/internal/diskcache/validity/tracker_test.go
+++ b/internal/diskcache/validity/tracker_test.go
@@ -12,42 +12,42 @@
 
 // caughtUpTracker returns a tracker that has applied events 1 to 7 with ten copies on the disk, and its records.
 func caughtUpTracker() (*Tracker, []Record) {
-	c := NewTracker(0)
-	c.StreamOpened()
+	tracker := NewTracker(0)
+	tracker.StreamOpened()
 	var log []Record
 	for n := range uint64(7) {
-		records, _ := c.Apply(startMS, 10, Event{Number: n + 1, Checksum: uint32(n) + 100})
+		records, _ := tracker.Apply(startMS, 10, Event{Number: n + 1, Checksum: uint32(n) + 100})
 		log = append(log, records...)
 	}
-	c.Apply(startMS, 10, Event{Heartbeat: true})
-	return c, log
+	tracker.Apply(startMS, 10, Event{Heartbeat: true})
+	return tracker, log
 }
 
 func restarted(log []Record, now int64) *Tracker {
-	c := NewTracker(0)
-	c.Restore(log, 10, now)
-	c.StreamOpened()
-	return c
+	tracker := NewTracker(0)
+	tracker.Restore(log, 10, now)
+	tracker.StreamOpened()
+	return tracker
 }
 
 var olderCopy = Copy{Object: 1, Group: 3, IssuedAt: startMS - 5000, Seq: 4}
 
-// TestPurgeInvalidatesCopiesNotYounger purges an object and a group. A copy issued in the same millisecond as the purge
-// may be older than it, and a copy of an unknown group may belong to the purged group: both must be invalid. Younger
-// copies and those of other objects and groups must stay valid.
-func TestPurgeInvalidatesCopiesNotYounger(t *testing.T) {
-	c, _ := caughtUpTracker()
-	assert.Equal(t, Valid, c.Evaluate(startMS, olderCopy))
-	c.Apply(startMS, 10, Event{Number: 8, Purge: true, Object: 1, PurgedAt: startMS - 5000})
-	assert.Equal(t, Invalidated, c.Evaluate(startMS, olderCopy), "the same millisecond")
-	assert.Equal(t, Valid, c.Evaluate(startMS, Copy{Object: 1, Group: 3, IssuedAt: startMS - 4999, Seq: 4}))
-	assert.Equal(t, Valid, c.Evaluate(startMS, Copy{Object: 2, Group: 3, IssuedAt: startMS - 9000, Seq: 4}))
-	c.Apply(startMS, 10, Event{Number: 9, Purge: true, ByGroup: true, Group: 3, PurgedAt: startMS - 4000})
-	assert.Equal(t, Invalidated, c.Evaluate(startMS, Copy{Object: 2, Group: 3, IssuedAt: startMS - 4500, Seq: 4}))
+// TestPurgeInvalidatesCopiesUpToItsTime purges an object and a group. A copy issued in the same millisecond as the
+// purge may be older than it, and a copy of an unknown group may belong to the purged group: both must be invalid.
+// Younger copies and those of other objects and groups must stay valid.
+func TestPurgeInvalidatesCopiesUpToItsTime(t *testing.T) {
+	tracker, _ := caughtUpTracker()
+	assert.Equal(t, Valid, tracker.Evaluate(startMS, olderCopy))
+	tracker.Apply(startMS, 10, Event{Number: 8, Purge: true, Object: 1, PurgedAt: startMS - 5000})
+	assert.Equal(t, Invalidated, tracker.Evaluate(startMS, olderCopy), "the same millisecond")
+	assert.Equal(t, Valid, tracker.Evaluate(startMS, Copy{Object: 1, Group: 3, IssuedAt: startMS - 4999, Seq: 4}))
+	assert.Equal(t, Valid, tracker.Evaluate(startMS, Copy{Object: 2, Group: 3, IssuedAt: startMS - 9000, Seq: 4}))
+	tracker.Apply(startMS, 10, Event{Number: 9, Purge: true, ByGroup: true, Group: 3, PurgedAt: startMS - 4000})
+	assert.Equal(t, Invalidated, tracker.Evaluate(startMS, Copy{Object: 2, Group: 3, IssuedAt: startMS - 4500, Seq: 4}))
 	assert.Equal(
 		t,
 		Invalidated,
-		c.Evaluate(startMS, Copy{Object: 2, Group: UnknownGroup, IssuedAt: startMS - 4500}),
+		tracker.Evaluate(startMS, Copy{Object: 2, Group: UnknownGroup, IssuedAt: startMS - 4500}),
 		"unknown group",
 	)
 }
@@ -55,11 +55,11 @@
 // TestPurgesSurviveRestart restarts the tracker after a purge. Without the log, the purged copy on the disk would be
 // served again. It must stay invalid, and the last event must be requested again.
 func TestPurgesSurviveRestart(t *testing.T) {
-	c, log := caughtUpTracker()
-	records, _ := c.Apply(startMS, 10, Event{Number: 8, Checksum: 5, Purge: true, Object: 1, PurgedAt: startMS})
-	c = restarted(append(log, records...), startMS+1000)
-	assert.Equal(t, Invalidated, c.Evaluate(startMS+1000, olderCopy))
-	assert.Equal(t, uint64(7), c.ResumeAfter())
+	tracker, log := caughtUpTracker()
+	records, _ := tracker.Apply(startMS, 10, Event{Number: 8, Checksum: 5, Purge: true, Object: 1, PurgedAt: startMS})
+	tracker = restarted(append(log, records...), startMS+1000)
+	assert.Equal(t, Invalidated, tracker.Evaluate(startMS+1000, olderCopy))
+	assert.Equal(t, uint64(7), tracker.ResumeAfter())
 }
 
 // TestCopiesAreUnconfirmedUntilCaughtUpAfterRestart restarts the tracker and applies the events published meanwhile.
@@ -67,15 +67,15 @@
 // the stream.
 func TestCopiesAreUnconfirmedUntilCaughtUpAfterRestart(t *testing.T) {
 	_, log := caughtUpTracker()
-	c := restarted(log, startMS+9000)
-	assert.Equal(t, Unconfirmed, c.Evaluate(startMS+9000, olderCopy), "no event applied")
-	_, reconnect := c.Apply(startMS+9000, 10, Event{Number: 7, Checksum: 106})
+	tracker := restarted(log, startMS+9000)
+	assert.Equal(t, Unconfirmed, tracker.Evaluate(startMS+9000, olderCopy), "no event applied")
+	_, reconnect := tracker.Apply(startMS+9000, 10, Event{Number: 7, Checksum: 106})
 	assert.False(t, reconnect)
-	assert.Equal(t, Unconfirmed, c.Evaluate(startMS+9000, olderCopy), "continuous, not caught up")
-	c.Apply(startMS+9000, 10, Event{Number: 8, Purge: true, Object: 1, PurgedAt: startMS + 3000})
-	c.Apply(startMS+9000, 10, Event{Heartbeat: true})
-	assert.Equal(t, Invalidated, c.Evaluate(startMS+9000, olderCopy), "purged while it was down")
-	assert.Equal(t, Valid, c.Evaluate(startMS+9000, Copy{Object: 2, IssuedAt: startMS, Seq: 5}))
+	assert.Equal(t, Unconfirmed, tracker.Evaluate(startMS+9000, olderCopy), "continuous, not caught up")
+	tracker.Apply(startMS+9000, 10, Event{Number: 8, Purge: true, Object: 1, PurgedAt: startMS + 3000})
+	tracker.Apply(startMS+9000, 10, Event{Heartbeat: true})
+	assert.Equal(t, Invalidated, tracker.Evaluate(startMS+9000, olderCopy), "purged while it was down")
+	assert.Equal(t, Valid, tracker.Evaluate(startMS+9000, Copy{Object: 2, IssuedAt: startMS, Seq: 5}))
 }
 
 // TestRestartedNumberingLeavesCopiesUnconfirmed reconnects to a stream that has another event with the last number, no
@@ -89,33 +89,38 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, log := caughtUpTracker()
-			c := restarted(log, startMS+9000)
-			records, reconnect := c.Apply(startMS+9000, 10, first)
+			tracker := restarted(log, startMS+9000)
+			records, reconnect := tracker.Apply(startMS+9000, 10, first)
 			assert.True(t, reconnect, "all events must be requested again")
-			assert.Equal(t, uint64(0), c.ResumeAfter())
+			assert.Equal(t, uint64(0), tracker.ResumeAfter())
 			log = append(log, records...)
-			c.StreamOpened()
+			tracker.StreamOpened()
 			for n := range uint64(3) {
-				records, _ = c.Apply(startMS+9100, 10, Event{Number: n + 1, Checksum: uint32(n)})
+				records, _ = tracker.Apply(startMS+9100, 10, Event{Number: n + 1, Checksum: uint32(n)})
 				log = append(log, records...)
 			}
-			c.Apply(startMS+9100, 10, Event{Heartbeat: true})
-			assert.Equal(t, Unconfirmed, c.Evaluate(startMS+9100, olderCopy))
+			tracker.Apply(startMS+9100, 10, Event{Heartbeat: true})
+			assert.Equal(t, Unconfirmed, tracker.Evaluate(startMS+9100, olderCopy))
 			assert.Equal(
 				t,
 				Valid,
-				c.Evaluate(startMS+9100, Copy{Object: 1, IssuedAt: startMS + 9050, Seq: 11}),
+				tracker.Evaluate(startMS+9100, Copy{Object: 1, IssuedAt: startMS + 9050, Seq: 11}),
 				"fetched after the gap",
 			)
 			confirmed := olderCopy
-			confirmed.ConfirmedEpoch = c.Epoch()
-			assert.Equal(t, Valid, c.Evaluate(startMS+9100, confirmed))
+			confirmed.ConfirmedEpoch = tracker.Epoch()
+			assert.Equal(t, Valid, tracker.Evaluate(startMS+9100, confirmed))
 
-			c = restarted(log, startMS+20000)
-			c.Apply(startMS+20000, 11, Event{Number: 3, Checksum: 2})
-			c.Apply(startMS+20000, 11, Event{Heartbeat: true})
-			assert.Equal(t, Unconfirmed, c.Evaluate(startMS+20000, olderCopy), "a restart must not confirm the copy")
-			assert.Equal(t, Valid, c.Evaluate(startMS+20000, Copy{Object: 1, IssuedAt: startMS + 9050, Seq: 11}))
+			tracker = restarted(log, startMS+20000)
+			tracker.Apply(startMS+20000, 11, Event{Number: 3, Checksum: 2})
+			tracker.Apply(startMS+20000, 11, Event{Heartbeat: true})
+			assert.Equal(
+				t,
+				Unconfirmed,
+				tracker.Evaluate(startMS+20000, olderCopy),
+				"a restart must not confirm the copy",
+			)
+			assert.Equal(t, Valid, tracker.Evaluate(startMS+20000, Copy{Object: 1, IssuedAt: startMS + 9050, Seq: 11}))
 		})
 	}
 }
@@ -123,23 +128,23 @@
 // TestGapOnOpenStreamLeavesCopiesUnconfirmed skips an event number on an open stream. The missing event may have been a
 // purge. Copies written before the gap must be unconfirmed, later ones valid.
 func TestGapOnOpenStreamLeavesCopiesUnconfirmed(t *testing.T) {
-	c, _ := caughtUpTracker()
-	c.Apply(startMS, 10, Event{Number: 9})
-	assert.Equal(t, Unconfirmed, c.Evaluate(startMS, olderCopy))
-	assert.Equal(t, Valid, c.Evaluate(startMS, Copy{Object: 1, IssuedAt: startMS, Seq: 11}))
+	tracker, _ := caughtUpTracker()
+	tracker.Apply(startMS, 10, Event{Number: 9})
+	assert.Equal(t, Unconfirmed, tracker.Evaluate(startMS, olderCopy))
+	assert.Equal(t, Valid, tracker.Evaluate(startMS, Copy{Object: 1, IssuedAt: startMS, Seq: 11}))
 }
 
 // TestSilentStreamLeavesCopiesUnconfirmed sends no event or heartbeat for longer than maxSilenceMS. A broken connection
 // looks like one without events, so purges may be missed. Copies must be unconfirmed after that time, and valid again
 // once the stream continues.
 func TestSilentStreamLeavesCopiesUnconfirmed(t *testing.T) {
-	c, _ := caughtUpTracker()
-	assert.Equal(t, Valid, c.Evaluate(startMS+maxSilenceMS, olderCopy))
-	assert.Equal(t, Unconfirmed, c.Evaluate(startMS+maxSilenceMS+1, olderCopy))
-	c.StreamOpened()
-	c.Apply(startMS+9000, 10, Event{Number: 7, Checksum: 106})
-	c.Apply(startMS+9000, 10, Event{Heartbeat: true})
-	assert.Equal(t, Valid, c.Evaluate(startMS+9000, olderCopy), "continuous")
+	tracker, _ := caughtUpTracker()
+	assert.Equal(t, Valid, tracker.Evaluate(startMS+maxSilenceMS, olderCopy))
+	assert.Equal(t, Unconfirmed, tracker.Evaluate(startMS+maxSilenceMS+1, olderCopy))
+	tracker.StreamOpened()
+	tracker.Apply(startMS+9000, 10, Event{Number: 7, Checksum: 106})
+	tracker.Apply(startMS+9000, 10, Event{Heartbeat: true})
+	assert.Equal(t, Valid, tracker.Evaluate(startMS+9000, olderCopy), "continuous")
 }
 
 // TestClockSetBackLeavesCopiesUnconfirmed restarts the tracker after the clock was set back by a minute. New purges
@@ -147,46 +152,46 @@
 // copies with an issue time in the future.
 func TestClockSetBackLeavesCopiesUnconfirmed(t *testing.T) {
 	_, log := caughtUpTracker()
-	c := NewTracker(0)
-	records := c.Restore(log, 10, startMS-60000)
+	tracker := NewTracker(0)
+	records := tracker.Restore(log, 10, startMS-60000)
 	assert.Len(t, records, 1)
-	c.StreamOpened()
-	c.Apply(startMS-60000, 10, Event{Number: 7, Checksum: 106})
-	c.Apply(startMS-60000, 10, Event{Heartbeat: true})
-	assert.Equal(t, Unconfirmed, c.Evaluate(startMS-60000, Copy{Object: 1, IssuedAt: startMS - 70000, Seq: 4}))
+	tracker.StreamOpened()
+	tracker.Apply(startMS-60000, 10, Event{Number: 7, Checksum: 106})
+	tracker.Apply(startMS-60000, 10, Event{Heartbeat: true})
+	assert.Equal(t, Unconfirmed, tracker.Evaluate(startMS-60000, Copy{Object: 1, IssuedAt: startMS - 70000, Seq: 4}))
 	assert.Equal(
 		t,
 		Unconfirmed,
-		c.Evaluate(startMS-60000, Copy{Object: 1, IssuedAt: startMS, Seq: 11}),
+		tracker.Evaluate(startMS-60000, Copy{Object: 1, IssuedAt: startMS, Seq: 11}),
 		"issued in the future",
 	)
 }
 
-// TestForgottenPurgesLeaveCopiesUnconfirmed applies more purges than the tracker remembers. Copies whose purge was
+// TestDiscardedPurgesLeaveCopiesUnconfirmed applies more purges than the tracker remembers. Copies whose purge was
 // discarded would be valid again. A copy that may be older than a discarded purge must not be valid, also after a
 // restart.
-func TestForgottenPurgesLeaveCopiesUnconfirmed(t *testing.T) {
-	c, _ := caughtUpTracker()
-	c.purges.limit = 16
+func TestDiscardedPurgesLeaveCopiesUnconfirmed(t *testing.T) {
+	tracker, _ := caughtUpTracker()
+	tracker.purges.limit = 16
 	var log []Record
 	for n := range uint64(40) {
-		records, _ := c.Apply(
+		records, _ := tracker.Apply(
 			startMS,
 			10,
 			Event{Number: 8 + n, Purge: true, Object: 1000 + n, PurgedAt: startMS - 1000 + int64(n)},
 		)
 		log = append(log, records...)
 	}
-	assert.LessOrEqual(t, len(c.purges.objects), 16)
+	assert.LessOrEqual(t, len(tracker.purges.objects), 16)
 	assert.NotEqual(
 		t,
 		Valid,
-		c.Evaluate(startMS, Copy{Object: 1000, IssuedAt: startMS - 2000, Seq: 11}),
+		tracker.Evaluate(startMS, Copy{Object: 1000, IssuedAt: startMS - 2000, Seq: 11}),
 		"its purge may have been discarded",
 	)
-	c = NewTracker(16)
-	c.Restore(log, 10, startMS)
-	assert.NotEqual(t, Valid, c.Evaluate(startMS, Copy{Object: 1000, IssuedAt: startMS - 2000, Seq: 11}))
+	tracker = NewTracker(16)
+	tracker.Restore(log, 10, startMS)
+	assert.NotEqual(t, Valid, tracker.Evaluate(startMS, Copy{Object: 1000, IssuedAt: startMS - 2000, Seq: 11}))
 }
 
 // interleaving simulates a discovery service with its events and a tracker with its log, driven by named steps.
@@ -261,9 +266,9 @@
 	x.connect()
 }
 
-// TestNoInterleavingForgetsPurge executes every sequence of up to six steps of the service and the edge cache. After
+// TestNoInterleavingLosesPurge executes every sequence of up to six steps of the service and the edge cache. After
 // none of them may a copy be valid that a published purge invalidates.
-func TestNoInterleavingForgetsPurge(t *testing.T) {
+func TestNoInterleavingLosesPurge(t *testing.T) {
 	const depth = 6
 	steps := []string{"purge", "other", "restart", "reconnect", "reset"}
 	runs := 0
@@ -276,7 +281,7 @@
 		x.connect()
 		verdict := x.tracker.Evaluate(x.now+10, Copy{Object: 1, IssuedAt: startMS - 1, Seq: 3})
 		if x.purged && verdict == Valid {
-			t.Fatalf("valid after %v", path)
+			t.Fatalf("a purged copy is valid after steps %v", path)
 		}
 	}
 	var walk func(path []string)
@@ -315,17 +320,17 @@
 // again before the missed events. Neither that event nor a heartbeat with the number of a later event may count as
 // caught up with the stream.
 func TestEventSentAgainDoesNotCatchUpAfterSilence(t *testing.T) {
-	c, _ := caughtUpTracker()
+	tracker, _ := caughtUpTracker()
 	now := startMS + maxSilenceMS + 1
-	assert.Equal(t, Unconfirmed, c.Evaluate(now, olderCopy))
-	c.StreamOpened()
-	_, reconnect := c.Apply(now, 10, Event{Number: 7, Checksum: 106})
+	assert.Equal(t, Unconfirmed, tracker.Evaluate(now, olderCopy))
+	tracker.StreamOpened()
+	_, reconnect := tracker.Apply(now, 10, Event{Number: 7, Checksum: 106})
 	assert.False(t, reconnect)
-	assert.Equal(t, Unconfirmed, c.Evaluate(now, olderCopy), "purges may follow")
-	c.Apply(now, 10, Event{Heartbeat: true, Number: 9})
-	assert.Equal(t, Unconfirmed, c.Evaluate(now, olderCopy), "two events are missing")
-	c.Apply(now, 10, Event{Number: 8, Purge: true, Object: 2, PurgedAt: startMS})
-	c.Apply(now, 10, Event{Number: 9, Checksum: 109})
-	c.Apply(now, 10, Event{Heartbeat: true, Number: 9})
-	assert.Equal(t, Valid, c.Evaluate(now, olderCopy))
+	assert.Equal(t, Unconfirmed, tracker.Evaluate(now, olderCopy), "purges may follow")
+	tracker.Apply(now, 10, Event{Heartbeat: true, Number: 9})
+	assert.Equal(t, Unconfirmed, tracker.Evaluate(now, olderCopy), "two events are missing")
+	tracker.Apply(now, 10, Event{Number: 8, Purge: true, Object: 2, PurgedAt: startMS})
+	tracker.Apply(now, 10, Event{Number: 9, Checksum: 109})
+	tracker.Apply(now, 10, Event{Heartbeat: true, Number: 9})
+	assert.Equal(t, Valid, tracker.Evaluate(now, olderCopy))
 }
--- a/internal/diskcache/vfs/faultfile.go
+++ b/internal/diskcache/vfs/faultfile.go
@@ -93,7 +93,7 @@
 	return n, err
 }
 
-// writable returns the number of bytes of a write that take effect, and the error of a short write.
+// writableBytes returns the number of bytes of a write that take effect, and the error of a short write.
 func (h *faultFile) writableBytes(size int, offset int64) (int, error) {
 	growth := max(offset+int64(size)-int64(len(h.node.data)), 0)
 	if h.fs.CapacityBytes > 0 && h.fs.usedBytes()+growth > h.fs.CapacityBytes {
--- a/internal/diskcache/vfs/vfs_test.go
+++ b/internal/diskcache/vfs/vfs_test.go
@@ -57,10 +57,10 @@
 	}
 }
 
-// TestPowerLossKeepsWhatWasSynced simulates a power loss after an unsynced write that follows a sync. Synced data must
+// TestSyncedDataSurvivesPowerLoss simulates a power loss after an unsynced write that follows a sync. Synced data must
 // survive, and the unsynced write must be lost for some seeds: a simulated disk that loses too little would hide faults
 // of the store in the tests that use it.
-func TestPowerLossKeepsWhatWasSynced(t *testing.T) {
+func TestSyncedDataSurvivesPowerLoss(t *testing.T) {
 	lost := false
 	for seed := range uint64(20) {
 		fs := NewFaultFS(seed)
