--- a/internal/diskcache/eviction/cafe.go
+++ b/internal/diskcache/eviction/cafe.go
@@ -17,17 +17,17 @@
 
 // Config configures a Cafe policy.
 type Config struct {
-	Alpha           float64 // cost of a cache fill relative to a redirect (alpha_F2R of the paper), must be positive
-	CapacityBytes   int64   // capacity of the disk for cached chunks
-	MaxGhosts       int     // maximum number of uncached chunks whose access history is retained
-	DailyWriteBytes int64   // write limit per day; 0 means no limit
+	Alpha              float64 // cost of a cache fill relative to a redirect (alpha_F2R of the paper), must be positive
+	CapacityBytes      int64   // capacity of the disk for cached chunks
+	MaxUncachedEntries int     // maximum number of uncached chunks whose access history is retained
+	DailyWriteBytes    int64   // write limit per day; 0 means no limit
 }
 
 // Cafe is the Cafe Cache policy of the paper. It compares the cost of a cache fill with the cost of redirecting a
 // request, both estimated from the mean gap between requests (inter-arrival time) of chunks. It is not safe for
 // concurrent use.
 //
-// Its memory is EntryBytes for each cached chunk and each of up to MaxGhosts uncached chunks.
+// Its memory is EntryBytes for each cached chunk and each of up to MaxUncachedEntries uncached chunks.
 type Cafe struct {
 	config       Config
 	fillCost     float64 // C_F of the paper
@@ -244,9 +244,9 @@
 	c.byObject[e.key.Object] = chunks
 }
 
-// trimUncached removes the least recently used entries of uncached chunks while there are more than MaxGhosts.
+// trimUncached removes the least recently used entries of uncached chunks while there are more than MaxUncachedEntries.
 func (c *Cafe) trimUncached() {
-	for c.uncached.count > c.config.MaxGhosts {
+	for c.uncached.count > c.config.MaxUncachedEntries {
 		oldest := c.uncached.front()
 		c.uncached.remove(oldest)
 		delete(c.entries, oldest.key)
--- a/internal/diskcache/eviction/cafe_test.go
+++ b/internal/diskcache/eviction/cafe_test.go
@@ -15,7 +15,7 @@
 // fullDisk returns a policy with a full disk of ten chunks of ten bytes. Each chunk was requested twice, with one
 // request per second until t = 20.
 func fullDisk(alpha float64) *Cafe {
-	c := NewCafe(Config{Alpha: alpha, CapacityBytes: 100, MaxGhosts: 100})
+	c := NewCafe(Config{Alpha: alpha, CapacityBytes: 100, MaxUncachedEntries: 100})
 	for i := range 20 {
 		c.Request(float64(i), key(i%10, 0), 10)
 	}
@@ -25,7 +25,7 @@
 // TestGapIsWeightedMean checks the formula of the paper for the mean gap of a chunk (Eq. 8), on which all admissions
 // depend.
 func TestGapIsWeightedMean(t *testing.T) {
-	c := NewCafe(Config{Alpha: 1, CapacityBytes: 100, MaxGhosts: 9})
+	c := NewCafe(Config{Alpha: 1, CapacityBytes: 100, MaxUncachedEntries: 9})
 	c.Restore(key(1, 0), 10, AccessHistory{MeanGap: 8, LastAccess: 100})
 	assert.Equal(t, 0.25*4+0.75*8, c.Gap(104, key(1, 0))) //nolint:testifylint // exact by intent
 	c.Request(104, key(1, 0), 10)
@@ -35,7 +35,7 @@
 // TestUnseenChunkTakesLargestGapOfItsObject checks the gap of a chunk that was never requested. Without an estimate
 // from its object, the first request for each new chunk of a popular object would not be admitted.
 func TestUnseenChunkTakesLargestGapOfItsObject(t *testing.T) {
-	c := NewCafe(Config{Alpha: 1, CapacityBytes: 100, MaxGhosts: 9})
+	c := NewCafe(Config{Alpha: 1, CapacityBytes: 100, MaxUncachedEntries: 9})
 	c.Restore(key(1, 0), 10, AccessHistory{MeanGap: 8, LastAccess: 100})
 	c.Restore(key(1, 1), 10, AccessHistory{MeanGap: 20, LastAccess: 100})
 	assert.Equal(t, 15.0, c.Gap(100, key(1, 2))) //nolint:testifylint // exact by intent
@@ -46,7 +46,7 @@
 // 10 s, a chunk requested every 9 s must be admitted at alpha 1 and not at alpha 4.
 func TestAlphaChangesAdmission(t *testing.T) {
 	for alpha, want := range map[float64]bool{1: true, 4: false} {
-		c := NewCafe(Config{Alpha: alpha, CapacityBytes: 100, MaxGhosts: 100})
+		c := NewCafe(Config{Alpha: alpha, CapacityBytes: 100, MaxUncachedEntries: 100})
 		for i := range 10 {
 			c.Restore(key(i, 0), 10, AccessHistory{MeanGap: 10, LastAccess: 90 + float64(i)})
 		}
@@ -86,7 +86,7 @@
 // the disk within months. The bytes written must not exceed one burst plus the budget of one hour, and must use it.
 func TestWriteBudgetLimitsWrites(t *testing.T) {
 	daily := int64(24 * 1000) // a burst of 1000 bytes
-	c := NewCafe(Config{Alpha: 1, CapacityBytes: 1e6, MaxGhosts: 1000, DailyWriteBytes: daily})
+	c := NewCafe(Config{Alpha: 1, CapacityBytes: 1e6, MaxUncachedEntries: 1000, DailyWriteBytes: daily})
 	wrote := int64(0)
 	for i := range 5000 { // an hour of popular chunks
 		if c.Request(float64(i)*0.72, key(i%500, 0), 10).Admit {
@@ -113,7 +113,7 @@
 // TestRestoreEvictsAboveCapacity restores more chunks than fit, as after an operator has reduced the capacity. The
 // policy must not count more bytes than the capacity: Restore must return the chunk with the largest gap for eviction.
 func TestRestoreEvictsAboveCapacity(t *testing.T) {
-	c := NewCafe(Config{Alpha: 1, CapacityBytes: 25, MaxGhosts: 10})
+	c := NewCafe(Config{Alpha: 1, CapacityBytes: 25, MaxUncachedEntries: 10})
 	assert.Empty(t, c.Restore(key(1, 0), 10, AccessHistory{MeanGap: 100, LastAccess: 10}))
 	assert.Empty(t, c.Restore(key(2, 0), 10, AccessHistory{MeanGap: 1, LastAccess: 10}))
 	assert.Equal(t, []Key{key(1, 0)}, c.Restore(key(3, 0), 10, AccessHistory{MeanGap: 1, LastAccess: 10}))
@@ -136,10 +136,10 @@
 	return &cafeModel{
 		t: t,
 		policy: NewCafe(Config{
-			Alpha:           rapid.SampledFrom([]float64{0.5, 1, 2, 4}).Draw(t, "alpha"),
-			CapacityBytes:   modelCapacityBytes,
-			MaxGhosts:       modelMaxUncached,
-			DailyWriteBytes: rapid.SampledFrom([]int64{0, 100000}).Draw(t, "daily"),
+			Alpha:              rapid.SampledFrom([]float64{0.5, 1, 2, 4}).Draw(t, "alpha"),
+			CapacityBytes:      modelCapacityBytes,
+			MaxUncachedEntries: modelMaxUncached,
+			DailyWriteBytes:    rapid.SampledFrom([]int64{0, 100000}).Draw(t, "daily"),
 		}),
 		now:    1000,
 		cached: map[Key]int64{},
@@ -230,7 +230,7 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{1e4, 1e5, 1e6} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			c := NewCafe(Config{Alpha: 1, CapacityBytes: int64(n) * 100, MaxGhosts: n / 4})
+			c := NewCafe(Config{Alpha: 1, CapacityBytes: int64(n) * 100, MaxUncachedEntries: n / 4})
 			for i := range n {
 				c.Restore(key(i/15, i%15), 100, AccessHistory{MeanGap: float64(i % 997), LastAccess: float64(i) / 100})
 			}
--- a/internal/diskcache/eviction/golden_test.go
+++ b/internal/diskcache/eviction/golden_test.go
@@ -83,7 +83,7 @@
 	}
 	for _, alpha := range []float64{0.5, 1, 2} {
 		for _, daily := range []int64{0, 300_000} {
-			config := Config{Alpha: alpha, CapacityBytes: 4000, MaxGhosts: 30, DailyWriteBytes: daily}
+			config := Config{Alpha: alpha, CapacityBytes: 4000, MaxUncachedEntries: 30, DailyWriteBytes: daily}
 			add(fmt.Sprintf("cafe alpha=%v daily=%d", alpha, daily), cafeTrace(config, 7, steps))
 		}
 	}
--- a/internal/lab/scenario/disk_admission.go
+++ b/internal/lab/scenario/disk_admission.go
@@ -63,7 +63,8 @@
 		{report.VariantLRU, func(size int64, _ float64) eviction.Policy { return eviction.NewLRU(size) }},
 		{report.VariantXLRU, func(size int64, alpha float64) eviction.Policy { return eviction.NewXLRU(size, alpha) }},
 		{report.VariantCafe, func(size int64, alpha float64) eviction.Policy {
-			return eviction.NewCafe(eviction.Config{Alpha: alpha, CapacityBytes: size, MaxGhosts: len(distinct)})
+			return eviction.NewCafe(
+				eviction.Config{Alpha: alpha, CapacityBytes: size, MaxUncachedEntries: len(distinct)})
 		}},
 	}
 	outcomes, err := simulatePolicies(ctx, options, day, policies, allBytes)
