--- a/internal/diskcache/cache.go
+++ b/internal/diskcache/cache.go
@@ -18,18 +18,18 @@
 
 // Config configures a Cache. The values come from the configuration file.
 type Config struct {
-	SpaceBytes       int64 // maximum total size of all segments
-	SegmentBytes     int64
-	Alpha            float64 // relative cost of a cache fill, see eviction.Config
-	DailyWriteBytes  int64   // write limit per day; 0 means no limit
-	MaxGhosts        int     // maximum number of uncached chunks whose access history is retained
-	MaxPurges        int     // maximum number of purged objects that are remembered
-	Readers          int
-	ReadQueue        int           // maximum number of queued reads
-	ReadTimeout      time.Duration // a slower read counts as a cache miss
-	WriteQueue       int           // maximum number of chunks queued for writing
-	SyncInterval     time.Duration
-	SnapshotInterval time.Duration // 0 disables periodic snapshots
+	SpaceBytes         int64 // maximum total size of all segments
+	SegmentBytes       int64
+	Alpha              float64 // relative cost of a cache fill, see eviction.Config
+	DailyWriteBytes    int64   // write limit per day; 0 means no limit
+	MaxUncachedEntries int     // maximum number of uncached chunks whose access history is retained
+	MaxPurges          int     // maximum number of purged objects that are remembered
+	Readers            int
+	ReadQueue          int           // maximum number of queued reads
+	ReadTimeout        time.Duration // a slower read counts as a cache miss
+	WriteQueue         int           // maximum number of chunks queued for writing
+	SyncInterval       time.Duration
+	SnapshotInterval   time.Duration // 0 disables periodic snapshots
 }
 
 const (
@@ -85,7 +85,7 @@
 		policy: eviction.NewCafe(eviction.Config{
 			Alpha:              config.Alpha,
 			CapacityBytes:      int64(float64(config.SpaceBytes) * liveSpaceShare),
-			MaxUncachedEntries: config.MaxGhosts,
+			MaxUncachedEntries: config.MaxUncachedEntries,
 			DailyWriteBytes:    config.DailyWriteBytes,
 		}),
 		reads:  make(chan *readRequest, config.ReadQueue),
--- a/internal/diskcache/cache_test.go
+++ b/internal/diskcache/cache_test.go
@@ -36,7 +36,7 @@
 func (c *testCounter) get(name string) int64 { c.mu.Lock(); defer c.mu.Unlock(); return c.m[name] }
 
 var testConfig = Config{
-	SpaceBytes: 1 << 20, SegmentBytes: 16 << 10, Alpha: 1, MaxGhosts: 1000, Readers: 2, ReadQueue: 4,
+	SpaceBytes: 1 << 20, SegmentBytes: 16 << 10, Alpha: 1, MaxUncachedEntries: 1000, Readers: 2, ReadQueue: 4,
 	ReadTimeout: 50 * time.Millisecond, WriteQueue: 64, SyncInterval: 20 * time.Millisecond,
 }
 
--- a/internal/edgecache/serve.go
+++ b/internal/edgecache/serve.go
@@ -20,18 +20,18 @@
 // DiskCacheConfig returns the disk cache's configuration in the configuration file.
 func DiskCacheConfig(c config.DiskCache) diskcache.Config {
 	return diskcache.Config{
-		SpaceBytes:       int64(c.CapacityMB * bytesPerMB),
-		SegmentBytes:     int64(c.SegmentMB * bytesPerMB),
-		Alpha:            c.Alpha,
-		DailyWriteBytes:  int64(c.DailyWriteMB * bytesPerMB),
-		MaxGhosts:        c.GhostEntries,
-		MaxPurges:        c.RememberedPurges,
-		Readers:          c.Readers,
-		ReadQueue:        c.ReadQueue,
-		ReadTimeout:      c.ReadTimeout.Duration(),
-		WriteQueue:       c.WriteQueue,
-		SyncInterval:     c.SyncInterval.Duration(),
-		SnapshotInterval: c.SnapshotInterval.Duration(),
+		SpaceBytes:         int64(c.CapacityMB * bytesPerMB),
+		SegmentBytes:       int64(c.SegmentMB * bytesPerMB),
+		Alpha:              c.Alpha,
+		DailyWriteBytes:    int64(c.DailyWriteMB * bytesPerMB),
+		MaxUncachedEntries: c.GhostEntries,
+		MaxPurges:          c.RememberedPurges,
+		Readers:            c.Readers,
+		ReadQueue:          c.ReadQueue,
+		ReadTimeout:        c.ReadTimeout.Duration(),
+		WriteQueue:         c.WriteQueue,
+		SyncInterval:       c.SyncInterval.Duration(),
+		SnapshotInterval:   c.SnapshotInterval.Duration(),
 	}
 }
 
