--- a/internal/diskcache/eviction/cafe.go
+++ b/internal/diskcache/eviction/cafe.go
@@ -96,9 +96,9 @@
 // then no estimate of how long a chunk stays cached.
 func (c *Cafe) isFilling() bool { return c.bytes < c.config.CapacityBytes/fillingDivisor }
 
-// Gap returns the mean gap between requests of a chunk in seconds (Eq. 8 of the paper). For an unseen chunk it is the
-// largest gap of the cached chunks of its object, or infinite if there are none.
-func (c *Cafe) Gap(now float64, key Key) float64 {
+// MeanGapAt returns the mean gap between requests of a chunk in seconds, as of now (Eq. 8 of the paper). For an unseen
+// chunk it is the largest gap of the cached chunks of its object, or infinite if there are none.
+func (c *Cafe) MeanGapAt(now float64, key Key) float64 {
 	if e := c.entries[key]; e != nil {
 		return e.gap(now)
 	}
@@ -118,7 +118,7 @@
 	if math.IsNaN(c.firstRequest) {
 		c.firstRequest = now
 	}
-	age, gap := c.CacheAge(now), c.Gap(now, key)
+	age, gap := c.CacheAge(now), c.MeanGapAt(now, key)
 	e := c.entries[key]
 	if e != nil && e.cached {
 		c.recordAccess(e, now)
--- a/internal/diskcache/eviction/cafe_test.go
+++ b/internal/diskcache/eviction/cafe_test.go
@@ -27,9 +27,9 @@
 func TestGapIsWeightedMean(t *testing.T) {
 	c := NewCafe(Config{Alpha: 1, CapacityBytes: 100, MaxUncachedEntries: 9})
 	c.Restore(key(1, 0), 10, AccessHistory{MeanGap: 8, LastAccess: 100})
-	assert.Equal(t, 0.25*4+0.75*8, c.Gap(104, key(1, 0))) //nolint:testifylint // exact by intent
+	assert.Equal(t, 0.25*4+0.75*8, c.MeanGapAt(104, key(1, 0))) //nolint:testifylint // exact by intent
 	c.Request(104, key(1, 0), 10)
-	assert.Equal(t, 0.25*2+0.75*7, c.Gap(106, key(1, 0))) //nolint:testifylint // exact by intent
+	assert.Equal(t, 0.25*2+0.75*7, c.MeanGapAt(106, key(1, 0))) //nolint:testifylint // exact by intent
 }
 
 // TestUnseenChunkTakesLargestGapOfItsObject checks the gap of a chunk that was never requested. Without an estimate
@@ -38,8 +38,8 @@
 	c := NewCafe(Config{Alpha: 1, CapacityBytes: 100, MaxUncachedEntries: 9})
 	c.Restore(key(1, 0), 10, AccessHistory{MeanGap: 8, LastAccess: 100})
 	c.Restore(key(1, 1), 10, AccessHistory{MeanGap: 20, LastAccess: 100})
-	assert.Equal(t, 15.0, c.Gap(100, key(1, 2))) //nolint:testifylint // exact by intent
-	assert.True(t, math.IsInf(c.Gap(100, key(2, 0)), 1))
+	assert.Equal(t, 15.0, c.MeanGapAt(100, key(1, 2))) //nolint:testifylint // exact by intent
+	assert.True(t, math.IsInf(c.MeanGapAt(100, key(2, 0)), 1))
 }
 
 // TestAlphaChangesAdmission checks that a more expensive fill requires a smaller gap: on a disk of chunks with gaps of
--- a/internal/diskcache/eviction/golden_test.go
+++ b/internal/diskcache/eviction/golden_test.go
@@ -55,7 +55,7 @@
 		history, known := policy.History(key)
 		fmt.Fprintf(&out, "  bytes=%d n=%d ghosts=%d has=%v T=%.9g gap=%.9g budget=%.9g known=%v %.9g %.9g\n",
 			policy.Bytes(), policy.Chunks(), policy.UncachedEntries(), policy.Contains(key), policy.CacheAge(now),
-			policy.Gap(now, key), policy.WriteBudget(now), known, history.MeanGap, history.LastAccess)
+			policy.MeanGapAt(now, key), policy.WriteBudget(now), known, history.MeanGap, history.LastAccess)
 	}
 	return out.String()
 }
--- a/internal/diskcache/golden_test.go
+++ b/internal/diskcache/golden_test.go
@@ -71,7 +71,7 @@
 			Kind: validity.PurgeGroup, Group: 4, PurgedAt: 1700, Number: 42, Checksum: 0x55667788,
 			WrittenAt: 1_700_000_000_200,
 		},
-		{Kind: validity.Gap, Seq: 3, WrittenAt: 1_700_000_000_300},
+		{Kind: validity.EventGap, Seq: 3, WrittenAt: 1_700_000_000_300},
 		{Kind: validity.PurgeFloor, PurgedAt: 900, WrittenAt: 1_700_000_000_400},
 	}))
 	require.NoError(t, store.WriteSnapshot(func(key eviction.Key) (eviction.AccessHistory, bool) {
--- a/internal/diskcache/validity/record.go
+++ b/internal/diskcache/validity/record.go
@@ -29,7 +29,7 @@
 	PurgeObject Kind = 1 + iota
 	PurgeGroup
 	Checkpoint // position in the event stream and time of writing
-	Gap        // purges may have been missed: copies up to sequence number Seq need confirmation
+	EventGap   // purges may have been missed: copies up to sequence number Seq need confirmation
 	PurgeFloor // purges up to PurgedAt may have been discarded
 )
 
--- a/internal/diskcache/validity/tracker.go
+++ b/internal/diskcache/validity/tracker.go
@@ -17,9 +17,9 @@
 	clockHighWater int64 // Unix ms, the latest time ever seen
 	lastEventAt    int64 // Unix ms of the last event or heartbeat
 
-	continuous bool // the events of this connection are verified to continue from the last applied event
-	caughtUp   bool // a heartbeat has shown that all earlier events were applied
-	pristine   bool // no event was applied and the disk is empty, so no copy can have missed a purge
+	continuous   bool // the events of this connection are verified to continue from the last applied event
+	caughtUp     bool // a heartbeat has shown that all earlier events were applied
+	emptyAtStart bool // no event was applied and the disk was empty at the start, so no copy can have missed a purge
 
 	suspectUpTo uint64 // highest sequence number of copies that need confirmation by the upstream
 	epoch       uint16
@@ -27,7 +27,7 @@
 
 // NewTracker returns an empty Tracker that remembers up to maxPurges purges of objects; 0 means DefaultMaxPurges.
 func NewTracker(maxPurges int) *Tracker {
-	return &Tracker{purges: newPurgeSet(maxPurges), pristine: true, epoch: 1}
+	return &Tracker{purges: newPurgeSet(maxPurges), emptyAtStart: true, epoch: 1}
 }
 
 // Restore applies the records of earlier runs in their order. lastSeq is the highest sequence number on the disk, now
@@ -36,7 +36,7 @@
 	for _, r := range records {
 		t.restoreRecord(r)
 	}
-	t.pristine = lastSeq == 0 && t.number == 0
+	t.emptyAtStart = lastSeq == 0 && t.number == 0
 	var out []Record
 	if lastSeq > 0 && clockWasSetBack(now, t.clockHighWater) {
 		out = append(out, t.markSuspect(lastSeq, now))
@@ -54,7 +54,7 @@
 		t.purges.addObject(r.Object, r.PurgedAt)
 	case PurgeGroup:
 		t.purges.addGroup(r.Group, r.PurgedAt)
-	case Gap:
+	case EventGap:
 		t.suspectUpTo = max(t.suspectUpTo, r.Seq)
 	case PurgeFloor:
 		t.purges.floor = max(t.purges.floor, r.PurgedAt)
@@ -133,7 +133,7 @@
 	if t.number > 0 {
 		return event.Number > t.number+1
 	}
-	return event.Number > 1 && !t.pristine // the service no longer stores its first events
+	return event.Number > 1 && !t.emptyAtStart // the service no longer stores its first events
 }
 
 // recordEvent adds the purge of an event, if it is one, to the known purges, and returns the record of the event.
@@ -170,7 +170,7 @@
 func (t *Tracker) markSuspect(lastSeq uint64, now int64) Record {
 	t.suspectUpTo = max(t.suspectUpTo, lastSeq)
 	t.epoch++
-	return Record{Kind: Gap, Seq: lastSeq, WrittenAt: now}
+	return Record{Kind: EventGap, Seq: lastSeq, WrittenAt: now}
 }
 
 // trimPurges limits the number of remembered purges. Copies older than a discarded purge stay unconfirmed.
@@ -247,7 +247,7 @@
 func (t *Tracker) Records(now int64) []Record {
 	out := t.purges.records(now)
 	if t.suspectUpTo > 0 {
-		out = append(out, Record{Kind: Gap, Seq: t.suspectUpTo, WrittenAt: now})
+		out = append(out, Record{Kind: EventGap, Seq: t.suspectUpTo, WrittenAt: now})
 	}
 	if t.purges.floor > 0 {
 		out = append(out, Record{Kind: PurgeFloor, PurgedAt: t.purges.floor, WrittenAt: now})
--- a/internal/diskcache/vfs/faultfile.go
+++ b/internal/diskcache/vfs/faultfile.go
@@ -19,7 +19,7 @@
 	truncate bool
 }
 
-// commit writes to the medium those sectors of a pending write for which keep returns true.
+// commit writes to the medium the sectors of a pending write for which survives returns true.
 func (n *inode) commit(w pendingWrite, survives func() bool) {
 	if w.truncate {
 		if survives() {
