--- a/internal/diskcache/eviction/golden_test.go
+++ b/internal/diskcache/eviction/golden_test.go
@@ -26,7 +26,7 @@
 	out.WriteByte('\n')
 }
 
-// cafeTrace plays a seeded script of requests, losses and restarts and prints every decision.
+// cafeTrace executes random requests, removals and restores determined by seed and returns a text of every decision.
 func cafeTrace(config Config, seed uint64, steps int) string {
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	var out strings.Builder
@@ -54,8 +54,8 @@
 		}
 		history, known := policy.History(key)
 		fmt.Fprintf(&out, "  bytes=%d n=%d ghosts=%d has=%v T=%.9g gap=%.9g budget=%.9g known=%v %.9g %.9g\n",
-			policy.Bytes(), policy.Chunks(), policy.Ghosts(), policy.Contains(key), policy.CacheAge(now),
-			policy.Gap(now, key), policy.WriteBudget(now), known, history.MeanGap, history.LastAccess)
+			policy.Bytes(), policy.Chunks(), policy.UncachedEntries(), policy.Contains(key), policy.CacheAge(now),
+			policy.MeanGapAt(now, key), policy.WriteBudget(now), known, history.MeanGap, history.LastAccess)
 	}
 	return out.String()
 }
@@ -73,7 +73,8 @@
 	return out.String()
 }
 
-// The decisions of scripts drawn from a seed stay the same, by hash; they are printed without any Go name.
+// TestGoldenTraces checks by hash that the decisions for fixed seeds are the same as before. The texts contain no Go
+// identifiers, so renames do not change them.
 func TestGoldenTraces(t *testing.T) {
 	const steps = 4000
 	var sums strings.Builder
@@ -82,7 +83,7 @@
 	}
 	for _, alpha := range []float64{0.5, 1, 2} {
 		for _, daily := range []int64{0, 300_000} {
-			config := Config{Alpha: alpha, CapacityBytes: 4000, MaxGhosts: 30, DailyWriteBytes: daily}
+			config := Config{Alpha: alpha, CapacityBytes: 4000, MaxUncachedEntries: 30, DailyWriteBytes: daily}
 			add(fmt.Sprintf("cafe alpha=%v daily=%d", alpha, daily), cafeTrace(config, 7, steps))
 		}
 	}
--- a/internal/diskcache/format.go
+++ b/internal/diskcache/format.go
@@ -8,67 +8,67 @@
 	"cairnfront/internal/diskcache/eviction"
 )
 
-// The format on the disk; docs/disk-cache-format.md names every byte. All numbers are little-endian. Names and magic
-// numbers are part of it: a "disk tier" is the disk cache, "PART" a chunk, "notices.log" the purge log.
+// The on-disk format; docs/disk-cache-format.md specifies every byte. All numbers are little-endian. The file names and
+// magic numbers are part of the format: a "disk tier" is the disk cache, "PART" a chunk, "notices.log" the purge log.
 const (
-	formatVersion = 1
-	formatText    = "cairnfront disk tier %d\n"
-	formatName    = "FORMAT" // the folder's version, as formatText
-	lockName      = "LOCK"
-	purgeLogName  = "notices.log"
-	snapshotName  = "index.snap"
-	segmentPrefix = "seg-"
-	segmentForm   = segmentPrefix + "%08x.cf"
-	newSuffix     = ".new" // of a file that is not yet renamed to its final name
-
-	grain             = 8 // bytes; records begin at multiples of it
+	formatVersion     = 1
+	formatFileContent = "cairnfront disk tier %d\n"
+	formatFileName    = "FORMAT" // file with the folder's format version, written as formatFileContent
+	lockFileName      = "LOCK"
+	purgeLogName      = "notices.log"
+	snapshotName      = "index.snap"
+	segmentPrefix     = "seg-"
+	segmentNameFormat = segmentPrefix + "%08x.cf"
+	tempSuffix        = ".new" // suffix of a file that is not yet renamed to its final name
+
+	recordAlignment   = 8 // bytes; record offsets are multiples of it
 	segmentHeaderSize = 64
 	recordHeaderSize  = 64
-	maxTagBytes       = 256
-	maxBodyBytes      = 240000 // as the protocol's objects
+	maxETagBytes      = 256
+	maxBodyBytes      = 240000 // the protocol's limit for an object
 
 	segmentMagic = 0x4745534e52494143 // "CAIRNSEG"
 	recordMagic  = 0x54524150         // "PART"
 )
 
-// recordKind is the kind of a segment's record.
+// recordKind is the kind of a record in a segment.
 type recordKind byte
 
 const (
-	kindChunk  recordKind = 1
-	kindStruck recordKind = 2 // was torn; skipped
+	kindChunk recordKind = 1
+	kindTorn  recordKind = 2 // record whose body was torn by a power loss; recovery skips it
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var crc32cTable = crc32.MakeTable(crc32.Castagnoli)
 
-func segmentName(id uint32) string { return fmt.Sprintf(segmentForm, id) }
+func segmentName(id uint32) string { return fmt.Sprintf(segmentNameFormat, id) }
 
-// Meta describes a copy of a chunk.
+// Meta is the metadata of a cached copy of a chunk.
 type Meta struct {
 	eviction.Key
-	Group    uint16 // validity.UnknownGroup if the source named none
+	Group    uint16 // validity.UnknownGroup if the response named no group
 	Rank     uint8  // 0 to 3, the lowest is evicted first
 	IssuedAt int64  // Unix ms at which the origin issued the copy
 	ETag     string // entity tag
-	Seq      uint64 // sequence number of the write; the store assigns it
+	Seq      uint64 // sequence number of the write, assigned by the store
 }
 
-// Chunk is a copy of a chunk with its bytes.
+// Chunk is a cached copy of a chunk: metadata and body.
 type Chunk struct {
 	Meta
 	Body           []byte
-	ConfirmedEpoch uint16 // epoch in which its source last confirmed it
+	ConfirmedEpoch uint16 // validation epoch in which the upstream last confirmed the copy
 }
 
-// recordSize is the size of a record on the disk in bytes.
+// recordSize returns the on-disk size of a record in bytes, with header and padding.
 func recordSize(tag, body int) int64 {
-	return (int64(recordHeaderSize+tag+body) + grain - 1) / grain * grain
+	return (int64(recordHeaderSize+tag+body) + recordAlignment - 1) / recordAlignment * recordAlignment
 }
 
-// saltedChecksum starts a checksum from the segment's salt. A body may contain what looks like a record. Its checksum
-// does not hold, because whoever made the body does not know the salt.
+// saltedChecksum returns the initial checksum value, derived from the segment's salt. A body may contain bytes that
+// look like a record. The checksum of such a record is wrong, because the author of the body does not know the salt.
 func saltedChecksum(salt uint64) uint32 {
-	return crc32.Checksum(binary.LittleEndian.AppendUint64(nil, salt), castagnoli)
+	return crc32.Checksum(binary.LittleEndian.AppendUint64(nil, salt), crc32cTable)
 }
 
 func appendSegmentHeader(b []byte, id uint32, salt uint64, createdMS int64) []byte {
@@ -79,7 +79,7 @@
 	b = binary.LittleEndian.AppendUint64(b, salt)
 	b = binary.LittleEndian.AppendUint64(b, uint64(createdMS))
 	b = append(b, make([]byte, start+segmentHeaderSize-4-len(b))...)
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], castagnoli))
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], crc32cTable))
 }
 
 func parseSegmentHeader(b []byte, id uint32) (salt uint64, err error) {
@@ -88,37 +88,37 @@
 	case len(b) < segmentHeaderSize:
 		return 0, fmt.Errorf("%w: %d bytes", errShortHeader, len(b))
 	case le.Uint64(b) != segmentMagic,
-		le.Uint32(b[segmentHeaderSize-4:]) != crc32.Checksum(b[:segmentHeaderSize-4], castagnoli):
+		le.Uint32(b[segmentHeaderSize-4:]) != crc32.Checksum(b[:segmentHeaderSize-4], crc32cTable):
 		return 0, errHeaderChecksum
 	case le.Uint32(b[8:]) != formatVersion:
-		return 0, fmt.Errorf("%w: %d, this program knows %d", errOtherVersion, le.Uint32(b[8:]), formatVersion)
+		return 0, fmt.Errorf("%w: %d, this program supports %d", errUnsupportedVersion, le.Uint32(b[8:]), formatVersion)
 	case le.Uint32(b[12:]) != id:
-		return 0, fmt.Errorf("%w: %08x", errOtherSegment, le.Uint32(b[12:]))
+		return 0, fmt.Errorf("%w: %08x", errWrongSegment, le.Uint32(b[12:]))
 	}
 	return le.Uint64(b[16:]), nil
 }
 
-// appendRecord encodes a record: header, tag, body and padding up to the grain.
+// appendRecord appends an encoded record to b: header, entity tag, body, and padding to a multiple of recordAlignment.
 func appendRecord(b []byte, salt uint64, m Meta, body []byte, writtenMS int64) []byte {
 	start := len(b)
-	h := recordHeader{Meta: m, bodyLen: len(body), bodyChecksum: crc32.Checksum(body, castagnoli)}
+	h := recordHeader{Meta: m, bodyLen: len(body), bodyChecksum: crc32.Checksum(body, crc32cTable)}
 	b = appendRecordHeader(b, salt, h, writtenMS, kindChunk)
 	b = append(b, body...)
 	return append(b, make([]byte, start+int(h.size())-len(b))...)
 }
 
-// recordHeader is the content of a record's header and tag.
+// recordHeader is the decoded header and entity tag of a record.
 type recordHeader struct {
 	Meta
 	bodyLen      int
 	bodyChecksum uint32
-	struck       bool
+	torn         bool
 }
 
-// size is the size of the record on the disk in bytes, with header and padding.
+// size returns the on-disk size of the record in bytes, with header and padding.
 func (h recordHeader) size() int64 { return recordSize(len(h.ETag), h.bodyLen) }
 
-// appendRecordHeader encodes a record's header and tag.
+// appendRecordHeader appends the encoded header and entity tag of a record to b.
 func appendRecordHeader(b []byte, salt uint64, h recordHeader, writtenMS int64, kind recordKind) []byte {
 	start := len(b)
 	le := binary.LittleEndian
@@ -135,28 +135,28 @@
 	b = le.AppendUint32(b, h.bodyChecksum)
 	b = le.AppendUint64(b, uint64(writtenMS))
 	b = le.AppendUint32(b, 0)
-	sum := crc32.Update(saltedChecksum(salt), castagnoli, b[start:])
-	b = le.AppendUint32(b, crc32.Update(sum, castagnoli, []byte(h.ETag)))
+	sum := crc32.Update(saltedChecksum(salt), crc32cTable, b[start:])
+	b = le.AppendUint32(b, crc32.Update(sum, crc32cTable, []byte(h.ETag)))
 	return append(b, h.ETag...)
 }
 
-// parseRecordHeader decodes a record's header and tag. After an error nothing of it may be used.
+// parseRecordHeader decodes a record's header and entity tag. After an error the result must not be used.
 func parseRecordHeader(b []byte, salt uint64) (recordHeader, error) {
 	le := binary.LittleEndian
 	if len(b) < recordHeaderSize || le.Uint32(b) != recordMagic {
 		return recordHeader{}, errNoRecord
 	}
 	tagLen := int(le.Uint16(b[6:]))
-	if tagLen > maxTagBytes || len(b) < recordHeaderSize+tagLen {
+	if tagLen > maxETagBytes || len(b) < recordHeaderSize+tagLen {
 		return recordHeader{}, fmt.Errorf("%w: a tag of %d bytes", errRecordTooLong, tagLen)
 	}
-	sum := crc32.Update(saltedChecksum(salt), castagnoli, b[:recordHeaderSize-4])
-	sum = crc32.Update(sum, castagnoli, b[recordHeaderSize:recordHeaderSize+tagLen])
+	sum := crc32.Update(saltedChecksum(salt), crc32cTable, b[:recordHeaderSize-4])
+	sum = crc32.Update(sum, crc32cTable, b[recordHeaderSize:recordHeaderSize+tagLen])
 	if le.Uint32(b[recordHeaderSize-4:]) != sum {
 		return recordHeader{}, errHeaderChecksum
 	}
 	kind := recordKind(b[5])
-	if b[4] != formatVersion || kind != kindChunk && kind != kindStruck {
+	if b[4] != formatVersion || kind != kindChunk && kind != kindTorn {
 		return recordHeader{}, fmt.Errorf("%w: version %d, kind %d", errUnknownRecord, b[4], kind)
 	}
 	h := recordHeader{
@@ -170,7 +170,7 @@
 		},
 		bodyLen:      int(le.Uint32(b[40:])),
 		bodyChecksum: le.Uint32(b[44:]),
-		struck:       kind == kindStruck,
+		torn:         kind == kindTorn,
 	}
 	if h.bodyLen > maxBodyBytes {
 		return recordHeader{}, fmt.Errorf("%w: a body of %d bytes", errRecordTooLong, h.bodyLen)
--- a/internal/diskcache/index_test.go
+++ b/internal/diskcache/index_test.go
@@ -8,18 +8,18 @@
 	"pgregory.net/rapid"
 )
 
-// TestIndexAgainstAMap compares the index with a map over drawn puts and removals. A removal that breaks a chain of
-// the table loses chunks that are on the disk. Both must hold the same.
-func TestIndexAgainstAMap(t *testing.T) {
+// TestIndexMatchesMap applies random puts and removals to the index and to a map. Both must have the same content. A
+// removal that breaks a probe sequence of the table would lose chunks that are on the disk.
+func TestIndexMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x index
 		want := map[eviction.Key]uint64{}
 		for n := range rapid.IntRange(1, 3000).Draw(t, "n") {
-			key := k(n*7919%rapid.SampledFrom([]int{50, 400}).Draw(t, "wide"), 0)
+			key := chunkKey(n*7919%rapid.SampledFrom([]int{50, 400}).Draw(t, "wide"), 0)
 			if n%3 == 0 {
-				_, had := want[key]
-				if x.remove(key) != had {
-					t.Fatalf("remove of %v", key)
+				_, present := want[key]
+				if x.remove(key) != present {
+					t.Fatalf("remove(%v) returned the wrong result", key)
 				}
 				delete(want, key)
 			} else {
@@ -28,11 +28,11 @@
 			}
 		}
 		if x.count != len(want) {
-			t.Fatalf("%d places for %d", x.count, len(want))
+			t.Fatalf("index has %d locations, want %d", x.count, len(want))
 		}
 		for key, seq := range want {
 			if p := x.find(key); p == nil || p.seq != seq {
-				t.Fatalf("%v is lost", key)
+				t.Fatalf("key %v is missing or has the wrong sequence number", key)
 			}
 		}
 	})
--- a/internal/diskcache/recovery.go
+++ b/internal/diskcache/recovery.go
@@ -12,23 +12,24 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// RecoveryReport says what opening a folder found. The JSON keys are part of the output of
+// RecoveryReport describes the state found when a folder is opened. The JSON keys are part of the output of
 // `disk-cache inspect --json`.
 type RecoveryReport struct {
-	Chunks       int `json:"Parts"`
-	Segments     int
-	Bytes        int64 // of live records
-	Scanned      int64 // bytes read of segments
-	FromSnapshot int   // chunks that the snapshot named
-	Records      []validity.Record
-	Faults       int
-	Took         time.Duration
-	Known        map[eviction.Key]eviction.AccessHistory `json:"-"` // from the snapshot, nil without one
-	SnapshotUsed bool
-	Created      bool
+	Chunks          int `json:"Parts"`
+	Segments        int
+	Bytes           int64 // size of all live records
+	Scanned         int64 // bytes read from segments
+	FromSnapshot    int   // chunks loaded from the snapshot
+	Records         []validity.Record
+	Faults          int
+	Took            time.Duration
+	AccessHistories map[eviction.Key]eviction.AccessHistory `json:"-"` // from the snapshot; nil if there is none
+	SnapshotUsed    bool
+	Created         bool
 }
 
-// recover reads the folder: format, purge log, segments, snapshot, and the records that the snapshot does not cover.
+// recover restores the store's state from the folder: format version, purge log, segments, snapshot, and finally the
+// records that the snapshot does not cover.
 func (s *Store) recover(report *RecoveryReport, withHistory bool) error {
 	names, err := s.fs.List()
 	if err != nil {
@@ -44,7 +45,7 @@
 		return err
 	}
 	covered := s.readSnapshot(report, withHistory)
-	for _, r := range report.Records { // new chunks must be above every sequence number that is suspect
+	for _, r := range report.Records { // new chunks must get sequence numbers above every suspect one
 		s.lastSeq = max(s.lastSeq, r.Seq)
 	}
 	ids := make([]uint32, 0, len(s.segments))
@@ -63,12 +64,12 @@
 	return nil
 }
 
-// checkFormat checks the folder's format version and writes it into a new folder.
+// checkFormat verifies the folder's format version, or writes the version file into a new folder.
 func (s *Store) checkFormat(names []string, report *RecoveryReport) error {
-	if slices.Contains(names, formatName) {
+	if slices.Contains(names, formatFileName) {
 		version, parsed, err := s.readFormat()
 		if err != nil {
-			return fmt.Errorf("read %s: %w", formatName, err)
+			return fmt.Errorf("read %s: %w", formatFileName, err)
 		}
 		if parsed && version == formatVersion {
 			return nil
@@ -78,39 +79,39 @@
 				"%w: version %d, this program reads version %d; empty the folder or use the program that wrote it",
 				ErrUnsupportedFormat, version, formatVersion)
 		}
-		// The file was torn by a power loss at the first start. It is written again.
-	} else if i := slices.IndexFunc(names, holdsData); i >= 0 {
-		return fmt.Errorf("%w: file %s without a file %s", ErrUnsupportedFormat, names[i], formatName)
+		// A power loss at the first start has torn the file. It is rewritten.
+	} else if i := slices.IndexFunc(names, isCacheFile); i >= 0 {
+		return fmt.Errorf("%w: file %s without a file %s", ErrUnsupportedFormat, names[i], formatFileName)
 	}
 	report.Created = true
-	if err := s.replaceFile(formatName, fmt.Appendf(nil, formatText, formatVersion)); err != nil {
-		return fmt.Errorf("write %s: %w", formatName, err)
+	if err := s.replaceFile(formatFileName, fmt.Appendf(nil, formatFileContent, formatVersion)); err != nil {
+		return fmt.Errorf("write %s: %w", formatFileName, err)
 	}
 	return nil
 }
 
-// readFormat reads the format version; parsed is false if the file's text is not one.
+// readFormat reads the folder's format version. parsed is false if the file does not contain a version.
 func (s *Store) readFormat() (version int, parsed bool, err error) {
 	const maxFormatBytes = 64
-	file, err := s.fs.Open(formatName)
+	file, err := s.fs.Open(formatFileName)
 	if err != nil {
 		return 0, false, err
 	}
 	defer func() { _ = file.Close() }() // only read
 	text := make([]byte, maxFormatBytes)
-	n, _ := file.ReadAt(text, 0) // a short file ends with io.EOF; what cannot be read does not parse
-	_, parseErr := fmt.Sscanf(string(text[:n]), formatText, &version)
+	n, _ := file.ReadAt(text, 0) // io.EOF is expected; after any other error the text does not parse
+	_, parseErr := fmt.Sscanf(string(text[:n]), formatFileContent, &version)
 	return version, parseErr == nil, nil
 }
 
-// holdsData reports whether a file's name shows that the folder was in use.
-func holdsData(name string) bool {
+// isCacheFile reports whether a file name belongs to a segment or purge log, that is, the folder contains cache data.
+func isCacheFile(name string) bool {
 	return strings.HasPrefix(name, segmentPrefix) || name == purgeLogName
 }
 
-// replaceFile writes all of a small file or nothing.
+// replaceFile atomically replaces the content of a small file.
 func (s *Store) replaceFile(name string, content []byte) error {
-	file, err := s.fs.Create(name + newSuffix)
+	file, err := s.fs.Create(name + tempSuffix)
 	if err != nil {
 		return err
 	}
@@ -121,7 +122,7 @@
 	if err = errors.Join(err, file.Close()); err != nil {
 		return err
 	}
-	if err := s.fs.Rename(name+newSuffix, name); err != nil {
+	if err := s.fs.Rename(name+tempSuffix, name); err != nil {
 		return err
 	}
 	return s.fs.SyncDir()
@@ -130,13 +131,13 @@
 // openSegments opens every segment and removes files that were never renamed to their final name.
 func (s *Store) openSegments(names []string) error {
 	for _, name := range names {
-		if strings.HasSuffix(name, newSuffix) {
-			_ = s.fs.Remove(name) // or the next start removes it
+		if strings.HasSuffix(name, tempSuffix) {
+			_ = s.fs.Remove(name) // if this fails, the next start removes the file
 			continue
 		}
 		var id uint32
-		// A name that does not parse is no segment's.
-		if n, _ := fmt.Sscanf(name, segmentForm, &id); n != 1 || name != segmentName(id) {
+		// Files with other names are not segments and are ignored.
+		if n, _ := fmt.Sscanf(name, segmentNameFormat, &id); n != 1 || name != segmentName(id) {
 			continue
 		}
 		s.nextID = max(s.nextID, id+1)
@@ -177,7 +178,7 @@
 		salt:           salt,
 		file:           file,
 		size:           size,
-		oldestIssuedAt: noRecord,
+		oldestIssuedAt: noIssueTime,
 		sealed:         true,
 	}
 	return nil
--- a/internal/diskcache/store_bench_test.go
+++ b/internal/diskcache/store_bench_test.go
@@ -11,26 +11,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// benchStore is a store in a real folder.
-func benchStore(b *testing.B) *Store {
+// openBenchStore opens a store in a temporary folder of the operating system.
+func openBenchStore(b *testing.B) *Store {
 	b.Helper()
-	d, err := vfs.MakeDir(filepath.Join(b.TempDir(), "t"))
+	dir, err := vfs.MakeDir(filepath.Join(b.TempDir(), "t"))
 	require.NoError(b, err)
-	s, _, err := OpenStore(d, StoreOptions{}, false, nil)
+	store, _, err := OpenStore(dir, StoreOptions{}, false, nil)
 	require.NoError(b, err)
-	b.Cleanup(func() { _ = s.Close() })
-	return s
+	b.Cleanup(func() { _ = store.Close() })
+	return store
 }
 
 func BenchmarkPut(b *testing.B) {
 	for _, n := range []int{4 << 10, 100 << 10} {
 		b.Run(fmt.Sprint(n>>10, "KB"), func(b *testing.B) {
-			s := benchStore(b)
-			x := body(k(1, 1), 1, n)
+			store := openBenchStore(b)
+			x := body(chunkKey(1, 1), 1, n)
 			b.SetBytes(int64(n))
 			b.ReportAllocs()
 			for i := range b.N {
-				_, _ = s.Put(meta(k(i%500, 0), 1), x)
+				_, _ = store.Put(meta(chunkKey(i%500, 0), 1), x)
 			}
 		})
 	}
@@ -39,58 +39,58 @@
 func BenchmarkGet(b *testing.B) {
 	for _, n := range []int{4 << 10, 100 << 10} {
 		b.Run(fmt.Sprint(n>>10, "KB"), func(b *testing.B) {
-			s := benchStore(b)
+			store := openBenchStore(b)
 			for i := range 500 {
-				_, _ = s.Put(meta(k(i, 0), 1), body(k(i, 0), 1, n))
+				_, _ = store.Put(meta(chunkKey(i, 0), 1), body(chunkKey(i, 0), 1, n))
 			}
 			b.SetBytes(int64(n))
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				_, _ = s.Get(k(i*37%500, 0))
+				_, _ = store.Get(chunkKey(i*37%500, 0))
 			}
 		})
 	}
 }
 
-// BenchmarkOpen opens a store of a million chunks of 24 bytes, with and without the snapshot, and reports the heap that
-// the index takes for a chunk and the peak of the heap.
+// BenchmarkOpen opens a store with a million chunks of 24 bytes, with and without a snapshot. It reports the heap size
+// of the index per chunk and the peak heap size.
 func BenchmarkOpen(b *testing.B) {
 	const chunks = 1_000_000
-	d, _ := vfs.MakeDir(filepath.Join(b.TempDir(), "t"))
-	s, _, err := OpenStore(d, StoreOptions{}, false, nil)
+	dir, _ := vfs.MakeDir(filepath.Join(b.TempDir(), "t"))
+	store, _, err := OpenStore(dir, StoreOptions{}, false, nil)
 	require.NoError(b, err)
 	for i := range chunks {
-		_, err := s.Put(
-			Meta{Key: k(i/15, i%15), IssuedAt: 1, ETag: "4be0c1927d55a6f3"},
+		_, err := store.Put(
+			Meta{Key: chunkKey(i/15, i%15), IssuedAt: 1, ETag: "4be0c1927d55a6f3"},
 			[]byte("a body of 24 bytes, so. "),
 		)
 		require.NoError(b, err)
 	}
-	require.NoError(b, s.Close())
+	require.NoError(b, store.Close())
 	for _, snapshot := range []bool{false, true} {
 		b.Run(fmt.Sprintf("snapshot=%v", snapshot), func(b *testing.B) {
 			if snapshot {
-				s, _, err := OpenStore(d, StoreOptions{}, false, nil)
+				store, _, err := OpenStore(dir, StoreOptions{}, false, nil)
 				require.NoError(b, err)
-				require.NoError(b, s.WriteSnapshot(nil))
-				require.NoError(b, s.Close())
+				require.NoError(b, store.WriteSnapshot(nil))
+				require.NoError(b, store.Close())
 			}
 			for range b.N {
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				s, rep, err := OpenStore(d, StoreOptions{}, false, nil)
+				store, report, err := OpenStore(dir, StoreOptions{}, false, nil)
 				require.NoError(b, err)
 				runtime.ReadMemStats(&after)
-				top := float64(after.HeapSys-after.HeapReleased) / (1 << 20)
+				peakHeapMB := float64(after.HeapSys-after.HeapReleased) / (1 << 20)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				require.Equal(b, chunks, rep.Chunks)
+				require.Equal(b, chunks, report.Chunks)
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/chunks, "B/chunk")
-				b.ReportMetric(top, "MB-heap")
-				b.ReportMetric(rep.Took.Seconds(), "s/open")
-				require.NoError(b, s.Close())
+				b.ReportMetric(peakHeapMB, "MB-heap")
+				b.ReportMetric(report.Took.Seconds(), "s/open")
+				require.NoError(b, store.Close())
 			}
 		})
 	}
--- a/internal/diskcache/store_read.go
+++ b/internal/diskcache/store_read.go
@@ -10,8 +10,8 @@
 	"cairnfront/internal/diskcache/vfs"
 )
 
-// Get reads a chunk and verifies it. ErrNotFound reports that it is not stored. A StoreError costs the chunk, which is
-// deleted.
+// Get reads a chunk and verifies its checksums. It returns ErrNotFound if the chunk is not stored. If it returns a
+// StoreError, the chunk was deleted.
 func (s *Store) Get(key eviction.Key) (Chunk, error) {
 	s.mu.Lock()
 	found := s.index.find(key)
@@ -52,7 +52,7 @@
 	return Chunk{}, fault
 }
 
-// readRecord reads the record at a location and verifies it against the index and its checksums.
+// readRecord reads the record at a location and verifies its checksums and that it matches the index.
 func (s *Store) readRecord(seg *segment, loc location) (Chunk, error) {
 	buf := make([]byte, loc.size)
 	n, err := seg.file.ReadAt(buf, loc.offset())
@@ -63,14 +63,14 @@
 	if err != nil {
 		return Chunk{}, corruptRecordError{CodeBadHeader, err}
 	}
-	if h.struck || h.Key != loc.key() || h.Seq != loc.seq || h.size() != int64(loc.size) {
+	if h.torn || h.Key != loc.key() || h.Seq != loc.seq || h.size() != int64(loc.size) {
 		return Chunk{}, corruptRecordError{
 			CodeBadHeader,
-			fmt.Errorf("%w: object %016x chunk %d", errOtherRecord, h.Object, h.Chunk),
+			fmt.Errorf("%w: object %016x chunk %d", errWrongChunk, h.Object, h.Chunk),
 		}
 	}
 	body := buf[recordHeaderSize+len(h.ETag):][:h.bodyLen:h.bodyLen]
-	if crc32.Checksum(body, castagnoli) != h.bodyChecksum {
+	if crc32.Checksum(body, crc32cTable) != h.bodyChecksum {
 		return Chunk{}, corruptRecordError{CodeBadBody, errBodyChecksum}
 	}
 	return Chunk{Meta: h.Meta, Body: body, ConfirmedEpoch: loc.confirmedEpoch}, nil
--- a/internal/diskcache/vfs/faultfile.go
+++ b/internal/diskcache/vfs/faultfile.go
@@ -2,27 +2,27 @@
 
 import "io"
 
-// sectorBytes is the size of what a disk writes completely or not at all.
+// sectorBytes is the size of a sector, which a disk writes atomically.
 const sectorBytes = 512
 
 // inode is the content of a file.
 type inode struct {
-	data    []byte // as the running system sees it
-	medium  []byte // as the medium has it
+	data    []byte // content as the running system sees it
+	medium  []byte // content on the medium
 	pending []pendingWrite
 }
 
-// pendingWrite is a write or truncation that is not synced.
+// pendingWrite is an unsynced write or truncation.
 type pendingWrite struct {
-	offset   int64 // of a truncation: the new size
+	offset   int64 // new file size in case of a truncation
 	data     []byte
 	truncate bool
 }
 
-// commit brings those sectors of a write to the medium that keep selects.
-func (n *inode) commit(w pendingWrite, keep func() bool) {
+// commit writes to the medium the sectors of a pending write for which survives returns true.
+func (n *inode) commit(w pendingWrite, survives func() bool) {
 	if w.truncate {
-		if keep() {
+		if survives() {
 			n.medium = resize(n.medium, w.offset)
 		}
 		return
@@ -30,14 +30,14 @@
 	end := w.offset + int64(len(w.data))
 	for offset := w.offset; offset < end; {
 		next := min((offset/sectorBytes+1)*sectorBytes, end)
-		if keep() {
+		if survives() {
 			n.medium = overwrite(n.medium, w.data[offset-w.offset:next-w.offset], offset)
 		}
 		offset = next
 	}
 }
 
-// overwrite writes p at an offset and grows data as needed.
+// overwrite copies p into data at an offset, grows data as needed and returns it.
 func overwrite(data, p []byte, offset int64) []byte {
 	if end := offset + int64(len(p)); end > int64(len(data)) {
 		data = resize(data, end)
@@ -62,7 +62,7 @@
 
 func (h *faultFile) ReadAt(p []byte, offset int64) (int, error) {
 	defer h.fs.mu.Unlock()
-	if err := h.fs.enter(); err != nil {
+	if err := h.fs.beginOp(); err != nil {
 		return 0, err
 	}
 	if h.fs.FailRead != nil && h.fs.FailRead(h.name, offset) {
@@ -80,10 +80,10 @@
 
 func (h *faultFile) WriteAt(p []byte, offset int64) (int, error) {
 	defer h.fs.mu.Unlock()
-	if err := h.fs.enter(); err != nil {
+	if err := h.fs.beginOp(); err != nil {
 		return 0, err
 	}
-	n, err := h.writable(len(p), offset)
+	n, err := h.writableBytes(len(p), offset)
 	w := pendingWrite{offset: offset, data: append([]byte(nil), p[:n]...)}
 	h.node.data = overwrite(h.node.data, w.data, offset)
 	h.node.pending = append(h.node.pending, w)
@@ -93,8 +93,8 @@
 	return n, err
 }
 
-// writable is how many bytes of a write take effect, and the error of a write cut short.
-func (h *faultFile) writable(size int, offset int64) (int, error) {
+// writableBytes returns the number of bytes of a write that take effect, and the error of a short write.
+func (h *faultFile) writableBytes(size int, offset int64) (int, error) {
 	growth := max(offset+int64(size)-int64(len(h.node.data)), 0)
 	if h.fs.CapacityBytes > 0 && h.fs.usedBytes()+growth > h.fs.CapacityBytes {
 		return size / 2, ErrNoSpace
@@ -107,7 +107,7 @@
 
 func (h *faultFile) Size() (int64, error) {
 	defer h.fs.mu.Unlock()
-	if err := h.fs.enter(); err != nil {
+	if err := h.fs.beginOp(); err != nil {
 		return 0, err
 	}
 	return int64(len(h.node.data)), nil
@@ -115,7 +115,7 @@
 
 func (h *faultFile) Truncate(size int64) error {
 	defer h.fs.mu.Unlock()
-	if err := h.fs.enter(); err != nil {
+	if err := h.fs.beginOp(); err != nil {
 		return err
 	}
 	h.node.data = resize(h.node.data, size)
@@ -128,7 +128,7 @@
 
 func (h *faultFile) Sync() error {
 	defer h.fs.mu.Unlock()
-	if err := h.fs.enter(); err != nil {
+	if err := h.fs.beginOp(); err != nil {
 		return err
 	}
 	if h.fs.countOp() {
