--- a/internal/upstream/address/observation.go
+++ b/internal/upstream/address/observation.go
@@ -12,7 +12,7 @@
 	// endpoint is.
 	minSilenceSeconds = 0.12
 
-	// silenceFactor is the multiple of the mean time to the first byte after which an address is considered silent.
+	// silenceFactor is the multiple of the mean response time after which an address is considered silent.
 	silenceFactor = 4.0
 )
 
@@ -68,14 +68,14 @@
 	}
 }
 
-// ResponseReceived reports that an endpoint sent a response over an address. WaitSeconds is the time since the attempt
-// or health check was written.
+// ResponseReceived reports that an endpoint sent a response over an address. WaitSeconds is the response time: from the
+// start of writing the attempt or health check until its end, after the complete response, is handled.
 func (s *Selector) ResponseReceived(now float64, id routing.EndpointID, addr Addr, waitSeconds float64) {
 	_, a := s.lookup(now, id, addr)
 	if a == nil || a.condition == Disabled {
 		return
 	}
-	a.firstByteSeconds.add(waitSeconds)
+	a.responseSeconds.add(waitSeconds)
 	a.respondedAt = s.now
 	a.inTrial = false
 	if a.condition != Healthy {
@@ -97,15 +97,15 @@
 	if a.condition == Silent && a.inCooldown(s.now) {
 		return true
 	}
-	if !isSilent(waitSeconds, a.firstByteSeconds.mean()) {
+	if !isSilent(waitSeconds, a.responseSeconds.mean()) {
 		return false
 	}
 	s.startCooldown(e, a, Silent)
 	return true
 }
 
-// isSilent reports whether a wait without input is long enough for an address to count as silent, given its mean time
-// to the first byte (0 if unknown).
+// isSilent reports whether a wait without input is long enough for an address to count as silent, given its mean
+// response time (0 if unknown).
 //
 // It guards against addresses that accept connections and attempts but never respond, as behind a broken forwarder:
 // attempts there time out although the endpoint responds over another address. An address with slow responses does not
--- a/internal/upstream/address/probe.go
+++ b/internal/upstream/address/probe.go
@@ -30,8 +30,10 @@
 	HealthCheck bool
 }
 
-// DueProbes returns the probes that are due now, ordered by endpoint id. The caller must start each of them once;
-// DialEnded or ResponseReceived ends it. HasConnection reports whether a connection over an address is established.
+// DueProbes returns the probes that are due now, ordered by endpoint id. The caller must start each of them at most
+// once; DialEnded ends it. A probe that is not started, or whose dial is not reported to DialEnded, prevents another
+// probe of its address for at least probeTimeoutSeconds. HasConnection reports whether a connection over an address is
+// established.
 func (s *Selector) DueProbes(now float64, hasConnection func(id routing.EndpointID, addr Addr) bool) []Probe {
 	s.advance(now)
 	var probes []Probe
@@ -53,7 +55,7 @@
 	var probes []Probe
 	checkOther := e.needsHealthCheck && s.HealthChecksAllowed
 	e.needsHealthCheck = false
-	healthy := 0 // number of higher-ranked addresses that are in use or get a spare connection
+	healthy := 0 // number of higher-ranked healthy addresses, except those with a current or recent probe
 	for _, a := range e.byPreference() {
 		if checkOther && a.condition == Healthy && !a.probing { // a response shows that the endpoint is not silent
 			checkOther = false
--- a/internal/upstream/address/race.go
+++ b/internal/upstream/address/race.go
@@ -20,7 +20,7 @@
 const (
 	raceOpen    raceOutcome = iota // no dial has succeeded yet; after the deadline none can
 	raceWon                        // the connection of one dial is used
-	raceStopped                    // the caller no longer needs a connection
+	raceStopped                    // the caller no longer needs a connection; set only by tests
 )
 
 // decide sets the outcome of an open race, and reports whether the race was open.
--- a/internal/upstream/address/selector.go
+++ b/internal/upstream/address/selector.go
@@ -42,8 +42,8 @@
 	idsChanged  bool // sortedIDs is out of date
 }
 
-// endpoint is an endpoint with its addresses in order of preference. A restarted endpoint is treated as a new one: only
-// the order of the addresses carries over.
+// endpoint is an endpoint with its addresses, sorted by sortAddrs. A restarted endpoint is treated as a new one: no
+// state of its addresses carries over.
 type endpoint struct {
 	startedAt        float64 // Unix seconds, from the endpoint list
 	addresses        []*address
@@ -64,8 +64,8 @@
 	respondedAt         float64 // monotonic seconds at which the latest response arrived
 	inTrial             bool    // Silent, and one attempt is testing whether it responds
 
-	connectSeconds   samples
-	firstByteSeconds samples
+	connectSeconds  samples
+	responseSeconds samples // response times, as passed to ResponseReceived
 }
 
 // PlannedDial is one dial of a plan. It starts DelaySeconds after the plan does, or as soon as the previous dial has
@@ -120,9 +120,9 @@
 // hasAlternatives reports whether the endpoint has more than one address.
 func (e *endpoint) hasAlternatives() bool { return len(e.addresses) > 1 }
 
-// Plan returns the addresses to dial for a new connection, in order. It is empty if all addresses are in cooldown; the
-// endpoint then counts as unreachable immediately. An idempotent attempt may also test an address that was silent.
-// Other attempts only use addresses that have responded.
+// Plan returns the addresses to dial for a new connection, in order. It is empty if the endpoint has several addresses
+// and none is usable, as when all are in cooldown; the endpoint then counts as unreachable immediately. An idempotent
+// attempt may also test a silent address whose cooldown has ended. Other attempts use no silent address.
 func (s *Selector) Plan(now float64, id routing.EndpointID, idempotent bool) []PlannedDial {
 	s.advance(now)
 	e := s.endpoints[id]
--- a/internal/upstream/address/status.go
+++ b/internal/upstream/address/status.go
@@ -17,7 +17,7 @@
 	SinceSeconds     float64            `json:"since_s"` // time since the condition was set
 	CooldownSeconds  float64            `json:"rest_s"`  // remaining cooldown; -1 for a disabled address
 	ConnectSeconds   float64            `json:"connect_s"`
-	FirstByteSeconds float64            `json:"first_byte_s"`
+	FirstByteSeconds float64            `json:"first_byte_s"` // mean response time (see ResponseReceived); 0 if unknown
 	Rank             int                `json:"rank"`
 }
 
@@ -34,7 +34,7 @@
 				SinceSeconds:     s.now - a.changedAt,
 				CooldownSeconds:  a.cooldownLeft(s.now),
 				ConnectSeconds:   a.connectSeconds.mean(),
-				FirstByteSeconds: a.firstByteSeconds.mean(),
+				FirstByteSeconds: a.responseSeconds.mean(),
 				Rank:             rank,
 			})
 		}
--- a/internal/upstream/addresses.go
+++ b/internal/upstream/addresses.go
@@ -47,8 +47,9 @@
 	}
 }
 
-// isCurrent reports whether new attempts may still be started on a connection: it was established to the endpoint's
-// current process, over a listed address.
+// isCurrent reports whether a connection still fits the endpoint list, so that CloseIdle does not close it as removed:
+// its address is the endpoint's only one or, if there are several, it belongs to the endpoint's current process and its
+// address is listed (even if in cooldown) or not known yet.
 func (p *Pool) isCurrent(e *endpoint, c *Connection) bool {
 	addr := c.dialedAddr()
 	if !e.hasMultipleAddrs {
@@ -108,8 +109,9 @@
 }
 
 // CheckAddresses finds connections on which an attempt waits without any input, and probes addresses whose cooldown has
-// ended. It returns the attempts whose address is silent while their endpoint responds over another address. Call it
-// every few dozen milliseconds if endpoints have more than one address.
+// ended. It returns the attempts whose address is silent while their endpoint is reachable over another address, which
+// has responded since the attempt was written or is usable now. Call it every few dozen milliseconds if endpoints have
+// more than one address.
 func (p *Pool) CheckAddresses(now clock.Instant) (stalled []*Attempt) {
 	if p.AddressSelector == nil {
 		return nil
@@ -123,8 +125,8 @@
 	return stalled
 }
 
-// stalledAttempts returns the endpoint's attempts that wait at a silent address while the endpoint responds over
-// another address.
+// stalledAttempts returns the endpoint's attempts that wait at a silent address while the endpoint is reachable over
+// another address (ReachableOverOtherAddress).
 func (p *Pool) stalledAttempts(now clock.Instant, e *endpoint) (stalled []*Attempt) {
 	for _, c := range e.connections {
 		wait, addr, waiting := c.silentAttempts(now)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -10,7 +10,8 @@
 	"cairnfront/routing"
 )
 
-// Owner identifies an attempt for the caller of Send or SendHealthCheck. It is returned with the attempt's end.
+// Owner is a value by which the caller of Send or SendHealthCheck identifies an attempt. It is returned with the
+// attempt's end, and is nil for the health check of an address probe. It is not the pool's owner, which is a goroutine.
 type Owner interface{ OwnsUpstreamAttempt() }
 
 // Attempt is one attempt of a request at an endpoint, or one health check, on a connection. The connection's lock
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -12,7 +12,7 @@
 )
 
 // Connection is one connection to an endpoint with the attempts that are open on it. It is served by a reader and a
-// writer goroutine. Its other methods are safe for concurrent use.
+// writer goroutine. The methods that the pool's owner calls meanwhile are safe for concurrent use.
 type Connection struct {
 	pool              *Pool
 	endpointID        routing.EndpointID
@@ -102,9 +102,10 @@
 	}
 }
 
-// cancel cancels an attempt and returns its result and whether it has already ended. An attempt that the endpoint may
-// have received ends only when the socket has accepted the cancel line or the connection has ended; the end is then
-// reported as an event. The line is not written on a connection that only receives.
+// cancel cancels an attempt and returns its result and whether it has already ended. A request's attempt that the
+// endpoint may have received ends only when the socket has accepted the cancel line or the connection has ended; the
+// end is then reported as an event. On a connection in state receiving, the line is not written, and a late response
+// also ends the attempt.
 //
 // It guards against two concurrent attempts of a request: a retry that is sent before the cancel line would run
 // concurrently with the attempt, which the settings may forbid.
--- a/internal/upstream/connstate.go
+++ b/internal/upstream/connstate.go
@@ -37,8 +37,9 @@
 // takesAttempts reports whether a connection in this state accepts new attempts.
 func (s connState) takesAttempts() bool { return s == connConnecting || s == connReady }
 
-// hasAttempts reports whether a connection in this state can have open attempts. A cancelled attempt then ends when its
-// cancel line is written or when the connection ends.
+// hasAttempts reports whether a connection in this state can have open attempts. If a request's attempt is cancelled
+// after writing it has started, it ends when its cancel line is written, when the connection ends or, in state
+// receiving, when its response arrives.
 func (s connState) hasAttempts() bool { return s.takesAttempts() || s == connReceiving }
 
 // setStateLocked changes the connection's state if the table allows the transition, and reports whether it did.
--- a/internal/upstream/event.go
+++ b/internal/upstream/event.go
@@ -10,8 +10,9 @@
 // HandleEvent.
 type Event interface{ isUpstreamEvent() }
 
-// AttemptEnded reports that an attempt or a health check has ended. It occurs exactly once for each, unless Cancel
-// ended the attempt immediately.
+// AttemptEnded reports that an attempt or a health check has ended. It occurs exactly once for each, with two
+// exceptions: it does not occur if Cancel ended the attempt immediately, unless the end was already being reported, and
+// it may be lost if a goroutine of the connection panics.
 type AttemptEnded struct {
 	Attempt *Attempt
 	End     request.AttemptEnd
--- a/internal/upstream/lifecycle.go
+++ b/internal/upstream/lifecycle.go
@@ -34,15 +34,16 @@
 )
 
 var (
-	// errCloseRequested ends the read loop of a connection that has no attempts and accepts none.
+	// errCloseRequested ends the read loop of a connection for which readyToClose allows a requested close.
 	errCloseRequested = errors.New("close requested")
 
 	// errConnectionEnded stops the other goroutine of a connection.
 	errConnectionEnded = errors.New("connection ended")
 )
 
-// readyToClose checks whether the connection may be closed now: it accepts no more attempts and has none, or the pool
-// is shutting down. It returns errCloseRequested if so, otherwise nil.
+// readyToClose checks whether the connection may be closed now: it accepts no more attempts and has none, or the
+// context is done because the pool is shutting down or the writer goroutine has ended the connection. It returns
+// errCloseRequested if so. Otherwise it returns nil and sets the read deadline of silenceDeadlineLocked.
 func (c *Connection) readyToClose(ctx context.Context, code netconn.EndCode) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,7 +109,8 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	conn.OnCloseRequest = func(code netconn.EndCode) error { return c.readyToClose(ctx, code) }
-	conn.DiscardInput = true // closes only happen while no attempt is open, so unread input can be dropped
+	// Requested closes only happen while no attempt is open, or at shutdown, so unread input can be dropped.
+	conn.DiscardInput = true
 	c.mu.Lock()
 	c.conn = conn
 	c.setStateLocked(connReady)
@@ -153,7 +155,8 @@
 }
 
 // endAttempts ends all open attempts and marks the connection as closed. Conn is nil if the connection was never
-// established. Attempts that are not known to have been sent end with the given result.
+// established; all attempts then end with the given result. Otherwise only those end with it whose writing had started
+// and that the socket has not accepted completely (resultAtConnectionEnd).
 func (c *Connection) endAttempts(conn *netconn.Conn, unsent routing.AttemptResult) {
 	c.mu.Lock()
 	c.setStateLocked(connClosed)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// deleteIfUnused deletes a removed endpoint that has no connections left.
+// deleteIfUnused takes an endpoint that has no connections out of p.connected, and deletes it from the pool if it was
+// removed from the endpoint list.
 func (p *Pool) deleteIfUnused(e *endpoint) {
 	if len(e.connections) > 0 {
 		return
@@ -169,7 +170,7 @@
 }
 
 // Cancel cancels an attempt. It returns the attempt's result and whether the attempt has already ended; if it has not,
-// an AttemptEnded event follows.
+// an AttemptEnded event follows. Even if it has, an event that was already being reported can follow.
 func (p *Pool) Cancel(a *Attempt, result routing.AttemptResult) (end routing.AttemptResult, immediate bool) {
 	return a.connection.cancel(a, result)
 }
--- a/internal/upstream/retrybudget/budget.go
+++ b/internal/upstream/retrybudget/budget.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// windowSeconds is the time for which attempts are counted. It equals the duration of an outlier ejection in
-	// routing, so that the retries of a failed endpoint fall within one window.
+	// windowSeconds is the time for which attempts are counted. It equals the longest outlier ejection in routing
+	// (maxEjectionSeconds), so that the retries of a failed endpoint fall within one window.
 	windowSeconds = 4.0
 
 	// slotCount is the number of slots of the window. Old attempts leave the window one slot at a time.
@@ -34,7 +34,7 @@
 // Limits are the limits of each budget.
 type Limits struct {
 	RetryRatio float64 // retries per first attempt; 0 or less disables budgets
-	MinRetries float64 // retries per window that are always allowed, so that low traffic can be retried
+	MinRetries float64 // retries per window in addition to those of RetryRatio, so that low traffic can be retried
 }
 
 // Scope identifies the request class of a budget, or the endpoint if one is set.
@@ -57,7 +57,8 @@
 	exhausted     bool  // last reported state
 }
 
-// Budget holds the budgets of all scopes. It is not safe for concurrent use.
+// Budget is the set of the budgets of all scopes. Each scope has its own budget, with its own window. Budget is not
+// safe for concurrent use.
 type Budget struct {
 	limits  Limits
 	now     float64 // monotonic seconds; the latest time passed by any call
--- a/internal/upstream/selection.go
+++ b/internal/upstream/selection.go
@@ -11,8 +11,9 @@
 )
 
 // start starts an attempt on a connection to an endpoint. If a connection breaks or its input violates the protocol,
-// all attempts on it end. Therefore each attempt gets its own connection while descriptors are available. It returns
-// nil if no connection can be opened.
+// all attempts on it end. Therefore each attempt gets its own connection while descriptors are available and, if the
+// endpoint has several addresses, while it has fewer connections than MaxConnsPerEndpoint. It returns nil if no
+// connection can be opened.
 func (p *Pool) start(endpointID routing.EndpointID, a *Attempt, avoid []*Connection) *Attempt {
 	e := p.endpoints[endpointID]
 	if e == nil {
@@ -123,9 +124,9 @@
 	return best
 }
 
-// addressRank returns the rank of a connection's address and whether an attempt may use it. A connection that is still
-// being established ranks after all established ones: its address is not known yet, and the attempt would have to wait
-// for the dial.
+// addressRank returns the rank of a connection's address and whether an attempt may use it. The address of a connection
+// that is still being established is not known yet, and the attempt would have to wait for the dial. Its rank is
+// therefore the number of the endpoint's connections: behind addresses with a lower rank, but not always behind all.
 func (p *Pool) addressRank(now float64, e *endpoint, c *Connection, idempotent bool) (rank int, usable bool) {
 	addr := c.dialedAddr()
 	if addr == "" {
--- a/internal/upstream/silence.go
+++ b/internal/upstream/silence.go
@@ -11,7 +11,8 @@
 // A connection can be dead without any indication: the machine behind it has vanished, or a new process has taken over
 // its address. The symptom is that attempts time out one after another on a connection that stays open. Therefore, once
 // an attempt is cancelled on a connection that has received nothing for the connect timeout, the connection accepts no
-// more attempts until input arrives, and it is closed when no attempt is open (netconn.Unresponsive).
+// more attempts until input arrives, and CloseIdle closes it when no attempt is open (netconn.Unresponsive). If
+// EndpointIdleTimeout is 0, CloseIdle does so only if the connection no longer fits the endpoint list (isCurrent).
 
 // recordWriteLocked records that an attempt was written. Consecutive attempts without any input are counted together:
 // attempts with short timeouts are cancelled before any one of them could show that the connection is dead.
--- a/internal/upstream/stopwriting.go
+++ b/internal/upstream/stopwriting.go
@@ -72,7 +72,8 @@
 	if c.unwritableSince.IsZero() {
 		c.unwritableSince = now
 	}
-	c.conn.RequestClose(c.conn.EndCode()) // interrupts the read, so that the new deadline is set
+	// This interrupts the read. While attempts are open, readyToClose declines the close and sets the new deadline.
+	c.conn.RequestClose(c.conn.EndCode())
 }
 
 // silenceDeadlineLocked returns the time by which input must arrive on a connection with a cancel that cannot be
@@ -120,8 +121,8 @@
 	c.reportEnd(a, request.AttemptEnd{Result: a.cancelResult})
 }
 
-// closeIfDoneLocked closes a connection that only receives once no attempt is open on it. Attempts that were cancelled
-// in the meantime end with the connection: their cancel lines cannot be written.
+// closeIfDoneLocked closes a connection in state receiving as soon as no attempt is open on it. Attempts that were
+// cancelled in the meantime end with the connection: their cancel lines cannot be written.
 func (c *Connection) closeIfDoneLocked() {
 	if c.state == connReceiving && len(c.attempts) == 0 {
 		c.conn.RequestClose(c.conn.EndCode())
@@ -134,7 +135,7 @@
 
 // Reasons for the close of a connection on which nothing more could be written.
 const (
-	unwritableAnswered unwritableEnd = "answered" // all attempts on the connection ended
+	unwritableAnswered unwritableEnd = "answered" // no attempt was open any more, or the pool shut down
 	unwritableSilent   unwritableEnd = "silent"   // a cancelled attempt was still pending, and no input arrived in time
 	unwritableFailed   unwritableEnd = "failed"   // the endpoint closed it, or its input violated the protocol
 )
--- a/internal/upstream/writer.go
+++ b/internal/upstream/writer.go
@@ -208,10 +208,10 @@
 
 // mayStartWriting reports whether writing the attempt may start at the given time.
 //
-// It guards against attempts that run although nobody waits for them any longer, or after a drain, a purge or the time
-// window of a key, because they waited for a dial or in the queue. An endpoint that is about to stop would receive
-// work, or a request would run twice. The caller checks this and marks the attempt as written under one hold of the
-// connection's lock, so that no cancel can come in between.
+// It guards against attempts that run although nobody waits for them any longer, or after a drain, a purge or the
+// idempotency window of their request, because they waited for a dial or in the queue. An endpoint that is about to
+// stop would receive work, or a request would run twice. The caller checks this and marks the attempt as written under
+// one hold of the connection's lock, so that no cancel can come in between.
 func (a *Attempt) mayStartWriting(now clock.Instant) bool {
 	switch {
 	case a.request == nil: // a health check
