--- a/internal/sim/clock/scheduler.go
+++ b/internal/sim/clock/scheduler.go
@@ -1,7 +1,7 @@
-// Package clock is the virtual time of simulations: it runs scheduled functions in the order of their times.
+// Package clock provides virtual time for simulations: a scheduler that runs functions in the order of their times.
 //
-// It uses no real clock and no goroutines, and all randomness comes from one seed, so the same seed and the same calls
-// give the same run, byte for byte.
+// It uses neither the real clock nor goroutines, and all random numbers derive from one seed. The same seed and the
+// same calls therefore always give exactly the same run.
 package clock
 
 import (
@@ -10,25 +10,25 @@
 	"math/rand/v2"
 )
 
-// Scheduler runs the events of a simulation. Use New: the zero value has no randomness.
+// Scheduler runs the events of a simulation. Create it with New: the zero value has no random number generator.
 type Scheduler struct {
 	Rand *rand.Rand
 
 	now       float64 // seconds
-	scheduled uint64  // events so far
+	scheduled uint64  // number of events scheduled so far
 	queue     eventQueue
 }
 
-// New returns a scheduler whose clock shows a time in seconds. Streams of the same seed with different numbers are
-// independent.
+// New returns a scheduler whose clock starts at now, in seconds. Different streams of the same seed give independent
+// random numbers.
 func New(seed, stream uint64, now float64) *Scheduler {
 	return &Scheduler{Rand: rand.New(rand.NewPCG(seed, stream)), now: now}
 }
 
-// Now is the clock in seconds.
+// Now returns the current virtual time in seconds.
 func (s *Scheduler) Now() float64 { return s.now }
 
-// At schedules a function for a time in seconds. A time that has passed, or that is no number, counts as now.
+// At schedules a function to run at a time in seconds. A time in the past, or NaN, is replaced by the current time.
 func (s *Scheduler) At(time float64, run func()) {
 	if math.IsNaN(time) {
 		time = s.now
@@ -41,13 +41,13 @@
 	})
 }
 
-// After schedules a function for so many seconds from now.
+// After schedules a function to run the given number of seconds from now.
 func (s *Scheduler) After(seconds float64, run func()) { s.At(s.now+seconds, run) }
 
-// RunUntil runs all events up to a time, which the clock shows afterwards, and returns their number.
+// RunUntil runs all events up to and including the end time, sets the clock to it, and returns the number of events.
 func (s *Scheduler) RunUntil(end float64) (events int) {
 	for len(s.queue) > 0 && s.queue[0].time <= end {
-		next := heap.Pop(&s.queue).(event) //nolint:forcetypeassert // the queue holds events alone
+		next := heap.Pop(&s.queue).(event) //nolint:forcetypeassert // the queue contains only events
 		s.now = next.time
 		next.run()
 		events++
@@ -58,11 +58,11 @@
 
 type event struct {
 	time     float64
-	sequence uint64 // events of the same time run in the order in which they were scheduled
+	sequence uint64 // orders events that are scheduled for the same time
 	run      func()
 }
 
-// eventQueue is a heap.Interface with the next event first.
+// eventQueue implements heap.Interface, with the earliest event first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -77,13 +77,13 @@
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 func (q *eventQueue) Push(item any) {
-	*q = append(*q, item.(event)) //nolint:forcetypeassert // At pushes events alone
+	*q = append(*q, item.(event)) //nolint:forcetypeassert // At pushes only events
 }
 
 func (q *eventQueue) Pop() any {
 	last := len(*q) - 1
 	item := (*q)[last]
-	(*q)[last] = event{} // so that the function can be collected
+	(*q)[last] = event{} // allows the function to be garbage collected
 	*q = (*q)[:last]
 	return item
 }
--- a/internal/sim/faults/expectation.go
+++ b/internal/sim/faults/expectation.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// lossLikeCut is the share of undelivered datagrams from which a link cannot be distinguished from a cut one.
-const lossLikeCut = 0.4
+// cutEquivalentLoss is the share of undelivered datagrams above which an observer cannot distinguish loss from a cut
+// link.
+const cutEquivalentLoss = 0.4
 
-// IsRunning reports whether a process exists and is not stopped at a time.
+// IsRunning reports whether a process is neither killed nor paused at the given time.
 func (s *Script) IsRunning(process int, time float64) bool {
 	return !s.isAffected(process, time, Kill, Wipe, Pause)
 }
 
-// IsWorking reports whether a process runs and its work makes progress at a time.
+// IsWorking reports whether a process is running and not stalled at the given time.
 func (s *Script) IsWorking(process int, time float64) bool {
 	return s.IsRunning(process, time) && !s.isAffected(process, time, Stall)
 }
@@ -25,8 +26,8 @@
 	return false
 }
 
-// ReachableCount is the number of running processes, itself among them, that a running process can work with at a time:
-// over links that are open both ways, also through other processes.
+// ReachableCount returns the number of running processes, including itself, that a running process can reach at the
+// given time, directly or through other processes, over links that are open in both directions.
 func (s *Script) ReachableCount(process int, time float64) int {
 	reached := map[int]bool{process: true}
 	pending := []int{process}
@@ -48,9 +49,9 @@
 	return s.LinkAt(a, b, time).Cut || s.LinkAt(b, a, time).Cut
 }
 
-// ExplainsUnreachable reports whether the script gave an observer a reason to declare a peer failed. At the time, or
-// up to grace seconds before, the peer was stopped or killed, or a link between them was cut or lost as much as a cut
-// one. That the observer itself was stopped is no reason.
+// ExplainsUnreachable reports whether the script justifies that an observer declared a peer failed at the given time.
+// It does if, at that time or up to grace seconds earlier, the peer was paused or killed, or a link between the two was
+// cut or lost more than cutEquivalentLoss of its datagrams. A pause of the observer itself does not justify it.
 func (s *Script) ExplainsUnreachable(observer, peer int, time, grace float64) bool {
 	for i := range s.Faults {
 		fault := &s.Faults[i]
@@ -74,8 +75,8 @@
 		lossTime := min(time, max(fault.Start, time-grace))
 		forward := s.LinkAt(observer, peer, lossTime).undelivered()
 		backward := s.LinkAt(peer, observer, lossTime).undelivered()
-		return max(forward, backward) > lossLikeCut
-	case Delay, Reorder, Duplicate, Stall, ClockSkew: // they leave a process reachable
+		return max(forward, backward) > cutEquivalentLoss
+	case Delay, Reorder, Duplicate, Stall, ClockSkew: // the peer stays reachable
 	}
 	return false
 }
--- a/internal/sim/faults/generate.go
+++ b/internal/sim/faults/generate.go
@@ -6,34 +6,34 @@
 	"sort"
 )
 
-// Bounds of generated faults, in seconds unless said otherwise.
+// Bounds of generated faults, in seconds unless a constant is a stream or a share.
 const (
-	generateStream    = 0xfa017 // stream of randomness
-	quietStart        = 3.0     // before the first fault
-	quietEnd          = 15.0    // after the last fault
-	startMargin       = 30.0    // faults start this long before the end of the script
-	minFaultDuration  = 0.3
-	meanFaultDuration = 4.0 // above the least
-	minShare          = 0.05
-	shareRange        = 0.4
-	delayShare        = 0.3
-	minDelay          = 0.05
-	delayRange        = 0.4
+	scriptRandomStream = 0xfa017 // random number stream
+	faultFreeStart     = 3.0     // without faults at the start of a script
+	faultFreeEnd       = 15.0    // without faults at the end of a script
+	lastStartMargin    = 30.0    // latest start of a fault, counted from the end of the script
+	minFaultDuration   = 0.3
+	meanFaultDuration  = 4.0 // added to minFaultDuration
+	minShare           = 0.05
+	shareRange         = 0.4
+	delayShare         = 0.3
+	minDelay           = 0.05
+	delayRange         = 0.4
 )
 
-// generator draws the faults of one script. The order of its draws is part of the scripts' meaning: a seed gives the
-// same script in every version.
+// generator generates the faults of one script. The order in which it draws random numbers must not change, so that a
+// seed gives the same script in every version.
 type generator struct {
 	rnd       *rand.Rand
 	processes int
 	duration  float64
 }
 
-// Generate draws a script with a number of faults, which may overlap. The last of them ends some seconds before the
-// script does.
+// Generate generates a random script with the given number of faults, which may overlap. The last fault ends at least
+// faultFreeEnd seconds before the script does, if the script is long enough.
 func Generate(seed uint64, processes, faults int, duration float64) Script {
 	g := generator{
-		rnd:       rand.New(rand.NewPCG(seed, generateStream)),
+		rnd:       rand.New(rand.NewPCG(seed, scriptRandomStream)),
 		processes: processes,
 		duration:  duration,
 	}
@@ -47,29 +47,29 @@
 
 func (g *generator) fault() Fault {
 	fault := Fault{
-		Kind:  kinds[g.rnd.IntN(len(kinds)-1)], // all but ClockSkew, the last
-		Start: quietStart + g.rnd.Float64()*max(g.duration-startMargin, 1),
+		Kind:  kinds[g.rnd.IntN(len(kinds)-1)], // all kinds except the last, ClockSkew
+		Start: faultFreeStart + g.rnd.Float64()*max(g.duration-lastStartMargin, 1),
 	}
 	end := fault.Start + minFaultDuration + g.rnd.ExpFloat64()*meanFaultDuration
-	fault.End = max(min(end, g.duration-quietEnd), fault.Start+minFaultDuration)
+	fault.End = max(min(end, g.duration-faultFreeEnd), fault.Start+minFaultDuration)
 	switch fault.Kind {
 	case Cut:
-		g.cutSides(&fault)
+		g.chooseCutSides(&fault)
 	case Loss, Duplicate, Corrupt:
 		fault.Share = minShare + shareRange*g.rnd.Float64()
 	case Delay, Reorder:
 		fault.Share = delayShare
 		fault.Seconds = minDelay + delayRange*g.rnd.Float64()
 	case Kill, Wipe, Pause, Stall:
-		fault.From = g.someProcesses(g.processes / 3)
-	case ClockSkew: // is not drawn
+		fault.From = g.randomProcesses(g.processes / 3)
+	case ClockSkew: // not generated
 	}
 	return fault
 }
 
-// cutSides draws the processes on both sides of a cut. Some processes may be on neither.
-func (g *generator) cutSides(fault *Fault) {
-	fault.From = g.someProcesses(g.processes / 2)
+// chooseCutSides chooses the processes on the two sides of a cut at random. Some processes may be on neither side.
+func (g *generator) chooseCutSides(fault *Fault) {
+	fault.From = g.randomProcesses(g.processes / 2)
 	fault.BothWays = g.rnd.IntN(3) > 0
 	for process := range g.processes {
 		if !slices.Contains(fault.From, process) && g.rnd.IntN(4) > 0 {
@@ -81,8 +81,8 @@
 	}
 }
 
-// someProcesses draws from one to maximum different processes, in order.
-func (g *generator) someProcesses(maximum int) []int {
+// randomProcesses chooses between one and maximum distinct processes at random, and sorts them.
+func (g *generator) randomProcesses(maximum int) []int {
 	order := g.rnd.Perm(g.processes)
 	list := order[:1+g.rnd.IntN(max(maximum, 1))]
 	sort.Ints(list)
--- a/internal/sim/faults/golden_test.go
+++ b/internal/sim/faults/golden_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenScripts prints generated scripts, how datagrams are delivered under them, and the scripts that they shrink to.
-func goldenScripts(t *testing.T) string {
+// formatScripts formats generated scripts, the datagram deliveries that they cause, and the scripts shrunk from them.
+func formatScripts(t *testing.T) string {
 	t.Helper()
 	var out strings.Builder
 	for seed := range uint64(5) {
@@ -35,7 +35,7 @@
 		for _, transition := range script.Transitions() {
 			fmt.Fprintf(&out, "%.6f end=%t %s\n", transition.Time, transition.IsEnd, transition.Fault)
 		}
-		hasKillAndLink := func(s Script) bool {
+		hasKillAndLinkFault := func(s Script) bool {
 			var kill, link bool
 			for _, fault := range s.Faults {
 				kill = kill || fault.Kind == Kill || fault.Kind == Pause
@@ -43,7 +43,7 @@
 			}
 			return kill && link
 		}
-		shrunk, runs := Shrink(script, 100, hasKillAndLink)
+		shrunk, runs := Shrink(script, 100, hasKillAndLinkFault)
 		text, err = json.Marshal(shrunk)
 		require.NoError(t, err)
 		fmt.Fprintf(&out, "shrunk in %d runs: %s\n", runs, text)
@@ -51,7 +51,8 @@
 	return out.String()
 }
 
-// TestScriptsStayTheSame: scripts that were printed in reports have to be replayed the same.
-func TestScriptsStayTheSame(t *testing.T) {
-	golden.Compare(t, "scripts.golden", goldenScripts(t))
+// TestGeneratedScriptsAreUnchanged fails if scripts that were printed in earlier reports would no longer replay
+// identically.
+func TestGeneratedScriptsAreUnchanged(t *testing.T) {
+	golden.Compare(t, "scripts.golden", formatScripts(t))
 }
--- a/internal/sim/faults/link.go
+++ b/internal/sim/faults/link.go
@@ -2,21 +2,21 @@
 
 import "math/rand/v2"
 
-// maxDuplicateDelay is the most seconds by which a duplicate comes after its original.
+// maxDuplicateDelay is the maximum delay in seconds between a datagram and its duplicate.
 const maxDuplicateDelay = 0.05
 
-// Link is the state of a link from one process to another at a time. Shares are from 0 to 1.
+// Link is the state of a one-way link between two processes at a point in time. Shares are between 0 and 1.
 type Link struct {
 	Cut            bool
-	Loss           float64 // share
-	Duplicate      float64 // share
-	Corrupt        float64 // share
-	Reorder        float64 // share
+	Loss           float64 // share of lost datagrams
+	Duplicate      float64 // share of duplicated datagrams
+	Corrupt        float64 // share of corrupted datagrams
+	Reorder        float64 // share of datagrams with an additional delay
 	DelaySeconds   float64
-	ReorderSeconds float64 // the most that is added to the delay
+	ReorderSeconds float64 // maximum additional delay of a reordered datagram
 }
 
-// LinkAt is the state of the link from one process to another at a time, in seconds from the start of the script.
+// LinkAt returns the state of the link from one process to another at a time in seconds since the start of the script.
 func (s *Script) LinkAt(from, to int, time float64) Link {
 	var link Link
 	for i := range s.Faults {
@@ -28,7 +28,7 @@
 	return link
 }
 
-// add combines a fault with those that the link has.
+// add combines a fault with the faults already applied to the link.
 func (l *Link) add(fault *Fault) {
 	switch fault.Kind {
 	case Cut:
@@ -44,31 +44,31 @@
 		l.Duplicate = max(l.Duplicate, fault.Share)
 	case Corrupt:
 		l.Corrupt = max(l.Corrupt, fault.Share)
-	case Kill, Wipe, Pause, Stall, ClockSkew: // faults of processes; the caller leaves them out
+	case Kill, Wipe, Pause, Stall, ClockSkew: // process faults; the caller filters them out
 	}
 }
 
-// Deliver draws how one datagram is delivered: the delay in seconds of each copy that arrives, and whether the copies
-// are corrupt.
+// Deliver decides at random how one datagram is delivered. It returns the delay in seconds of each copy that arrives,
+// and whether the copies are corrupt.
 func (l Link) Deliver(rnd *rand.Rand) (delays []float64, corrupt bool) {
-	if l.Cut || draw(rnd, l.Loss) {
+	if l.Cut || randomBool(rnd, l.Loss) {
 		return nil, false
 	}
 	delay := l.DelaySeconds
-	if draw(rnd, l.Reorder) {
+	if randomBool(rnd, l.Reorder) {
 		delay += rnd.Float64() * l.ReorderSeconds
 	}
 	delays = []float64{delay}
-	if draw(rnd, l.Duplicate) {
+	if randomBool(rnd, l.Duplicate) {
 		delays = append(delays, delay+rnd.Float64()*maxDuplicateDelay)
 	}
-	return delays, draw(rnd, l.Corrupt)
+	return delays, randomBool(rnd, l.Corrupt)
 }
 
-// draw returns true with a probability. It uses no randomness where that is 0.
-func draw(rnd *rand.Rand, probability float64) bool {
+// randomBool returns true with the given probability. It draws no random number if the probability is 0.
+func randomBool(rnd *rand.Rand, probability float64) bool {
 	return probability > 0 && rnd.Float64() < probability
 }
 
-// undelivered is the share of the datagrams that are lost or corrupt.
+// undelivered returns the share of datagrams that are lost or corrupt.
 func (l Link) undelivered() float64 { return 1 - (1-l.Loss)*(1-l.Corrupt) }
--- a/internal/sim/faults/script.go
+++ b/internal/sim/faults/script.go
@@ -1,8 +1,8 @@
-// Package faults is the scripts of faults that the laboratory injects into processes and the links between them.
+// Package faults defines scripts of faults that the laboratory injects into processes and into the links between them.
 //
-// A script is a value: it is generated from a seed, printed in a report, read from a file and shrunk to the faults that
-// matter. The same script is carried out by proxies between processes on loopback and by the network of the simulator;
-// this package only says what it asks for at each time.
+// A script is a plain value: it can be generated from a seed, printed in a report, read from a file, and shrunk to the
+// faults that cause a failure. Proxies between processes on loopback and the simulated network execute the same
+// scripts; this package only computes which faults are active at each time.
 package faults
 
 import (
@@ -14,31 +14,31 @@
 	"sort"
 )
 
-// Kind names a fault. Its values stand in script files and reports.
+// Kind is the kind of a fault. Its values appear in script files and reports.
 type Kind string
 
 // Faults of the links between processes.
 const (
-	Cut       Kind = "cut"     // nothing passes
+	Cut       Kind = "cut"     // no datagram is delivered
 	Loss      Kind = "lose"    // a share of the datagrams is lost
-	Delay     Kind = "delay"   // everything arrives some seconds later
-	Reorder   Kind = "reorder" // a share arrives up to some seconds later
-	Duplicate Kind = "double"  // a share arrives twice
-	Corrupt   Kind = "spoil"   // a share has a wrong byte
+	Delay     Kind = "delay"   // every datagram is delayed by a fixed time
+	Reorder   Kind = "reorder" // a share of the datagrams is delayed by a random time
+	Duplicate Kind = "double"  // a share of the datagrams is delivered twice
+	Corrupt   Kind = "spoil"   // a share of the datagrams has a corrupted byte
 )
 
 // Faults of processes.
 const (
-	Kill      Kind = "kill"  // the process is killed, and started again at the fault's end if it has one
-	Wipe      Kind = "wipe"  // the same, and its directory is removed
-	Pause     Kind = "pause" // the process is stopped and continued at the end
-	Stall     Kind = "stuck" // its work makes no progress, but it answers probes of its peers
-	ClockSkew Kind = "clock" // from its next start on its clock is wrong by some seconds
+	Kill      Kind = "kill"  // the process is killed, and restarted at the end of the fault, if any
+	Wipe      Kind = "wipe"  // the process is killed and its directory removed; restarted as after Kill
+	Pause     Kind = "pause" // the process is stopped, and resumed at the end of the fault
+	Stall     Kind = "stuck" // the process makes no progress in its work but answers its peers' probes
+	ClockSkew Kind = "clock" // the process's clock is off by some seconds after its next start
 )
 
 var linkKinds = []Kind{Cut, Loss, Delay, Reorder, Duplicate, Corrupt}
 
-// kindLabels are the printed names of kinds. The values of the kinds themselves stand in script files and stay.
+// kindLabels are the printed names of kinds. The Kind values themselves are part of the file format and cannot change.
 var kindLabels = map[Kind]string{
 	Cut:       "partition",
 	Loss:      "datagram loss",
@@ -53,13 +53,13 @@
 	ClockSkew: "clock skew",
 }
 
-// Label is the name of a kind in progress lines and plots.
+// Label returns the name of a kind for progress messages and plots.
 func (k Kind) Label() string { return kindLabels[k] }
 
-// kinds has all faults. Generate draws from it by index.
+// kinds lists all kinds of faults. Generate picks from it by index, so the order must not change.
 var kinds = append(slices.Clone(linkKinds), Kill, Wipe, Pause, Stall, ClockSkew)
 
-// Errors of Validate.
+// Errors returned by Script.Validate.
 var (
 	ErrUnknownKind    = errors.New("unknown kind of fault")
 	ErrInvalidTime    = errors.New("invalid time")
@@ -68,29 +68,29 @@
 	ErrEmptyScript    = errors.New("script without processes or duration")
 )
 
-// Fault is one fault and its time. It ends by itself, so a script stays valid whatever is left out of it. Times are in
-// seconds from the start of the script.
+// Fault is one fault with its start and end. A fault carries its own end time, so a script stays valid when any of its
+// faults is removed. Times are in seconds since the start of the script.
 type Fault struct {
 	Kind     Kind    `json:"do"`
 	Start    float64 `json:"at"`
-	End      float64 `json:"until,omitempty"` // 0 for the end of the script
-	From     []int   `json:"from,omitempty"`  // processes; of a link fault, the senders. Empty for all
-	To       []int   `json:"to,omitempty"`    // of a link fault, the receivers. Empty for all
-	BothWays bool    `json:"both,omitempty"`  // of a link fault: also from To to From
+	End      float64 `json:"until,omitempty"` // 0 if the fault lasts until the end of the script
+	From     []int   `json:"from,omitempty"`  // affected processes, or the senders of a link fault; all if empty
+	To       []int   `json:"to,omitempty"`    // receivers of a link fault; all if empty
+	BothWays bool    `json:"both,omitempty"`  // whether a link fault also applies from To to From
 	Share    float64 `json:"share,omitempty"`
 	Seconds  float64 `json:"s,omitempty"`
 }
 
-// String is the fault as JSON.
+// String returns the fault as JSON.
 func (f Fault) String() string {
-	text, _ := json.Marshal(f) // fails only on numbers that Validate refuses
+	text, _ := json.Marshal(f) // fails only for numbers that Validate rejects
 	return string(text)
 }
 
-// IsLinkFault reports whether the fault is one of a link, and not of a process.
+// IsLinkFault reports whether the fault affects links rather than processes.
 func (f Fault) IsLinkFault() bool { return slices.Contains(linkKinds, f.Kind) }
 
-// AffectsLink reports whether a link fault is about the link from one process to another.
+// AffectsLink reports whether a link fault applies to the link from one process to another.
 func (f Fault) AffectsLink(from, to int) bool {
 	if includes(f.From, from) && includes(f.To, to) {
 		return true
@@ -102,7 +102,7 @@
 	return time >= f.Start && (f.End == 0 || time < f.End)
 }
 
-// includes reports whether a list of processes, where empty stands for all, has a process.
+// includes reports whether a list contains a process. An empty list contains all processes.
 func includes(processes []int, process int) bool {
 	return len(processes) == 0 || slices.Contains(processes, process)
 }
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// Script is the faults of a run.
+// Script is a sequence of faults to inject during a run.
 type Script struct {
 	Seed      uint64  `json:"seed"`
 	Processes int     `json:"peers"`
@@ -148,7 +148,7 @@
 	return script, nil
 }
 
-// Validate returns an error if the script cannot be carried out.
+// Validate returns an error if the script cannot be executed.
 func (s *Script) Validate() error {
 	for i, fault := range s.Faults {
 		if err := fault.validate(s.Processes); err != nil {
@@ -163,12 +163,12 @@
 
 // Transition is the start or the end of a fault.
 type Transition struct {
-	Time  float64 // seconds from the start of the script
+	Time  float64 // seconds since the start of the script
 	Fault Fault
 	IsEnd bool
 }
 
-// String says whether the fault begins or ends, and the fault as JSON.
+// String returns the label of the fault, whether it starts or ends, and the fault as JSON.
 func (t Transition) String() string {
 	if t.IsEnd {
 		return fmt.Sprintf("end of %s: %s", t.Fault.Kind.Label(), t.Fault)
@@ -176,7 +176,7 @@
 	return fmt.Sprintf("%s: %s", t.Fault.Kind.Label(), t.Fault)
 }
 
-// Transitions are the starts and ends of all faults in the order of their times.
+// Transitions returns the starts and ends of all faults, sorted by time.
 func (s *Script) Transitions() []Transition {
 	var transitions []Transition
 	for _, fault := range s.Faults {
--- a/internal/sim/faults/script_test.go
+++ b/internal/sim/faults/script_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLinksFollowTheScript: faults of a link overlap, and each of them must end at its own time, in the directions
-// that it names.
-func TestLinksFollowTheScript(t *testing.T) {
+// TestLinkAtCombinesOverlappingFaults checks that overlapping faults of a link combine, that each ends at its own time,
+// and that each affects only its own direction.
+func TestLinkAtCombinesOverlappingFaults(t *testing.T) {
 	script := Script{Processes: 4, Duration: 20, Faults: []Fault{
 		{Kind: Cut, Start: 1, End: 2, From: []int{0}, To: []int{1, 2}},
 		{Kind: Cut, Start: 5, End: 6, From: []int{0}, To: []int{3}, BothWays: true},
@@ -24,16 +24,16 @@
 	}}
 	require.NoError(t, script.Validate())
 	assert.True(t, script.LinkAt(0, 1, 1.5).Cut)
-	assert.False(t, script.LinkAt(1, 0, 1.5).Cut, "one way")
+	assert.False(t, script.LinkAt(1, 0, 1.5).Cut, "the cut applies in one direction only")
 	assert.False(t, script.LinkAt(0, 1, 2).Cut)
 	assert.True(t, script.LinkAt(3, 0, 5.5).Cut)
-	assert.InDelta(t, 0.75, script.LinkAt(1, 2, 10.5).Loss, 1e-9, "losses one after the other")
-	assert.Equal(t, 0.4, script.LinkAt(1, 2, 15).DelaySeconds, "to the end") //nolint:testifylint // exact by intent
+	assert.InDelta(t, 0.75, script.LinkAt(1, 2, 10.5).Loss, 1e-9, "two independent losses of 50%")
+	assert.Equal(t, 0.4, script.LinkAt(1, 2, 15).DelaySeconds, "no end time") //nolint:testifylint // exact by intent
 }
 
-// TestDatagramsAreDeliveredAsTheLinkIs: the simulator and the proxy deliver what this function draws. A cut link
-// delivers nothing, a duplicating one two copies, and a corrupting one says so of both.
-func TestDatagramsAreDeliveredAsTheLinkIs(t *testing.T) {
+// TestDeliverAppliesLinkFaults checks Deliver, which both the simulator and the proxy use. A cut link delivers
+// nothing, a duplicating link delivers two copies, and a corrupting link reports both copies as corrupt.
+func TestDeliverAppliesLinkFaults(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	delays, _ := Link{Cut: true}.Deliver(rnd)
 	assert.Empty(t, delays)
@@ -42,9 +42,9 @@
 	assert.True(t, corrupt)
 }
 
-// TestExpectationsFollowTheScript: verdicts compare what routers saw with what the script made true. A wrong
-// expectation blames a healthy router or excuses a faulty one.
-func TestExpectationsFollowTheScript(t *testing.T) {
+// TestRunningAndReachableProcessesFollowTheScript checks what the script says about running and reachable processes.
+// Verdicts compare it with what routers observed; if it is wrong, they blame a healthy router or miss a faulty one.
+func TestRunningAndReachableProcessesFollowTheScript(t *testing.T) {
 	script := Script{Processes: 5, Duration: 20, Faults: []Fault{
 		{Kind: Kill, Start: 1, End: 3, From: []int{4}},
 		{Kind: Cut, Start: 2, End: 4, From: []int{0, 1}, To: []int{2, 3, 4}, BothWays: true},
@@ -53,7 +53,7 @@
 	assert.False(t, script.IsRunning(4, 2))
 	assert.Equal(t, 4, script.ReachableCount(0, 1.5))
 	assert.Equal(t, 2, script.ReachableCount(0, 2.5))
-	assert.Equal(t, 5, script.ReachableCount(0, 7), "through others")
+	assert.Equal(t, 5, script.ReachableCount(0, 7), "reachable through other processes")
 	assert.True(t, script.ExplainsUnreachable(0, 4, 2, 4))
 	assert.False(t, script.ExplainsUnreachable(4, 3, 5, 1))
 	assert.True(t, script.ExplainsUnreachable(2, 0, 7, 4))
@@ -61,8 +61,8 @@
 	assert.False(t, script.ExplainsUnreachable(0, 1, 7, 2))
 }
 
-// TestStalledProcessRunsButDoesNotWork: a stalled router answers probes, so its peers must see it as running, while
-// its clients get no response.
+// TestStalledProcessRunsButDoesNotWork checks that a stalled process counts as running but not as working: it answers
+// the probes of its peers, but its clients get no response.
 func TestStalledProcessRunsButDoesNotWork(t *testing.T) {
 	script := Script{Processes: 2, Duration: 20, Faults: []Fault{{Kind: Stall, Start: 1, End: 3, From: []int{1}}}}
 	assert.True(t, script.IsRunning(1, 2))
@@ -70,8 +70,8 @@
 	assert.True(t, script.IsWorking(1, 3))
 }
 
-// TestInvalidScriptsAreRejected: a script from a file that cannot be carried out is refused with the file, the fault
-// and the cause, not run with some of its faults.
+// TestInvalidScriptsAreRejected checks that an invalid script file is rejected with an error that names the file, the
+// fault and the cause. It must not run with only some of its faults.
 func TestInvalidScriptsAreRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "script.json")
 	for _, c := range []struct {
@@ -101,8 +101,8 @@
 	assert.ErrorAs(t, err, &syntaxErr)
 }
 
-// TestGeneratedScriptsAreValidAndReproducible: a failure names only its seed: the same seed must draw the same
-// script, and its faults must end early enough for routers to agree before the run ends.
+// TestGeneratedScriptsAreValidAndReproducible checks that a seed always generates the same script, as a failure report
+// names only the seed. The faults must end early enough for routers to agree before the run ends.
 func TestGeneratedScriptsAreValidAndReproducible(t *testing.T) {
 	for seed := range uint64(200) {
 		script := Generate(seed, 20, 8, 60)
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestShrinkFindsTheFaultsThatMatter: of twelve faults, the failure needs a cut of process 1 for 10 s and, overlapping
-// it, a loss of a tenth.
-func TestShrinkFindsTheFaultsThatMatter(t *testing.T) {
+// TestShrinkFindsMinimalFailingScript shrinks a script of twelve faults. The failure occurs only with a cut of process
+// 1 for at least 10 s that overlaps a loss of at least 10%.
+func TestShrinkFindsMinimalFailingScript(t *testing.T) {
 	script := Generate(5, 10, 10, 100)
 	script.Faults = append(script.Faults,
 		Fault{Kind: Cut, Start: 20, End: 60, From: []int{1, 2, 3}, BothWays: true},
@@ -143,7 +143,7 @@
 	}
 }
 
-// TestKindsHaveLabels holds that each fault of a script has a printed name, which progress lines and plots show.
+// TestKindsHaveLabels checks that each kind of fault has its own label for progress messages and plots.
 func TestKindsHaveLabels(t *testing.T) {
 	seen := map[string]bool{}
 	for _, kind := range kinds {
--- a/internal/sim/faults/shrink.go
+++ b/internal/sim/faults/shrink.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Least values to which a fault is shrunk.
+// Minimum values to which a fault is shrunk.
 const (
 	minShrunkDuration = 0.1 // seconds
 	minShrunkShare    = 0.01
 	minShrunkSeconds  = 0.01
-	shrunkTail        = 10.0 // seconds that a script goes on after its last fault
+	shrunkEndMargin   = 10.0 // seconds from the last fault to the end of the script
 )
 
-// shrinker tries smaller scripts and keeps the smallest that still fails.
+// shrinker tries smaller scripts and stores the smallest one that still fails.
 type shrinker struct {
 	script  Script
 	fails   func(Script) bool
@@ -18,21 +18,21 @@
 	maxRuns int
 }
 
-// Shrink finds a smaller script that still fails: faults are left out by halves, then one by one; those that are left
-// get shorter and weaker. It returns the smallest script that failed and the number of runs, which is at most maxRuns.
+// Shrink finds a smaller script that still fails. It removes faults, first by halves and then one by one, and makes the
+// remaining ones shorter and weaker. It returns the smallest failing script and the number of runs, at most maxRuns.
 func Shrink(script Script, maxRuns int, fails func(Script) bool) (smallest Script, runs int) {
 	s := shrinker{script: script, fails: fails, maxRuns: maxRuns}
-	s.dropFaults()
+	s.removeFaults()
 	for i := range s.script.Faults {
-		for _, weaken := range weakenings {
-			s.weakenFault(i, weaken)
+		for _, reduce := range faultReductions {
+			s.reduceFault(i, reduce)
 		}
 	}
 	s.shortenScript()
 	return s.script, s.runs
 }
 
-// try runs a candidate and keeps it if it fails.
+// try runs a candidate script. If it fails, it becomes the current script and try returns true.
 func (s *shrinker) try(candidate Script) bool {
 	if s.runs >= s.maxRuns {
 		return false
@@ -45,17 +45,17 @@
 	return true
 }
 
-func (s *shrinker) dropFaults() {
+func (s *shrinker) removeFaults() {
 	for size := (len(s.script.Faults) + 1) / 2; size > 0 && len(s.script.Faults) > 1; {
-		dropped := s.dropRuns(size)
+		dropped := s.removeConsecutive(size)
 		if !dropped || size > len(s.script.Faults) {
 			size /= 2
 		}
 	}
 }
 
-// dropRuns leaves out so many neighbouring faults wherever that keeps the failure.
-func (s *shrinker) dropRuns(size int) (dropped bool) {
+// removeConsecutive removes each group of size consecutive faults without which the script still fails.
+func (s *shrinker) removeConsecutive(size int) (dropped bool) {
 	for from := 0; from < len(s.script.Faults); {
 		faults := s.script.Faults
 		candidate := s.script
@@ -69,8 +69,9 @@
 	return dropped
 }
 
-// weakenings each make one aspect of a fault smaller and report whether it was large enough for that.
-var weakenings = []func(*Fault) bool{
+// faultReductions are functions that each reduce one field of a fault. They return false if the field is at its
+// minimum.
+var faultReductions = []func(*Fault) bool{
 	func(f *Fault) bool {
 		f.End = f.Start + (f.End-f.Start)/2
 		return f.End > f.Start+minShrunkDuration
@@ -95,25 +96,25 @@
 	return true
 }
 
-// weakenFault repeats one weakening of a fault for as long as the script fails.
-func (s *shrinker) weakenFault(i int, weaken func(*Fault) bool) {
+// reduceFault applies a reduction to a fault repeatedly for as long as the script still fails.
+func (s *shrinker) reduceFault(i int, reduce func(*Fault) bool) {
 	for {
 		candidate := s.script
 		candidate.Faults = slices.Clone(s.script.Faults)
-		if !weaken(&candidate.Faults[i]) || !s.try(candidate) {
+		if !reduce(&candidate.Faults[i]) || !s.try(candidate) {
 			return
 		}
 	}
 }
 
-// shortenScript ends the script soon after its last fault.
+// shortenScript ends the script shrunkEndMargin seconds after its last fault if it then still fails.
 func (s *shrinker) shortenScript() {
 	last := s.script.lastTransition()
 	if last <= 0 {
 		return
 	}
 	candidate := s.script
-	candidate.Duration = min(last+shrunkTail, s.script.Duration)
+	candidate.Duration = min(last+shrunkEndMargin, s.script.Duration)
 	if candidate.Duration < s.script.Duration {
 		s.try(candidate)
 	}
--- a/internal/sim/membership/doc.go
+++ b/internal/sim/membership/doc.go
@@ -1,4 +1,4 @@
-// Package membership runs the swim cores of many members on virtual time, with the fault scripts that the lab also
-// carries out between processes: thousands of instances in one process. It owns the simulated network and the checks of
-// state changes against what the script says is true. The same configuration gives the same events, byte for byte.
+// Package membership simulates thousands of SWIM members in one process on virtual time, with the same fault scripts
+// that the lab runs between real processes. It contains the simulated network and checks each state change against the
+// faults in the script. The same configuration produces exactly the same sequence of events.
 package membership
--- a/internal/sim/membership/instance.go
+++ b/internal/sim/membership/instance.go
@@ -12,22 +12,22 @@
 	up          bool
 	paused      bool
 	hostile     bool
-	waiting     []func()     // events that a paused instance handles when it continues
-	timer       uint64       // of the timer that is set; older ones do nothing
-	detected    map[int]bool // the killed instances that it has declared failed
-	clockOffset float64      // s
+	postponed   []func()     // events that a paused instance handles when it resumes
+	timerNumber uint64       // number of the current timer; timers with older numbers are ignored
+	detected    map[int]bool // killed instances that this instance has declared failed
+	clockOffset float64      // seconds
 }
 
 func (i *instance) member() swim.MemberID { return swim.MemberID(i.id) }
 
-// start starts an instance, or starts it again.
+// start starts or restarts an instance.
 func (s *simulation) start(i *instance) {
 	now := s.scheduler.Now()
-	i.up, i.waiting = true, nil
-	start := uint64((epochStart + now + i.clockOffset) * 1000)
+	i.up, i.postponed = true, nil
+	start := uint64((startUnixSeconds + now + i.clockOffset) * 1000)
 	i.core = s.newCore(i, start, s.random.Uint64())
 	if s.instanceIDs != nil && now < 1 {
-		i.core = s.newCore(i, preloadedStart, s.instanceIDs[i.id])
+		i.core = s.newCore(i, preloadedStartMillis, s.instanceIDs[i.id])
 		i.core.Preload(now, s.preloadedRecords())
 	}
 	delete(s.killedAt, i.id)
@@ -44,7 +44,7 @@
 	for i, instanceID := range s.instanceIDs {
 		records[i] = swim.MemberRecord{
 			Member:      swim.MemberID(i),
-			Incarnation: swim.Incarnation{StartMillis: preloadedStart},
+			Incarnation: swim.Incarnation{StartMillis: preloadedStartMillis},
 			InstanceID:  instanceID,
 			State:       swim.Alive,
 		}
@@ -52,58 +52,58 @@
 	return records
 }
 
-// tick runs what an instance has to do now and sets its timer.
+// tick runs the due work of an instance and sets the timer for its next deadline.
 func (s *simulation) tick(i *instance) {
 	if !i.up || i.paused {
 		return
 	}
-	s.carryOut(i, i.core.Tick(s.scheduler.Now()))
+	s.executeActions(i, i.core.Tick(s.scheduler.Now()))
 	s.setTimer(i)
 }
 
 func (s *simulation) setTimer(i *instance) {
-	i.timer++
-	timer := i.timer
+	i.timerNumber++
+	timerNumber := i.timerNumber
 	s.scheduler.At(max(i.core.NextDeadline(), s.scheduler.Now()+minTimer), func() {
-		if i.timer != timer {
+		if i.timerNumber != timerNumber {
 			return
 		}
 		if i.paused {
-			i.waiting = append([]func(){func() { s.tick(i) }}, i.waiting...)
+			i.postponed = append([]func(){func() { s.tick(i) }}, i.postponed...)
 			return
 		}
 		s.tick(i)
 	})
 }
 
-// applyTransition begins or ends a fault of processes. Faults of the network depend on the time alone.
+// applyTransition starts or ends a process fault. Link faults need no transition: send looks them up by time.
 func (s *simulation) applyTransition(transition faults.Transition) {
 	for _, id := range transition.Fault.From {
 		i := s.instances[id]
 		switch transition.Fault.Kind {
 		case faults.Kill, faults.Wipe:
-			s.killOrRestart(i, transition.IsEnd)
+			s.applyKill(i, transition.IsEnd)
 		case faults.Pause:
-			s.pauseOrResume(i, transition.IsEnd)
+			s.applyPause(i, transition.IsEnd)
 		case faults.Stall:
 			if i.up && !i.paused {
-				s.carryOut(i, i.core.SetWorking(s.scheduler.Now(), transition.IsEnd))
+				s.executeActions(i, i.core.SetWorking(s.scheduler.Now(), transition.IsEnd))
 			}
 		case faults.ClockSkew:
 			i.clockOffset = transition.Fault.Seconds
-		case faults.Cut, faults.Loss, faults.Delay, faults.Reorder, faults.Duplicate, faults.Corrupt: // the network's
+		case faults.Cut, faults.Loss, faults.Delay, faults.Reorder, faults.Duplicate, faults.Corrupt: // link faults
 		}
 	}
 }
 
-func (s *simulation) killOrRestart(i *instance, restart bool) {
+func (s *simulation) applyKill(i *instance, restart bool) {
 	switch {
 	case restart && !i.up:
 		s.result.Restarts++
 		s.start(i)
 	case !restart && i.up:
 		i.up, i.paused = false, false
-		i.timer++
+		i.timerNumber++
 		s.killedAt[i.id] = s.scheduler.Now()
 		for _, other := range s.instances {
 			delete(other.detected, i.id)
@@ -111,18 +111,18 @@
 	}
 }
 
-func (s *simulation) pauseOrResume(i *instance, resume bool) {
+func (s *simulation) applyPause(i *instance, resume bool) {
 	i.paused = !resume
 	if !resume {
 		return
 	}
-	waiting := i.waiting
-	i.waiting = nil
+	postponed := i.postponed
+	i.postponed = nil
 	if !i.up {
 		return
 	}
 	s.tick(i)
-	for _, f := range waiting {
+	for _, f := range postponed {
 		f()
 	}
 }
--- a/internal/sim/membership/network.go
+++ b/internal/sim/membership/network.go
@@ -2,13 +2,13 @@
 
 import "cairnfront/internal/membership/swim"
 
-// carryOut does what a core asks for.
-func (s *simulation) carryOut(i *instance, actions []swim.Action) {
+// executeActions executes the actions returned by an instance's core.
+func (s *simulation) executeActions(i *instance, actions []swim.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case swim.Send:
 			if i.hostile {
-				s.falsify(i, &action)
+				s.falsifyMessage(i, &action)
 			}
 			s.send(i, action)
 		case swim.StateChange:
@@ -20,12 +20,12 @@
 	s.result.MaxQueueLength = max(s.result.MaxQueueLength, i.core.QueueLength())
 }
 
-// falsify changes a message in every way that its sender's own signature allows: it accuses at random, shows a table in
-// which all others have failed, and gives a false view hash.
-func (s *simulation) falsify(i *instance, send *swim.Send) {
+// falsifyMessage changes a message of a hostile instance in every way that the sender's own signature allows: it adds
+// random accusations, marks all members in a push-pull table as failed, and sets a random view hash.
+func (s *simulation) falsifyMessage(i *instance, send *swim.Send) {
 	send.ViewHash = s.random.Uint64()
 	send.Accusations = send.Accusations[:0]
-	for len(send.Accusations) < hostileAccusations {
+	for len(send.Accusations) < falseAccusationsPerMessage {
 		accused := swim.MemberID(s.random.IntN(len(s.instances)))
 		_, record := i.core.Lookup(accused)
 		send.Accusations = append(send.Accusations, swim.Accusation{
@@ -42,7 +42,7 @@
 	}
 	ackForAnother := send.Kind == swim.Ack && send.Requester != i.member()
 	if send.Kind == swim.IndirectAck || ackForAnother && s.random.IntN(2) == 0 {
-		send.Kind = swim.Push // members that requested an indirect ping get no ack
+		send.Kind = swim.Push // a member that requested an indirect ping gets no ack
 	}
 }
 
@@ -53,26 +53,26 @@
 	link := s.config.Script.LinkAt(from.id, int(send.To), s.scheduler.Now())
 	delays, corrupted := link.Deliver(s.scheduler.Rand)
 	if corrupted || len(delays) == 0 {
-		return // the signature of a corrupted datagram does not verify
+		return // a corrupted datagram fails signature verification and is dropped
 	}
-	// A second copy is refused as a replay.
-	delay := delays[0] + latency + jitter*s.scheduler.Rand.Float64()
-	s.scheduler.After(delay, func() { s.arrive(s.instances[send.To], from, send) })
+	// Only the first copy is delivered: the receiver rejects a duplicate as a replay.
+	delay := delays[0] + networkLatency + networkJitter*s.scheduler.Rand.Float64()
+	s.scheduler.After(delay, func() { s.deliver(s.instances[send.To], from, send) })
 }
 
-func (s *simulation) arrive(to, from *instance, send swim.Send) {
+func (s *simulation) deliver(to, from *instance, send swim.Send) {
 	if !to.up {
 		return
 	}
 	if to.paused {
-		if len(to.waiting) < pausedQueue {
-			to.waiting = append(to.waiting, func() { s.arrive(to, from, send) })
+		if len(to.postponed) < maxPausedDatagrams {
+			to.postponed = append(to.postponed, func() { s.deliver(to, from, send) })
 		}
 		return
 	}
 	now := s.scheduler.Now()
-	s.carryOut(to, to.core.HandleMessage(now, from.member(), send.Message))
-	if to.core.NextDeadline() < now+earlyDeadline {
+	s.executeActions(to, to.core.HandleMessage(now, from.member(), send.Message))
+	if to.core.NextDeadline() < now+timerResetThreshold {
 		s.setTimer(to)
 	}
 }
--- a/internal/sim/membership/simulation.go
+++ b/internal/sim/membership/simulation.go
@@ -12,14 +12,14 @@
 	"cairnfront/internal/sim/faults"
 )
 
-// simulation is one run.
+// simulation is the state of one run.
 type simulation struct {
 	scheduler   *clock.Scheduler
 	config      Config
 	random      *rand.Rand
 	instances   []*instance
 	nameHashes  []uint64
-	instanceIDs []uint64 // of preloaded instances
+	instanceIDs []uint64 // instance IDs of preloaded instances; nil without preloading
 	killedAt    map[int]float64
 	failedAt    map[observedMember]swim.Incarnation
 	bytes       int
@@ -28,10 +28,10 @@
 	result      *Result
 }
 
-// observedMember is a member as one observer sees it.
+// observedMember identifies a member and the instance that observes it.
 type observedMember struct{ observer, member int }
 
-// Run simulates a configuration.
+// Run runs a simulation with the given configuration.
 func Run(config Config) (*Result, error) {
 	if err := config.Script.Validate(); err != nil {
 		return nil, err
@@ -61,9 +61,9 @@
 
 func newSimulation(config Config) *simulation {
 	s := &simulation{
-		scheduler: clock.New(config.Script.Seed, clockStream, 0),
+		scheduler: clock.New(config.Script.Seed, networkRandomStream, 0),
 		config:    config,
-		random:    rand.New(rand.NewPCG(config.Script.Seed, scriptStream)),
+		random:    rand.New(rand.NewPCG(config.Script.Seed, instanceRandomStream)),
 		killedAt:  map[int]float64{},
 		failedAt:  map[observedMember]swim.Incarnation{},
 		trace:     fnv.New64a(),
@@ -76,13 +76,13 @@
 	return s
 }
 
-// countDatagrams measures the datagrams of each second.
+// countDatagrams schedules the measurement of the datagram rate for each second.
 func (s *simulation) countDatagrams(end float64) {
-	const beforeNext = 1e-9 // the end of a second is counted before the next one begins
+	const measurementMargin = 1e-9 // each second is measured just before the next one starts
 	for second := 1.0; second <= end; second++ {
 		before := 0
 		s.scheduler.At(second-1, func() { before = s.datagrams })
-		s.scheduler.At(second-beforeNext, func() {
+		s.scheduler.At(second-measurementMargin, func() {
 			rate := float64(s.datagrams-before) / float64(len(s.instances))
 			s.result.DatagramsPerSecond = append(s.result.DatagramsPerSecond, rate)
 		})
--- a/internal/sim/membership/verify.go
+++ b/internal/sim/membership/verify.go
@@ -6,7 +6,7 @@
 	"cairnfront/internal/membership/swim"
 )
 
-// checkChange compares a state change with what the script says is true.
+// checkChange checks a state change that an observer reports against the faults in the script.
 func (s *simulation) checkChange(observer *instance, change swim.StateChange) {
 	_, _ = fmt.Fprintf(s.trace, "%.6f %d %d %d %d\n", // a hash never returns an error
 		s.scheduler.Now(), observer.id, change.Member, change.From, change.To)
@@ -29,7 +29,7 @@
 	}
 }
 
-// recordDetection notes that an observer detected a kill.
+// recordDetection records the first time at which an observer detected the kill of an instance.
 func (s *simulation) recordDetection(observer *instance, killed int, killedAt float64) {
 	if observer.detected[killed] || observer.hostile {
 		return
@@ -47,13 +47,13 @@
 	s.result.FullDetectionSeconds = append(s.result.FullDetectionSeconds, s.scheduler.Now()-killedAt)
 }
 
-// checkFailure counts the failure of a running instance if the script gives no reason for it.
+// checkFailure counts a false failure if an observer declared a running instance failed and no fault explains it.
 func (s *simulation) checkFailure(observer *instance, change swim.StateChange) {
 	now, member := s.scheduler.Now(), s.instances[change.Member]
 	if observer.hostile || member.hostile || now <= settleTime {
 		return
 	}
-	if s.config.Script.ExplainsUnreachable(observer.id, member.id, now, blameTime) {
+	if s.config.Script.ExplainsUnreachable(observer.id, member.id, now, faultGraceTime) {
 		return
 	}
 	s.result.FalseFailures++
@@ -63,17 +63,17 @@
 	}
 }
 
-// checkAgreement checks again and again until all running instances see just the running ones, and measures the time
-// from since, s.
+// checkAgreement polls until every running instance sees exactly the running instances, and then records the time in
+// seconds that has passed since the given time.
 func (s *simulation) checkAgreement(since float64) {
-	if s.agree() {
+	if s.allAgree() {
 		s.result.AgreementSeconds = s.scheduler.Now() - since
 		return
 	}
-	s.scheduler.After(agreementPoll, func() { s.checkAgreement(since) })
+	s.scheduler.After(agreementPollInterval, func() { s.checkAgreement(since) })
 }
 
-func (s *simulation) agree() bool {
+func (s *simulation) allAgree() bool {
 	for _, observer := range s.instances {
 		if !observer.up || observer.hostile {
 			continue
--- a/internal/sim/replication/client.go
+++ b/internal/sim/replication/client.go
@@ -11,23 +11,23 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// requester names all clients in commands.
-const requester = "c"
+// requesterName is the requester name of every client in commands.
+const requesterName = "c"
 
-// request is a reservation or read of a client.
+// request is a client's request to reserve or read a key.
 type request struct {
-	operation int // index in the history
+	operation int // index in simulation.history
 	startedAt float64
 	key       string
 	isRead    bool
-	command   statemachine.Command // of a reservation
+	command   statemachine.Command // used only for a reservation
 	answered  bool
 }
 
-// startRequest starts a request of some client, and sets the time of the next one.
+// startRequest sends a client's request for a random key and schedules the next request.
 func (s *simulation) startRequest() {
-	s.lastRequest++
-	number := s.lastRequest
+	s.lastRequestNumber++
+	number := s.lastRequestNumber
 	key := s.keys[s.scheduler.Rand.IntN(len(s.keys))]
 	isRead := s.scheduler.Rand.IntN(3) == 0
 	group := fmt.Sprint("g", s.scheduler.Rand.IntN(3))
@@ -42,7 +42,7 @@
 			Key:             key,
 			Group:           group,
 			LifetimeSeconds: reservationLifetimeSeconds,
-			Requester:       requester,
+			Requester:       requesterName,
 			RequestNumber:   number,
 		},
 	}
@@ -62,11 +62,11 @@
 	s.scheduler.After(s.scheduler.Rand.ExpFloat64()*meanRequestIntervalSeconds, s.startRequest)
 }
 
-// timestamp is the time of the history, in ns.
+// timestamp returns the current virtual time in nanoseconds, as the history records it.
 func (s *simulation) timestamp() int64 { return int64(s.scheduler.Now() * 1e9) }
 
-// submit sends a request to a router that believes to be the leader, and again until it is answered
-// or timed out.
+// submit sends a request to a random router that considers itself the leader of the key's shard, and retries until
+// the request is answered or times out.
 func (s *simulation) submit(number uint64) {
 	request := s.requests[number]
 	if request.answered || s.scheduler.Now() > request.startedAt+requestTimeoutSeconds {
@@ -75,23 +75,23 @@
 	shardNumber := placement.ShardOf(request.key)
 	if leaders := s.leadersOf(shardNumber); len(leaders) > 0 {
 		leader := leaders[s.scheduler.Rand.IntN(len(leaders))]
-		s.handle(leader, func() { request.submitTo(leader.replicas[shardNumber], number) })
+		s.handle(leader, func() { request.sendTo(leader.replicas[shardNumber], number) })
 	}
 	s.scheduler.After(retryIntervalSeconds, func() { s.submit(number) })
 }
 
-// submitTo proposes a request to a replica. Its error is ignored: a request that is refused is sent again later.
-func (r *request) submitTo(replica *shard.Replica, number uint64) {
+// sendTo proposes a request to a replica. The error is ignored because submit retries rejected requests.
+func (r *request) sendTo(replica *shard.Replica, number uint64) {
 	switch {
 	case replica == nil:
 	case r.isRead:
-		_ = replica.Read(statemachine.KindAttemptLocation, r.key, requester, number)
+		_ = replica.Read(statemachine.KindAttemptLocation, r.key, requesterName, number)
 	default:
 		_ = replica.Propose(r.command)
 	}
 }
 
-// leadersOf are the routers that believe to be the leader of a shard, paused ones among them.
+// leadersOf returns the routers that consider themselves the leader of a shard, including paused routers.
 func (s *simulation) leadersOf(number int) []*router {
 	var leaders []*router
 	for _, r := range s.routers {
@@ -105,8 +105,8 @@
 	return leaders
 }
 
-// respond records a replica's response in the history. A request that was sent twice may have two
-// responses; the first counts.
+// respond records a replica's response in the history. A retried request may get two responses; only the first one
+// is recorded.
 func (s *simulation) respond(response shard.Response) {
 	request := s.requests[response.RequestNumber]
 	if request == nil || request.answered {
--- a/internal/sim/replication/router.go
+++ b/internal/sim/replication/router.go
@@ -14,10 +14,10 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// maxDisksPerRouter separates the seeds of the routers' disks.
+// maxDisksPerRouter is the multiplier of a router's index that gives each disk of each router its own seed.
 const maxDisksPerRouter = 16
 
-// router is a simulated router with its disk.
+// router is a simulated router and its disk.
 type router struct {
 	index      int
 	name       string
@@ -28,19 +28,19 @@
 	diskCount int
 	log       *wal.WAL
 	replicaID uint64
-	replicas  map[int]*shard.Replica // by shard
+	replicas  map[int]*shard.Replica // by shard number
 
 	up        bool
 	paused    bool
-	postponed []func() // events of a paused router
-	writing   bool     // a batch is being written to the disk
+	postponed []func() // events to handle when a paused router resumes
+	writing   bool     // whether a batch is being written to the disk
 }
 
-// sortedShards are the shards that a router has a replica of. Their order is part of a simulation's result.
+// sortedShards returns the numbers of the shards of which the router has a replica. The results depend on the order.
 func (r *router) sortedShards() []int { return slices.Sorted(maps.Keys(r.replicas)) }
 
-// beginShard puts a shard's first snapshot on disk and makes its replica.
-func (r *router) beginShard(number int, voters []uint64) error {
+// bootstrapShard writes a shard's initial snapshot to disk and creates its replica.
+func (r *router) bootstrapShard(number int, voters []uint64) error {
 	snapshot := shard.InitialSnapshot(voters)
 	if err := r.log.Write([]shard.Ready{{Shard: number, Snapshot: snapshot, MustSync: true}}); err != nil {
 		return err
@@ -53,18 +53,18 @@
 	return nil
 }
 
-// startWithEmptyDisk gives a router a new disk and starts it.
+// startWithEmptyDisk starts a router with a new, empty disk.
 func (s *simulation) startWithEmptyDisk(r *router) {
 	r.diskCount++
 	r.fs = vfs.NewFaultFS(s.config.Script.Seed*1000 + uint64(r.index*maxDisksPerRouter+r.diskCount))
 	s.start(r)
 }
 
-// start starts a router on its disk.
+// start starts a router from the contents of its disk.
 func (s *simulation) start(r *router) {
 	log, saved, err := wal.Open(r.fs, r.name, func() uint64 { return s.scheduler.Rand.Uint64()>>1 | 1 })
 	if err != nil {
-		s.fail(fmt.Errorf("%s: open its write-ahead log: %w", r.name, err))
+		s.recordError(fmt.Errorf("%s: open its write-ahead log: %w", r.name, err))
 		return
 	}
 	r.log = log
@@ -74,16 +74,16 @@
 	r.paused = false
 	r.postponed = nil
 	r.writing = false
-	s.byReplica[r.replicaID] = r
-	for _, number := range slices.Sorted(maps.Keys(saved)) { // each draws its election timeout
+	s.routersByReplica[r.replicaID] = r
+	for _, number := range slices.Sorted(maps.Keys(saved)) { // in order: each new replica draws its election timeout
 		if r.replicas[number], err = shard.New(number, r.replicaID, saved[number], nil); err != nil {
-			s.fail(err)
+			s.recordError(err)
 		}
 	}
-	s.announce(r, true)
+	s.announceStatus(r, true)
 }
 
-// stop ends a router. Writes that it did not sync are lost.
+// stop stops a router. Unsynced writes are lost.
 func (s *simulation) stop(r *router) {
 	if !r.up {
 		return
@@ -91,16 +91,16 @@
 	r.up = false
 	r.paused = false
 	r.log.Close()
-	s.announce(r, false)
+	s.announceStatus(r, false)
 }
 
-// announce sets, after the time of a detection, whether the routers see a router as up.
-func (s *simulation) announce(r *router, up bool) {
+// announceStatus updates, after the failure detection delay, whether all routers see a router as up.
+func (s *simulation) announceStatus(r *router, up bool) {
 	id := r.replicaID
 	update := func() {
 		isUp := up && r.up && r.replicaID == id
 		if !up && !s.statuses[id].Up {
-			return // it was announced already
+			return // already announced as down
 		}
 		s.statuses[id] = placement.ReplicaStatus{
 			ID:       id,
@@ -117,7 +117,7 @@
 	s.scheduler.After(detectionSeconds, update)
 }
 
-// handle lets a router handle an event, later where it is paused, and never where it is down.
+// handle runs an event on a router. A paused router handles it after resuming; a router that is down drops it.
 func (s *simulation) handle(r *router, event func()) {
 	switch {
 	case !r.up:
@@ -140,8 +140,8 @@
 	s.scheduler.After(shard.TickSeconds, func() { s.tick(r) })
 }
 
-// write writes the entries of the ready replicas to the disk. Their messages and responses are sent once the batch is
-// on disk.
+// write writes a batch with the entries of all ready replicas to the disk. Their messages and responses are sent after
+// the batch has been synced.
 func (s *simulation) write(r *router) {
 	if r.writing {
 		return
@@ -157,7 +157,7 @@
 	}
 	if err := r.log.Write(batch); err != nil {
 		if !errors.Is(err, vfs.ErrPowerLoss) {
-			s.fail(err)
+			s.recordError(err)
 		}
 		s.stop(r)
 		return
@@ -173,7 +173,7 @@
 	})
 }
 
-// advance sends the messages and responses of a batch that is on disk.
+// advance sends the messages and responses of a batch that has been synced to disk.
 func (s *simulation) advance(r *router, batch []shard.Ready) {
 	for _, ready := range batch {
 		replica := r.replicas[ready.Shard]
@@ -182,7 +182,7 @@
 		}
 		responses, err := replica.Advance(ready)
 		if err != nil {
-			s.fail(err)
+			s.recordError(err)
 			return
 		}
 		for _, response := range responses {
@@ -191,11 +191,11 @@
 	}
 }
 
-// send puts a message on the network, which may lose or delay it.
+// send sends a message over the network, which may drop or delay it.
 func (s *simulation) send(from *router, replica *shard.Replica, message *pb.Message) {
 	id := message.GetTo()
 	isSnapshot := message.GetType() == pb.MessageType_MsgSnap
-	to := s.byReplica[id]
+	to := s.routersByReplica[id]
 	if to == nil || to.replicaID != id {
 		replica.ReportUnreachable(id)
 		if isSnapshot {
@@ -219,7 +219,7 @@
 	})
 }
 
-// receive hands a message to its replica. A shard that is new to the router gets an empty one.
+// receive delivers a message to the replica of its shard. It creates an empty replica if the router has none.
 func (s *simulation) receive(r *router, number int, message *pb.Message) {
 	if r.replicaID != message.GetTo() {
 		return
@@ -227,7 +227,7 @@
 	if r.replicas[number] == nil {
 		replica, err := shard.New(number, r.replicaID, shard.PersistentState{}, nil)
 		if err != nil {
-			s.fail(err)
+			s.recordError(err)
 			return
 		}
 		r.replicas[number] = replica
@@ -235,7 +235,7 @@
 	r.replicas[number].Step(message)
 }
 
-// rebalance lets a router replace members of the shards that it leads.
+// rebalance proposes the router's membership changes for the shards that it leads, and schedules the next run.
 func (s *simulation) rebalance(r *router) {
 	s.handle(r, func() {
 		var led []placement.LedShard
@@ -251,21 +251,21 @@
 			}
 		}
 	})
-	s.measureLeaderlessTime()
+	s.recordLeaderlessTime()
 	s.scheduler.After(rebalanceIntervalSeconds, func() { s.rebalance(r) })
 }
 
-func (s *simulation) measureLeaderlessTime() {
+func (s *simulation) recordLeaderlessTime() {
 	for number := range s.config.Shards {
 		if s.hasLeader(number) {
-			s.lastLeader[number] = s.scheduler.Now()
+			s.lastLeaderTime[number] = s.scheduler.Now()
 		}
-		leaderless := s.scheduler.Now() - s.lastLeader[number]
+		leaderless := s.scheduler.Now() - s.lastLeaderTime[number]
 		s.result.LongestLeaderlessSeconds = max(s.result.LongestLeaderlessSeconds, leaderless)
 	}
 }
 
-// hasLeader says whether a router that runs leads a shard.
+// hasLeader reports whether a router that is up and not paused leads a shard.
 func (s *simulation) hasLeader(number int) bool {
 	for _, r := range s.routers {
 		if !r.up || r.paused || r.replicas[number] == nil {
--- a/internal/sim/replication/script.go
+++ b/internal/sim/replication/script.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	scriptStream = 0x1ed9e4 // separates a script's random numbers from others drawn from the same seed
+	scriptRandomStream = 0x1ed9e4 // random number stream of scripts, separate from other streams of the same seed
 
-	// diskLossIntervalSeconds is the time between two routers that are lost with their disks: what
-	// it takes to find out, to wait and to copy.
+	// diskLossIntervalSeconds is the approximate time between two disk losses. It allows for detecting the failure,
+	// waiting before the replacement, and copying the data.
 	diskLossIntervalSeconds = 16.0
-	quietSeconds            = 20 // at the end of a script, without faults
+	faultFreeEndSeconds     = 20 // seconds without faults at the end of a script
 )
 
-// GenerateScript makes a script that shards of three replicas have to bear. Routers are lost with
-// their disks one at a time, with time between to copy what they stored. Losses of power, pauses,
-// cuts and bad networks come on top, and the last seconds are quiet.
+// GenerateScript generates a script of faults that shards with three replicas must tolerate. Routers lose their disks
+// one at a time, with enough time in between to copy the lost replicas. Power losses, pauses, network partitions,
+// datagram loss and delays are added independently. The last seconds have no faults.
 func GenerateScript(seed uint64, routers int, until float64) faults.Script {
-	rnd := rand.New(rand.NewPCG(seed, scriptStream))
+	rnd := rand.New(rand.NewPCG(seed, scriptRandomStream))
 	script := faults.Script{Seed: seed, Processes: routers, Duration: until}
-	end := until - quietSeconds
+	end := until - faultFreeEndSeconds
 	for at := 4 + 3*rnd.Float64(); at < end; at += diskLossIntervalSeconds * (0.9 + 0.4*rnd.Float64()) {
 		script.Faults = append(script.Faults, faults.Fault{
 			Kind:  faults.Wipe,
@@ -40,7 +40,7 @@
 	return script
 }
 
-// generateFault makes a fault other than the loss of a disk.
+// generateFault generates a fault other than a disk loss.
 func generateFault(rnd *rand.Rand, routers int, end float64) faults.Fault {
 	fault := faults.Fault{Start: 3 + rnd.Float64()*(end-6)}
 	fault.End = min(fault.Start+0.3+rnd.ExpFloat64()*2, end)
@@ -54,7 +54,7 @@
 	case 3:
 		fault.Kind = faults.Cut
 		fault.BothWays = rnd.IntN(3) > 0
-		fault.From, fault.To = generateSides(rnd, routers)
+		fault.From, fault.To = generatePartition(rnd, routers)
 	case 4:
 		fault.Kind = faults.Loss
 		fault.Share = 0.3 * rnd.Float64()
@@ -65,8 +65,8 @@
 	return fault
 }
 
-// generateSides makes the two sides of a cut, about a third of the routers on one.
-func generateSides(rnd *rand.Rand, routers int) (from, to []int) {
+// generatePartition generates the two sides of a network partition, with about a third of the routers on the first.
+func generatePartition(rnd *rand.Rand, routers int) (from, to []int) {
 	for router := range routers {
 		if rnd.IntN(3) == 0 {
 			from = append(from, router)
--- a/internal/sim/replication/simulation.go
+++ b/internal/sim/replication/simulation.go
@@ -1,11 +1,10 @@
-// Package replication runs the cores of replication on virtual time: routers in zones with
-// replicas on faulty disks, a network with fault scripts, and clients that reserve keys and retry
-// elsewhere.
+// Package replication simulates replicated reservations on virtual time: routers in several zones with replicas on
+// faulty disks, a network with scripted faults, and clients that reserve keys and retry on other routers.
 //
-// The responses to clients are checked for linearizability, and at the end each reservation that was
-// granted must still exist. The cores are those of the service (packages shard, wal and placement);
-// connections and the node's goroutine are not simulated. All but the operations of the disks is in
-// memory.
+// The responses to clients are checked for linearizability, and at the end of a simulation each granted reservation
+// must still exist. The simulation runs the production code of the packages shard, wal and placement; connections and
+// the node's goroutine are not simulated. All state is in memory; disk operations go through a simulated file system
+// with the faults of real disks (vfs.FaultFS).
 package replication
 
 import (
@@ -31,72 +30,72 @@
 	replicaCount             = 3
 	networkLatencySeconds    = 0.0005
 	networkJitterSeconds     = 0.002
-	maxSyncSeconds           = 0.002 // that a batch is on its way to the disk
-	detectionSeconds         = 2.0   // until others have detected that a router is down or up again
-	replaceAfterSeconds      = 4.0   // for which a replica has to be away before it is replaced
+	maxSyncSeconds           = 0.002 // maximum time until a written batch is synced
+	detectionSeconds         = 2.0   // until other routers detect that a router stopped or restarted
+	replaceAfterSeconds      = 4.0   // downtime after which a replica is replaced
 	rebalanceIntervalSeconds = 0.5
-	// powerLossSeconds is after how long a router whose power is lost is down, wherever its disk's
-	// operations stand.
+	// powerLossSeconds is the time after which a router that loses power is stopped, even if the disk operation at
+	// which the power loss should hit was not reached.
 	powerLossSeconds           = 0.3
-	meanRequestIntervalSeconds = 0.05 // of all clients
+	meanRequestIntervalSeconds = 0.05 // between two requests of any clients
 	requestTimeoutSeconds      = 3.0
 	retryIntervalSeconds       = 0.4
-	keyCount                   = 24  // keys that clients ask for
-	reservationLifetimeSeconds = 1e6 // so that none expires in a simulation
+	keyCount                   = 24  // keys used by clients
+	reservationLifetimeSeconds = 1e6 // no reservation expires during a simulation
 	clockStartUnixSeconds      = 1.7e9
-	linearizabilityLimit       = 30 * time.Second // of the machine's time
-	maxPostponedEvents         = 500              // that a paused router handles when it continues
-	maxPowerLossOperation      = 6                // disk operations after which the power is lost
+	linearizabilityLimit       = 30 * time.Second // real time limit of the check
+	maxPostponedEvents         = 500              // events a paused router queues until it resumes
+	maxPowerLossDiskOperation  = 6                // disk operations until a power loss hits, at most
 )
 
-// Streams of random numbers from a script's seed.
+// Random number streams that are derived from a script's seed.
 const (
-	schedulerStream = 0x1ed6
-	electionStream  = 0x4af7
+	schedulerRandomStream = 0x1ed6
+	electionRandomStream  = 0x4af7
 )
 
-// Config is what is simulated. Losses of power hit in the middle of the disks' operations.
+// Config configures a simulation. Power losses of the script hit in the middle of a disk operation.
 type Config struct {
 	Script faults.Script
-	Shards int // that are simulated; the others are empty
+	Shards int // number of simulated shards; all other shards have no replicas
 }
 
-// Result is the counts and figures of a simulation.
+// Result holds the counts and measurements of a simulation.
 type Result struct {
-	Reservations, Reads, Answered int // requests of clients
-	MachinesLost                  int // with their disks
+	Reservations, Reads, Answered int // client requests
+	MachinesLost                  int // routers that lost their disks
 	PowerCuts                     int
 	Linearizable                  bool
-	Failure                       string    // of the simulation itself, "" for none
-	LatencySeconds                []float64 // of the answered requests
+	Failure                       string    // error of the simulation itself, "" if none
+	LatencySeconds                []float64 // latencies of answered requests
 	ConfChanges                   int
-	ReservationsLost              int // granted, and missing at the end
+	ReservationsLost              int // granted reservations that are missing at the end
 	ConflictingGrants             int // keys granted to two groups
 	LongestLeaderlessSeconds      float64
 }
 
-// simulation is one run. All of it happens in events of the scheduler.
+// simulation is the state of one run. It is accessed only by events of the scheduler.
 type simulation struct {
-	scheduler  *clock.Scheduler
-	config     Config
-	routers    []*router
-	byReplica  map[uint64]*router
-	statuses   map[uint64]placement.ReplicaStatus // as all routers see them
-	lastLeader map[int]float64                    // by shard, when it last had a leader
-
-	keys        []string
-	lastRequest uint64
-	requests    map[uint64]*request
-	history     []porcupine.Operation
-	granted     map[string]string // by key, the group that it was granted to
+	scheduler        *clock.Scheduler
+	config           Config
+	routers          []*router
+	routersByReplica map[uint64]*router
+	statuses         map[uint64]placement.ReplicaStatus // by replica ID; all routers share this view
+	lastLeaderTime   map[int]float64                    // by shard number: the time at which it last had a leader
+
+	keys              []string
+	lastRequestNumber uint64
+	requests          map[uint64]*request
+	history           []porcupine.Operation
+	granted           map[string]string // by key: the group that was granted the reservation
 
 	result *Result
-	err    error // the first failure
+	err    error // first error of the simulation itself
 }
 
-// electionReader takes the place of crypto/rand's reader, from which raft draws its election
-// timeouts. The process has one, so simulations take turns.
-var electionReader sync.Mutex
+// electionReaderMutex protects crand.Reader, from which raft draws its election timeouts and which Run replaces by a
+// seeded reader. The reader is global to the process, so only one simulation can run at a time.
+var electionReaderMutex sync.Mutex
 
 type seededReader struct{ rnd *rand.Rand }
 
@@ -107,22 +106,22 @@
 	return len(p), nil
 }
 
-// Run runs a simulation. One runs at a time in a process.
+// Run runs a simulation. Concurrent calls run one after another.
 func Run(config Config) (*Result, error) {
 	if err := config.Script.Validate(); err != nil {
 		return nil, err
 	}
-	electionReader.Lock()
-	defer electionReader.Unlock()
+	electionReaderMutex.Lock()
+	defer electionReaderMutex.Unlock()
 	before := crand.Reader
-	crand.Reader = seededReader{rand.New(rand.NewPCG(config.Script.Seed, electionStream))}
+	crand.Reader = seededReader{rand.New(rand.NewPCG(config.Script.Seed, electionRandomStream))}
 	defer func() { crand.Reader = before }()
 
 	s := newSimulation(config)
-	if err := s.beginShards(); err != nil {
+	if err := s.bootstrapShards(); err != nil {
 		return nil, err
 	}
-	s.schedule()
+	s.scheduleInitialEvents()
 	s.scheduler.RunUntil(config.Script.Duration)
 	if s.err != nil {
 		s.result.Failure = s.err.Error()
@@ -134,14 +133,14 @@
 
 func newSimulation(config Config) *simulation {
 	s := &simulation{
-		scheduler:  clock.New(config.Script.Seed, schedulerStream, 0),
-		config:     config,
-		byReplica:  map[uint64]*router{},
-		statuses:   map[uint64]placement.ReplicaStatus{},
-		lastLeader: map[int]float64{},
-		requests:   map[uint64]*request{},
-		granted:    map[string]string{},
-		result:     &Result{},
+		scheduler:        clock.New(config.Script.Seed, schedulerRandomStream, 0),
+		config:           config,
+		routersByReplica: map[uint64]*router{},
+		statuses:         map[uint64]placement.ReplicaStatus{},
+		lastLeaderTime:   map[int]float64{},
+		requests:         map[uint64]*request{},
+		granted:          map[string]string{},
+		result:           &Result{},
 	}
 	for i := 0; len(s.keys) < keyCount; i++ {
 		if key := fmt.Sprint("k", i); placement.ShardOf(key) < config.Shards {
@@ -161,8 +160,8 @@
 	return s
 }
 
-// schedule sets the first events: faults, ticks, rebalancing and clients.
-func (s *simulation) schedule() {
+// scheduleInitialEvents schedules the initial events: faults, ticks, rebalancing and client requests.
+func (s *simulation) scheduleInitialEvents() {
 	for _, transition := range s.config.Script.Transitions() {
 		s.scheduler.At(transition.Time, func() { s.applyTransition(transition) })
 	}
@@ -173,8 +172,8 @@
 	s.scheduler.After(1, s.startRequest)
 }
 
-// beginShards begins the shards at the routers that are preferred for them.
-func (s *simulation) beginShards() error {
+// bootstrapShards creates the initial replicas of each shard on its preferred routers.
+func (s *simulation) bootstrapShards() error {
 	var nodes []placement.Node
 	replicaIDs := map[string]uint64{}
 	for _, r := range s.routers {
@@ -187,7 +186,7 @@
 			voters = append(voters, replicaIDs[name])
 		}
 		for _, voter := range voters {
-			if err := s.byReplica[voter].beginShard(number, voters); err != nil {
+			if err := s.routersByReplica[voter].bootstrapShard(number, voters); err != nil {
 				return err
 			}
 		}
@@ -195,14 +194,14 @@
 	return nil
 }
 
-// fail notes the first failure of the simulation itself.
-func (s *simulation) fail(err error) {
+// recordError records the first error of the simulation itself.
+func (s *simulation) recordError(err error) {
 	if s.err == nil {
 		s.err = fmt.Errorf("at %.2f s: %w", s.scheduler.Now(), err)
 	}
 }
 
-// countLostReservations counts the granted reservations that the leaders of their shards lack.
+// countLostReservations counts the granted reservations that are missing on the leaders of their shards.
 func (s *simulation) countLostReservations() {
 	for _, key := range s.keys {
 		group, ok := s.granted[key]
--- a/internal/sim/replication/simulation_test.go
+++ b/internal/sim/replication/simulation_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenScripts is the SHA-256 of the scripts of the first seeds as an earlier version drew them.
-const goldenScripts = "b615941e229de7fe140599d46d01be60395764d8aa3e59b3f8655091b05e7c1e"
+// goldenScriptsHash is the SHA-256 hash of the scripts that an earlier version generated for the first 200 seeds.
+const goldenScriptsHash = "b615941e229de7fe140599d46d01be60395764d8aa3e59b3f8655091b05e7c1e"
 
-// TestScriptsAreDrawnFromTheSeedAlone: results that pages quote name their seeds. The scripts of these seeds must
-// stay as they were drawn.
-func TestScriptsAreDrawnFromTheSeedAlone(t *testing.T) {
+// TestGeneratedScriptsAreUnchanged fails if a seed generates another script than in an earlier version. Published
+// results name only their seeds and could then no longer be reproduced.
+func TestGeneratedScriptsAreUnchanged(t *testing.T) {
 	hash := sha256.New()
 	for seed := range uint64(200) {
 		script := GenerateScript(seed, 9, 60)
@@ -25,10 +25,10 @@
 		require.NoError(t, err)
 		_, _ = hash.Write(text) // a hash never returns an error
 	}
-	assert.Equal(t, goldenScripts, hex.EncodeToString(hash.Sum(nil)))
+	assert.Equal(t, goldenScriptsHash, hex.EncodeToString(hash.Sum(nil)))
 }
 
-// describeResult prints a result with its latencies by hash.
+// describeResult formats a result, with a hash in place of the latencies.
 func describeResult(r *Result) string {
 	latencies := sha256.Sum256(fmt.Append(nil, r.LatencySeconds))
 	return fmt.Sprintf("%d %d %d %d %d %v %q %x %d %d %d %v",
@@ -36,9 +36,9 @@
 		latencies[:4], r.ConfChanges, r.ReservationsLost, r.ConflictingGrants, r.LongestLeaderlessSeconds)
 }
 
-// TestResultsOfSeeds compares the results of some seeds with those of an earlier version. With one
-// shard the order in which a router's replicas start cannot affect the result.
-func TestResultsOfSeeds(t *testing.T) {
+// TestResultsAreUnchanged compares the results of some seeds with those of an earlier version. It simulates one shard,
+// so the order in which a router's replicas start cannot affect the result.
+func TestResultsAreUnchanged(t *testing.T) {
 	for seed, want := range map[uint64]string{
 		1: `504 264 768 1 0 true "" b0a1447a 0 0 0 0.39064076514875123`,
 		3: `550 268 818 1 1 true "" 4391250e 0 0 0 0.6459067629465469`,
@@ -50,8 +50,9 @@
 	}
 }
 
-// Routers restart with replicas of several shards, each of which draws its election timeout as it starts. Started in
-// the order of a map, a seed that has found a fault might not find it again. The results are the same each time.
+// TestSeedsWithManyShardsAreReproducible runs the same seeds several times and expects equal results. A restarting
+// router starts replicas of several shards, and each draws its election timeout. If they started in map iteration
+// order, a seed that found a fault might not reproduce it.
 func TestSeedsWithManyShardsAreReproducible(t *testing.T) {
 	for _, seed := range []uint64{6, 9, 12} {
 		var first string
--- a/internal/sim/replication/transitions.go
+++ b/internal/sim/replication/transitions.go
@@ -2,7 +2,7 @@
 
 import "cairnfront/internal/sim/faults"
 
-// applyTransition begins or ends a fault of routers. Faults of links affect each message when it is sent.
+// applyTransition starts or ends a fault of routers. Link faults are ignored here: send applies them to each message.
 func (s *simulation) applyTransition(transition faults.Transition) {
 	if transition.Fault.IsLinkFault() {
 		return
@@ -19,18 +19,18 @@
 			s.applyDiskLoss(r, transition.IsEnd)
 		case faults.Pause:
 			s.applyPause(r, transition.IsEnd)
-		case faults.Stall, faults.ClockSkew: // ignored: scripts of this simulation do not draw them
-		case faults.Cut, faults.Loss, faults.Delay, faults.Reorder, faults.Duplicate, faults.Corrupt: // left out above
+		case faults.Stall, faults.ClockSkew: // ignored: GenerateScript does not generate them
+		case faults.Cut, faults.Loss, faults.Delay, faults.Reorder, faults.Duplicate, faults.Corrupt: // handled above
 		}
 	}
 }
 
-// applyPowerLoss loses the power in the middle of the disk's operations. At the end the router
-// starts on its disk.
+// applyPowerLoss makes a router lose power in the middle of one of its next disk operations. At the end of the fault
+// the router restarts from its disk.
 func (s *simulation) applyPowerLoss(r *router, end bool) {
 	if !end {
 		s.result.PowerCuts++
-		r.fs.PowerLossAfter = r.fs.OpCount() + 1 + s.scheduler.Rand.IntN(maxPowerLossOperation)
+		r.fs.PowerLossAfter = r.fs.OpCount() + 1 + s.scheduler.Rand.IntN(maxPowerLossDiskOperation)
 		s.scheduler.After(powerLossSeconds, func() { s.stop(r) })
 		return
 	}
@@ -39,7 +39,7 @@
 	s.start(r)
 }
 
-// applyDiskLoss loses a router with its disk. At the end it starts with an empty one.
+// applyDiskLoss stops a router. At the end of the fault the router restarts with an empty disk.
 func (s *simulation) applyDiskLoss(r *router, end bool) {
 	if !end {
 		s.result.MachinesLost++
@@ -51,7 +51,7 @@
 	}
 }
 
-// applyPause pauses a router. At the end it handles the events that it postponed.
+// applyPause pauses a router. At the end of the fault the router handles the events that were postponed meanwhile.
 func (s *simulation) applyPause(r *router, end bool) {
 	if !end {
 		r.paused = r.up
--- a/internal/sim/routing/endpoint.go
+++ b/internal/sim/routing/endpoint.go
@@ -10,7 +10,7 @@
 
 type chunkKey struct{ object, chunk int }
 
-// compare orders keys by their object, then by their chunk.
+// compare orders keys by object, then by chunk.
 func (k chunkKey) compare(other chunkKey) int {
 	return cmp.Or(cmp.Compare(k.object, other.object), cmp.Compare(k.chunk, other.chunk))
 }
@@ -22,21 +22,21 @@
 	sizeKB   float64
 }
 
-// endpoint is a cache, a parent, the origin or a link by its capacity.
+// endpoint models an edge cache, a parent cache, the origin or a network link by its capacity.
 type endpoint struct {
-	id       routing.EndpointID
-	kind     int
-	capacity float64 // transfers at full rate
-	inFlight float64
-	sizeKB   float64
-	cachedKB float64
-	cached   map[chunkKey]*cachedChunk
-	filling  map[chunkKey][]func(filled bool) // attempts that wait for a fill
-	lost     bool                             // nothing that is sent to it is answered
-	failing  bool                             // what is sent to it is answered with an error
+	id           routing.EndpointID
+	kind         int
+	capacity     float64 // number of concurrent transfers at full rate
+	inFlight     float64
+	sizeKB       float64
+	cachedKB     float64
+	cached       map[chunkKey]*cachedChunk
+	filling      map[chunkKey][]func(filled bool) // callbacks of attempts that wait for a running fill
+	unresponsive bool                             // the endpoint answers nothing
+	failing      bool                             // the endpoint answers every attempt with an error
 }
 
-// beginTransfer takes a transfer and says how many seconds it lasts; others in flight slow it down.
+// beginTransfer starts a transfer and returns its duration in seconds, which grows with the transfers in flight.
 func (e *endpoint) beginTransfer(sizeKB float64) float64 {
 	e.inFlight++
 	return sizeKB / transferKBPerS * max(1, e.inFlight/e.capacity)
@@ -44,15 +44,15 @@
 
 func (e *endpoint) endTransfer() { e.inFlight-- }
 
-func (e *endpoint) refuses() bool { return e.inFlight >= refuseAt*e.capacity }
+func (e *endpoint) rejectsAttempts() bool { return e.inFlight >= rejectLoadFactor*e.capacity }
 
-// store keeps a copy unless its rank is 0, and evicts others for it.
+// store caches a copy of a chunk unless its rank is 0, and evicts other copies if the cache is full.
 func (e *endpoint) store(key chunkKey, rank int, now, sizeKB float64) {
 	if rank == 0 {
 		return
 	}
-	if copied := e.cached[key]; copied != nil {
-		copied.rank, copied.lastUsed = rank, now
+	if cachedCopy := e.cached[key]; cachedCopy != nil {
+		cachedCopy.rank, cachedCopy.lastUsed = rank, now
 		return
 	}
 	e.cached[key] = &cachedChunk{
@@ -63,31 +63,31 @@
 	}
 	e.cachedKB += sizeKB
 	for e.cachedKB > e.sizeKB {
-		e.drop(e.nextEvicted())
+		e.removeCopy(e.evictionCandidate())
 	}
 }
 
-func (e *endpoint) drop(copied *cachedChunk) {
-	e.cachedKB -= copied.sizeKB
-	delete(e.cached, copied.key)
+func (e *endpoint) removeCopy(cachedCopy *cachedChunk) {
+	e.cachedKB -= cachedCopy.sizeKB
+	delete(e.cached, cachedCopy.key)
 }
 
-// purge drops the copies of an object group, in the order of their keys: the sum of sizes depends on it in its last
-// bits.
+// purge removes the copies of an object group in the order of their keys. The order matters because it affects the last
+// bits of the floating-point sum of sizes.
 func (e *endpoint) purge(group int) {
 	for _, key := range slices.SortedFunc(maps.Keys(e.cached), chunkKey.compare) {
 		if key.object%objectGroups == group {
-			e.drop(e.cached[key])
+			e.removeCopy(e.cached[key])
 		}
 	}
 }
 
-// nextEvicted is the copy of the lowest rank, of these the one that was used longest ago.
-func (e *endpoint) nextEvicted() *cachedChunk {
+// evictionCandidate returns the copy with the lowest rank and, among copies of equal rank, the least recently used one.
+func (e *endpoint) evictionCandidate() *cachedChunk {
 	var next *cachedChunk
-	for _, copied := range e.cached {
-		if next == nil || copied.evictedBefore(next) {
-			next = copied
+	for _, cachedCopy := range e.cached {
+		if next == nil || cachedCopy.evictedBefore(next) {
+			next = cachedCopy
 		}
 	}
 	return next
@@ -103,9 +103,9 @@
 	return c.key.compare(other.key) < 0
 }
 
-// returnEmpty ends an outage. The endpoint has lost its copies.
-func (e *endpoint) returnEmpty() {
-	e.lost = false
+// restartEmpty ends an outage of the endpoint, which comes back with an empty cache.
+func (e *endpoint) restartEmpty() {
+	e.unresponsive = false
 	e.cached = map[chunkKey]*cachedChunk{}
 	e.cachedKB = 0
 }
--- a/internal/sim/routing/endpoint_test.go
+++ b/internal/sim/routing/endpoint_test.go
@@ -6,8 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A purge drops copies whose sizes add up to another sum in another order. Dropped in the order of a map, the same seed
-// would give other figures in their last bits from run to run. The sum is the same each time.
+// TestPurgeOfManyCopiesIsReproducible checks that repeated purges give exactly the same sum of sizes. A floating-point
+// sum depends on the order of its terms: if purge removed copies in map iteration order, results of the same seed would
+// differ in their last bits between runs.
 func TestPurgeOfManyCopiesIsReproducible(t *testing.T) {
 	var first float64
 	for run := range 50 {
--- a/internal/sim/routing/fill.go
+++ b/internal/sim/routing/fill.go
@@ -2,9 +2,9 @@
 
 import "cairnfront/routing"
 
-// startAttempt simulates an attempt: to its target and, for a miss there, over the zone's link to its source.
+// startAttempt simulates an attempt: a request to its target and, on a cache miss, a fill from the attempt's source.
 func (r *router) startAttempt(action routing.StartAttempt) {
-	s, req := r.sim, r.open[action.Request]
+	s, req := r.sim, r.openRequests[action.Request]
 	number := len(req.attempts)
 	req.attempts = append(req.attempts, &attempt{sentAt: s.Now(), target: action.Endpoint})
 	s.result.Attempts[req.phase]++
@@ -17,12 +17,12 @@
 		s.After(zoneLatency, func() { end(routing.ServerError, routing.NoDetail) })
 		return
 	}
-	if target.refuses() {
+	if target.rejectsAttempts() {
 		s.After(zoneLatency, func() { end(routing.Overloaded, routing.NoDetail) })
 		return
 	}
-	if copied := target.cached[req.key]; copied != nil {
-		copied.lastUsed, copied.rank = s.Now(), max(copied.rank, action.RetentionRank)
+	if cachedCopy := target.cached[req.key]; cachedCopy != nil {
+		cachedCopy.lastUsed, cachedCopy.rank = s.Now(), max(cachedCopy.rank, action.RetentionRank)
 		s.send(target, req.sizeKB, func() { end(routing.Completed, routing.CacheHit) })
 		return
 	}
@@ -34,7 +34,7 @@
 	r.fillOrJoin(action, target, req, end)
 }
 
-// send transfers a chunk from an endpoint to the router.
+// send transfers a chunk from an endpoint to the router and then calls sent.
 func (s *simulation) send(from *endpoint, sizeKB float64, sent func()) {
 	s.After(from.beginTransfer(sizeKB)+zoneLatency, func() {
 		from.endTransfer()
@@ -42,7 +42,7 @@
 	})
 }
 
-// fillOrJoin fills a chunk at the target, or waits for a fill of it that runs.
+// fillOrJoin starts a fill of the chunk at the target, or joins a running fill of it if the action allows that.
 func (r *router) fillOrJoin(
 	action routing.StartAttempt, target *endpoint, req *request, end func(routing.AttemptResult, routing.ResultDetail),
 ) {
@@ -68,8 +68,8 @@
 		} else {
 			end(routing.Overloaded, routing.NoDetail)
 		}
-		for _, joined := range waiting {
-			joined(filled)
+		for _, notifyJoined := range waiting {
+			notifyJoined(filled)
 		}
 	})
 }
@@ -81,45 +81,45 @@
 	}
 }
 
-// fill brings a chunk over a zone's link from a peer cache, a parent or the origin. A parent that lacks it asks the
-// origin first and keeps a copy. A fill runs on when its request is given up.
+// fill transfers a chunk over a zone's link from a peer cache, a parent cache or the origin. On a miss, a parent cache
+// first fetches the chunk from the origin and stores a copy. A fill continues even if its request is abandoned.
 func (s *simulation) fill(link, source *endpoint, req *request, done func(filled bool)) {
-	if source.lost {
+	if source.unresponsive {
 		s.After(sourceTimeout, func() { done(false) })
 		return
 	}
-	if source.refuses() || link.refuses() {
+	if source.rejectsAttempts() || link.rejectsAttempts() {
 		s.After(zoneLatency, func() { done(false) })
 		return
 	}
-	copied := source.cached[req.key]
-	if source.kind != parentKind || copied != nil {
-		if copied != nil {
-			copied.lastUsed = s.Now()
+	cachedCopy := source.cached[req.key]
+	if source.kind != parentKind || cachedCopy != nil {
+		if cachedCopy != nil {
+			cachedCopy.lastUsed = s.Now()
 		}
-		s.carry(link, source, req, done)
+		s.transferOverLink(link, source, req, done)
 		return
 	}
 	origin := s.endpoints[originID]
-	if origin.refuses() {
+	if origin.rejectsAttempts() {
 		s.After(zoneLatency+parentLatency, func() { done(false) })
 		return
 	}
 	s.After(origin.beginTransfer(req.sizeKB)+originLatency, func() {
 		origin.endTransfer()
 		source.store(req.key, 1, s.Now(), req.sizeKB)
-		s.carry(link, source, req, done)
+		s.transferOverLink(link, source, req, done)
 	})
 }
 
-// carry transfers a chunk from its source over a zone's link.
-func (s *simulation) carry(link, source *endpoint, req *request, done func(filled bool)) {
+// transferOverLink transfers a chunk from its source over a zone's link and then calls done.
+func (s *simulation) transferOverLink(link, source *endpoint, req *request, done func(filled bool)) {
 	latency := parentLatency
 	if source.id == originID {
 		latency += originLatency
 	}
-	lasts := max(source.beginTransfer(req.sizeKB), link.beginTransfer(req.sizeKB))
-	s.After(lasts+zoneLatency+latency, func() {
+	transferSeconds := max(source.beginTransfer(req.sizeKB), link.beginTransfer(req.sizeKB))
+	s.After(transferSeconds+zoneLatency+latency, func() {
 		source.endTransfer()
 		link.endTransfer()
 		done(true)
--- a/internal/sim/routing/golden_test.go
+++ b/internal/sim/routing/golden_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestResultsAreUnchanged compares the results of short runs with those of an earlier version: the same seed has to
-// give the same figures.
+// TestResultsAreUnchanged compares the results of several runs with those of an earlier version: the same seed must
+// give the same results.
 func TestResultsAreUnchanged(t *testing.T) {
 	runs := []struct {
 		name    string
@@ -34,21 +34,22 @@
 	for _, run := range runs {
 		result, err := RunWithGossip(run.seed, run.routers, run.fault, run.gossip)
 		require.NoError(t, err)
-		fmt.Fprintf(&got, "%s: %s\n", run.name, describe(result))
+		fmt.Fprintf(&got, "%s: %s\n", run.name, describeResult(result))
 	}
 	golden.Compare(t, "results.golden", got.String())
 }
 
-// describe names no Go fields, so that a renaming does not change it. Maps are printed in the order of their keys.
-func describe(r *Result) string {
+// describeResult prints values without field names, so that renaming a field does not change it. Maps are sorted by
+// key.
+func describeResult(r *Result) string {
 	seconds := sha256.Sum256([]byte(fmt.Sprint(r.OnTimePerSecond)))
 	return fmt.Sprint(r.Routers, r.Requests, r.OnTime, r.Late, r.Rejected, r.Aborted, r.Attempts, r.Unanswered,
 		r.AnsweredTwice, r.Fills, r.StoredFills, r.FailingCacheAttempts, fmt.Sprintf(" %x", seconds[:8]))
 }
 
-// TestRunRefusesRoutersThatZonesCannotShareEvenly: with an uneven number of routers zones would have different shares
-// of the traffic, and results for different numbers could not be compared.
-func TestRunRefusesRoutersThatZonesCannotShareEvenly(t *testing.T) {
+// TestRunRejectsUnevenZones checks that the number of routers must be a multiple of the number of zones. Otherwise
+// zones would get different shares of the traffic, and results for different numbers of routers could not be compared.
+func TestRunRejectsUnevenZones(t *testing.T) {
 	for _, routers := range []int{0, 2, 4} {
 		_, err := Run(1, routers, TrafficBurst)
 		assert.ErrorIs(t, err, ErrUnevenZones, "%d routers", routers)
--- a/internal/sim/routing/gossip.go
+++ b/internal/sim/routing/gossip.go
@@ -10,8 +10,9 @@
 	"cairnfront/routing"
 )
 
-// observe reports the end of an attempt to the router's tracker, and doubts that follow from it to the routing module.
-func (r *router) observe(target routing.EndpointID, result routing.AttemptResult, late bool) {
+// observeResult reports the result of an attempt to the router's tracker, and any resulting suspicions to the routing
+// module.
+func (r *router) observeResult(target routing.EndpointID, result routing.AttemptResult, late bool) {
 	if r.gossip == nil {
 		return
 	}
@@ -19,11 +20,11 @@
 		r.reportDoubts(r.gossip.AttemptEnded(r.sim.elapsed(), target, health))
 	}
 	for _, own := range r.gossip.TakeUnsigned() {
-		r.sim.spread(own)
+		r.sim.broadcast(own)
 	}
 }
 
-// reportDoubts gives the routing module the endpoints that several routers suspect.
+// reportDoubts notifies the routing module of endpoints that several routers suspect.
 func (r *router) reportDoubts(doubts []observation.Doubt) {
 	now := r.sim.elapsed()
 	for _, doubt := range doubts {
@@ -35,8 +36,8 @@
 	}
 }
 
-// spread delivers an observation to all other routers, to each after a random delay.
-func (s *simulation) spread(o observation.Observation) {
+// broadcast delivers an observation to all other routers, each after its own random delay.
+func (s *simulation) broadcast(o observation.Observation) {
 	for i, other := range s.routers {
 		if swim.MemberID(i) == o.Witness {
 			continue
@@ -49,12 +50,12 @@
 	}
 }
 
-// scheduleGossip lets expired observations end and faulty routers report, at each tick.
+// scheduleGossip schedules a periodic tick that expires observations and lets faulty routers send false ones.
 func (s *simulation) scheduleGossip() {
 	s.After(gossipTick, func() {
 		for i, r := range s.routers {
 			r.reportDoubts(r.gossip.Tick(s.elapsed()))
-			if i < s.faultyInGossip {
+			if i < s.faultyRouters {
 				s.reportAllFailing(i, r)
 			}
 		}
@@ -64,11 +65,11 @@
 	})
 }
 
-// reportAllFailing spreads false observations of all endpoints, as if from several zones.
+// reportAllFailing sends false observations that all endpoints are failing, with varying zone names.
 func (s *simulation) reportAllFailing(index int, r *router) {
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
 		r.sequence++
-		s.spread(observation.Observation{
+		s.broadcast(observation.Observation{
 			Witness:            swim.MemberID(index),
 			WitnessStartMillis: faultyStartMillis,
 			Sequence:           r.sequence,
--- a/internal/sim/routing/router.go
+++ b/internal/sim/routing/router.go
@@ -9,27 +9,27 @@
 	"cairnfront/routing"
 )
 
-const routerSeedStep = 977 // between the seeds of the routers' modules
+const routerSeedStep = 977 // difference between the seeds of consecutive routers
 
-// router is one simulated router: the decision module and what a service does around it.
+// router is one simulated router: the decision module and a simplified version of the service around it.
 type router struct {
-	sim      *simulation
-	module   routing.Decider
-	zone     int
-	open     map[routing.RequestID]*request
-	gossip   *observation.Tracker // nil without gossip
-	sequence uint32               // of false observations
+	sim          *simulation
+	module       routing.Decider
+	zone         int
+	openRequests map[routing.RequestID]*request
+	gossip       *observation.Tracker // nil if gossip is disabled
+	sequence     uint32               // sequence number of the last false observation
 }
 
 type request struct {
-	key       chunkKey
-	sizeKB    float64
-	arrivedAt float64
-	objective float64 // s
-	answers   int
-	attempts  []*attempt
-	answered  bool
-	phase     string
+	key         chunkKey
+	sizeKB      float64
+	arrivedAt   float64
+	objective   float64 // latency objective in seconds
+	answerCount int
+	attempts    []*attempt
+	answered    bool
+	phase       string
 }
 
 type attempt struct {
@@ -40,19 +40,19 @@
 
 func (s *simulation) addRouters(seed uint64, routers int, gossip Gossip) {
 	for i := range routers {
-		r := &router{sim: s, zone: i % zones, open: map[routing.RequestID]*request{}}
+		r := &router{sim: s, zone: i % zones, openRequests: map[routing.RequestID]*request{}}
 		r.module = routing.New(seed+uint64(i)*routerSeedStep, routerSettings(i, routers, r.zone))
 		if gossip.Enabled {
 			zoneName := fmt.Sprint("zone-", r.zone)
 			r.gossip = observation.New(swim.MemberID(i), zoneName, gossip.FaultyRouters, 1)
 		}
 		s.routers = append(s.routers, r)
-		r.decide(routing.EndpointUpdate{Kind: routing.Restored, Endpoints: s.listedAtStart})
+		r.decide(routing.EndpointUpdate{Kind: routing.Restored, Endpoints: s.initialEndpoints})
 	}
 }
 
-// accept takes a client's request.
-func (r *router) accept(key chunkKey) {
+// acceptRequest registers a client's request and passes it to the module.
+func (r *router) acceptRequest(key chunkKey) {
 	s := r.sim
 	s.requests++
 	id := routing.RequestID(strconv.Itoa(s.requests))
@@ -61,10 +61,10 @@
 		key:       key,
 		sizeKB:    sizeKB,
 		arrivedAt: s.Now(),
-		objective: objectiveBase + objectiveSendTimes*sizeKB/transferKBPerS,
+		objective: objectiveBase + objectiveTransfers*sizeKB/transferKBPerS,
 		phase:     phaseAt(s.elapsed()),
 	}
-	r.open[id] = req
+	r.openRequests[id] = req
 	s.result.Requests[req.phase]++
 	s.result.arrivedBySecond[int(req.arrivedAt-startTime)]++
 	r.decide(routing.RequestArrived{
@@ -72,20 +72,20 @@
 		Object:      strconv.Itoa(key.object),
 		Chunk:       key.chunk,
 		ObjectGroup: key.object % objectGroups,
-		Deadline:    req.arrivedAt + req.objective + clientPatience,
+		Deadline:    req.arrivedAt + req.objective + deadlineMargin,
 		SizeKB:      sizeKB,
 	})
 }
 
-// decide hands an event to the module and then carries its actions out, as the service does.
+// decide passes an event to the module and then executes the returned actions, as the service does.
 func (r *router) decide(event routing.Event) {
 	actions := append([]routing.Action(nil), r.module.Decide(r.sim.Now(), event)...)
 	for _, action := range actions {
-		r.carryOut(action)
+		r.execute(action)
 	}
 }
 
-func (r *router) carryOut(action routing.Action) {
+func (r *router) execute(action routing.Action) {
 	switch a := action.(type) {
 	case routing.StartAttempt:
 		r.startAttempt(a)
@@ -94,14 +94,14 @@
 	case routing.SetTimer:
 		r.sim.After(a.AfterSeconds, func() { r.decide(routing.TimerFired{Token: a.Token}) })
 	case routing.RejectRequest:
-		r.answerWithout(a.Request, r.sim.result.Rejected)
+		r.answerWithoutResponse(a.Request, r.sim.result.Rejected)
 	case routing.AbortRequest:
-		r.answerWithout(a.Request, r.sim.result.Aborted)
+		r.answerWithoutResponse(a.Request, r.sim.result.Aborted)
 	}
 }
 
 func (r *router) cancelAttempt(a routing.CancelAttempt) {
-	req := r.open[a.Request]
+	req := r.openRequests[a.Request]
 	if req == nil || a.Attempt >= len(req.attempts) {
 		return
 	}
@@ -110,44 +110,44 @@
 	})
 }
 
-// answerWithout gives a request a final answer without a response, and counts it.
-func (r *router) answerWithout(id routing.RequestID, count map[string]int) {
-	req := r.open[id]
-	req.answers++
-	if req.answers > 1 {
+// answerWithoutResponse ends a request without a response and counts it in the given map, by phase.
+func (r *router) answerWithoutResponse(id routing.RequestID, count map[string]int) {
+	req := r.openRequests[id]
+	req.answerCount++
+	if req.answerCount > 1 {
 		r.sim.result.AnsweredTwice++
 		return
 	}
 	count[req.phase]++
 	req.answered = true
-	r.forgetIfEnded(id, req)
+	r.deleteIfEnded(id, req)
 }
 
-func (r *router) forgetIfEnded(id routing.RequestID, req *request) {
+func (r *router) deleteIfEnded(id routing.RequestID, req *request) {
 	for _, a := range req.attempts {
 		if !a.ended {
 			return
 		}
 	}
 	if req.answered {
-		delete(r.open, id)
+		delete(r.openRequests, id)
 	}
 }
 
-// endAttempt reports the end of an attempt to the module; the first completed one answers its request.
+// endAttempt reports the end of an attempt to the module. The first completed attempt answers the request.
 func (r *router) endAttempt(
 	id routing.RequestID, number int, result routing.AttemptResult, detail routing.ResultDetail,
 ) {
-	req := r.open[id]
+	req := r.openRequests[id]
 	if req == nil || req.attempts[number].ended {
 		return
 	}
 	a, now := req.attempts[number], r.sim.Now()
 	a.ended = true
-	r.observe(a.target, result, now-a.sentAt > req.objective)
+	r.observeResult(a.target, result, now-a.sentAt > req.objective)
 	if result == routing.Completed && !req.answered {
 		req.answered = true
-		req.answers++
+		req.answerCount++
 		r.sim.countResponse(req)
 	}
 	r.decide(routing.AttemptEnded{
@@ -158,7 +158,7 @@
 		ElapsedSeconds: now - a.sentAt,
 		RequestDone:    req.answered,
 	})
-	r.forgetIfEnded(id, req)
+	r.deleteIfEnded(id, req)
 }
 
 func (s *simulation) countResponse(req *request) {
--- a/internal/sim/routing/run.go
+++ b/internal/sim/routing/run.go
@@ -1,8 +1,9 @@
-// Package routing simulates many routers that run the decision module over one small deployment on virtual time: what
-// the same traffic costs where each router gets a smaller part of it, and what gossip between routers changes.
+// Package routing simulates many routers that run the decision module over one small deployment on virtual time. It
+// shows the cost of splitting the same traffic between more routers, and the effect of gossip between routers.
 //
-// Caches, parents, links and the origin are capacity figures; the module is the one that serves. The package opens no
-// socket and reads no clock. The same seed gives the same results. The bounds for them are in the lab's scenarios.
+// Caches, parents, links and the origin are modeled by their capacity only; the decision module is the production code.
+// The package opens no sockets and does not read the real clock. The same seed gives the same results. The scenarios of
+// the lab define the bounds for the results.
 package routing
 
 import (
@@ -15,23 +16,23 @@
 	"cairnfront/routing"
 )
 
-// Streams of random numbers. That of gossip is its own, so that traffic is the same with gossip and without.
+// Random number streams. Gossip has a separate stream, so that the traffic is the same with and without gossip.
 const (
 	trafficStream = 0x7417
 	gossipStream  = 0x60551
 )
 
-// Phase is a stretch of the run, in seconds from its start.
+// Phase is a period of a run, in seconds since the start of the run.
 type Phase struct {
 	Name     string
 	From, To float64
 }
 
-// Phases are counted separately; the fault of a run lasts through the second.
+// Phases are the periods for which results are counted separately. The fault is active during the second phase.
 var Phases = []Phase{
-	{Name: "calm", From: countedFrom, To: faultFrom},
-	{Name: "trouble", From: faultFrom, To: faultTo},
-	{Name: "after", From: faultTo, To: duration},
+	{Name: "calm", From: measurementStart, To: faultStart},
+	{Name: "trouble", From: faultStart, To: faultEnd},
+	{Name: "after", From: faultEnd, To: duration},
 }
 
 func phaseAt(elapsed float64) string {
@@ -43,7 +44,7 @@
 	return ""
 }
 
-// Result is the counts of a run. The maps are by the phase in which a request arrived.
+// Result holds the counts of a run. The maps are keyed by the name of the phase in which the request arrived.
 type Result struct {
 	Routers              int
 	Requests             map[string]int
@@ -54,10 +55,10 @@
 	Attempts             map[string]int
 	Unanswered           int
 	AnsweredTwice        int
-	Fills                int // at caches
-	StoredFills          int // of which a copy was stored
+	Fills                int // completed fills at edge caches
+	StoredFills          int // fills after which the edge cache stored a copy
 	FailingCacheAttempts int
-	OnTimePerSecond      []float64 // share of the requests of each second
+	OnTimePerSecond      []float64 // share of on-time requests among those that arrived in each second
 
 	arrivedBySecond []int
 	onTimeBySecond  []int
@@ -77,61 +78,61 @@
 	}
 }
 
-// Fault is what happens in the second phase.
+// Fault is the fault that is injected during the second phase.
 type Fault int
 
-// The faults of a run.
+// Faults that a run can simulate.
 const (
-	TrafficBurst   Fault = iota // half as much traffic again, and a purge
-	ParentZoneLost              // half of the parents don't answer and come back empty
-	FailingCache                // one cache answers all that it is sent with an error
+	TrafficBurst   Fault = iota // traffic increases by half, and one object group is purged
+	ParentZoneLost              // half of the parent caches stop answering and come back empty
+	FailingCache                // one edge cache answers every attempt with an error
 )
 
-// Gossip is how routers exchange observations of endpoints.
+// Gossip configures the exchange of health observations between routers.
 type Gossip struct {
 	Enabled       bool
-	FaultyRouters int // routers that report every endpoint as failing, all the time; the others allow for as many
+	FaultyRouters int // routers that always report all endpoints as failing; the others tolerate this many
 }
 
-// simulation is the deployment with its routers. All of it runs on the scheduler's goroutine.
+// simulation is the simulated deployment and its routers. All events run on the goroutine that runs the scheduler.
 type simulation struct {
 	*clock.Scheduler
-	endpoints      map[routing.EndpointID]*endpoint
-	zoneLinks      [zones]*endpoint
-	chunkSizes     map[chunkKey]float64 // KB
-	popularity     []float64            // cumulative, by object
-	routers        []*router
-	requests       int
-	fault          Fault
-	gossipRandom   *rand.Rand
-	result         *Result
-	listedAtStart  []routing.Endpoint
-	purgedOnFault  int // object group
-	faultyInGossip int
+	endpoints         map[routing.EndpointID]*endpoint
+	zoneLinks         [zones]*endpoint
+	chunkSizes        map[chunkKey]float64 // chunk sizes in KB
+	popularity        []float64            // cumulative popularity, by object
+	routers           []*router
+	requests          int
+	fault             Fault
+	gossipRandom      *rand.Rand
+	result            *Result
+	initialEndpoints  []routing.Endpoint
+	purgedObjectGroup int // number of the object group that TrafficBurst purges
+	faultyRouters     int
 }
 
-// ErrUnevenZones says that zones would have different numbers of routers.
-var ErrUnevenZones = errors.New("not a multiple of the zones")
+// ErrUnevenZones is returned if the routers cannot be distributed evenly over the zones.
+var ErrUnevenZones = errors.New("the number of routers is not a multiple of the number of zones")
 
-// Run simulates a number of routers, a multiple of the zones, that exchange no observations.
+// Run simulates routers without gossip. The number of routers must be a multiple of the number of zones.
 func Run(seed uint64, routers int, fault Fault) (*Result, error) {
 	return RunWithGossip(seed, routers, fault, Gossip{})
 }
 
-// RunWithGossip is Run with routers that exchange observations of endpoints.
+// RunWithGossip is like Run, but routers exchange health observations as configured by gossip.
 func RunWithGossip(seed uint64, routers int, fault Fault, gossip Gossip) (*Result, error) {
 	if routers < zones || routers%zones != 0 {
 		return nil, fmt.Errorf("simulate %d routers in %d zones: %w", routers, zones, ErrUnevenZones)
 	}
 	s := &simulation{
-		Scheduler:      clock.New(seed, trafficStream, startTime),
-		endpoints:      map[routing.EndpointID]*endpoint{},
-		chunkSizes:     map[chunkKey]float64{},
-		fault:          fault,
-		gossipRandom:   rand.New(rand.NewPCG(seed, gossipStream)),
-		result:         newResult(routers),
-		purgedOnFault:  int(seed % objectGroups),
-		faultyInGossip: gossip.FaultyRouters,
+		Scheduler:         clock.New(seed, trafficStream, startTime),
+		endpoints:         map[routing.EndpointID]*endpoint{},
+		chunkSizes:        map[chunkKey]float64{},
+		fault:             fault,
+		gossipRandom:      rand.New(rand.NewPCG(seed, gossipStream)),
+		result:            newResult(routers),
+		purgedObjectGroup: int(seed % objectGroups),
+		faultyRouters:     gossip.FaultyRouters,
 	}
 	s.addObjects()
 	s.addEndpoints()
@@ -141,14 +142,14 @@
 	}
 	s.scheduleFault()
 	s.startSession()
-	s.RunUntil(startTime + duration + objectiveBase + clientPatience + objectiveSendTimes*maxChunkKB/transferKBPerS + 1)
+	s.RunUntil(startTime + duration + objectiveBase + deadlineMargin + objectiveTransfers*maxChunkKB/transferKBPerS + 1)
 	s.finishResult()
 	return s.result, nil
 }
 
 func (s *simulation) elapsed() float64 { return s.Now() - startTime }
 
-// addObjects gives objects their popularity, by Zipf's law, and their chunks sizes.
+// addObjects adds objects with popularities that follow Zipf's law, and chunks of random sizes.
 func (s *simulation) addObjects() {
 	sum := 0.0
 	for i := range objects {
@@ -183,33 +184,33 @@
 		cached:   map[chunkKey]*cachedChunk{},
 		filling:  map[chunkKey][]func(bool){},
 	}
-	s.listedAtStart = append(s.listedAtStart, routing.Endpoint{ID: id, Zone: zone, Kind: kind, Weight: capacity})
+	s.initialEndpoints = append(s.initialEndpoints, routing.Endpoint{ID: id, Zone: zone, Kind: kind, Weight: capacity})
 }
 
 // scheduleFault schedules the start and the end of the fault.
 func (s *simulation) scheduleFault() {
-	from, to := startTime+faultFrom, startTime+faultTo
+	from, to := startTime+faultStart, startTime+faultEnd
 	switch s.fault {
 	case FailingCache:
 		failing := s.endpoints[cacheID(0, 0)]
 		s.At(from, func() { failing.failing = true })
 		s.At(to, func() { failing.failing = false })
 	case TrafficBurst:
-		s.At(startTime+purgeAt, func() { s.purge(s.purgedOnFault) })
+		s.At(startTime+purgeTime, func() { s.purge(s.purgedObjectGroup) })
 	case ParentZoneLost:
 		for i := 0; i < parents; i += parentZones {
 			parent := s.endpoints[parentID(i)]
-			s.At(from, func() { parent.lost = true })
-			s.At(to, parent.returnEmpty)
+			s.At(from, func() { parent.unresponsive = true })
+			s.At(to, parent.restartEmpty)
 		}
 	}
 }
 
-// finishResult counts requests that were never answered and works out the shares by second.
+// finishResult counts the requests that were never answered and computes the on-time share of each second.
 func (s *simulation) finishResult() {
 	for _, r := range s.routers {
-		for _, req := range r.open {
-			if req.answers == 0 {
+		for _, req := range r.openRequests {
+			if req.answerCount == 0 {
 				s.result.Unanswered++
 			}
 		}
--- a/internal/sim/routing/traffic.go
+++ b/internal/sim/routing/traffic.go
@@ -6,13 +6,13 @@
 	"cairnfront/routing"
 )
 
-// startSession brings a new client to a router and schedules the next one. A client keeps to its router.
+// startSession starts a new client at a random router and schedules the next one. A client never changes its router.
 func (s *simulation) startSession() {
 	if s.elapsed() >= duration {
 		return
 	}
-	sessionsPerS := requestsPerS * (1 - continuesView)
-	if s.fault == TrafficBurst && s.elapsed() >= faultFrom && s.elapsed() < faultTo {
+	sessionsPerS := requestsPerS * (1 - nextChunkProbability)
+	if s.fault == TrafficBurst && s.elapsed() >= faultStart && s.elapsed() < faultEnd {
 		sessionsPerS *= burstFactor
 	}
 	s.After(s.Rand.ExpFloat64()/sessionsPerS, s.startSession)
@@ -21,19 +21,19 @@
 	s.requestChunk(r, chunkKey{object, 0})
 }
 
-// requestChunk sends a request and, with some odds, schedules that for the next chunk of the object.
+// requestChunk sends a request for a chunk and, with some probability, schedules one for the next chunk of the object.
 func (s *simulation) requestChunk(r *router, key chunkKey) {
 	if s.elapsed() >= duration {
 		return
 	}
-	r.accept(key)
-	if key.chunk+1 < chunksPerObject && s.Rand.Float64() < continuesView {
-		pause := minViewPause + viewPauseSpread*s.Rand.Float64()
+	r.acceptRequest(key)
+	if key.chunk+1 < chunksPerObject && s.Rand.Float64() < nextChunkProbability {
+		pause := minChunkPause + chunkPauseRange*s.Rand.Float64()
 		s.After(pause, func() { s.requestChunk(r, chunkKey{key.object, key.chunk + 1}) })
 	}
 }
 
-// purge invalidates an object group: endpoints drop it, and every router gets the purge.
+// purge invalidates an object group: all endpoints remove its copies, and all routers are notified of the purge.
 func (s *simulation) purge(group int) {
 	for _, e := range s.endpoints {
 		e.purge(group)
