--- a/routing/actions.go
+++ b/routing/actions.go
@@ -8,7 +8,7 @@
 type StartAttempt struct {
 	Request       RequestID
 	Endpoint      EndpointID
-	Deadline      float64    // the attempt is abandoned at this time
+	Deadline      float64    // no answer is awaited after this time
 	SendBefore    float64    // the attempt must not be sent at or after this time
 	Source        EndpointID // endpoint that fills a cache miss; equal to Endpoint if there is none
 	RetentionRank int        // 0 stores no copy; copies of lower rank are evicted first
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -65,8 +65,9 @@
 	attemptCancelled: {attemptEnded: true},
 }
 
-// move sets the state of an attempt if the table allows the transition, and reports whether it did. A late event for an
-// attempt that has ended or was given up requests a transition that is not in the table.
+// move sets the state of an attempt if the table allows the transition, and reports whether it did. A late event,
+// such as AttemptStalled for an attempt that is lost, abandoned, cancelled or ended, requests a transition that is not
+// in the table.
 func (a *attempt) move(to attemptState) bool {
 	if !a.mayMove(to) {
 		return false
@@ -108,7 +109,7 @@
 }
 
 // cacheOnly reports whether an attempt must not fill past its target or its source, because the path behind is at its
-// limit.
+// limit or the target has no usable source.
 func (f fillPlan) cacheOnly() bool { return f == targetCacheOnly || f == sourceCacheOnly }
 
 // possibleFault is the set of endpoints that may have caused an unexplained failure. The failure counts against them
--- a/routing/cachestate.go
+++ b/routing/cachestate.go
@@ -91,7 +91,7 @@
 // dropCached removes all chunks of an object from the known contents of the caches.
 func (o *object) dropCached() {
 	for _, c := range o.chunks {
-		c.filledByParent = false
+		c.filledSincePurge = false
 		for len(c.cachedBy) > 0 {
 			c.cachedBy[len(c.cachedBy)-1].removeCached(c, true)
 		}
--- a/routing/caching.go
+++ b/routing/caching.go
@@ -6,7 +6,8 @@
 )
 
 // Constants of the store-or-pass decision, which follows Cafe Cache (docs/design.md). The symbols of the paper are in
-// parentheses.
+// parentheses. A purge that the router learns of late looks like an eviction after a short idle time; without
+// minHorizonSeconds, such samples would make the horizon so short that no new chunk is stored.
 const (
 	fillCostRatio         = 0.75 // (alpha) cost of a stored fill relative to a pass: only a fill leaves a copy
 	newestGapShare        = 0.25 // (gamma) weight of the newest request gap in the mean gap
@@ -21,7 +22,7 @@
 const (
 	congestionSeconds     = 1.0  // how long stale copies are served after a limit decrease: congestion lasts less
 	purgeAgeMarginSeconds = 1e-4 // a served copy is newer than a purge by this margin: times are rounded on the wire
-	minCopyAgeSeconds     = 2e-6 // smallest age that rounding keeps above 0; 0 would allow copies of any age
+	minCopyAgeSeconds     = 2e-6 // smallest age that rounding keeps above 0; 0 would mean the fresh time of the class
 )
 
 // Expiry of idle objects.
@@ -50,8 +51,9 @@
 }
 
 // gapOf returns the mean request gap of a request's chunk. For a chunk without earlier requests it is the largest gap
-// of the object's cached chunks. If there are none, other routers may have requested the chunk with a gap of T; the
-// miss rate estimates how likely that is.
+// of the object's cached chunks. If there are none, it is the horizon divided by the hit rate (1 - missRate), or +Inf
+// for a hit rate of 0: other routers may have requested the chunk with a gap of T, and the hit rate estimates how
+// likely that is.
 func (r *Router) gapOf(req *request, cache *endpoint) float64 {
 	if !req.firstForChunk {
 		return req.chunk.gap(r.now)
@@ -86,9 +88,9 @@
 // uncacheable reports whether no copy of the response may be stored or served.
 func (r *Router) uncacheable(req *request) bool { return req.Write || r.class(req.Class).uncacheable }
 
-// shouldStore reports whether a missing chunk is stored (serve) or passed through without a copy. The cost of a stored
-// fill includes later fills of the chunks that it evicts; the cost of a pass includes later requests for the chunk
-// itself.
+// shouldStore reports whether a missing chunk is stored rather than passed through without a copy, because storing
+// costs less. The cost of a stored fill includes later fills of the chunks that it evicts; the cost of a pass includes
+// later requests for the chunk itself. A chunk recorded as cached is always stored.
 func (r *Router) shouldStore(req *request, cache *endpoint) bool {
 	if r.uncacheable(req) {
 		return false
@@ -99,16 +101,16 @@
 		return true
 	}
 	needed := req.SizeKB
-	serve := needed * fillCost
-	pass := needed*passCost + needed*horizon/r.gapOf(req, cache)*refetchCost
+	storeTotal := needed * fillCost
+	passTotal := needed*passCost + needed*horizon/r.gapOf(req, cache)*refetchCost
 	for _, evicted := range cache.byGap {
-		if needed <= 0 || serve >= pass {
+		if needed <= 0 || storeTotal >= passTotal {
 			break
 		}
-		serve += min(evicted.sizeKB, needed) * horizon / evicted.chunk.gap(r.now) * refetchCost
+		storeTotal += min(evicted.sizeKB, needed) * horizon / evicted.chunk.gap(r.now) * refetchCost
 		needed -= evicted.sizeKB
 	}
-	return serve < pass
+	return storeTotal < passTotal
 }
 
 // dropEvicted removes the chunks with the largest gaps from the known contents of a cache if they were idle for more
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -5,14 +5,14 @@
 // Initial limits. Limits are numbers of attempts in flight.
 const (
 	limitPerCapacity = 1.5 // attempts per transfer of capacity: the objective's stretch leaves time for that
-	burstAllowance   = 1.0 // square roots of a cache's share added to it: the traffic of one router varies by that
+	burstAllowance   = 1.0 // square roots of a cache's share added to the share: one router's traffic varies by one
 	minStartingLimit = 0.1 // minimum of an initial limit, for endpoints without weight
 	minLimitShare    = 0.2 // minimum of a limit as a share of its initial value: with no answers it would never grow
 )
 
-// Increase and decrease of a limit.
+// Increase and decrease of a limit. A round is as many timely answers as the limit, at least one.
 const (
-	growthPerRound          = 0.5  // attempts per round, over the root of the routers: faster growth outpaces decreases
+	growthPerRound          = 0.5  // attempts added per round, over sqrt(routers): faster growth outpaces decreases
 	recoveryStep            = 1.0  // attempts added per timely answer below the recovery threshold
 	usedLimitShare          = 0.5  // utilization above which a limit grows: an unused limit is untested
 	decreaseFactor          = 0.8  // factor applied to a limit after a late or refused attempt
@@ -33,11 +33,11 @@
 //
 // A limit below the recovery threshold is in its recovery ramp. Only an ejection or a slow start puts it there; each
 // timely answer then adds recoveryStep. A decrease sets the recovery threshold to the lowered limit, so that no ramp
-// follows it; it also ends a ramp that has reached the minimum. Growth above the recovery threshold is slow and does
-// not raise the threshold.
+// follows it; it also ends a ramp that has reached the minimum. In a ramp below the minimum it lowers only the
+// threshold. Growth above the recovery threshold is slow and does not raise the threshold.
 type limiter struct {
 	limit             float64
-	recoveryThreshold float64 // initially this router's share, then the limit after the last decrease
+	recoveryThreshold float64 // initially the limit for this router's share, then set by each decrease, see lower
 	minLimit          float64
 	growthStep        float64 // increase per round of timely answers above the recovery threshold
 	inFlight          float64
@@ -60,8 +60,9 @@
 // recovered reports whether a limit is not in its recovery ramp.
 func (l *limiter) recovered() bool { return l.limit >= l.recoveryThreshold }
 
-// release removes the load of an ended attempt that lasted some seconds. A limit below the load is paused, if used is
-// set: the attempt has reached this limiter's endpoint or path.
+// release removes the load of an ended attempt that lasted some seconds. A limit below the load is paused if used is
+// set, which means that the attempt may have reached this limiter's endpoint or path. The caller sets used for the
+// target after every attempt, and for the fill path after every attempt that was not a known hit.
 func (l *limiter) release(now, load, lastedSeconds float64, used bool) {
 	l.inFlight = max(l.inFlight-load, 0)
 	if used && l.limit < load {
@@ -91,8 +92,8 @@
 	l.minLimit = max(minLimitShare, 1/math.Sqrt(routers)) * l.limit
 }
 
-// increase records a timely answer: the limit grows fast in its recovery ramp, and above it slowly and only while it is
-// used.
+// increase records a timely answer: the limit grows fast in its recovery ramp, and slowly above it. Above the ramp, a
+// limit of at least one attempt grows only while it is used.
 func (l *limiter) increase() {
 	l.lateSamples = appendSample(l.lateSamples, 0, maxLateSamples)
 	if l.limit < l.recoveryThreshold {
@@ -102,8 +103,9 @@
 	}
 }
 
-// decrease records a sign of congestion: a refusal counts immediately, a late answer only if many recent answers were
-// late. The lowered limit becomes the recovery threshold, so the limit grows back slowly, without a recovery ramp.
+// decrease records a sign of congestion. A refusal lowers the limit without further evidence, a late answer only if
+// many recent answers were late; decreases are at least decreaseIntervalSeconds apart. The lowered limit becomes the
+// recovery threshold, so the limit grows back slowly, without a recovery ramp; lower has the exception.
 func (l *limiter) decrease(now float64, refused bool) {
 	l.lateSamples = appendSample(l.lateSamples, 1, maxLateSamples)
 	intervalOver := now > l.decreasedAt+decreaseIntervalSeconds
@@ -113,8 +115,8 @@
 	}
 }
 
-// lower reduces a limit for congestion, down to its minimum. A limit that a recovery ramp has below the minimum stays
-// unchanged, and its recovery threshold falls instead.
+// lower reduces a limit for congestion, down to its minimum. A limit that is below the minimum in a recovery ramp
+// stays unchanged, and its recovery threshold falls instead.
 //
 // This guards against a refusal that increases the load on an endpoint which has just started or failed (rule 4):
 // raising the limit to the minimum would send more attempts to a cold endpoint because it was overloaded.
@@ -127,8 +129,9 @@
 	l.recoveryThreshold = l.limit
 }
 
-// setStartingLimit sets the recovery threshold to this router's share of an endpoint's capacity. The limit of an
-// endpoint in slow start begins below it, in a recovery ramp.
+// setStartingLimit sets the recovery threshold to this router's share of an endpoint's capacity, at edge caches with a
+// burst allowance. The limit begins at the threshold. In slow start it begins at slowStartLimit instead, which is in a
+// recovery ramp only if it is below the threshold.
 func (r *Router) setStartingLimit(e *endpoint) {
 	share := limitPerCapacity * e.Weight / e.routersSharing
 	burstFactor := 0.0 // none at parents and origins: in a burst all routers would use theirs at once
@@ -143,8 +146,9 @@
 	e.limiter.limit = startingLimit(e.limiter.limit, r.capacityShare(e))
 }
 
-// setSharedLimits initializes the limits of the zone's link and of the origins, once caches are known. The weight of an
-// origin is not meaningful, so its limit starts at that of the link.
+// setSharedLimits initializes the limits of the zone's link and of the origins listed by then, once caches are known.
+// The weight of an origin is not meaningful, so these limits start at that of the link. An origin that is listed or
+// restarts later starts at the limit for its weight, from setStartingLimit.
 func (r *Router) setSharedLimits() {
 	sum, transfers := 0.0, r.linkTransfers()
 	for _, cache := range r.caches.endpoints {
@@ -165,8 +169,8 @@
 	return elapsedSeconds > timelyShare*objectiveSeconds
 }
 
-// adjustLimits adjusts the limits on the path of an ended attempt: a late attempt lowers the first limit that may be
-// the cause.
+// adjustLimits adjusts the limits that an attempt used. A timely answer increases them. A late one is a sign of
+// congestion for the limit that is its cause, or for those of both source and link if the details do not show which.
 func (r *Router) adjustLimits(req *request, a *attempt, end AttemptEnded, filled bool) {
 	if !isLate(end.ElapsedSeconds, req.objectiveSeconds) {
 		a.target.limiter.increase()
@@ -181,7 +185,8 @@
 		a.target.limiter.decrease(r.now, false)
 	case end.Detail == FilledByOrigin && a.originLimiter != nil && lateFirstByte:
 		a.originLimiter.decrease(r.now, false)
-	case !r.reportsAllDetails(): // source or link is the cause; few routers share the link, each sees most of its fills
+	case !r.reportsAllDetails():
+		// The source or the link is the cause. Few routers share the link, so each sees most of the link's fills.
 		a.source.limiter.decrease(r.now, false)
 		r.zoneLink.decrease(r.now, false)
 	case lateFirstByte:
--- a/routing/decide.go
+++ b/routing/decide.go
@@ -10,11 +10,11 @@
 	actions     []Action
 
 	endpoints []*endpoint  // sorted by ID
-	removed   []*endpoint  // members of endpoints that were removed from the list and have not expired
-	caches    endpointList // edge caches of this zone
-	parents   endpointList
-	origins   endpointList
-	zoneLink  limiter // limiter of the link into the zone
+	removed   []*endpoint  // entries of the field endpoints that were removed from the list and have not expired
+	caches    endpointList // ready edge caches of this zone
+	parents   endpointList // ready parent caches
+	origins   endpointList // ready origins
+	zoneLink  limiter      // limiter of the link into the zone
 
 	requests        map[RequestID]*request
 	requestsByToken map[uint64]*request
@@ -26,8 +26,8 @@
 	purges             map[purgeKey]float64 // time of the latest purge of each key
 	purgesDroppedUntil float64
 
-	slownessSamples   []float64 // recent attempt durations relative to their suspicion time, see attempt.slowness
-	unansweredSamples []float64 // recent attempts slower than all slownessSamples, 1 for one without an answer
+	slownessSamples   []float64 // slowness of recent completed or lost attempts, see attempt.slowness and maxSlowness
+	unansweredSamples []float64 // recent attempts slower than all slownessSamples, 1 if timed out or cancelled
 	missSamples       []float64 // recent attempts that expected a miss, 1 for one that was filled
 }
 
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -16,7 +16,7 @@
 	limiter              limiter
 	role                 role
 	listed               listEntry
-	zonesAway            float64 // number of parent zones between this zone and the endpoint
+	zonesAway            float64 // ring distance of a parent cache from this zone's parent zone; 0 for other endpoints
 	routersSharing       float64 // number of routers that send attempts to it
 	retryBudgetExhausted bool
 	removedAt            float64 // time of its removal from the list, 0 if listed
--- a/routing/hashorder.go
+++ b/routing/hashorder.go
@@ -12,7 +12,7 @@
 )
 
 // hashOrder is the prefix of the order in which an object prefers the endpoints of a list, highest score first. It
-// takes 40 bytes, and 8 bytes for each endpoint of best, which has at most storedCandidates between two decisions.
+// takes 32 bytes, and 8 bytes for each endpoint of best, which has at most storedCandidates between two decisions.
 type hashOrder struct {
 	best    []*endpoint
 	version int // version of the list that best is computed from
--- a/routing/object.go
+++ b/routing/object.go
@@ -6,13 +6,14 @@
 )
 
 // chunk is a part of an object that is requested and cached separately. Its request gap is the time between requests
-// for it.
+// for it. The field filledSincePurge is set by a completed attempt that was neither a known hit nor filled by a peer,
+// and cleared by a purge.
 type chunk struct {
 	index             int
 	averageGapSeconds float64 // mean request gap as of the last request
 	lastRequestAt     float64
 	requested         bool
-	filledByParent    bool        // a parent cache has filled it since its last purge
+	filledSincePurge  bool        // a parent cache is presumed to have it
 	cachedBy          []*endpoint // caches of the zone known to have it, sorted by ID
 }
 
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -23,7 +23,7 @@
 		r.moveRequest(req, requestEnded)
 	}
 	r.plan(req)
-	for _, queued := range slices.Clone(r.queue[:min(len(r.queue), maxQueueRetries)]) {
+	for _, queued := range slices.Clone(r.queue[:min(len(r.queue), maxQueuePlans)]) {
 		r.plan(queued)
 	}
 }
@@ -50,10 +50,10 @@
 	}
 }
 
-// processSuccess records a completed attempt and the failures of earlier attempts of its request. Failures count only
-// now: a request that cannot be served fails at every endpoint, and would eject one endpoint after another if each
-// failure counted immediately. The slowness of an attempt that was presumed lost is 0: its late answer is counted as a
-// sample but raises no maximum.
+// processSuccess records a completed attempt and the unexplained failures of earlier attempts of its request. These
+// count only now: a request that cannot be served fails at every endpoint, and would eject one endpoint after another
+// if each failure counted immediately. The slowness of an attempt that was presumed lost is 0: its late answer is
+// counted as a sample but raises no maximum.
 func (r *Router) processSuccess(req *request, a *attempt, end AttemptEnded, slowness float64) {
 	for _, earlier := range req.attempts {
 		if earlier.possibleFault != noFault {
@@ -70,7 +70,7 @@
 		a.source.recordResponse(r.now)
 		r.recordResult(a.source, false)
 	}
-	req.chunk.filledByParent = req.chunk.filledByParent || filled && a.fill != fillFromPeer
+	req.chunk.filledSincePurge = req.chunk.filledSincePurge || filled && a.fill != fillFromPeer
 	if a.fill == fillExpected && a.target.role == edgeCache {
 		r.missSamples = appendSample(r.missSamples, indicator(filled), maxMissSamples)
 	}
@@ -109,9 +109,9 @@
 	return detail == OriginFailed || (detail == SourceUnreachable && respondedSince)
 }
 
-// processUnexplainedFailure handles a failure without details on the source, which may still be at fault. A refused
-// fill counts as a failure of the source: a source that is down behind a cache is visible only as refusals of that
-// cache.
+// processUnexplainedFailure handles a failure whose details name no fault of the source. Where not all details are
+// reported, the source may still be at fault. A refusal after localRefusalSeconds or more then counts as a failure of
+// the source: a source that is down behind a cache is visible only as refusals of that cache.
 func (r *Router) processUnexplainedFailure(a *attempt, end AttemptEnded) {
 	refused := end.Result == Overloaded
 	sourceMayBeAtFault := a.fill.expectsMiss() && a.hasSource() && !r.reportsAllDetails()
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -15,10 +15,10 @@
 	silenceIntervals        = 4.0  // mean response intervals without a response after which an endpoint is unresponsive
 	maxResponseSamples      = 10   // recent responses sampled for the mean response interval
 	lostSlownessFactor      = 1.3  // slowness of a lost attempt over the slowest recent answer: congestion slows all
-	maxSlownessSamples      = 64   // recent answered attempts sampled for slowness: durations vary widely
+	maxSlownessSamples      = 64   // recent completed or lost attempts sampled for slowness: durations vary widely
 	maxUnansweredSamples    = 10   // recent attempts slower than all slownessSamples: few, to follow changes quickly
 	minUnansweredSamples    = 4    // unansweredSamples required before their share is used: fewer are chance
-	unansweredShare         = 0.5  // share of unansweredSamples from which such an attempt is presumed lost
+	unansweredShare         = 0.5  // share of unansweredSamples from which one slower than all slownessSamples is lost
 )
 
 // Thresholds and durations of outlier ejection.
@@ -28,8 +28,8 @@
 	ejectFailureShare    = 0.5 // share of failures that ejects: below it, losing the cache costs more
 	firstEjectionSeconds = 1.0 // duration of the first ejection; it doubles with each further one
 	maxEjectionSeconds   = 4.0 // longest ejection: a recovered endpoint is used again soon
-	limitAfterEjection   = 1.0 // initial limit after an ejection, in attempts in flight, in a recovery ramp
-	suspicionThreshold   = 0.5 // suspicion (0 to 1) from which one own failure ejects: two honest routers reach it
+	limitAfterEjection   = 1.0 // limit after an ejection, in attempts in flight; a recovery ramp if below the threshold
+	suspicionThreshold   = 0.5 // suspicion (0 to 1) for one own failure to eject: two honest routers' reports suffice
 	suspicionEjections   = 2.0 // earlier ejections that the suspicion of other routers counts as
 )
 
@@ -67,8 +67,9 @@
 	return true
 }
 
-// unresponsiveEndpoint returns the target of a suspected attempt if it is unresponsive, otherwise the source if that
-// is, otherwise nil.
+// unresponsiveEndpoint returns the unresponsive endpoint of a suspected attempt, or nil. It checks the target if that
+// has not responded since the attempt was sent. Only if the target has, it checks the source, which responds through
+// the target, provided that a miss is expected.
 //
 // It guards against hung or lost machines and broken network paths: attempts never end, and the endpoint answers
 // nothing else meanwhile. Missing responses alone are no proof: an endpoint may send none during a long transfer, and a
@@ -114,7 +115,8 @@
 	return inFlightSeconds / (a.suspectAt - a.sentAt)
 }
 
-// maxSlowness returns the maximum slowness of the recent answered attempts, at least 1.
+// maxSlowness returns the maximum slowness of the recent completed attempts and, raised by lostSlownessFactor, of those
+// that reviewSuspected presumed lost as the slowest. It is at least 1.
 func (r *Router) maxSlowness() float64 {
 	greatest := 1.0
 	for _, slowness := range r.slownessSamples {
@@ -123,8 +125,8 @@
 	return greatest
 }
 
-// recordSlowest records whether an ended attempt that was slower than all slownessSamples got no answer. It has no
-// effect until there are maxSlownessSamples.
+// recordSlowest records whether an ended attempt that was slower than all slownessSamples timed out or was cancelled.
+// All other results count as answered. It has no effect until there are maxSlownessSamples.
 func (r *Router) recordSlowest(slowness float64, result AttemptResult) {
 	if len(r.slownessSamples) == maxSlownessSamples && slowness > slices.Max(r.slownessSamples) {
 		unanswered := indicator(result == Cancelled || result == TimedOut)
@@ -133,7 +135,7 @@
 }
 
 // lostAttemptState returns the state of an attempt that becomes presumed lost. The attempt stays in flight if hedging
-// is allowed, or if the request is non-idempotent and a cancel would lose its only possible answer.
+// is allowed, or if the request is non-idempotent, because a cancel would lose its only possible answer.
 func (r *Router) lostAttemptState(req *request) attemptState {
 	if r.settings.Bool(SettingHedging) || r.class(req.Class).effect == NonIdempotent {
 		return attemptLost
@@ -156,8 +158,8 @@
 }
 
 // excludedByEjection reports whether an endpoint is excluded at a fallback level because it is ejected. At the last
-// level it is used if all endpoints of its role are ejected, as requests would otherwise have no endpoint. Alternatives
-// that are merely at their limit do not allow it, because a burst would then be sent to the endpoint that failed.
+// level it is used if all endpoints of its role are ejected, as requests would otherwise have no endpoint. It is not
+// used merely because the alternatives are at their limits: a burst would then be sent to the endpoint that failed.
 func (r *Router) excludedByEjection(e *endpoint, level fallbackLevel) bool {
 	return e.ejectedUntil > r.now && (level < ejectedAllowed || r.hasAlternative(e))
 }
@@ -167,8 +169,8 @@
 // that is down.
 func (r *Router) mayEject(e *endpoint) bool { return e.role != originServer && r.hasAlternative(e) }
 
-// ejectionSeconds returns the duration of an ejection after a number of ejections since the endpoint last worked. The
-// suspicion of other routers counts as suspicionEjections earlier ejections.
+// ejectionSeconds returns the duration of an ejection after a number of ejections since the endpoint's last success
+// outside of a recovery ramp. The suspicion of other routers counts as suspicionEjections earlier ejections.
 func ejectionSeconds(ejections int, suspected bool) float64 {
 	doublings := float64(ejections)
 	if suspected {
@@ -205,8 +207,9 @@
 	}
 }
 
-// failuresEject reports whether an endpoint whose last attempt failed is ejected: if half of its recent results are
-// failures, or immediately if all results since its last ejection are failures or other routers suspect it.
+// failuresEject reports whether an endpoint whose last attempt failed is ejected: if at least ejectFailureCount and at
+// least half (ejectFailureShare) of its recent results are failures, or immediately if all results since its last
+// ejection are failures or other routers suspect it.
 func failuresEject(results []float64, ejectedBefore, suspected bool) bool {
 	share := mean(results)
 	often := share*float64(len(results)) >= ejectFailureCount && share >= ejectFailureShare
--- a/routing/request.go
+++ b/routing/request.go
@@ -11,7 +11,7 @@
 	token             uint64 // token of its timers
 	arrivedAt         float64
 	sendSeconds       float64 // expected sending time, from its size or the mean of its class
-	sendTimeEstimated bool    // size unknown: sendSeconds is estimated from earlier answers
+	sendTimeEstimated bool    // size or transfer rate unknown: sendSeconds is estimated from samples of the class
 	priorityPerKB     float64
 	objectiveSeconds  float64 // latency objective for its size
 	chunk             *chunk
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -58,11 +58,11 @@
 	return e.retryBudgetExhausted && attempts > 0
 }
 
-// alreadyTried reports whether a request has used an endpoint: ever, at the first fallback level, or within
-// endpointPauseSeconds, at the others. It guards against a request that uses up its attempts within milliseconds at an
-// endpoint that refuses immediately. The function used selects the role, target or source. At the other levels an
-// attempt in flight does not exclude its endpoint: a further attempt beside it means that it is presumed lost, and its
-// endpoint may be the only one.
+// alreadyTried reports whether a request has used an endpoint. At the first fallback level any earlier attempt counts,
+// at the others only one that ended within endpointPauseSeconds. It guards against a request that uses up its attempts
+// within milliseconds at an endpoint that refuses immediately. The function used selects the role, target or source;
+// cache-only attempts do not count. At the other levels an attempt in flight does not exclude its endpoint: a further
+// attempt beside it means that it is presumed lost, and its endpoint may be the only one.
 func alreadyTried(req *request, e *endpoint, level fallbackLevel, now float64, used usedFunc) bool {
 	for _, a := range req.attempts {
 		if used(a, e) && (level == untriedOnly || now < a.endedAt+endpointPauseSeconds) {
--- a/routing/router.go
+++ b/routing/router.go
@@ -6,15 +6,15 @@
 	deadlineMarginSeconds = 0.006 // margin before the deadline for giving up a request: a few clock ticks
 	queueShare            = 0.8   // share of the objective within which a queued request's attempt has to end
 	queuedSendTimes       = 2.0   // sending times expected for a queued request's attempt: its paths are full
-	queueRecheckSeconds   = 0.1   // interval between plans of a queued request without other events
-	maxQueueRetries       = 12    // queued requests planned after each end of an attempt: bounds the work
+	queueRecheckSeconds   = 0.1   // interval between plans of a queued request from queueUntil on, without other events
+	maxQueuePlans         = 12    // queued requests planned after each end of an attempt: bounds the work
 	unknownSizeKB         = 1.0   // assumed size of a chunk of unknown size: all chunks count the same
 )
 
 // updateEndpoints applies an endpoint update. An endpoint that has restarted is empty, in slow start and without
 // results.
 func (r *Router) updateEndpoints(update EndpointUpdate) {
-	if update.Kind == Unavailable || (update.Kind == Restored && r.subscribesOnRequest()) {
+	if update.Kind == Unavailable || (update.Kind == Restored && r.mustSubscribe()) {
 		r.actions = append(r.actions, SubscribeEndpoints{})
 	}
 	for _, started := range r.mergeEndpoints(update) {
@@ -77,8 +77,9 @@
 	giveUp                        // emit a final action without a response
 )
 
-// chooseNextStep returns the next step of a request, with the attempt to send for sendAttempt. A request is given up
-// when its deadline is reached, or when no attempt is in flight and no further attempt is allowed or could be in time.
+// chooseNextStep returns the next step of a request, with the attempt to send for sendAttempt. A request is given up at
+// giveUpTime, shortly before its deadline. It is given up earlier if no attempt is in flight and none may follow: no
+// further attempt is allowed, or none can be sent now and the request is not worth queueing.
 func (r *Router) chooseNextStep(req *request) (nextStep, *attempt) {
 	if r.now >= giveUpTime(req) {
 		return giveUp, nil
@@ -112,7 +113,8 @@
 
 // worthQueueing reports whether a request may wait in the queue for capacity. It guards against attempts that are sent
 // too late to be useful and take capacity from other requests, visible as late answers after a burst has ended. Until
-// queueUntil, an attempt on paths at their limits still ends in time.
+// queueUntil, an attempt on paths at their limits still ends in time. Without a ready edge cache in the zone no request
+// waits.
 func (r *Router) worthQueueing(req *request) bool {
 	return r.now < queueUntil(req) && len(r.caches.endpoints) > 0
 }
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -27,8 +27,8 @@
 	fallbackLevelCount
 )
 
-// chooseAttempt selects the target and the fill source of a request's next attempt. It returns nil if no endpoint has
-// capacity.
+// chooseAttempt selects the target and the fill source of a request's next attempt. It returns nil if no endpoint may
+// be used now.
 func (r *Router) chooseAttempt(req *request) *attempt {
 	caches, parents := r.cacheCandidates(req.object), r.parentCandidates(req.object)
 	defer caches.trim()
@@ -112,10 +112,11 @@
 }
 
 // limitFill applies the limits on the fill path to an attempt, and reports whether it may be sent. If a limit is
-// reached, one attempt per request is sent that goes only as far as the cache or the parent.
+// reached or no source is usable, at most one attempt per request is sent that goes only as far as the cache or the
+// parent.
 func (r *Router) limitFill(req *request, a *attempt) bool {
 	var origin *limiter // nil if the fill does not reach the origin
-	if !req.chunk.filledByParent {
+	if !req.chunk.filledSincePurge {
 		origin = r.originLimiter()
 	}
 	a.fill, a.expectedFills = r.fillWithinLimits(req, a, origin), r.missRate()
@@ -155,7 +156,8 @@
 	return fillExpected
 }
 
-// mayTryCacheOnly allows one cache-only attempt per request, and one at the target alone only if hits are likely.
+// mayTryCacheOnly allows one cache-only attempt per cacheable request, and one at the target alone only if the hit rate
+// is at least minCacheOnlyHitShare.
 func (r *Router) mayTryCacheOnly(req *request, a *attempt) bool {
 	if r.uncacheable(req) || slices.ContainsFunc(req.attempts, isCacheOnly) {
 		return false
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -100,7 +100,7 @@
 	require.Len(t, starts, 1)
 	assert.True(t, starts[0].CacheOnly)
 	assert.Contains(t, []EndpointID{"p0", "p1"}, starts[0].Source)
-	r.requests["t"].chunk.filledByParent = true // a parent has the chunk: the origin is not used
+	r.requests["t"].chunk.filledSincePurge = true // a parent has the chunk: the origin is not used
 	assert.False(t, actionsOf[StartAttempt](r.Decide(100, newArrival("u", "x")))[0].CacheOnly)
 }
 
--- a/routing/sendtime.go
+++ b/routing/sendtime.go
@@ -9,10 +9,11 @@
 // setSendTime sets the expected sending time of a request and its latency objective, which depends on that. If its size
 // and the transfer rate are known, they determine the sending time, which is also a sample of its class.
 //
-// Otherwise the sending time is the mean duration of its class's answers from caches, which include no fill. This
-// guards against attempts that count as no work: each router would then send an endpoint in slow start its usual load,
-// and the endpoint would fail again (rule 4). With too few samples, or with samples stretched by congestion, the
-// sending time is bounded by the objective, so that late answers are still detected.
+// Otherwise the sending time is the mean of the class's samples: the known sending times, and the durations of other
+// requests' answers from caches, which include no fill. This guards against attempts that count as no work: each router
+// would then send an endpoint in slow start its usual load, and the endpoint would fail again (rule 4). With too few
+// samples, or with samples stretched by congestion, the sending time is bounded by the objective, so that late answers
+// are still detected.
 func (r *Router) setSendTime(req *request, sizeKnown bool) {
 	class := r.class(req.Class)
 	if pace := r.number(SettingTransferRate, 0); sizeKnown && pace > 0 {
@@ -26,7 +27,8 @@
 	req.objectiveSeconds = class.objectiveSeconds + req.sendSeconds*class.objectiveStretch
 }
 
-// observeSendTime records the duration of an answer from a cache as a sample if the size of its request is unknown.
+// observeSendTime records the duration of an answer from a cache as a sample if its request's sending time is
+// estimated.
 func (r *Router) observeSendTime(req *request, end AttemptEnded) {
 	if req.sendTimeEstimated && end.answeredFromCache() {
 		r.class(req.Class).recordSendTime(end.ElapsedSeconds)
--- a/routing/settingnames.go
+++ b/routing/settingnames.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// SettingName is the name of a router setting. Unknown settings keep the names of their source, so a name defined here
-// must not be the name of another setting there (see internal/wirenames).
+// SettingName is the name of a router setting. A setting that is not defined here has the name that it has in the
+// protocol, so a name defined here must not be the name of another setting there (see internal/wirenames).
 type SettingName string
 
 // Settings of the deployment and of this router's location in it.
@@ -36,7 +36,7 @@
 // Settings of cached copies. Lists are indexed by request class.
 const (
 	SettingFreshTime     SettingName = "fresh_s"              // list: s, fresh time of a copy, 0 for no expiry
-	SettingStaleTime     SettingName = "stale_s"              // list: s after the fresh time, copies may be served
+	SettingStaleTime     SettingName = "stale_s"              // list: s for which a stale copy may be served
 	SettingStalePriority SettingName = "stale_priority_share" // list: weight of a stale answer, share of priority
 	SettingUncacheable   SettingName = "uncacheable"          // list of booleans: copies are never stored
 	SettingChunked       SettingName = "chunked"              // list of booleans: objects have several chunks
@@ -61,10 +61,10 @@
 	SettingMaxAttempts              SettingName = "max_attempts"                // attempts of a request
 	SettingMaxAttemptsPerConnection SettingName = "max_attempts_per_connection" // attempts in flight
 	SettingMaxRetryAfter            SettingName = "max_retry_after_s"           // s, longest retry delay of a rejection
-	SettingConnectTimeout           SettingName = "connect_timeout_s"           // s, until a connect attempt fails
-	SettingIdleTimeout              SettingName = "idle_timeout_s"              // s, then unused connections are closed
-	SettingResponseGrace            SettingName = "response_grace_s"            // s after a deadline, answers count
-	SettingDrainGrace               SettingName = "drain_grace_s"               // s, draining endpoints accept attempts
+	SettingConnectTimeout           SettingName = "connect_timeout_s"           // s until a connect attempt fails
+	SettingIdleTimeout              SettingName = "idle_timeout_s"              // s until unused connections are closed
+	SettingResponseGrace            SettingName = "response_grace_s"            // s that answers count after a deadline
+	SettingDrainGrace               SettingName = "drain_grace_s"               // s for which a drain allows attempts
 )
 
 // Settings of slow start. An endpoint in slow start fails if its load exceeds its current capacity by the overload
@@ -125,7 +125,7 @@
 
 // String values of settings.
 const (
-	DiscoveryOnRequest = "on_request" // SettingDiscoveryMode: endpoints are sent to routers that ask or subscribe
+	DiscoveryOnRequest = "on_request" // SettingDiscoveryMode: endpoints are sent only to routers that ask or subscribe
 	LoadFromResponses  = "responses"  // SettingLoadReportSource: each response carries a load report
 	LoadFromProbes     = "probes"     // SettingLoadReportSource: health checks request a load report
 	PeerCachesInZone   = "zone"       // SettingPeerCaches: caches of the same zone may fill a miss
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -98,8 +98,9 @@
 	return number
 }
 
-// subscribesOnRequest reports whether the discovery service notifies only routers that subscribe.
-func (r *Router) subscribesOnRequest() bool {
+// mustSubscribe reports whether the discovery service sends endpoints only on request, so that this router has to
+// subscribe to get updates.
+func (r *Router) mustSubscribe() bool {
 	return r.settings[SettingDiscoveryMode] == DiscoveryOnRequest
 }
 
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -3,7 +3,7 @@
 import "slices"
 
 const (
-	slowStartLimit = 2.0 // initial limit of a starting endpoint, in attempts in flight, in a recovery ramp
+	slowStartLimit = 2.0 // initial limit in slow start, in attempts in flight; a recovery ramp if below the threshold
 	slowStartShare = 1.0 // used share of the capacity during slow start: a multiple of it overloads the endpoint
 )
 
@@ -59,10 +59,10 @@
 }
 
 // withinSlowStartBudget reports whether an endpoint in slow start can take another attempt (rule 4). In any overload
-// window, this router sends at most its even share of the capacity that a cache, or a parent with its fills, has then.
-// It guards against an endpoint that restarts, gets its usual load while its cache is cold and fails again, visible as
-// repeated restarts in the endpoint list. The shares of all routers add up to at most the capacity, so the shares of
-// idle routers are wasted.
+// window, this router sends at most its even share of the endpoint's current capacity, where fills from the endpoint
+// count as well as attempts at it. It guards against an endpoint that restarts, gets its usual load while its cache is
+// cold and fails again, visible as repeated restarts in the endpoint list. The shares of all routers add up to at most
+// the capacity, so the shares of idle routers are wasted.
 func (r *Router) withinSlowStartBudget(req *request, e *endpoint) bool {
 	warm, window := r.capacityShare(e), r.number(SettingOverloadWindow, 1)
 	return warm >= 1 ||
--- a/simadapter/events.go
+++ b/simadapter/events.go
@@ -37,7 +37,7 @@
 )
 
 const (
-	requestFlagWrite = 4   // request flag: the body of the request is to be stored
+	requestFlagWrite = 4   // request flag: the request is a write
 	groupPurgeObject = "0" // value of the object field in a purge of an object group
 )
 
@@ -196,7 +196,8 @@
 	return status
 }
 
-// loadReport parses name:value pairs separated by commas. Malformed pairs are skipped.
+// loadReport parses name:value pairs separated by commas. Pairs without a colon are skipped; a value that is not a
+// number is an error.
 func (f *fieldReader) loadReport() []routing.LoadMetric {
 	var metrics []routing.LoadMetric
 	for pair := range strings.SplitSeq(f.text(), ",") {
--- a/simadapter/lines.go
+++ b/simadapter/lines.go
@@ -19,7 +19,7 @@
 type lineReader struct {
 	in       *bufio.Reader
 	longLine []byte // buffer for a line longer than the reader's buffer
-	number   int    // number of the last line read
+	number   int    // number of the last line read in its batch; the server sets it to 1 at the first line
 }
 
 func newLineReader(in io.Reader) *lineReader {
--- a/simadapter/server.go
+++ b/simadapter/server.go
@@ -31,7 +31,7 @@
 type NewRouterFunc func(seed uint64, settings routing.Settings) routing.Decider
 
 var (
-	// ErrTruncated is returned if the input ends within a batch.
+	// ErrTruncated is returned if the input ends within a batch or within a line.
 	ErrTruncated = errors.New("the input ends within a batch")
 
 	// ErrSyntax is wrapped by errors about malformed lines.
