--- a/internal/ciscripts/doc.go
+++ b/internal/ciscripts/doc.go
@@ -1,2 +1,2 @@
-// Package ciscripts holds the tests of the scripts in .ci. It has no code of its own.
+// Package ciscripts tests the scripts in .ci. It has no code apart from tests.
 package ciscripts
--- a/internal/ciscripts/knownred_test.go
+++ b/internal/ciscripts/knownred_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// knownRed runs .ci/known-red on a list, against a repository with the tests TestSlow and FuzzParse, and returns what
-// it printed and whether it succeeded.
-func knownRed(t *testing.T, list string) (skip, messages string, ok bool) {
+// runKnownRed runs .ci/known-red with a list of known failures on a repository that has the tests TestSlow and
+// FuzzParse. It returns the script's output and whether the script succeeded.
+func runKnownRed(t *testing.T, list string) (skip, messages string, ok bool) {
 	t.Helper()
 	repository := t.TempDir()
 	tests := "package p\n\nfunc TestSlow(t *testing.T) {}\n\nfunc FuzzParse(f *testing.F) {}\n"
@@ -24,7 +24,7 @@
 	return runScript(t, nil, "../../.ci/known-red", file, repository)
 }
 
-// runScript runs a script with some input and returns what it printed and whether it succeeded.
+// runScript runs a bash script with the given standard input. It returns the script's output and whether it succeeded.
 func runScript(t *testing.T, input io.Reader, path string, args ...string) (stdout, stderr string, ok bool) {
 	t.Helper()
 	script, err := filepath.Abs(path)
@@ -36,30 +36,30 @@
 	return output.String(), messages.String(), err == nil
 }
 
-// TestKnownFailuresAreSkippedAndPrinted holds that CI passes over just the tests that the list names, and prints each
-// entry, without a bound on their number.
+// TestKnownFailuresAreSkippedAndPrinted checks that CI skips exactly the tests that the list names and prints each
+// entry, without a limit on the number of entries.
 func TestKnownFailuresAreSkippedAndPrinted(t *testing.T) {
 	slow := "TestSlow | go test -run TestSlow ./p -seed 7 | two of ten runs were late | issue 41\n"
 	fuzz := "FuzzParse | go test -run FuzzParse ./p, no seed | a panic at an empty line | issue 47"
-	skip, messages, ok := knownRed(t, "# known failures\n\n"+slow+slow+slow+slow+fuzz)
+	skip, messages, ok := runKnownRed(t, "# known failures\n\n"+slow+slow+slow+slow+fuzz)
 	require.True(t, ok, messages)
 	assert.Equal(t, "^(TestSlow|TestSlow|TestSlow|TestSlow|FuzzParse)$\n", skip)
 	assert.Contains(t, messages, "known to fail, not run: "+slow)
 	assert.Contains(t, messages, "known to fail, not run: "+fuzz)
 }
 
-// A pattern made from an empty list may match every test, and CI would then pass without running one. An empty list
-// must skip nothing.
+// A pattern built from an empty list may match every test, and CI would then pass without running any. An empty list
+// must skip no test.
 func TestEmptyListOfKnownFailuresSkipsNothing(t *testing.T) {
 	for _, list := range []string{"", "\n# nothing is known to fail\n"} {
-		skip, messages, ok := knownRed(t, list)
+		skip, messages, ok := runKnownRed(t, list)
 		assert.True(t, ok, messages)
 		assert.Empty(t, skip)
 	}
 }
 
-// TestIncompleteEntryOfKnownFailuresFails holds that CI fails on an entry that lacks a part or names a test that does
-// not exist: such an entry would hide a failure, or nothing at all.
+// TestIncompleteEntryOfKnownFailuresFails checks that CI fails if an entry is incomplete or names a test that does not
+// exist. An incomplete entry would hide a failure, and one without an existing test would have no effect.
 func TestIncompleteEntryOfKnownFailuresFails(t *testing.T) {
 	for entry, message := range map[string]string{
 		"TestSlow: late, issue 41":                            `an entry is "TestName | command`,
@@ -75,7 +75,7 @@
 		"TestSlow | a | b, seed 7 | late | issue 41":          `an entry is "TestName | command`,
 		"TestSlow$|^Test | go test, seed 7 | late | issue 41": `an entry is "TestName | command`,
 	} {
-		_, messages, ok := knownRed(t, entry)
+		_, messages, ok := runKnownRed(t, entry)
 		assert.False(t, ok, entry)
 		assert.Contains(t, messages, message, entry)
 	}
--- a/internal/ciscripts/unreached_test.go
+++ b/internal/ciscripts/unreached_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unreached runs .ci/unreached on a list of functions found and a list of functions known.
-func unreached(t *testing.T, found, known string) (messages string, ok bool) {
+// runUnreached runs .ci/unreached with the functions found to be unreachable and the list of known unreachable
+// functions.
+func runUnreached(t *testing.T, found, known string) (messages string, ok bool) {
 	t.Helper()
 	list := filepath.Join(t.TempDir(), "known.txt")
 	require.NoError(t, os.WriteFile(list, []byte(known), 0o600))
@@ -19,19 +20,19 @@
 	return messages, ok
 }
 
-// TestUnreachedFunctionsAreHeldToTheList holds that CI fails on a function that no program reaches unless the list has
-// it, and on a list with a function that is reached or gone: the list may only shrink.
-func TestUnreachedFunctionsAreHeldToTheList(t *testing.T) {
-	messages, ok := unreached(t, "p.B\np.T.A\n", "# a reason\np.T.A\n\np.B\n")
+// TestUnreachedFunctionsMustMatchTheList checks that CI fails if no program reaches a function that is not in the list,
+// or if the list contains a function that is reached or was removed, so that the list can only shrink.
+func TestUnreachedFunctionsMustMatchTheList(t *testing.T) {
+	messages, ok := runUnreached(t, "p.B\np.T.A\n", "# a reason\np.T.A\n\np.B\n")
 	assert.True(t, ok, messages)
-	messages, ok = unreached(t, "", "# nothing\n")
+	messages, ok = runUnreached(t, "", "# nothing\n")
 	assert.True(t, ok, messages)
 
-	messages, ok = unreached(t, "p.B\np.C\n", "p.B\n")
+	messages, ok = runUnreached(t, "p.B\np.C\n", "p.B\n")
 	assert.False(t, ok)
 	assert.Equal(t, "no program reaches p.C: use it, move it into a test file, or remove it\n", messages)
 
-	messages, ok = unreached(t, "p.B\n", "p.B\np.C\n")
+	messages, ok = runUnreached(t, "p.B\n", "p.B\np.C\n")
 	assert.False(t, ok)
 	assert.Equal(t, "p.C is reached now, or gone: take it from known.txt\n", messages)
 }
--- a/internal/codestyle/decisions_test.go
+++ b/internal/codestyle/decisions_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The columns of the tables in docs/decisions.md.
+// Column indexes of the tables in docs/decisions.md.
 const (
 	questionColumn = iota
 	whereColumn
@@ -27,24 +27,24 @@
 	decisionColumns
 )
 
-// decisionRow is a row of docs/decisions.md, or one file of it: a rule with the functions that decide it there and
-// their constants.
+// decisionRow is a row of docs/decisions.md for one of the files that it names: a rule, the functions that implement it
+// in that file, and its constants. A row that names several files is parsed as one decisionRow for each file.
 type decisionRow struct {
 	line      int
 	file      string
 	functions []string
 	constants []string
-	evidence  []string // counters, with label="value" where only some of them show the rule
+	evidence  []string // what shows the rule at work, such as counters, with label="value" if only some series do
 }
 
-// declarations are the names that a Go file declares at its top level.
+// declarations has the names of functions and constants that a Go file declares at its top level.
 type declarations struct {
-	functions map[string]bool // methods without their type
+	functions map[string]bool // including methods, without their receiver type
 	constants map[string]bool
 }
 
-// TestDecisionsAreIndexed holds docs/decisions.md to the code: what it names exists, and each function and constant of
-// the files under policy in the deployment file has a row.
+// TestDecisionsAreIndexed checks docs/decisions.md against the code: everything that it names must exist, and each
+// function and constant of the files in the deployment file's policy list must have a row.
 func TestDecisionsAreIndexed(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	require.NoError(t, err)
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestDecisionFaultsAreFound shows that the check can fail, in each of its ways.
+// TestDecisionFaultsAreFound checks that decisionFaults reports each kind of fault.
 func TestDecisionFaultsAreFound(t *testing.T) {
 	root := t.TempDir()
 	code := "package rules\n\nconst limit = 1\n\nfunc decide() int { return limit }\n\nfunc other() {}\n"
@@ -87,8 +87,8 @@
 	assert.Len(t, decisionFaults(t, root, "", policy), 3, "an empty page")
 }
 
-// TestEvidenceOfDecisionsIsPrinted holds that what shows a rule at work is printed: a counter of the dump, with those
-// labels; a reason, a message or a key of a log line; or a command's output.
+// TestEvidenceOfDecisionsIsPrinted checks that the program prints the evidence that a row names for its rule: a counter
+// with the given labels; a reason, a message or a key of a log line; or the output of a command.
 func TestEvidenceOfDecisionsIsPrinted(t *testing.T) {
 	rows, faults := parseDecisions(readFile(t, "../../docs/decisions.md"))
 	require.Empty(t, faults)
@@ -97,12 +97,12 @@
 	for _, row := range rows {
 		for _, shown := range row.evidence {
 			printed := isCounter(shown, counters) || slices.Contains(logged, shown) || isCommand(shown)
-			assert.True(t, printed, "line %d: nothing prints %s", row.line, shown)
+			assert.True(t, printed, "line %d: the program never prints %s", row.line, shown)
 		}
 	}
 }
 
-// loggedWords returns the reasons, and the messages and keys of log lines, that the program prints.
+// loggedWords returns all reasons, and all messages and keys of log lines, that the program can print.
 func loggedWords(t *testing.T) (words []string) {
 	t.Helper()
 	for _, closed := range closedTypes {
@@ -123,13 +123,14 @@
 	return words
 }
 
-// isCommand reports whether a text is a command of the program whose output shows a rule at work.
+// isCommand reports whether a text is a program command whose output may be the evidence of a rule.
 func isCommand(shown string) bool {
 	words := strings.Fields(shown)
 	return len(words) == 2 && words[0] == "cairnfront" && slices.Contains([]string{"addresses", "peers"}, words[1])
 }
 
-// TestEvidenceThatIsNotPrintedIsFound shows that the check can fail.
+// TestEvidenceThatIsNotPrintedIsFound checks that counters, labels, commands and words that are never printed are
+// detected.
 func TestEvidenceThatIsNotPrintedIsFound(t *testing.T) {
 	counters := []string{"lost_total", "ended_total{class,result}"}
 	for shown, want := range map[string]bool{
@@ -150,7 +151,8 @@
 	assert.NotContains(t, logged, "mute")
 }
 
-// isCounter says whether a text names one of the counters, each with the names of its labels, and only labels of it.
+// isCounter reports whether a text names one of the counters and only labels that this counter has. Each counter is
+// given as name{label,label}.
 func isCounter(shown string, counters []string) bool {
 	name, labels, _ := strings.Cut(strings.TrimSuffix(shown, "}"), "{")
 	return slices.ContainsFunc(counters, func(counter string) bool {
@@ -168,7 +170,7 @@
 	})
 }
 
-// decisionFaults lists what is wrong with a page of decisions about the code under root.
+// decisionFaults returns the differences between a page of decisions and the code under root.
 func decisionFaults(t *testing.T, root, page string, policy []string) []string {
 	t.Helper()
 	rows, faults := parseDecisions(page)
@@ -190,7 +192,7 @@
 	return faults
 }
 
-// namesOfRows are the functions and constants that rows name, each behind its folder.
+// namesOfRows returns the set of functions and constants that rows name, each as "directory name".
 func namesOfRows(root string, rows []decisionRow) map[string]bool {
 	named := map[string]bool{}
 	for _, row := range rows {
@@ -201,7 +203,7 @@
 	return named
 }
 
-// rowFaults lists what a row names that does not exist.
+// rowFaults returns a fault for each file, function and constant that a row names and that does not exist.
 func rowFaults(t *testing.T, root string, row decisionRow) (faults []string) {
 	t.Helper()
 	path := filepath.Join(root, row.file)
@@ -224,7 +226,7 @@
 
 var backquoted = regexp.MustCompile("`([^`]+)`")
 
-// parseDecisions reads the rows of all tables of a page, and lists the rows that lack something.
+// parseDecisions parses the rows of all tables of a page, and returns a fault for each incomplete row.
 func parseDecisions(page string) (rows []decisionRow, faults []string) {
 	for i, line := range strings.Split(page, "\n") {
 		heading := strings.HasPrefix(line, "| ---") || strings.HasPrefix(line, "| question |")
@@ -241,8 +243,8 @@
 	return rows, faults
 }
 
-// parseRow reads the cells of a row: one decisionRow for each of its files, the first of which has the constants. It
-// returns nil where something lacks.
+// parseRow parses the cells of a row and returns one decisionRow for each of its files. Only the first one has the
+// constants and the evidence. It returns nil if the row is incomplete.
 func parseRow(line int, cells []string) (rows []decisionRow) {
 	if len(cells) != decisionColumns || hasEmptyCell(cells) {
 		return nil
@@ -276,7 +278,7 @@
 	return names
 }
 
-// policyFiles reads the list under policy of a deployment file.
+// policyFiles returns the files in the policy list of a deployment file.
 func policyFiles(t *testing.T, path string) []string {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -297,7 +299,7 @@
 	return nil
 }
 
-// packageConstants are the constants of all files of a folder that are no tests.
+// packageConstants returns the constants that the files of a directory declare, without test files.
 func packageConstants(t *testing.T, folder string) map[string]bool {
 	t.Helper()
 	all := map[string]bool{}
--- a/internal/codestyle/doc.go
+++ b/internal/codestyle/doc.go
@@ -1,3 +1,3 @@
-// Package codestyle holds the tests that keep the code in the terms of docs/glossary.md and docs/decisions.md equal to
-// the code. It has no code of its own.
+// Package codestyle has tests that check that the code uses the terms of docs/glossary.md, and that docs/decisions.md
+// and the operators' documentation match the code. It has no code apart from tests.
 package codestyle
--- a/internal/codestyle/names_test.go
+++ b/internal/codestyle/names_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// withdrawn has the words that no identifier uses any more, each with the term in its place (docs/glossary.md).
-var withdrawn = map[string]string{
+// withdrawnWords maps each word that identifiers must not use to the term that replaces it (docs/glossary.md).
+var withdrawnWords = map[string]string{
 	"bell":         "timer",
 	"benched":      "ejected",
 	"brain":        "routing",
@@ -48,19 +48,19 @@
 	"whereabouts":  "attempt location",
 }
 
-// checkedFolders are the trees whose code is held to the withdrawn words: all of it.
+// checkedFolders are the directory trees that are searched for withdrawn words. They contain all code of the module.
 var checkedFolders = []string{"cmd", "internal", "routing", "simadapter"}
 
-// TestIdentifiersUseTheGlossary walks all code and fails for each identifier with a withdrawn word.
+// TestIdentifiersUseTheGlossary fails for each identifier in the code that contains a withdrawn word.
 func TestIdentifiersUseTheGlossary(t *testing.T) {
 	forEachGoFile(t, func(root, file string) {
 		for _, found := range withdrawnIn(t, file) {
-			assert.Fail(t, "a withdrawn word", "%s", strings.TrimPrefix(found, root+"/"))
+			assert.Fail(t, "an identifier contains a withdrawn word", "%s", strings.TrimPrefix(found, root+"/"))
 		}
 	})
 }
 
-// forEachGoFile calls check with the repository's folder and each file of its code.
+// forEachGoFile calls check with the repository's root directory and the path of each Go file in checkedFolders.
 func forEachGoFile(t *testing.T, check func(root, file string)) {
 	t.Helper()
 	root, err := filepath.Abs("../..")
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestWithdrawnWordsAreFound shows that the check can fail.
+// TestWithdrawnWordsAreFound checks that withdrawn words are found in identifiers, and only complete words.
 func TestWithdrawnWordsAreFound(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "code.go")
 	text := "package code\n\ntype openTxn struct{ lastHop int }\n\nfunc attempt(hopper int) int { return hopper }\n"
@@ -94,7 +94,7 @@
 	return files
 }
 
-// withdrawnIn lists the identifiers of a file that have a withdrawn word, with their places.
+// withdrawnIn returns the position of each identifier in a file that contains a withdrawn word, with the term to use.
 func withdrawnIn(t *testing.T, file string) []string {
 	t.Helper()
 	var found []string
@@ -104,15 +104,15 @@
 			return
 		}
 		for _, word := range words(identifier.Name) {
-			if term := withdrawn[word]; term != "" {
-				found = append(found, place+": "+identifier.Name+": say "+term)
+			if term := withdrawnWords[word]; term != "" {
+				found = append(found, place+": "+identifier.Name+": use "+term)
 			}
 		}
 	})
 	return found
 }
 
-// inspectFile calls visit with each node of a file's syntax and its place.
+// inspectFile calls visit with each node of a file's syntax tree and its position.
 func inspectFile(t *testing.T, file string, visit func(node ast.Node, place string)) {
 	t.Helper()
 	set, tree := parseFile(t, file)
@@ -124,7 +124,7 @@
 	})
 }
 
-// parseFile parses a file with its comments.
+// parseFile parses a Go file including its comments.
 func parseFile(t *testing.T, file string) (*token.FileSet, *ast.File) {
 	t.Helper()
 	set := token.NewFileSet()
@@ -133,7 +133,7 @@
 	return set, tree
 }
 
-// words splits an identifier in mixed caps into lower-case words; a run of capitals is one word.
+// words splits an identifier in MixedCaps or snake_case into lower-case words. A run of capitals is one word.
 func words(identifier string) []string {
 	var list []string
 	var word []rune
@@ -152,7 +152,7 @@
 	return append(list, strings.ToLower(string(word)))
 }
 
-// runCommand runs a program and returns what it printed.
+// runCommand runs a program, which must succeed, and returns its combined output.
 func runCommand(t *testing.T, name string, args ...string) string {
 	t.Helper()
 	output, err := exec.CommandContext(t.Context(), name, args...).CombinedOutput()
--- a/internal/codestyle/rulefiles_test.go
+++ b/internal/codestyle/rulefiles_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ruleFiles are the files outside of the routing module that have rules among other code. Their constants have a row in
-// docs/decisions.md, and so have the functions that read these or guard against a failure.
+// ruleFiles are the files outside the routing module that contain rules among other code. Their constants must have a
+// row in docs/decisions.md, and so must functions that read one of these constants or guard against a failure.
 var ruleFiles = []string{
 	"cmd/cairnfront/drain.go",
 	"cmd/cairnfront/listen.go",
@@ -65,10 +65,10 @@
 	"internal/upstream/writer.go",
 }
 
-// guardWords are what the comment of a function says that guards against a failure.
+// guardWords is the phrase in the doc comment of each function that guards against a failure.
 const guardWords = "guards against"
 
-// TestRulesAreIndexed holds docs/decisions.md to the rules outside of the routing module.
+// TestRulesAreIndexed checks that docs/decisions.md has a row for each rule outside the routing module.
 func TestRulesAreIndexed(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	require.NoError(t, err)
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestRuleFaultsAreFound shows that the check can fail, in each of its ways, and that it passes over what is no rule.
+// TestRuleFaultsAreFound checks that ruleFaults reports each kind of missing row, and ignores code that is not a rule.
 func TestRuleFaultsAreFound(t *testing.T) {
 	root := t.TempDir()
 	require.NoError(t, os.MkdirAll(filepath.Join(root, "rules"), 0o700))
@@ -101,11 +101,12 @@
 	assert.Len(t, ruleFaults(t, root, "", files), 3, "an empty page")
 }
 
-// ruleFaults lists the rules of files that no row of a page names: their constants apart from enumerations, the
-// functions of their packages that read one of these, and their own functions that guard against a failure.
+// ruleFaults returns a fault for each rule of the files that no row of the page names. Rules are the constants of the
+// files except enumerations, the functions of their packages that read such a constant, and functions of the files
+// whose comment marks them as a guard.
 func ruleFaults(t *testing.T, root, page string, files []string) (faults []string) {
 	t.Helper()
-	rows, _ := parseDecisions(page) // rows that lack something are found by TestDecisionsAreIndexed
+	rows, _ := parseDecisions(page) // TestDecisionsAreIndexed reports incomplete rows
 	named := namesOfRows(root, rows)
 	check := func(path string, names []string) {
 		relative, err := filepath.Rel(root, path)
@@ -116,7 +117,7 @@
 			}
 		}
 	}
-	constants := map[string]map[string]bool{} // by folder
+	constants := map[string]map[string]bool{} // by directory
 	for _, file := range files {
 		path := filepath.Join(root, file)
 		folder, tree := filepath.Dir(path), parseWithComments(t, path)
@@ -127,13 +128,13 @@
 			constants[folder][name] = true
 		}
 		check(path, ruleConstants(tree))
-		check(path, functionsWhere(tree, isGuard))
+		check(path, functionsMatching(tree, isGuard))
 	}
 	for folder, names := range constants {
 		for _, path := range goFiles(t, folder) {
 			if filepath.Dir(path) == folder && !strings.HasSuffix(path, "_test.go") {
 				tree := parseWithComments(t, path)
-				check(path, functionsWhere(tree, func(f *ast.FuncDecl) bool { return readsOne(f, names) }))
+				check(path, functionsMatching(tree, func(f *ast.FuncDecl) bool { return usesAny(f, names) }))
 			}
 		}
 	}
@@ -148,8 +149,8 @@
 	return tree
 }
 
-// functionsWhere returns the names of a file's functions of which a condition is true.
-func functionsWhere(tree *ast.File, condition func(*ast.FuncDecl) bool) (names []string) {
+// functionsMatching returns the names of a file's functions that satisfy a condition.
+func functionsMatching(tree *ast.File, condition func(*ast.FuncDecl) bool) (names []string) {
 	for _, declaration := range tree.Decls {
 		if function, ok := declaration.(*ast.FuncDecl); ok && condition(function) {
 			names = append(names, function.Name.Name)
@@ -158,12 +159,12 @@
 	return names
 }
 
-// isGuard says whether a function's comment names the failure that it guards against.
+// isGuard reports whether a function's comment names a failure that the function guards against.
 func isGuard(function *ast.FuncDecl) bool {
 	return strings.Contains(strings.Join(strings.Fields(function.Doc.Text()), " "), guardWords)
 }
 
-// ruleConstants are the constants of a file, apart from groups that count with iota: their table is beside them.
+// ruleConstants returns the constants that a file declares, without enumerations (groups that use iota).
 func ruleConstants(tree *ast.File) (names []string) {
 	for _, declaration := range tree.Decls {
 		group, ok := declaration.(*ast.GenDecl)
@@ -177,11 +178,11 @@
 	return names
 }
 
-// constantNames returns the names that one line of a declaration of constants has. It panics at any other declaration.
+// constantNames returns the names that one spec of a constant declaration declares. It panics for any other spec.
 func constantNames(spec ast.Spec) (names []string) {
 	values, ok := spec.(*ast.ValueSpec)
 	if !ok {
-		panic(fmt.Sprintf("a declaration of constants with a %T", spec))
+		panic(fmt.Sprintf("unexpected %T in a constant declaration", spec))
 	}
 	for _, name := range values.Names {
 		names = append(names, name.Name)
@@ -189,12 +190,13 @@
 	return names
 }
 
-// readsOne says whether a function reads a constant.
-func readsOne(function *ast.FuncDecl, constants map[string]bool) bool {
+// usesAny reports whether a function's body uses one of the constants.
+func usesAny(function *ast.FuncDecl, constants map[string]bool) bool {
 	return function.Body != nil && mentions(function.Body, constants)
 }
 
-// mentions says whether one of the names stands in a part of the syntax tree, other than as a field or method.
+// mentions reports whether a syntax tree contains one of the names as an identifier, other than as a selected field or
+// method.
 func mentions(node ast.Node, names map[string]bool) (found bool) {
 	selected := map[*ast.Ident]bool{}
 	ast.Inspect(node, func(n ast.Node) bool {
--- a/internal/codestyle/surface_test.go
+++ b/internal/codestyle/surface_test.go
@@ -16,12 +16,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// closedTypes are the texts that stand in the log and in labels of counters. Each is listed in full by the tables of
-// the operators' pages whose first column has the heading.
+// closedTypes are the enumerations whose texts are printed in log lines and counter labels. The operators'
+// documentation lists all texts of each one, in tables whose first column has the given heading.
 var closedTypes = []struct {
 	heading   string
 	file      string
-	variables []string // the variables and constants with the texts
+	variables []string // variables and constants that define the texts
 }{
 	{"reason", "internal/netconn/endcode.go", []string{"endCodeTexts"}},
 	{"reason of an answer", "internal/request/response.go", []string{"reasonTexts"}},
@@ -33,23 +33,23 @@
 	{"reason of a refusal", "internal/membership/metrics.go", []string{"refusalReasons"}},
 }
 
-// logMethods are the methods that write a log line; the first argument is its message.
+// logMethods are the methods that write a log line. Their first argument is the message.
 var logMethods = []string{"Debug", "Info", "Warn", "Error"}
 
-// snakeCase matches the keys of log lines.
+// snakeCase matches a valid key of a log line.
 var snakeCase = regexp.MustCompile(`^[a-z]+(_[a-z0-9]+)*$`)
 
-// TestLogLinesAreDocumented holds that each log line has a constant message that the operators' pages list, and that
-// they list no other one.
+// TestLogLinesAreDocumented checks that the message of each log line is constant, and that the operators' documentation
+// lists exactly these messages.
 func TestLogLinesAreDocumented(t *testing.T) {
-	emitted := map[string]string{} // place by message, as it is printed
+	emitted := map[string]string{} // position in the code by message as printed
 	forEachGoFile(t, func(root, file string) {
 		if strings.HasSuffix(file, "_test.go") {
 			return
 		}
 		lines, faults := logLinesIn(t, file)
 		for _, fault := range faults {
-			assert.Fail(t, "a log line", "%s", strings.TrimPrefix(fault, root+"/"))
+			assert.Fail(t, "invalid log line", "%s", strings.TrimPrefix(fault, root+"/"))
 		}
 		maps.Copy(emitted, lines)
 	})
@@ -63,8 +63,8 @@
 	assertSameNames(t, "log line", slices.Collect(maps.Keys(emitted)), slices.Collect(maps.Keys(documented)))
 }
 
-// logLinesIn returns the messages of a file's log lines as they are printed, each with its place, and what is wrong
-// with them: messages that are not constant, keys that are not in snake_case.
+// logLinesIn returns the position of each log line of a file by its message as printed. It also returns faults:
+// messages that are not constant or not in lower case, and keys that are not constant or not in snake_case.
 func logLinesIn(t *testing.T, file string) (places map[string]string, faults []string) {
 	t.Helper()
 	places = map[string]string{}
@@ -89,7 +89,7 @@
 	return places, faults
 }
 
-// isLogCall reports whether a call writes a log line: x.Log.Info, logger.Warn and the like.
+// isLogCall reports whether a call writes a log line, such as x.Log.Info or logger.Warn.
 func isLogCall(call *ast.CallExpr) bool {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !slices.Contains(logMethods, method.Sel.Name) || len(call.Args) == 0 {
@@ -105,8 +105,8 @@
 	return slices.Contains([]string{"log", "logger"}, strings.ToLower(receiver))
 }
 
-// isAttributeList reports whether a literal is a list of keys and values of a log line: []any that begins with a
-// string.
+// isAttributeList reports whether a literal is a list of keys and values of a log line: an []any of at least two
+// elements, the first of which is a string literal.
 func isAttributeList(list *ast.CompositeLit) bool {
 	array, ok := list.Type.(*ast.ArrayType)
 	if !ok || len(list.Elts) < 2 {
@@ -117,7 +117,8 @@
 	return ok && element.Name == "any" && key
 }
 
-// badKeys lists the keys, every other of the arguments, that are not constant or not in snake_case.
+// badKeys returns a fault for each key that is not constant or not in snake_case. Arguments alternate between keys and
+// values.
 func badKeys(arguments []ast.Expr, place string) (faults []string) {
 	for i := 0; i < len(arguments); i += 2 {
 		if key, ok := stringLiteral(arguments[i]); !ok || !snakeCase.MatchString(key) {
@@ -141,8 +142,8 @@
 	return keys
 }
 
-// attributesIn returns the keys and values of a log line that a node has: the arguments of a call that writes the line,
-// a list of them, or what is appended to such a list.
+// attributesIn returns the keys and values of a log line in a node: the arguments of a log call after its message, the
+// elements of an attribute list, or the arguments appended to such a list.
 func attributesIn(node ast.Node) []ast.Expr {
 	switch node := node.(type) {
 	case *ast.CompositeLit:
@@ -157,7 +158,7 @@
 	return nil
 }
 
-// isAppendToAttributes reports whether a call appends to a variable that is named attributes.
+// isAppendToAttributes reports whether a call appends to a variable named attributes.
 func isAppendToAttributes(call *ast.CallExpr) bool {
 	function, ok := call.Fun.(*ast.Ident)
 	if !ok || function.Name != "append" || len(call.Args) < 2 {
@@ -177,7 +178,7 @@
 	return value, err == nil
 }
 
-// TestClosedTypesAreDocumented holds that the operators' pages list each text of a closed type, and no other one.
+// TestClosedTypesAreDocumented checks that the operators' documentation lists exactly the texts of each closed type.
 func TestClosedTypesAreDocumented(t *testing.T) {
 	for _, closed := range closedTypes {
 		var texts []string
@@ -193,12 +194,13 @@
 	}
 }
 
-// TestCountersAreDocumented holds that the operators' pages list each counter with its labels, and no other one.
+// TestCountersAreDocumented checks that the operators' documentation lists exactly the existing counters, with their
+// labels.
 func TestCountersAreDocumented(t *testing.T) {
 	assertSameNames(t, "counter", countersIn(t, "../../internal/telemetry/table.go"), documentedNames(t, "counter"))
 }
 
-// countersIn returns the counters that a file defines, each with the names of its labels: name{label,label}.
+// countersIn returns the counters that a file defines, each as name{label,label}, or name if it has no labels.
 func countersIn(t *testing.T, file string) (names []string) {
 	t.Helper()
 	inspectFile(t, file, func(node ast.Node, _ string) {
@@ -216,7 +218,7 @@
 			return
 		}
 		name := texts[0]
-		if labels := texts[1 : len(texts)-1]; len(labels) > 0 { // the last text is the help
+		if labels := texts[1 : len(texts)-1]; len(labels) > 0 { // the last string is the help text
 			name += "{" + strings.Join(labels, ",") + "}"
 		}
 		names = append(names, name)
@@ -224,7 +226,7 @@
 	return names
 }
 
-// calledName returns the name of a function that is called, also with type arguments; empty for a method.
+// calledName returns the name of a called function, which may have type arguments. It returns "" for a method.
 func calledName(function ast.Expr) string {
 	switch function := function.(type) {
 	case *ast.Ident:
@@ -237,7 +239,7 @@
 	return ""
 }
 
-// textsOf returns the string literals in the value of a variable or a constant, without empty ones.
+// textsOf returns the non-empty string literals in the initial value of a variable or constant.
 func textsOf(t *testing.T, file, name string) (texts []string) {
 	t.Helper()
 	_, tree := parseFile(t, file)
@@ -261,7 +263,8 @@
 	return texts
 }
 
-// documentedNames returns what stands in backquotes in the first column of the operators' tables with a heading.
+// documentedNames returns the names in backquotes in the first column of all tables with a heading in the operators'
+// documentation.
 func documentedNames(t *testing.T, heading string) (names []string) {
 	t.Helper()
 	for _, page := range operatorsPages(t) {
@@ -270,7 +273,7 @@
 	return names
 }
 
-// tableNames returns what stands in backquotes in the first column of the tables with a heading.
+// tableNames returns the names in backquotes in the first column of a page's tables with a heading.
 func tableNames(page, heading string) (names []string) {
 	quoted := regexp.MustCompile("`([^`]+)`")
 	inTable := false
@@ -294,7 +297,7 @@
 	return names
 }
 
-// operatorsPages returns the pages that are read on call.
+// operatorsPages returns the paths of the documentation for operators on call.
 func operatorsPages(t *testing.T) []string {
 	t.Helper()
 	pages, err := filepath.Glob("../../docs/operate/*.md")
@@ -303,15 +306,15 @@
 	return append(pages, "../../docs/oncall.md", "../../README.md")
 }
 
-// assertSameNames fails for each name that only the code has, or only the pages.
+// assertSameNames fails for each name that is missing in the code or in the pages, or listed twice in the pages.
 func assertSameNames(t *testing.T, what string, code, pages []string) {
 	t.Helper()
 	for _, difference := range differences(code, pages) {
-		assert.Fail(t, "code and operators' pages differ", "%s %s", what, difference)
+		assert.Fail(t, "code and operators' documentation differ", "%s %s", what, difference)
 	}
 }
 
-// differences lists the names that only one of two lists has, and those that the second has twice.
+// differences describes the names that are in only one of the two lists, and those that the second list contains twice.
 func differences(code, pages []string) (list []string) {
 	for _, name := range code {
 		if !slices.Contains(pages, name) {
@@ -338,7 +341,7 @@
 	return string(text)
 }
 
-// TestSurfaceDifferencesAreFound shows that the checks of log lines, texts and counters can fail.
+// TestSurfaceDifferencesAreFound checks that faults in log lines, texts and counters are detected.
 func TestSurfaceDifferencesAreFound(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "code.go")
 	text := `package code
--- a/internal/codestyle/unixtime_test.go
+++ b/internal/codestyle/unixtime_test.go
@@ -11,13 +11,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unixConversions are the methods and functions that turn a time into a count since the Unix epoch, or back. A span
-// that is computed from such counts follows each step of the wall clock.
+// unixConversions are the methods and functions that convert a time to or from a Unix time. A duration computed from
+// Unix times changes with each step of the wall clock.
 var unixConversions = map[string]bool{
 	"UnixNano": true, "UnixMicro": true, "UnixMilli": true,
 }
 
-// TestUnixTimeIsReadByOnePackageOnly keeps conversions between times and Unix time in internal/clock.
+// TestUnixTimeIsReadByOnePackageOnly checks that only internal/clock converts between times and Unix times.
 func TestUnixTimeIsReadByOnePackageOnly(t *testing.T) {
 	forEachGoFile(t, func(root, file string) {
 		path := strings.TrimPrefix(file, root+"/")
@@ -25,12 +25,12 @@
 			return
 		}
 		for _, found := range unixConversionsIn(t, file) {
-			assert.Fail(t, "Unix time outside of internal/clock", "%s", strings.TrimPrefix(found, root+"/"))
+			assert.Fail(t, "Unix time conversion outside internal/clock", "%s", strings.TrimPrefix(found, root+"/"))
 		}
 	})
 }
 
-// TestUnixConversionsAreFound shows that the check can fail.
+// TestUnixConversionsAreFound checks that unixConversionsIn finds conversions in both directions.
 func TestUnixConversionsAreFound(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "code.go")
 	text := "package code\n\nimport \"time\"\n\nvar a = time.Now().UnixMicro()\n\nvar b = time.UnixMilli(a)\n"
@@ -38,7 +38,7 @@
 	assert.Len(t, unixConversionsIn(t, file), 2)
 }
 
-// unixConversionsIn lists the places of a file that convert between a time and Unix time.
+// unixConversionsIn returns the positions in a file that convert between a time and a Unix time.
 func unixConversionsIn(t *testing.T, file string) []string {
 	t.Helper()
 	var found []string
--- a/internal/codestyle/words_test.go
+++ b/internal/codestyle/words_test.go
@@ -15,8 +15,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// withdrawnPhrases are the words and phrases that no text of the program uses any more, each with the term in its
-// place. They are looked for in string literals, comments, file names, help output and the operators' pages.
+// withdrawnPhrases are patterns of words and phrases that texts of the program must not use, each with the term that
+// replaces it. String literals, comments, file names, help output and the operators' documentation are searched for
+// them.
 var withdrawnPhrases = []struct{ pattern, term string }{
 	{`hops?`, "attempt"},
 	{`txns?`, "request"},
@@ -55,22 +56,23 @@
 	{`fleets?`, "routers, or cluster"},
 }
 
-// ordinaryUses are phrases in which a withdrawn word has its ordinary meaning.
+// ordinaryUses matches phrases that contain a withdrawn word in its ordinary meaning, and are allowed.
 var ordinaryUses = regexp.MustCompile(
 	`(?i)two-tier cache|(as a|on the) whole|whole (numbers?|seconds?|milliseconds?)|told apart`)
 
-// configurationKey is a dotted path of keys, as in the configuration file, or the name of a file.
+// configurationKey matches a dotted path of keys of the configuration file, or a file name. Both are allowed.
 var configurationKey = regexp.MustCompile(`[\w%*-]+(\.[\w%*-]+)+`)
 
-// edgeFiles are where the users' protocols, files on disk, keys of JSON and names of earlier versions are mapped to the
-// terms of docs/glossary.md. A path that ends in a slash is a folder. Each has a comment with its map.
-var edgeFiles = []string{
+// externalNameFiles are the files that map names of the users' protocols, of files on disk, of JSON keys and of earlier
+// versions to the terms of docs/glossary.md, so they may contain withdrawn words. A path that ends in a slash is a
+// directory. The comment of each entry names what it maps.
+var externalNameFiles = []string{
 	"cmd/cairnfront/aliases.go",              // commands and flags of earlier versions
 	"internal/admin/wirenames.go",            // requests and states on the admin socket
 	"internal/bootstrap/parse.go",            // keys of the bootstrap file
 	"internal/cacheproto/",                   // the caches' protocol
 	"internal/clientproto/",                  // the clients' protocol
-	"internal/codestyle/",                    // the lists themselves
+	"internal/codestyle/",                    // the lists of withdrawn words
 	"internal/config/keys.go",                // keys of the configuration file
 	"internal/discovery/codec.go",            // the discovery service's messages
 	"internal/diskcache/format.go",           // the disk cache's files
@@ -81,19 +83,19 @@
 	"internal/membership/report.go",          // keys of the report
 	"internal/replication/report.go",         // keys of the report
 	"internal/replication/statemachine/",     // commands and snapshots
-	"internal/replication/transport/",        // the name of the protocol
+	"internal/replication/transport/",        // name of the protocol
 	"internal/replication/wal/",              // the log's files
 	"internal/wirenames/",                    // settings and load metrics of the users' interfaces
-	"simadapter/",                            // the simulator's wire
+	"simadapter/",                            // the simulator's protocol
 }
 
-// edgeTests hold what the edge reads and writes, in its words.
-var edgeTests = []string{
+// externalNameTests are tests that check external names and may therefore contain withdrawn words.
+var externalNameTests = []string{
 	"cmd/cairnfront/aliases_test.go",
 	"internal/admin/wirenames_test.go",
 }
 
-// withdrawnPattern matches a withdrawn word or phrase in a text from which separators are removed.
+// withdrawnPattern matches any withdrawn word or phrase in a text whose separators are replaced by spaces.
 var withdrawnPattern = func() *regexp.Regexp {
 	var patterns []string
 	for _, phrase := range withdrawnPhrases {
@@ -102,7 +104,7 @@
 	return regexp.MustCompile(`(?i)\b(?:` + strings.Join(patterns, "|") + `)\b`)
 }()
 
-// withdrawnPhrasesIn lists the withdrawn words and phrases of a text.
+// withdrawnPhrasesIn returns the withdrawn words and phrases in a text.
 func withdrawnPhrasesIn(text string) []string {
 	text = ordinaryUses.ReplaceAllString(text, "")
 	text = configurationKey.ReplaceAllString(text, "")
@@ -110,7 +112,7 @@
 	return withdrawnPattern.FindAllString(text, -1)
 }
 
-// termFor returns the term in place of a withdrawn word or phrase.
+// termFor returns the term that replaces a withdrawn word or phrase, or "" if it is not withdrawn.
 func termFor(word string) string {
 	for _, phrase := range withdrawnPhrases {
 		if regexp.MustCompile(`(?i)^(?:` + phrase.pattern + `)$`).MatchString(word) {
@@ -120,9 +122,10 @@
 	return ""
 }
 
-// isEdgeFile reports whether a path, relative to the repository, is one of the edge.
-func isEdgeFile(path string) bool {
-	for _, edge := range slices.Concat(edgeFiles, edgeTests) {
+// mayContainWithdrawnWords reports whether externalNameFiles or externalNameTests list a path, which is relative to the
+// repository.
+func mayContainWithdrawnWords(path string) bool {
+	for _, edge := range slices.Concat(externalNameFiles, externalNameTests) {
 		if path == edge || strings.HasSuffix(edge, "/") && strings.HasPrefix(path, edge) {
 			return true
 		}
@@ -130,42 +133,42 @@
 	return false
 }
 
-// TestTextsUseTheGlossary walks the code and fails for each string literal, comment and file name with a withdrawn
+// TestTextsUseTheGlossary fails for each string literal, comment and file name in the code that contains a withdrawn
 // word.
 func TestTextsUseTheGlossary(t *testing.T) {
 	forEachGoFile(t, func(root, file string) {
 		path := strings.TrimPrefix(file, root+"/")
-		if isEdgeFile(path) {
+		if mayContainWithdrawnWords(path) {
 			return
 		}
 		for _, found := range withdrawnTextsIn(t, file) {
-			assert.Fail(t, "a withdrawn word", "%s", strings.TrimPrefix(found, root+"/"))
+			assert.Fail(t, "a text contains a withdrawn word", "%s", strings.TrimPrefix(found, root+"/"))
 		}
 	})
 }
 
-// inlineCode is what a page quotes. Names that the program prints are held by the tests of log lines, closed types and
-// counters; others are keys and values of formats.
+// inlineCode matches inline code in a page. It is not searched: names that the program prints are checked by the tests
+// of log lines, closed types and counters, and others are keys and values of file formats and protocols.
 var inlineCode = regexp.MustCompile("`[^`]*`")
 
-// TestOperatorsPagesUseTheGlossary fails for each line of a page for operators with a withdrawn word.
+// TestOperatorsPagesUseTheGlossary fails for each line of the operators' documentation that contains a withdrawn word.
 func TestOperatorsPagesUseTheGlossary(t *testing.T) {
 	for _, page := range operatorsPages(t) {
 		text, err := os.ReadFile(page)
 		require.NoError(t, err)
 		for i, line := range strings.Split(string(text), "\n") {
-			if strings.HasPrefix(line, "    ") { // an example, in the words of its format
+			if strings.HasPrefix(line, "    ") { // an indented example may contain names of file formats and protocols
 				continue
 			}
 			line = inlineCode.ReplaceAllString(line, "")
 			for _, word := range withdrawnPhrasesIn(line) {
-				assert.Fail(t, "a withdrawn word", "%s:%d: %s: say %s", page, i+1, word, termFor(word))
+				assert.Fail(t, "a page contains a withdrawn word", "%s:%d: %s: use %s", page, i+1, word, termFor(word))
 			}
 		}
 	}
 }
 
-// TestWithdrawnPhrasesAreFound shows that the checks of texts can fail, and what they let pass.
+// TestWithdrawnPhrasesAreFound checks that withdrawn words are found in texts, and that ordinary uses are allowed.
 func TestWithdrawnPhrasesAreFound(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "half_frame.go")
 	text := `package code
@@ -180,7 +183,7 @@
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	found := withdrawnTextsIn(t, file)
 	require.Len(t, found, 6, "%q", found)
-	assert.Contains(t, found[0], "half_frame.go: half frame: say partial frame")
+	assert.Contains(t, found[0], "half_frame.go: half frame: use partial frame")
 
 	for _, fine := range []string{
 		"a two-tier cache", "a whole number", "told apart", "boxing", "a heartbeat", "tier.folder", "notices.log",
@@ -195,14 +198,14 @@
 	}
 }
 
-// withdrawnTextsIn lists the withdrawn words in a file's name, string literals and comments, with their places. Tags
-// of fields are keys of records and left out.
+// withdrawnTextsIn returns the withdrawn words in a file's name, string literals and comments, each with its position.
+// Struct tags are not searched, as they contain external names.
 func withdrawnTextsIn(t *testing.T, file string) []string {
 	t.Helper()
 	var found []string
 	report := func(place, text string) {
 		for _, word := range withdrawnPhrasesIn(text) {
-			found = append(found, fmt.Sprintf("%s: %s: say %s", place, word, termFor(word)))
+			found = append(found, fmt.Sprintf("%s: %s: use %s", place, word, termFor(word)))
 		}
 	}
 	report(file, strings.TrimSuffix(filepath.Base(file), ".go"))
@@ -212,7 +215,7 @@
 			report(set.Position(comment.Pos()).String(), comment.Text)
 		}
 	}
-	notTexts := map[*ast.BasicLit]bool{} // tags of fields and paths of imports
+	notTexts := map[*ast.BasicLit]bool{} // struct tags and import paths
 	ast.Inspect(tree, func(node ast.Node) bool {
 		switch node := node.(type) {
 		case *ast.Field:
@@ -230,16 +233,16 @@
 	return found
 }
 
-// prose matches a text of several words without the marks of JSON, YAML, log lines and the protocols.
+// prose matches a text of at least three words without the punctuation of JSON, YAML, log lines and the protocols.
 var prose = regexp.MustCompile(`^[\w%.,;'-]+( [\w%.,;'-]+){2,}$`)
 
-// isProse reports whether a string of a test is a text for a reader. Other strings of tests are data in the words of
-// its format.
+// isProse reports whether a string of a test is a text for a reader. Other strings of tests are data, which may contain
+// names of file formats and protocols.
 func isProse(text string) bool { return prose.MatchString(text) }
 
-// A check that reads data as prose reports names that have to stay, and one that takes prose for data finds nothing.
-// The examples must be told apart.
-func TestProseIsToldFromData(t *testing.T) {
+// If data were classified as prose, the check would report names that can't be changed. If prose were classified as
+// data, the check would find no withdrawn word in it.
+func TestProseIsDistinguishedFromData(t *testing.T) {
 	for text, want := range map[string]bool{
 		"the box was asked twice":         true,
 		"few attempts, after 3 s":         true,
@@ -252,7 +255,7 @@
 	}
 }
 
-// TestHelpUsesTheGlossary fails for each line that a command's help prints with a withdrawn word.
+// TestHelpUsesTheGlossary fails for each withdrawn word in the help of a command.
 func TestHelpUsesTheGlossary(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "cairnfront")
 	runCommand(t, "go", "build", "-o", program, "cairnfront/cmd/cairnfront")
@@ -263,18 +266,18 @@
 		help := runCommand(t, program, append(path[:len(path):len(path)], "--help")...)
 		for _, word := range withdrawnPhrasesIn(help) {
 			command := strings.Join(path, " ")
-			assert.Fail(t, "a withdrawn word in the help", "%s: %s: say %s", command, word, termFor(word))
+			assert.Fail(t, "a help text contains a withdrawn word", "%s: %s: use %s", command, word, termFor(word))
 		}
 		for _, name := range subcommandsIn(help) {
 			visit(append(path[:len(path):len(path)], name))
 		}
 	}
 	visit(nil)
-	assert.Greater(t, commands, 15, "commands whose help was read")
+	assert.Greater(t, commands, 15, "number of commands whose help was read")
 }
 
-// subcommandsIn returns the names that a help text lists as commands, but for those that every program of this kind
-// has.
+// subcommandsIn returns the names of the commands that a help text lists, without help and completion, which cobra adds
+// to every program.
 func subcommandsIn(help string) []string {
 	_, list, _ := strings.Cut(help, "Available Commands:\n")
 	list, _, _ = strings.Cut(list, "\n\n")
@@ -287,16 +290,17 @@
 	return names
 }
 
-// A subcommand that is not found in the help is not checked for withdrawn words. Those of a known help text must be
-// found.
+// A subcommand that is not found in the help output is not checked for withdrawn words. All subcommands of an example
+// must be found.
 func TestSubcommandsAreReadFromTheHelp(t *testing.T) {
 	help := "What it does\n\nAvailable Commands:\n  completion  x\n  edge-cache  y\n  serve       z\n\nFlags:\n  -h\n"
 	assert.Equal(t, []string{"edge-cache", "serve"}, subcommandsIn(help))
 	assert.Empty(t, subcommandsIn("What it does\n\nFlags:\n  -h, --help\n"))
 }
 
-// existingFiles fails for each name of a list of exceptions that does not exist: the lists may only shrink.
-func existingFiles(t *testing.T, paths []string) {
+// assertFilesExist fails for each path of a list of exceptions that does not exist: obsolete entries must be removed,
+// so that the lists only shrink.
+func assertFilesExist(t *testing.T, paths []string) {
 	t.Helper()
 	for _, path := range paths {
 		_, err := os.Stat(filepath.Join("../..", path))
@@ -304,6 +308,8 @@
 	}
 }
 
-// A file that was renamed and is still listed as an exception would hide nothing and mislead its reader. Every listed
+// A listed exception whose file was renamed or removed has no effect and misleads readers of the list. Every listed
 // file must exist.
-func TestEdgeFilesExist(t *testing.T) { existingFiles(t, slices.Concat(edgeFiles, edgeTests)) }
+func TestExternalNameFilesExist(t *testing.T) {
+	assertFilesExist(t, slices.Concat(externalNameFiles, externalNameTests))
+}
--- a/internal/faultproxy/connections.go
+++ b/internal/faultproxy/connections.go
@@ -11,44 +11,45 @@
 )
 
 const (
-	chunkBytes      = 16 << 10 // of a connection that pass at once
-	cutPollInterval = 20 * time.Millisecond
+	relayBufferBytes = 16 << 10 // most bytes of a connection that are relayed by one read
+	cutPollInterval  = 20 * time.Millisecond
 )
 
-// ForwardConnections opens the link for connections from one process to another, which listens at an address, and
-// returns the address to connect to. While the link is cut nothing passes and nothing is closed, as on a network; what
-// waited passes afterwards in its order. The proxy and its goroutines end at Close, which waits for them.
+// ForwardConnections starts a proxy for connections from one process to another, which listens at address, and returns
+// the address of the proxy. While the link is cut, no bytes pass and no connection is closed, as during a network
+// partition. Delayed bytes are delivered in order afterwards. Close stops the proxy and waits for its goroutines.
 func (n *Network) ForwardConnections(from, to int, address string) (string, error) {
-	var config net.ListenConfig // its context matters for the resolving of names alone
+	var config net.ListenConfig // the context of Listen only affects name resolution
 	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("open connection proxy from %d to %d: %w", from, to, err)
 	}
-	n.all.Go(func() {
+	n.proxies.Go(func() {
 		<-n.closed
-		_ = listener.Close() // ends the Accept below; its only error is that it was closed
+		_ = listener.Close() // makes Accept below return; can only fail if already closed
 	})
-	n.all.Go(func() {
+	n.proxies.Go(func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			n.all.Go(func() { n.relayConnection(from, to, conn, address) })
+			n.proxies.Go(func() { n.relayConnection(from, to, conn, address) })
 		}
 	})
 	return listener.Addr().String(), nil
 }
 
-// relayConnection runs until both directions have ended or the network is closed. It waits for its goroutines.
+// relayConnection relays a connection until both directions have ended or the network is closed. It waits for its
+// relaying goroutines.
 func (n *Network) relayConnection(from, to int, client net.Conn, address string) {
 	defer client.Close()
 	if !n.waitUntilOpen(from, to) {
 		return
 	}
-	ctx, cancel := context.WithCancel(context.Background()) // it ends at the network's Close, or with this connection
+	ctx, cancel := context.WithCancel(context.Background()) // cancelled by Close or on return
 	defer cancel()
-	n.all.Go(func() {
+	n.proxies.Go(func() {
 		select {
 		case <-n.closed:
 			cancel()
@@ -58,11 +59,11 @@
 	var dialer net.Dialer
 	server, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return // the client sees a closed connection, as where nobody listens
+		return // the client sees a closed connection, as if nothing listened at the address
 	}
 	defer server.Close()
 	stop := context.AfterFunc(ctx, func() {
-		_ = client.Close() // both end the reads below; what they returned does not matter any more
+		_ = client.Close() // closing both makes the relaying reads return; the errors are irrelevant
 		_ = server.Close()
 	})
 	defer stop()
@@ -72,7 +73,7 @@
 	directions.Wait()
 }
 
-// waitUntilOpen waits until a link is not cut. It returns false once the network is closed.
+// waitUntilOpen waits until a link is not cut. It returns false if the network is closed first.
 func (n *Network) waitUntilOpen(from, to int) bool {
 	for {
 		cut, _ := n.connectionState(from, to)
@@ -85,7 +86,7 @@
 	}
 }
 
-// sleep returns false if the network is closed meanwhile.
+// sleep waits for a duration. It returns false if the network is closed meanwhile.
 func (n *Network) sleep(d time.Duration) bool {
 	select {
 	case <-n.closed:
@@ -95,10 +96,11 @@
 	}
 }
 
-// relayBytes copies one direction of a connection. Its end is passed on as a half-close, an error as a close.
+// relayBytes copies one direction of a connection. It forwards the end of the stream as a half-close and a read error
+// as a close.
 func (n *Network) relayBytes(from, to int, writer, reader net.Conn) {
 	defer closeWrite(writer)
-	buffer := make([]byte, chunkBytes)
+	buffer := make([]byte, relayBufferBytes)
 	for {
 		size, err := reader.Read(buffer)
 		if size > 0 && !n.passBytes(from, to, writer, buffer[:size]) {
@@ -108,13 +110,14 @@
 			return
 		}
 		if err != nil {
-			_ = writer.Close() // the error that counts is the reader's
+			_ = writer.Close() // only the read error matters
 			return
 		}
 	}
 }
 
-// passBytes writes bytes when the link passes them. It returns false if that never happens.
+// passBytes writes data after the delay of the link, once the link is not cut. It returns false if the network is
+// closed first or the write fails.
 func (n *Network) passBytes(from, to int, writer io.Writer, data []byte) bool {
 	if _, delay := n.connectionState(from, to); delay > 0 && !n.sleep(delay) {
 		return false
@@ -128,9 +131,9 @@
 	return err == nil
 }
 
-// closeWrite half-closes a connection.
+// closeWrite closes the write side of a TCP connection.
 func closeWrite(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.CloseWrite() // the other side may have closed it already
+		_ = tcp.CloseWrite() // fails if the peer has already closed the connection
 	}
 }
--- a/internal/faultproxy/datagrams.go
+++ b/internal/faultproxy/datagrams.go
@@ -12,22 +12,22 @@
 const (
 	maxDatagramBytes  = 64 << 10
 	socketBufferBytes = 1 << 20
-	corruptionBits    = 0x10 // flipped in the middle byte of a corrupt datagram
+	corruptionBits    = 0x10 // bits that corruption flips in the middle byte of a datagram
 )
 
-// ForwardDatagrams opens the link for datagrams from one process to another, which listens at an address. What is sent
-// to the returned address passes the link. The proxy and its goroutines end at Close, which waits for them.
+// ForwardDatagrams starts a proxy for datagrams from one process to another, which listens at address, and returns the
+// address of the proxy. Close stops the proxy and waits for its goroutines.
 func (n *Network) ForwardDatagrams(from, to int, address netip.AddrPort) (netip.AddrPort, error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return netip.AddrPort{}, fmt.Errorf("open datagram proxy from %d to %d: %w", from, to, err)
 	}
-	_ = conn.SetReadBuffer(socketBufferBytes) // the system may allow less, which costs datagrams only under bursts
-	n.all.Go(func() {
+	_ = conn.SetReadBuffer(socketBufferBytes) // a smaller limit of the system only loses datagrams during bursts
+	n.proxies.Go(func() {
 		<-n.closed
-		_ = conn.Close() // ends the read of relayDatagrams; its only error is that it was closed
+		_ = conn.Close() // makes the read of relayDatagrams return; can only fail if already closed
 	})
-	n.all.Go(func() { n.relayDatagrams(from, to, conn, address) })
+	n.proxies.Go(func() { n.relayDatagrams(from, to, conn, address) })
 	return netip.ParseAddrPort(conn.LocalAddr().String())
 }
 
@@ -39,7 +39,7 @@
 			return
 		}
 		if err != nil {
-			continue // an earlier datagram found nobody listening
+			continue // ICMP error: nothing listened at the address of an earlier datagram
 		}
 		n.recordDatagram(from, size)
 		delays, corrupt := n.deliver(from, to)
@@ -48,7 +48,7 @@
 			if corrupt && size > 0 {
 				datagram[size/2] ^= corruptionBits
 			}
-			// An error is ignored: a datagram to a process that does not run is lost, as on a network.
+			// Errors are ignored: a datagram to a process that does not run is lost, as on a real network.
 			send := func() { _, _ = conn.WriteToUDPAddrPort(datagram, address) }
 			if delay <= 0 {
 				send()
--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -1,8 +1,8 @@
-// Package faultproxy carries datagrams and connections between processes on loopback, with the faults that a script
-// asks for.
+// Package faultproxy relays datagrams and connections between processes on the loopback interface, and injects the
+// network faults of a script.
 //
-// It owns a proxy for each link and the record of what each process sent. It carries out the faults of links alone:
-// processes are killed and stopped by its callers.
+// It runs a proxy for each link and records how much each process sent. It injects only faults of links; callers kill
+// and stop processes themselves.
 package faultproxy
 
 import (
@@ -15,32 +15,32 @@
 )
 
 const (
-	recordedSeconds = 3600   // of traffic, from the network's start
-	faultStream     = 0x2e1a // stream of randomness
+	recordedSeconds = 3600   // seconds since the network's creation for which traffic is recorded
+	faultStream     = 0x2e1a // stream of the random number generator
 )
 
-// Network is the links between processes. Everything passes until StartScript.
+// Network has the links between processes. It injects no faults before StartScript is called.
 type Network struct {
 	createdAt time.Time
-	sent      []*traffic // by sender
+	sent      []*traffic // by sending process
 
 	mu        sync.Mutex
 	script    faults.Script
-	startedAt time.Time // of the script
+	startedAt time.Time // when the script was started
 	rnd       *rand.Rand
 
-	closed  chan struct{} // closed by Close
+	closed  chan struct{} // closed when the network is closed
 	closing sync.Once
-	all     sync.WaitGroup // the goroutines of the proxies; Close waits for them
+	proxies sync.WaitGroup // goroutines of the proxies, which Close waits for
 }
 
-// traffic is what one process sent, by second since the network's start.
+// traffic counts what one process sent in each second since the network's creation.
 type traffic struct {
 	datagrams [recordedSeconds]atomic.Int64
 	bytes     [recordedSeconds]atomic.Int64
 }
 
-// New returns a network between so many processes, which draws from a seed.
+// New returns a network between the given number of processes, whose random faults are derived from the seed.
 func New(seed uint64, processes int) *Network {
 	now := time.Now()
 	n := &Network{
@@ -55,7 +55,7 @@
 	return n
 }
 
-// StartScript replaces the script, starts its clock and returns the time of the start.
+// StartScript replaces the fault script. Times in the script count from now on, which is the returned time.
 func (n *Network) StartScript(script faults.Script) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -64,29 +64,31 @@
 	return n.startedAt
 }
 
-// linkNow is the state of a link. The caller holds the lock.
-func (n *Network) linkNow(from, to int) faults.Link {
+// currentLink returns the current state of a link. The caller must hold n.mu.
+func (n *Network) currentLink(from, to int) faults.Link {
 	return n.script.LinkAt(from, to, time.Since(n.startedAt).Seconds())
 }
 
-// deliver draws how one datagram is delivered.
+// deliver draws at random how one datagram is delivered: the delay of each copy, and whether it is corrupted. A lost
+// datagram has no copies.
 func (n *Network) deliver(from, to int) (delays []float64, corrupt bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.linkNow(from, to).Deliver(n.rnd)
+	return n.currentLink(from, to).Deliver(n.rnd)
 }
 
-// connectionState is what a link does to connections.
+// connectionState returns whether a link is cut for connections, and by how much it delays their bytes.
 func (n *Network) connectionState(from, to int) (cut bool, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	link := n.linkNow(from, to)
+	link := n.currentLink(from, to)
 	return link.Cut, seconds(link.DelaySeconds)
 }
 
 func (n *Network) secondsSinceStart() int { return int(time.Since(n.createdAt).Seconds()) }
 
-// SentBetween is what a process sent from one second to before another, counted from the network's start.
+// SentBetween returns how much a process sent in the seconds from first up to, but not including, last, counted from
+// the network's creation.
 func (n *Network) SentBetween(from, first, last int) (datagrams, bytes int64) {
 	sent := n.sent[from]
 	for second := max(first, 0); second < min(last, recordedSeconds); second++ {
@@ -96,10 +98,10 @@
 	return datagrams, bytes
 }
 
-// Close ends all proxies and waits for their goroutines. Further calls only wait.
+// Close stops all proxies and waits for their goroutines. Further calls only wait.
 func (n *Network) Close() {
 	n.closing.Do(func() { close(n.closed) })
-	n.all.Wait()
+	n.proxies.Wait()
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/faultproxy/network_test.go
+++ b/internal/faultproxy/network_test.go
@@ -35,10 +35,10 @@
 	return faults.Script{Processes: 2, Duration: 60, Faults: list}
 }
 
-// TestDatagramsPassAsTheScriptSays: a scenario blames a router for what the proxy should have done if the proxy does
-// not follow the script. Without faults a datagram arrives unchanged; with them it is corrupted, duplicated or lost,
-// and a lost one does not arrive once the link is open again.
-func TestDatagramsPassAsTheScriptSays(t *testing.T) {
+// TestDatagramsFollowTheScript checks that a datagram arrives unchanged without faults, that faults corrupt, duplicate
+// or lose it, and that a lost one does not arrive after the link is open again. If the proxy did not follow the script,
+// a scenario would attribute the resulting errors to a router.
+func TestDatagramsFollowTheScript(t *testing.T) {
 	network := New(1, 2)
 	defer network.Close()
 	receiver, sender := listenUDP(t), listenUDP(t)
@@ -64,7 +64,7 @@
 	send("corrupt")
 	first, second := receive(), receive()
 	assert.NotEqual(t, "corrupt", first)
-	assert.Equal(t, first, second, "and twice")
+	assert.Equal(t, first, second, "both copies of a duplicated datagram are corrupted alike")
 
 	network.StartScript(scriptOf(faults.Fault{Kind: faults.Cut, From: []int{0}, To: []int{1}}))
 	send("lost")
@@ -72,15 +72,15 @@
 		datagrams, _ := network.SentBetween(0, 0, recordedSeconds)
 		return datagrams == 3
 	}
-	require.Eventually(t, allSent, timeout, time.Millisecond, "what is cut is counted as sent")
+	require.Eventually(t, allSent, timeout, time.Millisecond, "a datagram lost on a cut link counts as sent")
 
 	network.StartScript(scriptOf())
 	send("after")
-	assert.Equal(t, "after", receive(), "what was cut does not come later")
+	assert.Equal(t, "after", receive(), "a datagram lost on a cut link does not arrive later")
 }
 
-// serveEcho answers each connection with what it sends. It ends with the listener, each connection's goroutine with the
-// connection.
+// serveEcho echoes the bytes of each connection. It returns when the listener is closed; the goroutine of each
+// connection ends when its connection does.
 func serveEcho(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestConnectionsWaitWhileCutAndContinue: on a real network a partition closes no connection and loses none of its
-// bytes. A proxy that closed it would hide what routers do meanwhile. While one direction is cut nothing arrives, and
-// afterwards all of it.
+// TestConnectionsWaitWhileCutAndContinue checks that no bytes arrive while one direction is cut, and that all of them
+// arrive afterwards. On a real network, a partition closes no connection and loses none of its bytes. A proxy that
+// closed connections would hide how routers behave during a partition.
 func TestConnectionsWaitWhileCutAndContinue(t *testing.T) {
 	var config net.ListenConfig
 	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -125,13 +125,13 @@
 	send("one")
 	assert.Equal(t, "one\n", receive())
 
-	wayBack := faults.Fault{Kind: faults.Cut, From: []int{1}, To: []int{0}}
-	network.StartScript(scriptOf(wayBack))
+	returnCut := faults.Fault{Kind: faults.Cut, From: []int{1}, To: []int{0}}
+	network.StartScript(scriptOf(returnCut))
 	send("two")
 	_ = conn.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
 	_, err = reader.ReadByte()
-	require.Error(t, err, "nothing comes")
+	require.Error(t, err, "no bytes arrive while the direction is cut")
 
 	network.StartScript(scriptOf())
-	assert.Equal(t, "two\n", receive(), "and nothing is lost")
+	assert.Equal(t, "two\n", receive(), "bytes sent while the direction was cut are not lost")
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what tests print with files that an earlier version of the program wrote. It is for tests
-// only.
+// Package golden compares the output of tests with golden files, which an earlier version of the program wrote. Only
+// tests use it.
 package golden
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// UpdateVariable is the environment variable that has Compare write the files instead, if it is "1". That is only right
-// where a change of what they hold is wanted.
+// UpdateVariable is the environment variable that makes Compare update the golden files if its value is "1". Set it
+// only if a change of the files' content is intended.
 const UpdateVariable = "UPDATE_GOLDEN"
 
-// Compare fails a test whose text differs from the file of that name in the package's testdata.
+// Compare fails the test if got differs from the golden file of that name in the package's testdata directory.
 func Compare(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
