--- a/cmd/cairnfront/addresses_test.go
+++ b/cmd/cairnfront/addresses_test.go
@@ -25,26 +25,26 @@
 // until the endpoint list changes.
 func TestEndpointWithTwoAddressesIsReachedByEither(t *testing.T) {
 	dir := t.TempDir()
-	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
+	cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
 	cacheSocket := filepath.Join(dir, "cache.sock")
 	ln, err := new(net.ListenConfig).Listen(t.Context(), "unix", cacheSocket)
 	require.NoError(t, err)
-	m.accept(t, ln)
+	cache.accept(t, ln)
 	file, socket := filepath.Join(dir, "config.yaml"), filepath.Join(dir, "admin.sock")
 	write := func(list string) {
 		require.NoError(t, os.WriteFile(file,
 			[]byte(fmt.Sprintf("router:\n  socket: %q\n  addresses:\n    - {member: s-00000001, list: [%s]}\n", socket,
 				list)), 0o600))
 	}
-	tcp := m.Addr().String()
+	tcp := cache.Addr().String()
 	write(fmt.Sprintf("%q, \"unix:%s\"", tcp, cacheSocket))
-	s := startRouterWith(t, []string{"--config", file}, 192, m, m)
+	router := startRouterWith(t, []string{"--config", file}, 192, cache, cache)
 	networkUsed := func() string {
-		c := s.dial(t)
+		c := router.dial(t)
 		c.send("page", objectID, "")
 		code, _, _ := c.readResponse(t)
 		require.Equal(t, codeCompleted, code)
-		return m.lastAttempt().conn.LocalAddr().Network()
+		return cache.lastAttempt().conn.LocalAddr().Network()
 	}
 	assert.Equal(t, "unix", networkUsed())
 	out, errs, code := runCommand(t, "addresses", "--socket", socket)
@@ -61,15 +61,15 @@
 	assert.Equal(t, "unix", networkUsed())
 
 	write("nonsense")
-	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
+	require.NoError(t, router.Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool {
-		return strings.Contains(s.log.String(), "neither IP:PORT nor unix:/PATH") || strings.Contains(s.log.String(),
-			"configuration reload failed")
+		return strings.Contains(router.log.String(), "neither IP:PORT nor unix:/PATH") ||
+			strings.Contains(router.log.String(), "configuration reload failed")
 	}, waitTimeout, 5*time.Millisecond)
 	assert.Equal(t, "unix", networkUsed(), "an invalid file changes nothing")
 	write(fmt.Sprintf("%q", tcp))
-	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-	s.waitForLog(t, "endpoint addresses reloaded")
+	require.NoError(t, router.Process.Signal(syscall.SIGHUP))
+	router.waitForLog(t, "endpoint addresses reloaded")
 	require.Eventually(t, func() bool { return networkUsed() == "tcp" }, waitTimeout, 5*time.Millisecond)
 	out, _, _ = runCommand(t, "addresses", "--socket", socket, "--json")
 	var list []address.Status
@@ -82,5 +82,5 @@
 	info, err := os.Stat(socket)
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm())
-	require.NoError(t, s.stop(t, syscall.SIGTERM))
+	require.NoError(t, router.stop(t, syscall.SIGTERM))
 }
--- a/cmd/cairnfront/aliases_test.go
+++ b/cmd/cairnfront/aliases_test.go
@@ -86,9 +86,9 @@
 // A service file written for an earlier version uses the earlier flag. With an unknown flag, the router would not
 // start. Both flags must set the path of the configuration file.
 func TestOperatorsFlagOfServeIsAnAliasOfConfig(t *testing.T) {
-	m := startCache(t, nil)
+	cache := startCache(t, nil)
 	bootstrapPath := filepath.Join(t.TempDir(), "bootstrap.json")
-	text := bootstrapFile("127.0.0.1:0", m.Addr().String(), 192, m, m)
+	text := bootstrapFile("127.0.0.1:0", cache.Addr().String(), 192, cache, cache)
 	require.NoError(t, os.WriteFile(bootstrapPath, text, 0o600))
 	t.Setenv("LB_CONFIG", bootstrapPath)
 	missing := filepath.Join(t.TempDir(), "none.yaml")
--- a/cmd/cairnfront/client_test.go
+++ b/cmd/cairnfront/client_test.go
@@ -92,11 +92,11 @@
 
 // sendFromClients starts clients that concurrently send requests, each client one at a time. The returned group waits
 // for their last responses.
-func sendFromClients(t *testing.T, s *routerProcess, clients, each int) *sync.WaitGroup {
+func sendFromClients(t *testing.T, router *routerProcess, clients, each int) *sync.WaitGroup {
 	t.Helper()
 	var all sync.WaitGroup
 	for range clients {
-		c := s.dial(t)
+		c := router.dial(t)
 		all.Go(func() {
 			for range each {
 				c.send("page", objectID, "")
--- a/cmd/cairnfront/commands_test.go
+++ b/cmd/cairnfront/commands_test.go
@@ -21,9 +21,9 @@
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		return path
 	}
-	m := startCache(t, nil)
-	good := string(bootstrapFile("127.0.0.1:1", "127.0.0.1:2", 192, m, m))
-	portTaken := strings.Replace(good, "127.0.0.1:1", m.Addr().String(), 1)
+	cache := startCache(t, nil)
+	good := string(bootstrapFile("127.0.0.1:1", "127.0.0.1:2", 192, cache, cache))
+	portTaken := strings.Replace(good, "127.0.0.1:1", cache.Addr().String(), 1)
 	for _, c := range []struct {
 		args       []string
 		env        string
--- a/cmd/cairnfront/drain_test.go
+++ b/cmd/cairnfront/drain_test.go
@@ -26,19 +26,19 @@
 //
 // A router that exits immediately on SIGTERM loses the open requests and those in transit from clients.
 func TestSigtermDrainsOpenRequests(t *testing.T) {
-	release, _, s, c := routerSignalledDuringRequest(t, syscall.SIGTERM)
+	release, _, router, c := routerSignalledDuringRequest(t, syscall.SIGTERM)
 	kind, stream, _ := c.readFrame(t)
 	assert.Equal(t, []any{clientproto.TypeGoAway, uint32(0)}, []any{kind, stream})
-	late := s.dial(t)
+	late := router.dial(t)
 	late.send("order", "0000000000000002", "")
 	kind, _, _ = late.readFrame(t)
 	assert.Equal(t, clientproto.TypeGoAway, kind)
 	close(release)
 	late.expectCode(t, codeCompleted)
 	c.expectCode(t, codeCompleted)
-	s.stopping = true
-	require.NoError(t, <-s.exited, "exit 0")
-	assert.Equal(t, 0, s.counters()["requests_open"])
+	router.stopping = true
+	require.NoError(t, <-router.exited, "exit 0")
+	assert.Equal(t, 0, router.counters()["requests_open"])
 }
 
 // TestDrainAbortsRequestsOpenAtItsTimeout checks that a request that is still open at the drain timeout is aborted, and
@@ -47,18 +47,18 @@
 // Without the timeout, a request whose cache never answers would prolong the drain until SIGKILL, and its client would
 // get no answer.
 func TestDrainAbortsRequestsOpenAtItsTimeout(t *testing.T) {
-	m := startCache(t, func(receivedAttempt) string { return "" })
-	s := startRouter(t, 192, m, m)
-	c := s.dial(t)
+	cache := startCache(t, func(receivedAttempt) string { return "" })
+	router := startRouter(t, 192, cache, cache)
+	c := router.dial(t)
 	c.send("order", objectID, "")
-	require.Eventually(t, func() bool { return m.attemptCount() == 1 }, waitTimeout, time.Millisecond)
-	require.NoError(t, s.Process.Signal(syscall.SIGTERM))
+	require.Eventually(t, func() bool { return cache.attemptCount() == 1 }, waitTimeout, time.Millisecond)
+	require.NoError(t, router.Process.Signal(syscall.SIGTERM))
 	kind, _, _ := c.readFrame(t)
 	assert.Equal(t, clientproto.TypeGoAway, kind)
 	c.expectCode(t, codeAborted)
-	s.stopping = true
-	require.NoError(t, <-s.exited, "exit 0")
-	assert.Equal(t, 1, s.counters()[`requests_answered_total{class="order",result="aborted",reason="shutdown"}`])
+	router.stopping = true
+	require.NoError(t, <-router.exited, "exit 0")
+	assert.Equal(t, 1, router.counters()[`requests_answered_total{class="order",result="aborted",reason="shutdown"}`])
 }
 
 // TestSigtermUnderLoadLosesNoRequest checks that every request that a client sent before it received GOAWAY is
@@ -66,12 +66,12 @@
 //
 // A request that crosses the GOAWAY frame on the wire can be dropped by both sides.
 func TestSigtermUnderLoadLosesNoRequest(t *testing.T) {
-	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
-	s := startRouter(t, 64, m, m)
+	cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
+	router := startRouter(t, 64, cache, cache)
 	var all sync.WaitGroup
 	var once sync.Once
 	for range 30 {
-		c := s.dial(t)
+		c := router.dial(t)
 		all.Go(func() {
 			for openRequests, goAwayReceived := 0, false; ; {
 				if !goAwayReceived {
@@ -86,14 +86,14 @@
 				if goAwayReceived && openRequests == 0 {
 					return
 				}
-				once.Do(func() { assert.NoError(t, s.Process.Signal(syscall.SIGTERM)) })
+				once.Do(func() { assert.NoError(t, router.Process.Signal(syscall.SIGTERM)) })
 			}
 		})
 	}
 	all.Wait()
-	s.stopping = true
-	require.NoError(t, <-s.exited, "exit 0")
-	k := s.counters()
+	router.stopping = true
+	require.NoError(t, <-router.exited, "exit 0")
+	k := router.counters()
 	assert.Equal(t, []int{k.received(), 0}, []int{k.answered(), k["requests_open"]})
 }
 
@@ -103,24 +103,25 @@
 // Deployments send signals twice and move services during a restart. A router that restarted its drain, or lost the
 // discovery service during it, would lose requests.
 func TestReloadAndSecondSigtermDuringADrain(t *testing.T) {
-	release, m, s, c := routerSignalledDuringRequest(t, syscall.SIGTERM)
+	release, cache, router, c := routerSignalledDuringRequest(t, syscall.SIGTERM)
 	kind, _, _ := c.readFrame(t)
 	assert.Equal(t, clientproto.TypeGoAway, kind)
 	next := startDiscovery(t)
-	require.NoError(t, os.WriteFile(s.bootstrapPath, bootstrapFile(s.addr, next.Addr().String(), 192, m, m), 0o600))
-	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-	s.waitForLog(t, "bootstrap file reloaded")
-	next.deliver(t, discoveryFrame(2, 2, endpointRecord(1, m, 1)))
-	require.NoError(t, s.Process.Signal(syscall.SIGTERM))
-	require.Eventually(t, func() bool { return strings.Contains(s.log.String(), "repeated=true") }, waitTimeout,
+	require.NoError(t, os.WriteFile(router.bootstrapPath,
+		bootstrapFile(router.addr, next.Addr().String(), 192, cache, cache), 0o600))
+	require.NoError(t, router.Process.Signal(syscall.SIGHUP))
+	router.waitForLog(t, "bootstrap file reloaded")
+	next.deliver(t, discoveryFrame(2, 2, endpointRecord(1, cache, 1)))
+	require.NoError(t, router.Process.Signal(syscall.SIGTERM))
+	require.Eventually(t, func() bool { return strings.Contains(router.log.String(), "repeated=true") }, waitTimeout,
 		time.Millisecond)
 	close(release)
 	c.expectCode(t, codeCompleted)
 	_, err := io.Copy(io.Discard, c)
 	require.NoError(t, err, "the connection is closed without a reset")
 	_ = c.Close()
-	s.stopping = true
-	assert.NoError(t, <-s.exited, "exit 0")
+	router.stopping = true
+	assert.NoError(t, <-router.exited, "exit 0")
 }
 
 // TestDrainEndsBeforeTheKill checks the drain timeout. SIGKILL comes at the earliest 0.7 s after the longest request
--- a/cmd/cairnfront/freeze_test.go
+++ b/cmd/cairnfront/freeze_test.go
@@ -78,11 +78,11 @@
 
 // receive returns how the cache handles an attempt: the delay of its answer, whether it answers, and whether it reads
 // the rest of the attempt.
-func (c *freezingCache) receive(h receivedAttempt) (delay time.Duration, answers, continueReading bool) {
+func (c *freezingCache) receive(attempt receivedAttempt) (delay time.Duration, answers, continueReading bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.armed {
-		c.taken = append(c.taken, h)
+		c.taken = append(c.taken, attempt)
 		return 0, false, len(c.taken) < 3
 	}
 	c.served++
@@ -103,8 +103,8 @@
 		if words[0] != "do" {
 			continue
 		}
-		h := receivedAttempt{id: words[1], conn: conn}
-		delay, answers, continueReading := c.receive(h)
+		attempt := receivedAttempt{id: words[1], conn: conn}
+		delay, answers, continueReading := c.receive(attempt)
 		length, _ := strconv.Atoi(words[3])
 		if !continueReading {
 			<-c.resuming
@@ -116,7 +116,7 @@
 		}
 		time.Sleep(delay)
 		if answers {
-			_, _ = io.WriteString(conn, okResponse(h, "x"))
+			_, _ = io.WriteString(conn, okResponse(attempt, "x"))
 		}
 	}
 }
--- a/cmd/cairnfront/golden_test.go
+++ b/cmd/cairnfront/golden_test.go
@@ -26,22 +26,22 @@
 // Dashboards and scripts read counters by name. Without this test, a renamed or missing counter would be noticed only
 // during an incident.
 func TestCounterDumpKeepsNamesAndForm(t *testing.T) {
-	cache := startCache(t, func(h receivedAttempt) string {
-		switch h.fields["thing"] {
+	cache := startCache(t, func(attempt receivedAttempt) string {
+		switch attempt.fields["thing"] {
 		case "00000000000000aa":
 			return ""
 		case "00000000000000bb":
-			return h.id + " refused - 0\r\n\r\n"
+			return attempt.id + " refused - 0\r\n\r\n"
 		}
-		return okResponse(h, "x")
+		return okResponse(attempt, "x")
 	})
 	path := filepath.Join(t.TempDir(), "config.yaml")
 	socket := filepath.Join(t.TempDir(), "admin")
 	text := fmt.Sprintf("router:\n  socket: %s\n  further_share: 0.5\n  addresses:\n"+
 		"  - {member: s-00000001, list: [%q]}\n", socket, cache.Addr())
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-	s := startRouterWith(t, []string{"--config", path}, 192, cache, cache)
-	c := s.dial(t)
+	router := startRouterWith(t, []string{"--config", path}, 192, cache, cache)
+	c := router.dial(t)
 	for _, class := range []string{"page", "order", "write"} {
 		c.send(class, objectID, "")
 		c.expectCode(t, codeCompleted)
@@ -51,7 +51,7 @@
 	require.Eventually(t, func() bool { return cache.attemptCount() > before }, waitTimeout, time.Millisecond)
 	_, _ = c.Write(clientproto.AppendHeader(nil, clientproto.TypeCancel, c.stream, 0))
 	<-cache.cancelled
-	bad := s.dial(t)
+	bad := router.dial(t)
 	_, _ = bad.Write([]byte(strings.Repeat("\xff", 64)))
 	_, _ = bad.Read(make([]byte, 1))
 	for _, request := range []admin.RequestName{
@@ -59,17 +59,17 @@
 	} {
 		_, _ = admin.Call(t.Context(), socket, request, nil)
 	}
-	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-	s.waitForLog(t, "endpoint addresses reloaded")
+	require.NoError(t, router.Process.Signal(syscall.SIGHUP))
+	router.waitForLog(t, "endpoint addresses reloaded")
 	require.NoError(t, os.WriteFile(path, []byte("router: 1\n"), 0o600))
-	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-	s.waitForLog(t, "configuration reload failed")
-	require.NoError(t, s.Process.Signal(syscall.SIGUSR1))
-	require.Eventually(t, func() bool { return strings.Contains(s.log.String(), "counter requests_open ") },
+	require.NoError(t, router.Process.Signal(syscall.SIGHUP))
+	router.waitForLog(t, "configuration reload failed")
+	require.NoError(t, router.Process.Signal(syscall.SIGUSR1))
+	require.Eventually(t, func() bool { return strings.Contains(router.log.String(), "counter requests_open ") },
 		waitTimeout, time.Millisecond)
-	require.NoError(t, s.stop(t, syscall.SIGTERM))
+	require.NoError(t, router.stop(t, syscall.SIGTERM))
 	var dump strings.Builder
-	for line := range strings.Lines(s.log.String()) {
+	for line := range strings.Lines(router.log.String()) {
 		if strings.HasPrefix(line, "counter ") {
 			dump.WriteString(line)
 		}
--- a/cmd/cairnfront/harness_test.go
+++ b/cmd/cairnfront/harness_test.go
@@ -160,49 +160,50 @@
 func startProgram(t *testing.T, l launch, memory int, origin *cacheStub, caches ...*cacheStub) *routerProcess {
 	t.Helper()
 	ln := listenLoopback(t) // finds a free port
-	s := &routerProcess{
+	router := &routerProcess{
 		launch: l, addr: ln.Addr().String(), discovery: startDiscovery(t), log: &logBuffer{},
 		exited: make(chan error, 1),
 	}
 	_ = ln.Close()
-	s.bootstrapPath = filepath.Join(t.TempDir(), "start.json")
-	bootstrap := bootstrapFile(s.addr, s.discovery.Addr().String(), memory, origin, caches...)
+	router.bootstrapPath = filepath.Join(t.TempDir(), "start.json")
+	bootstrap := bootstrapFile(router.addr, router.discovery.Addr().String(), memory, origin, caches...)
 	if l.editBootstrap != nil {
 		bootstrap = l.editBootstrap(bootstrap)
 	}
-	require.NoError(t, os.WriteFile(s.bootstrapPath, bootstrap, 0o600))
+	require.NoError(t, os.WriteFile(router.bootstrapPath, bootstrap, 0o600))
 	t.Cleanup(func() {
-		if !s.stopping {
-			_ = s.stop(t, syscall.SIGKILL) // the error only reports the signal
+		if !router.stopping {
+			_ = router.stop(t, syscall.SIGKILL) // the error only reports the signal
 		}
 	})
-	s.start(t)
-	return s
+	router.start(t)
+	return router
 }
 
 // start starts the program and waits until it reports that it is ready.
-func (s *routerProcess) start(t *testing.T) {
+func (router *routerProcess) start(t *testing.T) {
 	t.Helper()
 	ctx := context.Background() // the test's context would kill the program before the cleanups stop it
-	s.stopping, s.Cmd = false, exec.CommandContext(ctx, s.program, append([]string{"serve"}, s.args...)...)
-	if s.shellCommand != "" {
-		s.Cmd = exec.CommandContext(ctx, "/bin/sh", "-c", s.shellCommand)
+	router.stopping, router.Cmd = false,
+		exec.CommandContext(ctx, router.program, append([]string{"serve"}, router.args...)...)
+	if router.shellCommand != "" {
+		router.Cmd = exec.CommandContext(ctx, "/bin/sh", "-c", router.shellCommand)
 	}
-	s.Env = append(append(os.Environ(), s.env...), "LB_CONFIG="+s.bootstrapPath)
-	out, err := s.StderrPipe()
+	router.Env = append(append(os.Environ(), router.env...), "LB_CONFIG="+router.bootstrapPath)
+	out, err := router.StderrPipe()
 	require.NoError(t, err)
-	require.NoError(t, s.Start())
+	require.NoError(t, router.Start())
 	read := make(chan bool)
 	go func() {
-		_, _ = io.Copy(s.log, out)
+		_, _ = io.Copy(router.log, out)
 		close(read)
 	}()
 	go func() {
 		<-read
-		s.exited <- s.Wait()
+		router.exited <- router.Wait()
 	}()
 	require.Eventually(t, func() bool {
-		c, err := dialTCP(t.Context(), s.addr)
+		c, err := dialTCP(t.Context(), router.addr)
 		if err != nil {
 			return false
 		}
@@ -216,12 +217,12 @@
 }
 
 // stop sends a signal and waits for the program to end.
-func (s *routerProcess) stop(t *testing.T, sig syscall.Signal) error {
+func (router *routerProcess) stop(t *testing.T, sig syscall.Signal) error {
 	t.Helper()
-	s.stopping = true
-	require.NoError(t, s.Process.Signal(sig))
+	router.stopping = true
+	require.NoError(t, router.Process.Signal(sig))
 	select {
-	case err := <-s.exited:
+	case err := <-router.exited:
 		return err
 	case <-time.After(waitTimeout):
 		t.Fatal("the program does not exit")
@@ -230,16 +231,16 @@
 }
 
 // waitForLog waits until the program has logged a message.
-func (s *routerProcess) waitForLog(t *testing.T, message string) {
+func (router *routerProcess) waitForLog(t *testing.T, message string) {
 	t.Helper()
-	logged := func() bool { return s.logCount(message) > 0 }
+	logged := func() bool { return router.logCount(message) > 0 }
 	require.Eventually(t, logged, waitTimeout, time.Millisecond, message)
 }
 
 // logCount returns how often the program has logged a message. Only a message of several words is found, as it is
 // printed in quotes.
-func (s *routerProcess) logCount(message string) int {
-	return strings.Count(s.log.String(), fmt.Sprintf("msg=%q", message))
+func (router *routerProcess) logCount(message string) int {
+	return strings.Count(router.log.String(), fmt.Sprintf("msg=%q", message))
 }
 
 // counterDump maps each series of a counter dump (name and labels, as printed) to its integer value.
@@ -279,30 +280,30 @@
 }
 
 // dumpCounters makes the program print its counters and returns them.
-func (s *routerProcess) dumpCounters(t *testing.T) counterDump {
+func (router *routerProcess) dumpCounters(t *testing.T) counterDump {
 	t.Helper()
 	const lastPrintedSeries = "counter process_goroutines"
-	before := strings.Count(s.log.String(), lastPrintedSeries)
-	require.NoError(t, s.Process.Signal(syscall.SIGUSR1))
-	printed := func() bool { return strings.Count(s.log.String(), lastPrintedSeries) > before }
+	before := strings.Count(router.log.String(), lastPrintedSeries)
+	require.NoError(t, router.Process.Signal(syscall.SIGUSR1))
+	printed := func() bool { return strings.Count(router.log.String(), lastPrintedSeries) > before }
 	require.Eventually(t, printed, waitTimeout, time.Millisecond)
-	return s.counters()
+	return router.counters()
 }
 
 // reload makes the program read its files again and waits until it has applied them, as a second SIGHUP sent before
 // that may be merged with the first.
-func (s *routerProcess) reload(t *testing.T) {
+func (router *routerProcess) reload(t *testing.T) {
 	t.Helper()
-	reloads := func() int { return s.logCount("bootstrap file reloaded") }
+	reloads := func() int { return router.logCount("bootstrap file reloaded") }
 	before := reloads()
-	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
+	require.NoError(t, router.Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool { return reloads() == before+1 }, waitTimeout, time.Millisecond)
 }
 
 // counters returns the last printed value of each counter.
-func (s *routerProcess) counters() counterDump {
+func (router *routerProcess) counters() counterDump {
 	out := counterDump{}
-	for text := range strings.Lines(s.log.String()) {
+	for text := range strings.Lines(router.log.String()) {
 		var name string
 		var n int
 		if k, _ := fmt.Sscanf(text, "counter %s %d", &name, &n); k == 2 {
@@ -312,9 +313,9 @@
 	return out
 }
 
-func (s *routerProcess) dial(t *testing.T) *client {
+func (router *routerProcess) dial(t *testing.T) *client {
 	t.Helper()
-	c, err := dialTCP(t.Context(), s.addr)
+	c, err := dialTCP(t.Context(), router.addr)
 	require.NoError(t, err)
 	require.NoError(t, c.SetDeadline(time.Now().Add(waitTimeout)))
 	t.Cleanup(func() { _ = c.Close() })
@@ -347,23 +348,23 @@
 
 // routerSignalledDuringRequest starts a router and sends it a signal while a client's request is open: the cache delays
 // the response until release is closed.
-func routerSignalledDuringRequest(t *testing.T, sig syscall.Signal) (release chan bool, m *cacheStub,
-	s *routerProcess, c *client,
+func routerSignalledDuringRequest(t *testing.T, sig syscall.Signal) (release chan bool, cache *cacheStub,
+	router *routerProcess, c *client,
 ) {
 	t.Helper()
 	release = make(chan bool)
-	m = startCache(t, func(h receivedAttempt) string {
-		if h.fields["thing"] == objectID {
+	cache = startCache(t, func(attempt receivedAttempt) string {
+		if attempt.fields["thing"] == objectID {
 			<-release
 		}
-		return okResponse(h, "x")
+		return okResponse(attempt, "x")
 	})
-	s = startRouter(t, 192, m, m)
-	c = s.dial(t)
+	router = startRouter(t, 192, cache, cache)
+	c = router.dial(t)
 	c.send("page", objectID, "")
-	require.Eventually(t, func() bool { return m.attemptCount() == 1 }, waitTimeout, time.Millisecond)
-	require.NoError(t, s.Process.Signal(sig))
-	return release, m, s, c
+	require.Eventually(t, func() bool { return cache.attemptCount() == 1 }, waitTimeout, time.Millisecond)
+	require.NoError(t, router.Process.Signal(sig))
+	return release, cache, router, c
 }
 
 // pinToOneCPU restricts all threads of a process to one CPU core.
--- a/cmd/cairnfront/killed_test.go
+++ b/cmd/cairnfront/killed_test.go
@@ -95,15 +95,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			m := startCache(t, nil)
-			m.answer = func(h receivedAttempt) string {
+			cache := startCache(t, nil)
+			cache.answer = func(attempt receivedAttempt) string {
 				time.Sleep(test.delay)
-				return okResponse(h, "x")
+				return okResponse(attempt, "x")
 			}
-			s := startRouter(t, 192, m, m)
+			router := startRouter(t, 192, cache, cache)
 			var clients sync.WaitGroup
 			for range 12 {
-				c := &steadyClient{client: s.dial(t), interval: 4 * time.Millisecond, sentAt: map[uint32]time.Time{}}
+				c := &steadyClient{
+					client: router.dial(t), interval: 4 * time.Millisecond, sentAt: map[uint32]time.Time{},
+				}
 				clients.Go(c.sendRequests)
 				clients.Go(func() {
 					answered, lost := c.readAnswers(t)
@@ -114,14 +116,15 @@
 			time.Sleep(300 * time.Millisecond)
 			startedAt := time.Now()
 			for _, signal := range test.signals {
-				require.NoError(t, s.Process.Signal(signal))
+				require.NoError(t, router.Process.Signal(signal))
 				time.Sleep(100 * time.Millisecond)
 			}
-			kill := time.AfterFunc(time.Until(startedAt.Add(maxDeadline+killDelay)), func() { _ = s.Process.Kill() })
+			kill := time.AfterFunc(time.Until(startedAt.Add(maxDeadline+killDelay)),
+				func() { _ = router.Process.Kill() })
 			defer kill.Stop()
 			clients.Wait()
-			s.stopping = true
-			assert.NoError(t, <-s.exited, "exit 0, not killed")
+			router.stopping = true
+			assert.NoError(t, <-router.exited, "exit 0, not killed")
 		})
 	}
 }
--- a/cmd/cairnfront/largecluster_test.go
+++ b/cmd/cairnfront/largecluster_test.go
@@ -45,18 +45,18 @@
 func measureResourceUse(t *testing.T, caches int) resourceUse {
 	t.Helper()
 	const zones, requests, objects, burst = 48, 300, 300, 6
-	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
-	s := prepareProgram(t, launch{program: program}, 192, m, m)
-	enlargeCluster(t, s.bootstrapPath, m, caches, zones)
-	s.start(t)
-	c := s.dial(t)
+	cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
+	router := prepareProgram(t, launch{program: program}, 192, cache, cache)
+	enlargeCluster(t, router.bootstrapPath, cache, caches, zones)
+	router.start(t)
+	c := router.dial(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	popularity := rand.NewZipf(rng, 1.1, 8, objects-1)
 	use := resourceUse{}
 	for i := range requests {
 		if i%10 == 0 { // caches of the router's zone start and stop draining
-			record := endpointRecord(uint32(zones*(i/20%(caches/zones))), m, byte(i/10%2))
-			s.discovery.deliver(t, discoveryFrame(uint64(i/10+2), 2, record))
+			record := endpointRecord(uint32(zones*(i/20%(caches/zones))), cache, byte(i/10%2))
+			router.discovery.deliver(t, discoveryFrame(uint64(i/10+2), 2, record))
 		}
 		c.send("page", fmt.Sprintf("%016x", popularity.Uint64()), "")
 		if i%burst < burst-1 {
@@ -68,16 +68,16 @@
 			}
 		}
 	}
-	counters := s.dumpCounters(t)
-	use.cpuSeconds = cpuSeconds(t, s.Process.Pid)
-	use.memoryMB = peakMemoryMB(t, s.Process.Pid)
+	counters := router.dumpCounters(t)
+	use.cpuSeconds = cpuSeconds(t, router.Process.Pid)
+	use.memoryMB = peakMemoryMB(t, router.Process.Pid)
 	use.descriptors = counters["process_open_descriptors"]
 	use.connections = counters.connectionsOpened("endpoint")
 	return use
 }
 
 // enlargeCluster rewrites a bootstrap file with so many caches, spread over the zones, all at the address of the stub.
-func enlargeCluster(t *testing.T, path string, m *cacheStub, caches, zones int) {
+func enlargeCluster(t *testing.T, path string, cache *cacheStub, caches, zones int) {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -102,7 +102,7 @@
 			continue
 		}
 		endpoints = append(endpoints, map[string]any{
-			"name": fmt.Sprintf("s-%08x", i), "address": m.Addr().String(), "zone": names[i%zones], "type": "box",
+			"name": fmt.Sprintf("s-%08x", i), "address": cache.Addr().String(), "zone": names[i%zones], "type": "box",
 			"group": 0, "status": "SERVING", "weight": 1600 / float64(caches), "since_ms": 0,
 		})
 	}
@@ -127,8 +127,8 @@
 // before the next start.
 func prepareProgram(t *testing.T, l launch, memory int, origin *cacheStub, caches ...*cacheStub) *routerProcess {
 	t.Helper()
-	s := startProgram(t, l, memory, origin, caches...)
-	_ = s.stop(t, 9)
+	router := startProgram(t, l, memory, origin, caches...)
+	_ = router.stop(t, 9)
 	time.Sleep(10 * time.Millisecond)
-	return s
+	return router
 }
--- a/cmd/cairnfront/limits_test.go
+++ b/cmd/cairnfront/limits_test.go
@@ -23,11 +23,11 @@
 //
 // If a malformed frame ended the process or another client's connection, one bad client could stop the service.
 func TestMalformedInputEndsOnlyItsConnection(t *testing.T) {
-	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
-	s := startRouter(t, 192, m, m)
-	good := s.dial(t)
+	cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
+	router := startRouter(t, 192, cache, cache)
+	good := router.dial(t)
 	for _, bad := range []string{"\x00\x00\x00\x01", "GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x05\x64\x00\x00\x00\x00"} {
-		c := s.dial(t)
+		c := router.dial(t)
 		_, _ = io.WriteString(c, bad+"123456789")
 		_, stream, payload := c.readFrame(t)
 		assert.EqualValues(t, 0, stream)
@@ -54,11 +54,11 @@
 		t.Skip("long")
 	}
 	object := strings.Repeat("x", 240_000)
-	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, object) })
-	s := startRouter(t, 192, m, m, m)
-	usage := func() counterDump { return s.dumpCounters(t) }
+	cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, object) })
+	router := startRouter(t, 192, cache, cache, cache)
+	usage := func() counterDump { return router.dumpCounters(t) }
 	status := func(name string) int {
-		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.Process.Pid))
+		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", router.Process.Pid))
 		require.NoError(t, err)
 		_, rest, _ := strings.Cut(string(text), name+":")
 		n, err := strconv.Atoi(strings.Fields(rest)[0])
@@ -68,7 +68,7 @@
 	before := usage()
 	var clients []*client
 	for i := range 341 {
-		c := s.dial(t)
+		c := router.dial(t)
 		for j := range 32 {
 			c.send("page", fmt.Sprintf("%08x%08x", i, j), "")
 		}
@@ -103,13 +103,11 @@
 			after["process_goroutines"] <= before["process_goroutines"]+4*after.connectionsOpen("endpoint") &&
 			after["process_heap_bytes"] <= before["process_heap_bytes"]+rings+12<<20
 	}
-	require.True(t, released,
-		"usage must return to its level before the load, except for the routing module's data about objects; "+
-			"before %v, after %v", before, after)
+	require.True(t, released, "only the routing module's object data may stay; before %v, after %v", before, after)
 	t.Logf("after: %d descriptors, %d goroutines, %d heap bytes (%d before), %d connections to endpoints",
 		after["process_open_descriptors"], after["process_goroutines"], after["process_heap_bytes"],
 		before["process_heap_bytes"], after.connectionsOpen("endpoint"))
-	c := s.dial(t)
+	c := router.dial(t)
 	c.send("page", objectID, "")
 	code, _, body := c.readResponse(t)
 	assert.Equal(t, codeCompleted, code)
@@ -122,8 +120,8 @@
 // Clients that send slowly, never read or disconnect in the middle of a frame use descriptors and memory that other
 // clients need.
 func TestBadClientsDoNotDisturbAGoodOne(t *testing.T) {
-	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
-	s := startRouter(t, 64, m, m)
+	cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
+	router := startRouter(t, 64, cache, cache)
 	head := func(kind clientproto.FrameType, stream uint32, size int) []byte {
 		return clientproto.AppendHeader(nil, kind, stream, size)
 	}
@@ -136,7 +134,7 @@
 			200)[:7], head(clientproto.TypeRequest, 1, 200), nil,
 	}
 	for _, text := range bad {
-		c := s.dial(t)
+		c := router.dial(t)
 		go func() {
 			_, err := c.Write(text)
 			if err == nil {
@@ -145,7 +143,7 @@
 			ends <- err
 		}()
 	}
-	c := s.dial(t)
+	c := router.dial(t)
 	for open := len(bad); open > 0; {
 		c.send("page", objectID, "")
 		code, _, body := c.readResponse(t)
@@ -158,7 +156,7 @@
 		default:
 		}
 	}
-	badFields := s.dial(t)
+	badFields := router.dial(t)
 	for _, f := range []clientproto.Field{
 		{Name: "ttl", Value: "-1"},
 		{Name: "seg", Value: "x"},
@@ -169,9 +167,9 @@
 		code, _, _ := badFields.readResponse(t)
 		assert.Equal(t, codeAborted, code, f)
 	}
-	require.NoError(t, s.stop(t, syscall.SIGTERM))
+	require.NoError(t, router.stop(t, syscall.SIGTERM))
 	for _, code := range []string{"protocol_error", "partial_frame", "no_first_frame"} {
-		assert.Contains(t, s.log.String(), "reason="+code)
+		assert.Contains(t, router.log.String(), "reason="+code)
 	}
 }
 
@@ -180,19 +178,19 @@
 //
 // State that is retained for each former endpoint, client or object exhausts the process's memory after days.
 func TestDescriptorsGoroutinesAndHeapStayFlat(t *testing.T) {
-	o := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
-	s := startRouter(t, 64, o, o)
-	usage := func() counterDump { return s.dumpCounters(t) }
+	origin := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
+	router := startRouter(t, 64, origin, origin)
+	usage := func() counterDump { return router.dumpCounters(t) }
 	before := usage()
-	idleClient := s.dial(t) // sends one request and leaves its connection open
+	idleClient := router.dial(t) // sends one request and leaves its connection open
 	idleClient.send("page", objectID, "")
 	idleClient.readResponse(t)
 	for i := range 60 {
-		m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
-		s.discovery.send <- discoveryFrame(uint64(i+2), 2,
-			append(endpointRecord(uint32(i+2), m, 0), endpointRecord(uint32(i+1), m, 2)...))
+		cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
+		router.discovery.send <- discoveryFrame(uint64(i+2), 2,
+			append(endpointRecord(uint32(i+2), cache, 0), endpointRecord(uint32(i+1), cache, 2)...))
 		for range 10 {
-			c := s.dial(t)
+			c := router.dial(t)
 			c.send("page", fmt.Sprintf("%016x", requestIDs.n), "")
 			c.expectCode(t, codeCompleted)
 			_ = c.Close()
@@ -212,21 +210,21 @@
 //
 // The deployment gives a router one core. A router that busy-waits, or needs several cores, misses deadlines there.
 func TestRouterUsesOneCoreAtATime(t *testing.T) {
-	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
-	s := startRouter(t, 64, m, m)
-	pinToOneCPU(t, s.Process.Pid)
-	all := sendFromClients(t, s, 16, 25)
+	cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
+	router := startRouter(t, 64, cache, cache)
+	pinToOneCPU(t, router.Process.Pid)
+	all := sendFromClients(t, router, 16, 25)
 	all.Wait()
-	before, since := cpuSeconds(t, s.Process.Pid), time.Now()
+	before, since := cpuSeconds(t, router.Process.Pid), time.Now()
 	for time.Since(since) < time.Second { // idle except for readiness queries
-		c := s.dial(t)
+		c := router.dial(t)
 		_, _ = c.Write(append(clientproto.AppendHeader(nil, clientproto.TypeReadinessQuery, 0, 1), 0))
 		c.readFrame(t)
 		time.Sleep(100 * time.Millisecond)
 	}
-	assert.Less(t, cpuSeconds(t, s.Process.Pid)-before, 0.1*time.Since(since).Seconds())
-	require.NoError(t, s.stop(t, syscall.SIGTERM))
-	assert.Equal(t, 400, s.counters().completed("page"))
+	assert.Less(t, cpuSeconds(t, router.Process.Pid)-before, 0.1*time.Since(since).Seconds())
+	require.NoError(t, router.stop(t, syscall.SIGTERM))
+	assert.Equal(t, 400, router.counters().completed("page"))
 }
 
 // TestDiscoveryReconnectsWhileClientsFillTheDescriptors lowers the system's descriptor limit below the configured one,
@@ -236,12 +234,12 @@
 // If clients could use the last descriptors, the router could not connect to the discovery service and would continue
 // with an outdated endpoint list.
 func TestDiscoveryReconnectsWhileClientsFillTheDescriptors(t *testing.T) {
-	old, m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "old") }), startCache(t,
-		func(h receivedAttempt) string { return okResponse(h, "new") })
-	s := startRouter(t, 64, old, old)
-	require.NoError(t, s.stop(t, syscall.SIGTERM))
-	s.shellCommand = "ulimit -n 64; exec " + program + " serve"
-	s.start(t)
+	old, cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "old") }),
+		startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "new") })
+	router := startRouter(t, 64, old, old)
+	require.NoError(t, router.stop(t, syscall.SIGTERM))
+	router.shellCommand = "ulimit -n 64; exec " + program + " serve"
+	router.start(t)
 	stop := make(chan bool)
 	idleClients := sync.WaitGroup{}
 	for range 80 { // each reconnects when the router closes its connection
@@ -252,7 +250,7 @@
 					return
 				default:
 				}
-				if c, err := dialTCP(t.Context(), s.addr); err == nil {
+				if c, err := dialTCP(t.Context(), router.addr); err == nil {
 					_, _ = c.Write(append(clientproto.AppendHeader(nil, clientproto.TypeReadinessQuery, 0, 1), 0))
 					_ = c.SetReadDeadline(time.Now().Add(time.Second))
 					_, _ = io.Copy(io.Discard, c)
@@ -264,15 +262,16 @@
 	defer idleClients.Wait()
 	defer close(stop)
 	full := func() bool {
-		return s.dumpCounters(t).connectionsOpen("client") >= 28
+		return router.dumpCounters(t).connectionsOpen("client") >= 28
 	}
 	require.Eventually(t, full, waitTimeout, 10*time.Millisecond)
 	next := startDiscovery(t)
-	require.NoError(t, os.WriteFile(s.bootstrapPath, bootstrapFile(s.addr, next.Addr().String(), 64, old, old), 0o600))
-	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-	next.send <- discoveryFrame(2, 2, append(endpointRecord(9, m, 0), endpointRecord(1, old, 2)...))
+	require.NoError(t, os.WriteFile(router.bootstrapPath,
+		bootstrapFile(router.addr, next.Addr().String(), 64, old, old), 0o600))
+	require.NoError(t, router.Process.Signal(syscall.SIGHUP))
+	next.send <- discoveryFrame(2, 2, append(endpointRecord(9, cache, 0), endpointRecord(1, old, 2)...))
 	require.Eventually(t, func() bool {
-		c, err := dialTCP(t.Context(), s.addr)
+		c, err := dialTCP(t.Context(), router.addr)
 		if err != nil {
 			return false
 		}
@@ -282,5 +281,5 @@
 		text, _ := io.ReadAll(c)
 		return strings.HasSuffix(string(text), "new")
 	}, waitTimeout, time.Millisecond, "the new endpoint is used, and a new client is served")
-	assert.Less(t, s.counters()["process_open_descriptors"], 64)
+	assert.Less(t, router.counters()["process_open_descriptors"], 64)
 }
--- a/cmd/cairnfront/peers_test.go
+++ b/cmd/cairnfront/peers_test.go
@@ -26,14 +26,14 @@
 	entries []map[string]string
 }
 
-func (f *peerGroup) configFile(t *testing.T, i int, listen string, entries []map[string]string) string {
+func (group *peerGroup) configFile(t *testing.T, i int, listen string, entries []map[string]string) string {
 	t.Helper()
-	path := filepath.Join(f.folder, fmt.Sprintf("config-%d.yaml", i))
+	path := filepath.Join(group.folder, fmt.Sprintf("config-%d.yaml", i))
 	text, err := json.Marshal(map[string]any{
-		"router": map[string]any{"socket": f.adminSocket(i)},
+		"router": map[string]any{"socket": group.adminSocket(i)},
 		"peers": map[string]any{
-			"listen": listen, "name": f.entries[i]["name"],
-			"key_file": filepath.Join(f.folder, fmt.Sprint("key-", i)), "liars": 0, "roster": entries,
+			"listen": listen, "name": group.entries[i]["name"],
+			"key_file": filepath.Join(group.folder, fmt.Sprint("key-", i)), "liars": 0, "roster": entries,
 		},
 	})
 	require.NoError(t, err)
@@ -43,13 +43,13 @@
 
 // addEntry adds a router to the roster, with a key that the program generates. It checks that generating a second key
 // does not overwrite the first.
-func (f *peerGroup) addEntry(t *testing.T) {
+func (group *peerGroup) addEntry(t *testing.T) {
 	t.Helper()
-	i := len(f.entries)
-	key := filepath.Join(f.folder, fmt.Sprint("key-", i))
+	i := len(group.entries)
+	key := filepath.Join(group.folder, fmt.Sprint("key-", i))
 	out, err := exec.CommandContext(t.Context(), program, "peers", "key", key).Output()
 	require.NoError(t, err)
-	f.entries = append(f.entries, map[string]string{
+	group.entries = append(group.entries, map[string]string{
 		"name": fmt.Sprint("r", i), "key": strings.TrimSpace(string(out)),
 		"address": freePort(t),
 	})
@@ -59,17 +59,17 @@
 
 // conflictingConfigFile writes a configuration file for a second process with the name of an existing router, but with
 // its own address and admin socket.
-func (f *peerGroup) conflictingConfigFile(t *testing.T, i int) string {
+func (group *peerGroup) conflictingConfigFile(t *testing.T, i int) string {
 	t.Helper()
-	f.entries[i]["address"] = freePort(t)
-	conflict := filepath.Join(f.folder, "conflict")
+	group.entries[i]["address"] = freePort(t)
+	conflict := filepath.Join(group.folder, "conflict")
 	require.NoError(t, os.Mkdir(conflict, 0o700))
-	text, err := os.ReadFile(filepath.Join(f.folder, fmt.Sprintf("config-%d.yaml", i)))
+	text, err := os.ReadFile(filepath.Join(group.folder, fmt.Sprintf("config-%d.yaml", i)))
 	require.NoError(t, err)
-	text = []byte(strings.ReplaceAll(string(text), f.adminSocket(i), filepath.Join(conflict, "admin")))
+	text = []byte(strings.ReplaceAll(string(text), group.adminSocket(i), filepath.Join(conflict, "admin")))
 	var content map[string]any
 	require.NoError(t, json.Unmarshal(text, &content))
-	requireType[map[string]any](t, content["peers"])["listen"] = f.entries[i]["address"]
+	requireType[map[string]any](t, content["peers"])["listen"] = group.entries[i]["address"]
 	text, err = json.Marshal(content)
 	require.NoError(t, err)
 	file := filepath.Join(conflict, "config.yaml")
@@ -77,8 +77,8 @@
 	return file
 }
 
-func (f *peerGroup) adminSocket(i int) string {
-	return filepath.Join(f.folder, fmt.Sprint("admin-", i))
+func (group *peerGroup) adminSocket(i int) string {
+	return filepath.Join(group.folder, fmt.Sprint("admin-", i))
 }
 
 func freePort(t *testing.T) string {
@@ -89,18 +89,18 @@
 	return c.LocalAddr().String()
 }
 
-func (f *peerGroup) report(t *testing.T, i int) (r membership.Report) {
+func (group *peerGroup) report(t *testing.T, i int) (r membership.Report) {
 	t.Helper()
-	if data, err := admin.Call(t.Context(), f.adminSocket(i), admin.ShowPeers, nil); err == nil {
+	if data, err := admin.Call(t.Context(), group.adminSocket(i), admin.ShowPeers, nil); err == nil {
 		_ = json.Unmarshal(data, &r)
 	}
 	return r
 }
 
-func (f *peerGroup) waitForState(t *testing.T, i int, want string) {
+func (group *peerGroup) waitForState(t *testing.T, i int, want string) {
 	t.Helper()
-	require.Eventually(t, func() bool { return f.report(t, i).PartitionState == want },
-		waitTimeout, 20*time.Millisecond, "router %d is %+v", i, f.report(t, i))
+	require.Eventually(t, func() bool { return group.report(t, i).PartitionState == want },
+		waitTimeout, 20*time.Millisecond, "router %d is %+v", i, group.report(t, i))
 }
 
 // TestRoutersTrackEachOther starts three routers with keys that the program generated, suspends and resumes one, makes
@@ -109,52 +109,54 @@
 // Routers stop, hang, leave and are added while the others run. If such a change is not detected in time, the others
 // count a failed router as present, or a working one as failed.
 func TestRoutersTrackEachOther(t *testing.T) {
-	f := &peerGroup{folder: t.TempDir()}
+	group := &peerGroup{folder: t.TempDir()}
 	for range 4 {
-		f.addEntry(t)
+		group.addEntry(t)
 	}
-	f.entries[2]["address"] = "" // r0 and r1 learn it from r2's datagrams
+	group.entries[2]["address"] = "" // r0 and r1 learn it from r2's datagrams
 	third := freePort(t)
-	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
+	cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
 	var procs []*routerProcess
 	for i := range 3 {
-		listen := f.entries[i]["address"]
+		listen := group.entries[i]["address"]
 		if i == 2 {
 			listen = third
 		}
-		args := []string{"--config", f.configFile(t, i, listen, f.entries[:3])}
-		procs = append(procs, startRouterWith(t, args, 192, m, m))
+		args := []string{"--config", group.configFile(t, i, listen, group.entries[:3])}
+		procs = append(procs, startRouterWith(t, args, 192, cache, cache))
 	}
 	for i := range 3 {
-		f.waitForState(t, i, "whole")
+		group.waitForState(t, i, "whole")
 	}
 	require.NoError(t, procs[1].Process.Signal(syscall.SIGSTOP))
-	f.waitForState(t, 0, "majority")
+	group.waitForState(t, 0, "majority")
 	require.NoError(t, procs[1].Process.Signal(syscall.SIGCONT))
-	f.waitForState(t, 0, "whole")
-	f.waitForState(t, 1, "whole")
-	out, err := exec.CommandContext(t.Context(), program, "peers", "--socket", f.adminSocket(0)).Output()
+	group.waitForState(t, 0, "whole")
+	group.waitForState(t, 1, "whole")
+	out, err := exec.CommandContext(t.Context(), program, "peers", "--socket", group.adminSocket(0)).Output()
 	require.NoError(t, err)
 	assert.Contains(t, string(out), "r0: partition state complete")
 	assert.Contains(t, string(out), third, "the address that r2 announced")
 
-	require.NoError(t, exec.CommandContext(t.Context(), program, "peers", "leave", "--socket", f.adminSocket(2)).Run())
-	require.Eventually(t, func() bool { r := f.report(t, 0); return r.Roster == 2 && r.Present == 2 }, waitTimeout,
+	require.NoError(t,
+		exec.CommandContext(t.Context(), program, "peers", "leave", "--socket", group.adminSocket(2)).Run())
+	require.Eventually(t, func() bool { r := group.report(t, 0); return r.Roster == 2 && r.Present == 2 }, waitTimeout,
 		20*time.Millisecond)
-	assert.Equal(t, "whole", f.report(t, 0).PartitionState, "a router that left does not count in the partition state")
+	assert.Equal(t, "whole", group.report(t, 0).PartitionState, "a router that left is not counted")
 
-	f.configFile(t, 0, f.entries[0]["address"], append(f.entries[:2:2], f.entries[3]))
+	group.configFile(t, 0, group.entries[0]["address"], append(group.entries[:2:2], group.entries[3]))
 	require.NoError(t, procs[0].Process.Signal(syscall.SIGHUP))
-	replaced := func() bool { return len(f.report(t, 0).Members) == 3 && f.report(t, 0).Roster == 3 }
+	replaced := func() bool { return len(group.report(t, 0).Members) == 3 && group.report(t, 0).Roster == 3 }
 	require.Eventually(t, replaced, waitTimeout, 20*time.Millisecond, "r3 was added to the roster, r2 removed")
 
 	// A second process uses r1's name: the newer process continues, the older one becomes silent.
-	file := f.conflictingConfigFile(t, 1)
-	require.Eventually(t, func() bool { return f.report(t, 1).UptimeSeconds > 21 }, waitTimeout, 100*time.Millisecond,
+	file := group.conflictingConfigFile(t, 1)
+	require.Eventually(t, func() bool { return group.report(t, 1).UptimeSeconds > 21 },
+		waitTimeout, 100*time.Millisecond,
 		"until it no longer assumes that the conflicting process is its own earlier incarnation")
-	startRouterWith(t, []string{"--config", file}, 192, m, m)
-	require.Eventually(t, func() bool { return f.report(t, 1).Silent }, waitTimeout, 20*time.Millisecond)
-	assert.Equal(t, "alone", f.report(t, 1).PartitionState)
+	startRouterWith(t, []string{"--config", file}, 192, cache, cache)
+	require.Eventually(t, func() bool { return group.report(t, 1).Silent }, waitTimeout, 20*time.Millisecond)
+	assert.Equal(t, "alone", group.report(t, 1).PartitionState)
 }
 
 // TestInvalidPeerConfigIsRefusedWithPlaceAndReason checks that a router does not start with a mistake in the membership
@@ -169,9 +171,10 @@
 	other, err := exec.CommandContext(t.Context(), program, "peers", "key", key+"2").Output()
 	require.NoError(t, err)
 	mine, yours := strings.TrimSpace(string(public)), strings.TrimSpace(string(other))
-	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
+	cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
 	start := filepath.Join(folder, "start.json")
-	require.NoError(t, os.WriteFile(start, bootstrapFile("127.0.0.1:0", m.Addr().String(), 192, m, m), 0o600))
+	require.NoError(t,
+		os.WriteFile(start, bootstrapFile("127.0.0.1:0", cache.Addr().String(), 192, cache, cache), 0o600))
 	for text, want := range map[string]string{
 		`{peers: {listen: "127.0.0.1:0"}}`: "config.yaml:1:9: peers.key_file: required",
 		`{peers: {listen: "127.0.0.1:0", name: a, key_file: KEY, ` +
--- a/cmd/cairnfront/reload_test.go
+++ b/cmd/cairnfront/reload_test.go
@@ -23,28 +23,30 @@
 // A router that stays connected to the former address of the discovery service uses an outdated endpoint list.
 func TestReloadFollowsTheNewFile(t *testing.T) {
 	release := make(chan bool)
-	m := startCache(t, func(h receivedAttempt) string {
+	cache := startCache(t, func(attempt receivedAttempt) string {
 		<-release
-		return okResponse(h, "x")
+		return okResponse(attempt, "x")
 	})
-	s := startRouter(t, 64, m, m)
-	c := s.dial(t)
+	router := startRouter(t, 64, cache, cache)
+	c := router.dial(t)
 	c.send("page", objectID, "")
-	require.Eventually(t, func() bool { return m.attemptCount() == 1 }, waitTimeout, time.Millisecond)
-	for i, bad := range []string{"{", strings.Replace(string(bootstrapFile(s.addr, s.discovery.Addr().String(), 64, m,
-		m)), `"memory_mb":64`, `"memory_mb":65`, 1)} {
-		require.NoError(t, os.WriteFile(s.bootstrapPath, []byte(bad), 0o600))
-		require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-		failed := func() bool { return s.logCount("configuration reload failed") == i+1 }
+	require.Eventually(t, func() bool { return cache.attemptCount() == 1 }, waitTimeout, time.Millisecond)
+	for i, bad := range []string{"{", strings.Replace(
+		string(bootstrapFile(router.addr, router.discovery.Addr().String(), 64, cache, cache)),
+		`"memory_mb":64`, `"memory_mb":65`, 1)} {
+		require.NoError(t, os.WriteFile(router.bootstrapPath, []byte(bad), 0o600))
+		require.NoError(t, router.Process.Signal(syscall.SIGHUP))
+		failed := func() bool { return router.logCount("configuration reload failed") == i+1 }
 		require.Eventually(t, failed, waitTimeout, time.Millisecond)
 	}
 	next := startDiscovery(t)
-	require.NoError(t, os.WriteFile(s.bootstrapPath, bootstrapFile(s.addr, next.Addr().String(), 64, m, m), 0o600))
+	require.NoError(t, os.WriteFile(router.bootstrapPath,
+		bootstrapFile(router.addr, next.Addr().String(), 64, cache, cache), 0o600))
 	for range 50 {
-		require.NoError(t, s.Process.Signal(syscall.SIGHUP))
+		require.NoError(t, router.Process.Signal(syscall.SIGHUP))
 	}
-	m2 := startCache(t, func(h receivedAttempt) string { return okResponse(h, "new") })
-	next.send <- discoveryFrame(2, 2, append(endpointRecord(9, m2, 0), endpointRecord(1, m, 2)...))
+	newCache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "new") })
+	next.send <- discoveryFrame(2, 2, append(endpointRecord(9, newCache, 0), endpointRecord(1, cache, 2)...))
 	close(release)
 	code, _, body := c.readResponse(t)
 	assert.Equal(t, codeCompleted, code)
@@ -54,7 +56,7 @@
 		_, _, body := c.readResponse(t)
 		return body == "new"
 	}, waitTimeout, time.Millisecond, "the endpoint list of the new discovery service is used")
-	assert.NoError(t, s.stop(t, syscall.SIGTERM))
+	assert.NoError(t, router.stop(t, syscall.SIGTERM))
 }
 
 // TestReloadWhileOtherRoutersRestart sends one router SIGHUP repeatedly while another router that shares its cache is
@@ -63,8 +65,8 @@
 //
 // During an update of an installation, reloads coincide with restarts of other routers.
 func TestReloadWhileOtherRoutersRestart(t *testing.T) {
-	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
-	a, b := startRouter(t, 64, m, m), startRouter(t, 64, m, m)
+	cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
+	a, b := startRouter(t, 64, cache, cache), startRouter(t, 64, cache, cache)
 	stop := make(chan bool)
 	var requests sync.WaitGroup
 	requests.Go(func() {
@@ -80,7 +82,8 @@
 	})
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL, syscall.SIGTERM} {
 		next := startDiscovery(t)
-		require.NoError(t, os.WriteFile(a.bootstrapPath, bootstrapFile(a.addr, next.Addr().String(), 64, m, m), 0o600))
+		require.NoError(t, os.WriteFile(a.bootstrapPath,
+			bootstrapFile(a.addr, next.Addr().String(), 64, cache, cache), 0o600))
 		a.reload(t)
 		_ = b.stop(t, sig)
 		a.reload(t)
@@ -118,18 +121,18 @@
 // Deployments replace the file, and for a moment it does not exist. Without a retry, a reload at that moment would be
 // lost, and with it the new address.
 func TestReloadIsRetriedIfTheFileCannotBeRead(t *testing.T) {
-	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
-	s := startRouter(t, 64, m, m)
+	cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
+	router := startRouter(t, 64, cache, cache)
 	for range 2 {
 		next := startDiscovery(t)
-		fresh := bootstrapFile(s.addr, next.Addr().String(), 64, m, m)
-		require.NoError(t, os.Remove(s.bootstrapPath))
-		require.NoError(t, s.Process.Signal(syscall.SIGHUP))
-		failed := s.logCount("configuration reload failed")
-		failedAgain := func() bool { return s.logCount("configuration reload failed") > failed }
+		fresh := bootstrapFile(router.addr, next.Addr().String(), 64, cache, cache)
+		require.NoError(t, os.Remove(router.bootstrapPath))
+		require.NoError(t, router.Process.Signal(syscall.SIGHUP))
+		failed := router.logCount("configuration reload failed")
+		failedAgain := func() bool { return router.logCount("configuration reload failed") > failed }
 		require.Eventually(t, failedAgain, waitTimeout, time.Millisecond)
-		require.NoError(t, os.WriteFile(s.bootstrapPath+".new", fresh, 0o600))
-		require.NoError(t, os.Rename(s.bootstrapPath+".new", s.bootstrapPath))
+		require.NoError(t, os.WriteFile(router.bootstrapPath+".new", fresh, 0o600))
+		require.NoError(t, os.Rename(router.bootstrapPath+".new", router.bootstrapPath))
 		next.deliver(t, discoveryFrame(2, 0, nil))
 	}
 }
--- a/cmd/cairnfront/requests_test.go
+++ b/cmd/cairnfront/requests_test.go
@@ -20,20 +20,21 @@
 // a cache with their fields and body, answers must reach their client, and the counters and the log must match the
 // requests sent.
 func TestRequestsArePassedOnAndAnswered(t *testing.T) {
-	m := startCache(t, func(h receivedAttempt) string {
-		if h.fields["got"] == "t1" {
-			return h.id + " still_good digest=t1,dated=1 0\r\n\r\n"
+	cache := startCache(t, func(attempt receivedAttempt) string {
+		if attempt.fields["got"] == "t1" {
+			return attempt.id + " still_good digest=t1,dated=1 0\r\n\r\n"
 		}
-		return okResponse(h, "object "+h.body)
+		return okResponse(attempt, "object "+attempt.body)
 	})
-	s := startRouter(t, 192, startCache(t, func(h receivedAttempt) string { return h.id + " served - 0\r\n\r\n" }), m)
-	c := s.dial(t)
+	router := startRouter(t, 192,
+		startCache(t, func(attempt receivedAttempt) string { return attempt.id + " served - 0\r\n\r\n" }), cache)
+	c := router.dial(t)
 	id := c.send("page", objectID, "", clientproto.Field{Name: "dedupe", Value: "k1"})
 	code, fields, body := c.readResponse(t)
 	assert.Equal(t, []any{byte(1), "d1", "object "}, []any{code, fields["etag"], body})
-	f := m.lastAttempt().fields
+	f := cache.lastAttempt().fields
 	assert.Equal(t, []string{id, "page", objectID, "0", "k1", "s-000000ff"}, []string{
-		m.lastAttempt().id, f["profile"], f["thing"], f["nth"], f["replay"],
+		cache.lastAttempt().id, f["profile"], f["thing"], f["nth"], f["replay"],
 		f["parent"],
 	}, "fields are forwarded unchanged")
 	c.send("page", objectID, "", clientproto.Field{Name: "etag", Value: "t1"})
@@ -42,16 +43,16 @@
 	c.send("write", objectID, "order me")
 	code, _, _ = c.readResponse(t)
 	assert.Equal(t, codeCompleted, code, "the answer to a write needs no digest")
-	assert.NoError(t, s.Process.Signal(syscall.SIGUSR1))
-	assert.NoError(t, s.stop(t, syscall.SIGTERM))
-	got := s.counters()
+	assert.NoError(t, router.Process.Signal(syscall.SIGUSR1))
+	assert.NoError(t, router.stop(t, syscall.SIGTERM))
+	got := router.counters()
 	assert.Equal(t, []int{3, 3, 0, 2, 1}, []int{
 		got.received(), got.answered(), got["requests_open"], got.completed("page"), got.completed("write"),
 	})
 	pagesReceived := "counter requests_received_total{class=\"page\"} 2\n"
-	assert.Equal(t, 2, strings.Count(s.log.String(), pagesReceived), "counters are dumped on SIGUSR1 and at exit")
+	assert.Equal(t, 2, strings.Count(router.log.String(), pagesReceived), "counters are dumped on SIGUSR1 and at exit")
 	assert.Equal(t, got.total("connections_opened_total"),
-		strings.Count(s.log.String(), "msg=\"connection closed\""), "one log line for each connection")
+		strings.Count(router.log.String(), "msg=\"connection closed\""), "one log line for each connection")
 }
 
 // TestOnlyIdempotentRequestsAreRetriedAfterAReset checks that an idempotent request is retried at another endpoint, and
@@ -59,28 +60,28 @@
 //
 // If a connection is reset while an attempt is open, it is unknown whether the request ran.
 func TestOnlyIdempotentRequestsAreRetriedAfterAReset(t *testing.T) {
-	reset := func(h receivedAttempt) string {
-		resetConnection(h.conn)
+	reset := func(attempt receivedAttempt) string {
+		resetConnection(attempt.conn)
 		return ""
 	}
 	bad, worse := startCache(t, reset), startCache(t, reset)
-	good := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
-	s := startRouter(t, 192, good, bad)
-	c := s.dial(t)
+	good := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
+	router := startRouter(t, 192, good, bad)
+	c := router.dial(t)
 	c.send("page", objectID, "")
 	code, _, _ := c.readResponse(t)
 	assert.Equal(t, codeCompleted, code)
 	assert.Equal(t, 1, bad.attemptCount())
-	s = startRouter(t, 192, worse, worse)
-	c = s.dial(t)
+	router = startRouter(t, 192, worse, worse)
+	c = router.dial(t)
 	c.send("order", objectID, "")
 	code, _, _ = c.readResponse(t)
 	assert.Equal(t, codeAborted, code)
 	assert.Equal(t, 1, worse.attemptCount())
 	gone := startCache(t, nil)
 	_ = gone.Close()
-	s = startRouter(t, 192, gone, gone)
-	c = s.dial(t)
+	router = startRouter(t, 192, gone, gone)
+	c = router.dial(t)
 	c.send("order", objectID, "")
 	code, fields, _ := c.readResponse(t)
 	assert.Equal(t, codeRejected, code, "a refused connection proves that the request did not run")
@@ -90,28 +91,28 @@
 // A router that applies a purge too late serves purged copies, and one that applies a drain too late sends requests to
 // a cache that is shutting down. Both events must take effect on the requests that follow.
 func TestPurgesAndDrainingCachesTakeEffect(t *testing.T) {
-	origin := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
-	a, b := startCache(t, func(h receivedAttempt) string { return okResponse(h, "a") }), startCache(t,
-		func(h receivedAttempt) string { return okResponse(h, "b") })
-	s := startRouter(t, 192, origin, a, b)
-	c := s.dial(t)
+	origin := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
+	a, b := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "a") }), startCache(t,
+		func(attempt receivedAttempt) string { return okResponse(attempt, "b") })
+	router := startRouter(t, 192, origin, a, b)
+	c := router.dial(t)
 	requestOnce := func() (string, receivedAttempt) {
 		c.send("page", objectID, "")
 		code, _, body := c.readResponse(t)
 		require.Equal(t, codeCompleted, code)
 		return body, map[string]*cacheStub{"a": a, "b": b}[body].lastAttempt()
 	}
-	before, h := requestOnce()
-	assert.Empty(t, h.fields["accept"])
-	s.discovery.send <- discoveryFrame(2, 3, binary.BigEndian.AppendUint64([]byte("\x7f\x3a\x9c\x21\xe0\xb4\xd6\x55"),
-		uint64(time.Now().UnixMilli())))
-	require.Eventually(t, func() bool { _, h = requestOnce(); return h.fields["accept"] != "" },
+	before, attempt := requestOnce()
+	assert.Empty(t, attempt.fields["accept"])
+	router.discovery.send <- discoveryFrame(2, 3, binary.BigEndian.AppendUint64(
+		[]byte("\x7f\x3a\x9c\x21\xe0\xb4\xd6\x55"), uint64(time.Now().UnixMilli())))
+	require.Eventually(t, func() bool { _, attempt = requestOnce(); return attempt.fields["accept"] != "" },
 		waitTimeout, time.Millisecond, "only copies newer than the purge are accepted")
 	draining, id, other := a, uint32(1), "b"
 	if before == "b" {
 		draining, id, other = b, 2, "a"
 	}
-	s.discovery.send <- discoveryFrame(3, 2, endpointRecord(id, draining, 1))
+	router.discovery.send <- discoveryFrame(3, 2, endpointRecord(id, draining, 1))
 	require.Eventually(t, func() bool { now, _ := requestOnce(); return now == other }, waitTimeout, time.Millisecond)
 	n := draining.attemptCount()
 	for range 50 {
@@ -126,25 +127,25 @@
 //
 // An attempt that continues after its request was cancelled uses capacity that other requests need.
 func TestCancelledRequestFreesItsAttempt(t *testing.T) {
-	m := startCache(t, func(h receivedAttempt) string {
-		if h.fields["thing"] == objectID {
+	cache := startCache(t, func(attempt receivedAttempt) string {
+		if attempt.fields["thing"] == objectID {
 			return ""
 		}
-		return okResponse(h, "x")
+		return okResponse(attempt, "x")
 	})
-	s := startRouter(t, 192, m, m)
-	c := s.dial(t)
+	router := startRouter(t, 192, cache, cache)
+	c := router.dial(t)
 	id := c.send("page", objectID, "")
-	require.Eventually(t, func() bool { return m.attemptCount() == 1 }, waitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return cache.attemptCount() == 1 }, waitTimeout, time.Millisecond)
 	_, _ = c.Write(clientproto.AppendHeader(nil, clientproto.TypeCancel, 1, 0))
-	assert.Equal(t, id, <-m.cancelled)
+	assert.Equal(t, id, <-cache.cancelled)
 	c.send("page", "0000000000000001", "")
 	_, stream, _ := c.readFrame(t)
 	assert.EqualValues(t, 2, stream)
 	_ = c.send("page", objectID, "")
-	require.Eventually(t, func() bool { return m.attemptCount() == 3 }, waitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return cache.attemptCount() == 3 }, waitTimeout, time.Millisecond)
 	_ = c.Close()
-	assert.NotEmpty(t, <-m.cancelled, "closing a client connection cancels its open requests")
+	assert.NotEmpty(t, <-cache.cancelled, "closing a client connection cancels its open requests")
 }
 
 // TestMalformedCacheResponsesAreRetried uses two caches that send some malformed responses; each affected request must
@@ -154,34 +155,34 @@
 // of another request's response.
 func TestMalformedCacheResponsesAreRetried(t *testing.T) {
 	var n atomic.Int64
-	sometimesMalformed := func(h receivedAttempt) string {
+	sometimesMalformed := func(attempt receivedAttempt) string {
 		switch n.Add(1) % 5 {
 		case 0:
 			return "\x00\x01 noise\r\n"
 		case 2:
-			return h.id + " served digest=d1,dated=1,remark=h 3000000000\r\nx"
+			return attempt.id + " served digest=d1,dated=1,remark=h 3000000000\r\nx"
 		case 3: // a response to an unknown request, and a duplicate
 			const unknown = "ffffffffffffffff served digest=d1,dated=1,remark=h 1\r\ny\r\n"
-			return unknown + okResponse(h, "x") + okResponse(h, "x")
+			return unknown + okResponse(attempt, "x") + okResponse(attempt, "x")
 		}
-		return okResponse(h, "x")
+		return okResponse(attempt, "x")
 	}
-	a, b, o := startCache(t, sometimesMalformed), startCache(t, sometimesMalformed), startCache(t,
-		func(h receivedAttempt) string { return okResponse(h, "x") })
-	s := startRouter(t, 64, o, a, b)
-	c := s.dial(t)
+	a, b, origin := startCache(t, sometimesMalformed), startCache(t, sometimesMalformed), startCache(t,
+		func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
+	router := startRouter(t, 64, origin, a, b)
+	c := router.dial(t)
 	for i := range 60 {
 		c.send("page", fmt.Sprintf("%016x", i), "")
 		code, _, body := c.readResponse(t)
 		assert.Equal(t, codeCompleted, code, i)
 		assert.Equal(t, "x", body)
 	}
-	require.NoError(t, s.stop(t, syscall.SIGTERM))
-	k := s.counters()
+	require.NoError(t, router.stop(t, syscall.SIGTERM))
+	k := router.counters()
 	assert.Equal(t, 60, k.completed("page"))
 	assert.Positive(t, k[`upstream_attempts_ended_total{class="page",result="connection_broken"}`])
 	assert.Equal(t, k.connectionsOpened("endpoint"),
-		k.connectionsOpen("endpoint")+strings.Count(s.log.String(), "side=endpoint"),
+		k.connectionsOpen("endpoint")+strings.Count(router.log.String(), "side=endpoint"),
 		"one log line for each connection")
 }
 
@@ -192,10 +193,10 @@
 // A cache that has stopped remains in the endpoint list for some time. Requests that are still sent to it are late or
 // lost.
 func TestLateEndpointListCostsFewAttempts(t *testing.T) {
-	dead := startCache(t, func(h receivedAttempt) string { return okResponse(h, "old") })
-	good := startCache(t, func(h receivedAttempt) string { return okResponse(h, "good") })
-	s := startRouter(t, 64, good, dead, good)
-	c := s.dial(t)
+	dead := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "old") })
+	good := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "good") })
+	router := startRouter(t, 64, good, dead, good)
+	c := router.dial(t)
 	requestObjects := func(from, to int) (bodies map[string]int) {
 		bodies = map[string]int{}
 		for i := from; i < to; i++ {
@@ -210,19 +211,19 @@
 	addr := dead.Addr().String()
 	dead.kill()
 	assert.Zero(t, requestObjects(40, 400)["old"])
-	require.NoError(t, s.Process.Signal(syscall.SIGUSR1))
-	attempts := func() int { return s.counters()[`upstream_attempts_total{class="page"}`] }
+	require.NoError(t, router.Process.Signal(syscall.SIGUSR1))
+	attempts := func() int { return router.counters()[`upstream_attempts_total{class="page"}`] }
 	require.Eventually(t, func() bool { return attempts() >= 400 }, waitTimeout, time.Millisecond)
 	assert.Less(t, attempts(), 440, "few attempts go to a stopped cache that is still in the endpoint list")
 	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp", addr)
 	require.NoError(t, err)
 	fresh := &cacheStub{
-		Listener: ln, answer: func(h receivedAttempt) string { return okResponse(h, "new") },
+		Listener: ln, answer: func(attempt receivedAttempt) string { return okResponse(attempt, "new") },
 		cancelled: make(chan string, 1000),
 	}
 	fresh.accept(t, ln)
-	s.discovery.send <- discoveryFrame(2, 2, append(endpointRecord(9, fresh, 0), endpointRecord(1, fresh, 2)...))
+	router.discovery.send <- discoveryFrame(2, 2, append(endpointRecord(9, fresh, 0), endpointRecord(1, fresh, 2)...))
 	require.Eventually(t, func() bool { return requestObjects(400, 440)["new"] > 0 }, waitTimeout, time.Millisecond)
-	require.NoError(t, s.stop(t, syscall.SIGTERM))
-	assert.Equal(t, s.counters().received(), s.counters().completed("page"))
+	require.NoError(t, router.stop(t, syscall.SIGTERM))
+	assert.Equal(t, router.counters().received(), router.counters().completed("page"))
 }
--- a/cmd/cairnfront/restart_test.go
+++ b/cmd/cairnfront/restart_test.go
@@ -21,19 +21,19 @@
 //
 // A router that needs state of its previous process, or can't bind its port again, stays down after a crash.
 func TestRouterServesAgainAfterAKill(t *testing.T) {
-	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
-	s := startRouter(t, 192, m, m)
-	c := s.dial(t)
+	cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
+	router := startRouter(t, 192, cache, cache)
+	c := router.dial(t)
 	c.send("page", objectID, "")
 	c.readResponse(t)
-	require.Error(t, s.stop(t, syscall.SIGKILL))
+	require.Error(t, router.stop(t, syscall.SIGKILL))
 	_, err := c.Read(make([]byte, 1))
 	require.Error(t, err)
-	s.start(t)
-	c = s.dial(t)
+	router.start(t)
+	c = router.dial(t)
 	c.send("page", objectID, "")
 	c.expectCode(t, codeCompleted)
-	assert.Equal(t, 2, m.attemptCount())
+	assert.Equal(t, 2, cache.attemptCount())
 }
 
 // TestStoppedProcessLosesNoRequest stops the process with SIGSTOP for longer than any of its timeouts. Requests that
@@ -43,14 +43,15 @@
 // A machine may pause its processes for seconds. Afterwards every timer has expired, and endpoints that answered in
 // time seem unresponsive.
 func TestStoppedProcessLosesNoRequest(t *testing.T) {
-	hold, m, s, c := routerSignalledDuringRequest(t, syscall.SIGSTOP)
+	hold, cache, router, c := routerSignalledDuringRequest(t, syscall.SIGSTOP)
 	close(hold) // the cache answers while the router is stopped
-	late := s.dial(t)
+	late := router.dial(t)
 	late.send("page", "0000000000000002", "")
-	m2 := startCache(t, func(h receivedAttempt) string { return okResponse(h, "new") })
-	s.discovery.send <- discoveryFrame(2, 2, append(endpointRecord(9, m2, 0), endpointRecord(1, m, 2)...))
+	newCache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "new") })
+	router.discovery.send <- discoveryFrame(2, 2,
+		append(endpointRecord(9, newCache, 0), endpointRecord(1, cache, 2)...))
 	time.Sleep(3 * time.Second) // longer than the heartbeat timeout, the connect timeout and a stall of one second
-	require.NoError(t, s.Process.Signal(syscall.SIGCONT))
+	require.NoError(t, router.Process.Signal(syscall.SIGCONT))
 	for _, c := range []*client{c, late} {
 		code, _, _ := c.readResponse(t)
 		assert.Contains(t, []byte{0, 1}, code, "a request past its latency objective may be rejected")
@@ -60,8 +61,8 @@
 		_, _, body := c.readResponse(t)
 		return body == "new"
 	}, waitTimeout, 10*time.Millisecond, "the endpoint list sent while the router was stopped is used")
-	require.NoError(t, s.stop(t, syscall.SIGTERM))
-	k := s.counters()
+	require.NoError(t, router.stop(t, syscall.SIGTERM))
+	k := router.counters()
 	assert.Equal(t, []int{k.received(), 0}, []int{k.answered(), k["requests_open"]})
 }
 
@@ -105,17 +106,18 @@
 	require.NoError(t, err)
 	run := regexp.MustCompile(`(?m)^run = "(.*)"`).FindSubmatch(text)
 	require.NotNil(t, run)
-	m := startCache(t, func(h receivedAttempt) string { return okResponse(h, "x") })
-	s := startRouter(t, 64, m, m)
-	require.NoError(t, s.stop(t, syscall.SIGTERM))
-	s.shellCommand = strings.Replace(string(run[1]), "exec bin/cairnfront", "kill -HUP $$; exec "+program, 1)
-	require.Contains(t, s.shellCommand, "kill")
-	s.start(t)
+	cache := startCache(t, func(attempt receivedAttempt) string { return okResponse(attempt, "x") })
+	router := startRouter(t, 64, cache, cache)
+	require.NoError(t, router.stop(t, syscall.SIGTERM))
+	router.shellCommand = strings.Replace(string(run[1]), "exec bin/cairnfront", "kill -HUP $$; exec "+program, 1)
+	require.Contains(t, router.shellCommand, "kill")
+	router.start(t)
 	next := startDiscovery(t)
-	require.NoError(t, os.WriteFile(s.bootstrapPath, bootstrapFile(s.addr, next.Addr().String(), 64, m, m), 0o600))
-	require.NoError(t, s.Process.Signal(syscall.SIGHUP))
+	require.NoError(t, os.WriteFile(router.bootstrapPath,
+		bootstrapFile(router.addr, next.Addr().String(), 64, cache, cache), 0o600))
+	require.NoError(t, router.Process.Signal(syscall.SIGHUP))
 	select {
-	case next.send <- discoveryFrame(2, 2, endpointRecord(1, m, 0)):
+	case next.send <- discoveryFrame(2, 2, endpointRecord(1, cache, 0)):
 	case <-time.After(waitTimeout):
 		t.Fatal("no connection to the new discovery service")
 	}
--- a/cmd/cairnfront/stubs_test.go
+++ b/cmd/cairnfront/stubs_test.go
@@ -62,13 +62,13 @@
 func startCache(t *testing.T, answer func(receivedAttempt) string) *cacheStub {
 	t.Helper()
 	ln := listenLoopback(t)
-	m := &cacheStub{Listener: ln, answer: answer, cancelled: make(chan string, 1000)}
-	m.accept(t, ln)
-	return m
+	cache := &cacheStub{Listener: ln, answer: answer, cancelled: make(chan string, 1000)}
+	cache.accept(t, ln)
+	return cache
 }
 
 // accept serves the connections of a listener until the test ends.
-func (m *cacheStub) accept(t *testing.T, ln net.Listener) {
+func (cache *cacheStub) accept(t *testing.T, ln net.Listener) {
 	t.Helper()
 	t.Cleanup(func() { _ = ln.Close() })
 	go func() {
@@ -77,16 +77,16 @@
 			if err != nil {
 				return
 			}
-			go m.serve(c)
+			go cache.serve(c)
 		}
 	}()
 }
 
-func (m *cacheStub) serve(c net.Conn) {
+func (cache *cacheStub) serve(c net.Conn) {
 	defer c.Close()
-	m.mu.Lock()
-	m.connections = append(m.connections, c)
-	m.mu.Unlock()
+	cache.mu.Lock()
+	cache.connections = append(cache.connections, c)
+	cache.mu.Unlock()
 	r := bufio.NewReader(c)
 	for {
 		text, err := r.ReadString('\n')
@@ -95,20 +95,20 @@
 		}
 		w := strings.Fields(text)
 		if w[0] == "undo" {
-			m.cancelled <- w[1]
+			cache.cancelled <- w[1]
 			continue
 		}
-		h := receivedAttempt{id: w[1], fields: parseFields(w[2]), conn: c}
+		attempt := receivedAttempt{id: w[1], fields: parseFields(w[2]), conn: c}
 		n, _ := strconv.Atoi(w[3])
 		body := make([]byte, n+2)
 		if _, err := io.ReadFull(r, body); err != nil {
 			return
 		}
-		h.body = string(body[:n])
-		m.mu.Lock()
-		m.attempts = append(m.attempts, h)
-		m.mu.Unlock()
-		if _, err := io.WriteString(c, m.answer(h)); err != nil {
+		attempt.body = string(body[:n])
+		cache.mu.Lock()
+		cache.attempts = append(cache.attempts, attempt)
+		cache.mu.Unlock()
+		if _, err := io.WriteString(c, cache.answer(attempt)); err != nil {
 			return
 		}
 	}
@@ -125,25 +125,25 @@
 }
 
 // kill closes the listener and every connection, as happens when the process of a cache exits.
-func (m *cacheStub) kill() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	_ = m.Close()
-	for _, c := range m.connections {
+func (cache *cacheStub) kill() {
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	_ = cache.Close()
+	for _, c := range cache.connections {
 		_ = c.Close()
 	}
 }
 
-func (m *cacheStub) lastAttempt() receivedAttempt {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.attempts[len(m.attempts)-1]
+func (cache *cacheStub) lastAttempt() receivedAttempt {
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	return cache.attempts[len(cache.attempts)-1]
 }
 
-func (m *cacheStub) attemptCount() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return len(m.attempts)
+func (cache *cacheStub) attemptCount() int {
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	return len(cache.attempts)
 }
 
 // discardUnsent sets SO_LINGER to 0, so that closing the connection discards unsent bytes and resets it.
@@ -162,9 +162,9 @@
 }
 
 // okResponse returns a response with a body that completes an attempt.
-func okResponse(h receivedAttempt, body string) string {
+func okResponse(attempt receivedAttempt, body string) string {
 	now := time.Now().UnixMilli()
-	return fmt.Sprintf("%s served digest=d1,dated=%d,remark=h %d\r\n%s\r\n", h.id, now, len(body), body)
+	return fmt.Sprintf("%s served digest=d1,dated=%d,remark=h %d\r\n%s\r\n", attempt.id, now, len(body), body)
 }
 
 // discoveryStub is a stub of the discovery service. It sends each event to the connected router, and again to a router
@@ -180,53 +180,53 @@
 }
 
 // breakDown closes all connections, and rejects new ones for the given duration.
-func (b *discoveryStub) breakDown(lasting time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.downUntil = time.Now().Add(lasting)
-	for c := range b.conns {
+func (d *discoveryStub) breakDown(lasting time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.downUntil = time.Now().Add(lasting)
+	for c := range d.conns {
 		_ = c.Close()
 	}
 }
 
 // admit registers a connection and reports whether the service is up.
-func (b *discoveryStub) admit(c net.Conn) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.conns[c] = struct{}{}
-	return time.Now().After(b.downUntil)
+func (d *discoveryStub) admit(c net.Conn) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.conns[c] = struct{}{}
+	return time.Now().After(d.downUntil)
 }
 
 // dismiss removes and closes a connection.
-func (b *discoveryStub) dismiss(c net.Conn) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.conns, c)
+func (d *discoveryStub) dismiss(c net.Conn) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.conns, c)
 	_ = c.Close()
 }
 
 // sentAfter returns the events that were sent after the revision last.
-func (b *discoveryStub) sentAfter(last []byte) []byte {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	i := slices.IndexFunc(b.sent, func(x []byte) bool { return bytes.Compare(x[4:12], last) > 0 })
+func (d *discoveryStub) sentAfter(last []byte) []byte {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	i := slices.IndexFunc(d.sent, func(x []byte) bool { return bytes.Compare(x[4:12], last) > 0 })
 	if i < 0 {
 		return nil
 	}
-	return slices.Concat(b.sent[i:]...)
+	return slices.Concat(d.sent[i:]...)
 }
 
 // serve sends a connection the events that it has missed, then new events and heartbeats, until it ends.
-func (b *discoveryStub) serve(c net.Conn) {
-	defer b.dismiss(c)
+func (d *discoveryStub) serve(c net.Conn) {
+	defer d.dismiss(c)
 	last := make([]byte, 8)
-	if !b.admit(c) {
+	if !d.admit(c) {
 		return
 	}
 	if _, err := io.ReadFull(c, last); err != nil {
 		return
 	}
-	if _, err := c.Write(b.sentAfter(last)); err != nil {
+	if _, err := c.Write(d.sentAfter(last)); err != nil {
 		return
 	}
 	gone := make(chan struct{})
@@ -245,23 +245,23 @@
 			if _, err := c.Write(heartbeat); err != nil {
 				return
 			}
-		case event := <-b.send:
+		case event := <-d.send:
 			if _, err := c.Write(event); err != nil {
-				b.send <- event // retried on the next connection
+				d.send <- event // retried on the next connection
 				return
 			}
-			b.mu.Lock()
-			b.sent = append(b.sent, event)
-			b.mu.Unlock()
+			d.mu.Lock()
+			d.sent = append(d.sent, event)
+			d.mu.Unlock()
 		}
 	}
 }
 
 // deliver queues an event and waits until a router's connection has removed it from the queue.
-func (b *discoveryStub) deliver(t *testing.T, event []byte) {
+func (d *discoveryStub) deliver(t *testing.T, event []byte) {
 	t.Helper()
-	b.send <- event
-	require.Eventually(t, func() bool { return len(b.send) == 0 }, 2*time.Second, time.Millisecond,
+	d.send <- event
+	require.Eventually(t, func() bool { return len(d.send) == 0 }, 2*time.Second, time.Millisecond,
 		"no router is connected to the discovery service")
 }
 
@@ -269,7 +269,7 @@
 func startDiscovery(t *testing.T) *discoveryStub {
 	t.Helper()
 	ln := listenLoopback(t)
-	b := &discoveryStub{Listener: ln, send: make(chan []byte, 10), conns: map[net.Conn]struct{}{}}
+	d := &discoveryStub{Listener: ln, send: make(chan []byte, 10), conns: map[net.Conn]struct{}{}}
 	t.Cleanup(func() { _ = ln.Close() })
 	go func() {
 		for {
@@ -277,10 +277,10 @@
 			if err != nil {
 				return
 			}
-			go b.serve(c)
+			go d.serve(c)
 		}
 	}()
-	return b
+	return d
 }
 
 // discoveryFrame encodes an event as the discovery service sends it.
@@ -290,8 +290,8 @@
 }
 
 // endpointRecord encodes an endpoint in the binary format of the discovery service.
-func endpointRecord(id uint32, m *cacheStub, state byte) []byte {
-	a := netip.MustParseAddrPort(m.Addr().String())
+func endpointRecord(id uint32, cache *cacheStub, state byte) []byte {
+	a := netip.MustParseAddrPort(cache.Addr().String())
 	b := append(binary.BigEndian.AppendUint32(nil, id), a.Addr().AsSlice()...)
 	b = binary.BigEndian.AppendUint16(b, a.Port())
 	b = append(b, state, 0, 0, 0, 0)
--- a/cmd/cairnfront/wallclock_test.go
+++ b/cmd/cairnfront/wallclock_test.go
@@ -52,24 +52,25 @@
 	t *testing.T, edit func([]byte) []byte, origin *cacheStub, caches ...*cacheStub,
 ) *steppedRouter {
 	t.Helper()
-	s := &steppedRouter{offsetFile: filepath.Join(t.TempDir(), "offset")}
-	s.step(t, 0)
+	router := &steppedRouter{offsetFile: filepath.Join(t.TempDir(), "offset")}
+	router.step(t, 0)
 	this, err := os.Executable()
 	require.NoError(t, err)
 	l := launch{program: this, env: []string{
-		wallOffsetVariable + "=" + s.offsetFile,
+		wallOffsetVariable + "=" + router.offsetFile,
 		"GORACE=atexit_sleep_ms=0", // otherwise the race detector delays the exit by a second
 	}, editBootstrap: edit}
-	s.routerProcess = startProgram(t, l, 192, origin, caches...)
-	return s
+	router.routerProcess = startProgram(t, l, 192, origin, caches...)
+	return router
 }
 
 // step steps the router's wall clock by a number of seconds.
-func (s *steppedRouter) step(t *testing.T, seconds float64) {
+func (router *steppedRouter) step(t *testing.T, seconds float64) {
 	t.Helper()
-	s.offset += seconds
-	require.NoError(t, os.WriteFile(s.offsetFile+".new", []byte(strconv.FormatFloat(s.offset, 'f', -1, 64)), 0o600))
-	require.NoError(t, os.Rename(s.offsetFile+".new", s.offsetFile))
+	router.offset += seconds
+	require.NoError(t, os.WriteFile(router.offsetFile+".new",
+		[]byte(strconv.FormatFloat(router.offset, 'f', -1, 64)), 0o600))
+	require.NoError(t, os.Rename(router.offsetFile+".new", router.offsetFile))
 }
 
 // TestWallClockStepsChangeNoDuration steps the wall clock of a running router while requests are open, inside the
@@ -95,35 +96,35 @@
 func testWallClockSteps(t *testing.T, steps []float64) {
 	t.Helper()
 	var brokenOnce atomic.Bool
-	m := startCache(t, func(h receivedAttempt) string {
+	cache := startCache(t, func(attempt receivedAttempt) string {
 		switch {
-		case h.fields["thing"] == "00000000000000aa": // answered after a delay
+		case attempt.fields["thing"] == "00000000000000aa": // answered after a delay
 			time.Sleep(300 * time.Millisecond)
-		case h.fields["thing"] == "00000000000000bb": // never answered
+		case attempt.fields["thing"] == "00000000000000bb": // never answered
 			return ""
-		case h.fields["profile"] == "write" && brokenOnce.CompareAndSwap(false, true):
-			_ = h.conn.Close()
+		case attempt.fields["profile"] == "write" && brokenOnce.CompareAndSwap(false, true):
+			_ = attempt.conn.Close()
 			return ""
 		}
-		return okResponse(h, "x")
+		return okResponse(attempt, "x")
 	})
-	s := startSteppedRouter(t, m, m)
-	c := s.dial(t)
+	router := startSteppedRouter(t, cache, cache)
+	c := router.dial(t)
 	revision := uint64(1)
 	for _, step := range steps {
-		s.requestsOutliveStep(t, c, step)
+		router.requestsOutliveStep(t, c, step)
 		brokenOnce.Store(false)
 		c.send("write", "00000000000000cc", "order", clientproto.Field{Name: "dedupe", Value: "k"})
 		c.expectCode(t, codeCompleted, "the write is retried within the idempotency window")
 		revision++
-		s.purgeAfterStep(t, c, m, revision)
+		router.purgeAfterStep(t, c, cache, revision)
 	}
-	s.drainsInTime(t, c, steps[0])
+	router.drainsInTime(t, c, steps[0])
 }
 
 // requestsOutliveStep steps the clock while two requests are open: one whose answer is pending, and one that is never
 // answered.
-func (s *steppedRouter) requestsOutliveStep(t *testing.T, c *client, step float64) {
+func (router *steppedRouter) requestsOutliveStep(t *testing.T, c *client, step float64) {
 	t.Helper()
 	c.send("page", "00000000000000aa", "")
 	c.ttlMillis = 900
@@ -131,7 +132,7 @@
 	c.ttlMillis = 0
 	startedAt := time.Now()
 	time.Sleep(100 * time.Millisecond)
-	s.step(t, step)
+	router.step(t, step)
 	for range 2 {
 		_, stream, payload := c.readFrame(t)
 		elapsed := time.Since(startedAt)
@@ -147,20 +148,20 @@
 
 // purgeAfterStep sends a purge with the time of the stepped clock, and checks the age of copies that the router
 // accepts.
-func (s *steppedRouter) purgeAfterStep(t *testing.T, c *client, m *cacheStub, revision uint64) {
+func (router *steppedRouter) purgeAfterStep(t *testing.T, c *client, cache *cacheStub, revision uint64) {
 	t.Helper()
 	purgedAt := time.Now()
-	purgeTime := purgedAt.Add(time.Duration(s.offset * float64(time.Second)))
+	purgeTime := purgedAt.Add(time.Duration(router.offset * float64(time.Second)))
 	object := 0xdd00 + revision
 	payload := binary.BigEndian.AppendUint64(nil, object)
 	payload = binary.BigEndian.AppendUint64(payload, uint64(purgeTime.UnixMilli()))
-	s.discovery.send <- discoveryFrame(revision, 3, payload)
+	router.discovery.send <- discoveryFrame(revision, 3, payload)
 	require.Eventually(t, func() bool {
-		before := m.attemptCount()
+		before := cache.attemptCount()
 		c.send("page", fmt.Sprintf("%016x", object), "")
 		c.expectCode(t, codeCompleted)
-		require.Greater(t, m.attemptCount(), before)
-		accept, err := strconv.Atoi(m.lastAttempt().fields["accept"])
+		require.Greater(t, cache.attemptCount(), before)
+		accept, err := strconv.Atoi(cache.lastAttempt().fields["accept"])
 		if err != nil { // purge not applied yet: copies of any age are accepted
 			return false
 		}
@@ -169,19 +170,19 @@
 }
 
 // drainsInTime steps the clock right after SIGTERM, while a request is open that is never answered.
-func (s *steppedRouter) drainsInTime(t *testing.T, c *client, step float64) {
+func (router *steppedRouter) drainsInTime(t *testing.T, c *client, step float64) {
 	t.Helper()
 	c.send("order", "00000000000000bb", "")
 	time.Sleep(50 * time.Millisecond)
 	startedAt := time.Now()
-	require.NoError(t, s.Process.Signal(syscall.SIGTERM))
+	require.NoError(t, router.Process.Signal(syscall.SIGTERM))
 	time.Sleep(100 * time.Millisecond)
-	s.step(t, step)
+	router.step(t, step)
 	kind, _, _ := c.readFrame(t)
 	assert.Equal(t, clientproto.TypeGoAway, kind)
 	c.expectCode(t, codeAborted)
-	s.stopping = true
-	require.NoError(t, <-s.exited, "exit 0")
+	router.stopping = true
+	require.NoError(t, <-router.exited, "exit 0")
 	assert.Greater(t, time.Since(startedAt), 3*time.Second, "the drain waits for the open request")
 	assert.Less(t, time.Since(startedAt), maxDeadline+killDelay, "the drain ends before the earliest SIGKILL")
 }
