--- a/cmd/cairnfront/drain_test.go
+++ b/cmd/cairnfront/drain_test.go
@@ -149,9 +149,9 @@
 	assert.True(t, mayListenAgain(inUse, portInUseTimeout))
 	assert.False(t, mayListenAgain(inUse, portInUseTimeout+1))
 	assert.False(t, mayListenAgain(os.ErrInvalid, 0))
-	unread := fmt.Errorf("bootstrap file: %w", &fs.PathError{Op: "open", Path: "file", Err: syscall.EMFILE})
-	assert.True(t, mayReloadAgain(unread, 1))
-	assert.False(t, mayReloadAgain(unread, 0))
+	readError := fmt.Errorf("bootstrap file: %w", &fs.PathError{Op: "open", Path: "file", Err: syscall.EMFILE})
+	assert.True(t, mayReloadAgain(readError, 1))
+	assert.False(t, mayReloadAgain(readError, 0))
 	assert.False(t, mayReloadAgain(os.ErrInvalid, 1))
 	assert.False(t, mayReloadAgain(nil, 1))
 }
--- a/cmd/cairnfront/largecluster_test.go
+++ b/cmd/cairnfront/largecluster_test.go
@@ -29,10 +29,10 @@
 //
 // If work or memory grows with the endpoint list, a router in a large installation is too slow for its single core.
 func TestResourceUseGrowsLittleWithTheCluster(t *testing.T) {
-	const usual, large = 200, 3200
+	const small, large = 200, 3200
 	thousands := float64(large) / 1000
-	before, after := measureResourceUse(t, usual), measureResourceUse(t, large)
-	t.Logf("%d caches: %+v; %d caches: %+v", usual, before, large, after)
+	before, after := measureResourceUse(t, small), measureResourceUse(t, large)
+	t.Logf("%d caches: %+v; %d caches: %+v", small, before, large, after)
 	assert.Equal(t, before.answered, after.answered)
 	assert.LessOrEqual(t, after.cpuSeconds, 1.4*before.cpuSeconds+0.02+0.03*thousands)
 	assert.LessOrEqual(t, after.memoryMB, 1.5*before.memoryMB+8+4*thousands)
@@ -40,8 +40,8 @@
 	assert.LessOrEqual(t, float64(after.connections), 2.5*float64(before.connections)+40)
 }
 
-// measureResourceUse runs a router in a cluster with so many caches and returns the resources used from its start until
-// it has answered every request.
+// measureResourceUse runs a router in a cluster with the given number of caches and returns the resources used from its
+// start until it has answered every request.
 func measureResourceUse(t *testing.T, caches int) resourceUse {
 	t.Helper()
 	const zones, requests, objects, burst = 48, 300, 300, 6
@@ -76,7 +76,8 @@
 	return use
 }
 
-// enlargeCluster rewrites a bootstrap file with so many caches, spread over the zones, all at the address of the stub.
+// enlargeCluster rewrites a bootstrap file with the given number of caches, spread over the zones, all at the address
+// of the stub.
 func enlargeCluster(t *testing.T, path string, cache *cacheStub, caches, zones int) {
 	t.Helper()
 	text, err := os.ReadFile(path)
--- a/cmd/cairnfront/main.go
+++ b/cmd/cairnfront/main.go
@@ -1,8 +1,8 @@
-// Command cairnfront is a traffic router for a two-tier cache. It also has the edge cache, the tools for what either
-// writes to disk, and the laboratory.
+// Command cairnfront is a traffic router for a two-tier cache. It also has commands that run an edge cache, inspect the
+// files that routers and edge caches write to disk, and run test scenarios and simulations.
 //
-// Each command has a file, named after it. A command parses its flags, calls into a package and turns its error into
-// one line on standard error and an exit code.
+// Each command is implemented in a file named after it. A command parses its flags and calls other packages. If it
+// returns an error, the program prints one line to standard error and exits with code 1.
 package main
 
 import (
--- a/cmd/cairnfront/reload.go
+++ b/cmd/cairnfront/reload.go
@@ -48,8 +48,8 @@
 // mayReloadAgain reports whether a reload that returned err is tried again: retries must be left, and the error must be
 // that a file could not be read.
 func mayReloadAgain(err error, retries int) bool {
-	var unread *fs.PathError
-	return retries > 0 && errors.As(err, &unread)
+	var readError *fs.PathError
+	return retries > 0 && errors.As(err, &readError)
 }
 
 // reloadBootstrap reads the bootstrap file again and switches to the discovery service's new address.
--- a/cmd/cairnfront/reloadlog.go
+++ b/cmd/cairnfront/reloadlog.go
@@ -2,10 +2,10 @@
 
 import "cairnfront/internal/telemetry"
 
-// reloadedFile is a file that SIGHUP reads again, as the log names it.
+// reloadedFile is the name in log lines of a file that is read again on SIGHUP.
 type reloadedFile string
 
-// The files that SIGHUP reads again.
+// The files that are read again on SIGHUP.
 const (
 	reloadedBootstrap     reloadedFile = "bootstrap"
 	reloadedConfiguration reloadedFile = "configuration"
--- a/cmd/cairnfront/soak_cache_test.go
+++ b/cmd/cairnfront/soak_cache_test.go
@@ -74,7 +74,7 @@
 		c.mu.Lock()
 		delete(c.conns, conn)
 		c.mu.Unlock()
-		conn.endAll(c.journal)
+		conn.endAllAttempts(c.journal)
 		_ = conn.Close()
 	}()
 	reader := bufio.NewReader(conn)
@@ -130,7 +130,7 @@
 	case 3: // no response
 		return
 	case 4:
-		conn.endAll(c.journal)
+		conn.endAllAttempts(c.journal)
 		resetConnection(conn.Conn)
 		return
 	case 5: // truncated response
@@ -152,9 +152,9 @@
 	}
 }
 
-// endAll records the end of all attempts on the connection. It must be called before the connection is closed, as the
-// router may see the close before this stub's reading goroutine does.
-func (c *soakCacheConn) endAll(journal *soakJournal) {
+// endAllAttempts records the end of all attempts on the connection. It must be called before the connection is closed,
+// as the router may see the close before this stub's reading goroutine does.
+func (c *soakCacheConn) endAllAttempts(journal *soakJournal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range c.openAttempts {
@@ -174,7 +174,7 @@
 			discardUnsent(conn.Conn)
 		}
 		if idle || reset {
-			conn.endAll(c.journal)
+			conn.endAllAttempts(c.journal)
 			_ = conn.Close()
 		}
 	}
--- a/cmd/cairnfront/soak_narrow_test.go
+++ b/cmd/cairnfront/soak_narrow_test.go
@@ -15,8 +15,8 @@
 const (
 	smallBufferSockets     = 64
 	smallBufferIdleClients = 10
-	pauseOneIn             = 40 // one of so many reads starts with a pause
-	endlessPauseOneIn      = 4  // one of so many pauses lasts until the router closes
+	pauseOneIn             = 40 // 1 in 40 reads starts with a pause
+	endlessPauseOneIn      = 4  // 1 in 4 pauses lasts until the router closes the connection
 	minPauseMs             = 200
 	pauseRangeMs           = 1800
 	peerClosePollInterval  = 5 * time.Millisecond
@@ -148,14 +148,14 @@
 	return false
 }
 
-// endUnread records the end of all attempts on connections whose reading paused at any time, as a cancel or a close
-// may still be unread there.
-func (c *soakCache) endUnread() {
+// endAttemptsOnPausedConnections records the end of all attempts on connections whose reading paused at any time, as a
+// cancel or a close may still be unread there.
+func (c *soakCache) endAttemptsOnPausedConnections() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn := range c.conns {
 		if !conn.pausedSince().IsZero() {
-			conn.endAll(c.journal)
+			conn.endAllAttempts(c.journal)
 		}
 	}
 }
--- a/cmd/cairnfront/soak_test.go
+++ b/cmd/cairnfront/soak_test.go
@@ -118,7 +118,7 @@
 	s.terminateRouter()
 	s.clients.Wait()
 	for _, cache := range s.caches {
-		cache.endUnread()
+		cache.endAttemptsOnPausedConnections()
 	}
 	s.t.Logf("small buffers %t, completed %s", s.smallBuffers, s.journal.completedShares())
 	for _, problem := range s.journal.verify() {
@@ -126,7 +126,7 @@
 	}
 }
 
-// injectRandomEvent does one random thing to the router, a cache or the discovery service.
+// injectRandomEvent triggers a random event or fault at the router, a cache or the discovery service.
 func (s *soak) injectRandomEvent() {
 	if s.smallBuffers && s.rng.IntN(3) == 0 {
 		s.caches[s.rng.IntN(len(s.caches))].freeze(time.Duration(300+s.rng.IntN(1700)) * time.Millisecond)
@@ -156,7 +156,7 @@
 	case 6:
 		s.router.step(s.t, []float64{-3600, -5, 5, 3600}[s.rng.IntN(4)])
 	case 7:
-		s.router.discovery.breakDown(time.Duration(s.rng.IntN(600)) * time.Millisecond)
+		s.router.discovery.simulateOutage(time.Duration(s.rng.IntN(600)) * time.Millisecond)
 	}
 }
 
--- a/cmd/cairnfront/stubs_test.go
+++ b/cmd/cairnfront/stubs_test.go
@@ -179,26 +179,26 @@
 	downUntil time.Time
 }
 
-// breakDown closes all connections, and rejects new ones for the given duration.
-func (d *discoveryStub) breakDown(lasting time.Duration) {
+// simulateOutage closes all connections, and rejects new ones for the given duration.
+func (d *discoveryStub) simulateOutage(duration time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.downUntil = time.Now().Add(lasting)
+	d.downUntil = time.Now().Add(duration)
 	for c := range d.conns {
 		_ = c.Close()
 	}
 }
 
-// admit registers a connection and reports whether the service is up.
-func (d *discoveryStub) admit(c net.Conn) bool {
+// register registers a connection and reports whether the service is up.
+func (d *discoveryStub) register(c net.Conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.conns[c] = struct{}{}
 	return time.Now().After(d.downUntil)
 }
 
-// dismiss removes and closes a connection.
-func (d *discoveryStub) dismiss(c net.Conn) {
+// disconnect removes and closes a connection.
+func (d *discoveryStub) disconnect(c net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.conns, c)
@@ -218,9 +218,9 @@
 
 // serve sends a connection the events that it has missed, then new events and heartbeats, until it ends.
 func (d *discoveryStub) serve(c net.Conn) {
-	defer d.dismiss(c)
+	defer d.disconnect(c)
 	last := make([]byte, 8)
-	if !d.admit(c) {
+	if !d.register(c) {
 		return
 	}
 	if _, err := io.ReadFull(c, last); err != nil {
--- a/cmd/cairnfront/wallclock_test.go
+++ b/cmd/cairnfront/wallclock_test.go
@@ -112,19 +112,19 @@
 	c := router.dial(t)
 	revision := uint64(1)
 	for _, step := range steps {
-		router.requestsOutliveStep(t, c, step)
+		router.testRequestsAcrossStep(t, c, step)
 		brokenOnce.Store(false)
 		c.send("write", "00000000000000cc", "order", clientproto.Field{Name: "dedupe", Value: "k"})
 		c.expectCode(t, codeCompleted, "the write is retried within the idempotency window")
 		revision++
-		router.purgeAfterStep(t, c, cache, revision)
+		router.testPurgeAfterStep(t, c, cache, revision)
 	}
-	router.drainsInTime(t, c, steps[0])
+	router.testDrainAcrossStep(t, c, steps[0])
 }
 
-// requestsOutliveStep steps the clock while two requests are open: one whose answer is pending, and one that is never
-// answered.
-func (router *steppedRouter) requestsOutliveStep(t *testing.T, c *client, step float64) {
+// testRequestsAcrossStep steps the clock while two requests are open: one whose answer is pending, and one that is
+// never answered.
+func (router *steppedRouter) testRequestsAcrossStep(t *testing.T, c *client, step float64) {
 	t.Helper()
 	c.send("page", "00000000000000aa", "")
 	c.ttlMillis = 900
@@ -146,9 +146,9 @@
 	}
 }
 
-// purgeAfterStep sends a purge with the time of the stepped clock, and checks the age of copies that the router
+// testPurgeAfterStep sends a purge with the time of the stepped clock, and checks the age of copies that the router
 // accepts.
-func (router *steppedRouter) purgeAfterStep(t *testing.T, c *client, cache *cacheStub, revision uint64) {
+func (router *steppedRouter) testPurgeAfterStep(t *testing.T, c *client, cache *cacheStub, revision uint64) {
 	t.Helper()
 	purgedAt := time.Now()
 	purgeTime := purgedAt.Add(time.Duration(router.offset * float64(time.Second)))
@@ -169,8 +169,8 @@
 	}, waitTimeout, 5*time.Millisecond)
 }
 
-// drainsInTime steps the clock right after SIGTERM, while a request is open that is never answered.
-func (router *steppedRouter) drainsInTime(t *testing.T, c *client, step float64) {
+// testDrainAcrossStep steps the clock right after SIGTERM, while a request is open that is never answered.
+func (router *steppedRouter) testDrainAcrossStep(t *testing.T, c *client, step float64) {
 	t.Helper()
 	c.send("order", "00000000000000bb", "")
 	time.Sleep(50 * time.Millisecond)
--- a/internal/codestyle/words_test.go
+++ b/internal/codestyle/words_test.go
@@ -185,10 +185,10 @@
 	require.Len(t, found, 6, "%q", found)
 	assert.Contains(t, found[0], "half_frame.go: half frame: use partial frame")
 
-	for _, fine := range []string{
+	for _, allowed := range []string{
 		"a two-tier cache", "a whole number", "told apart", "boxing", "a heartbeat", "tier.folder", "notices.log",
 	} {
-		assert.Empty(t, withdrawnPhrasesIn(fine), fine)
+		assert.Empty(t, withdrawnPhrasesIn(allowed), allowed)
 	}
 	for _, phrase := range withdrawnPhrases {
 		assert.NotEmpty(t, phrase.term)
