--- a/internal/codestyle/decisions_test.go
+++ b/internal/codestyle/decisions_test.go
@@ -218,7 +218,8 @@
 	}
 	for _, constant := range row.constants {
 		if !constants[constant] {
-			faults = append(faults, fmt.Sprintf("line %d: no constant %s in the package of %s", row.line, constant, row.file))
+			faults = append(faults,
+				fmt.Sprintf("line %d: no constant %s in the package of %s", row.line, constant, row.file))
 		}
 	}
 	return faults
