--- a/cmd/cairnfront/wallclock_test.go
+++ b/cmd/cairnfront/wallclock_test.go
@@ -165,6 +165,7 @@
 		if err != nil { // purge not applied yet: copies of any age are accepted
 			return false
 		}
+		// accept is sent in milliseconds; 1 ms allows for rounding
 		return assert.LessOrEqual(t, accept, int(time.Since(purgedAt).Milliseconds())+1, "at most the purge's age")
 	}, waitTimeout, 5*time.Millisecond)
 }
