--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -25,12 +25,13 @@
 	allowed func(uid uint32) bool // if nil, root and the program's own user are allowed
 }
 
-// Listen opens the socket. It replaces the stale socket of a program that has ended, but no other file.
+// Listen opens the socket. It replaces a socket that cannot be connected to, such as the stale socket of a program that
+// has ended, but no other file.
 func Listen(ctx context.Context, path string) (net.Listener, error) {
 	if err := removeStaleSocket(ctx, path); err != nil {
 		return nil, fmt.Errorf("open admin socket: %w", err)
 	}
-	oldMask := syscall.Umask(0o177) // prevents that another user connects before a chmod could take effect
+	oldMask := syscall.Umask(0o177) // creates the socket with mode 0600, so that no other user can ever connect
 	ln, err := new(net.ListenConfig).Listen(ctx, "unix", path)
 	syscall.Umask(oldMask)
 	if err != nil {
@@ -39,7 +40,8 @@
 	return ln, nil
 }
 
-// removeStaleSocket removes a socket on which no program listens.
+// removeStaleSocket removes a socket that cannot be connected to, for whatever reason, and takes it for one on which no
+// program listens.
 func removeStaleSocket(ctx context.Context, path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
--- a/internal/admin/wirenames.go
+++ b/internal/admin/wirenames.go
@@ -9,11 +9,11 @@
 // RequestName is the name of a request in the admin protocol.
 type RequestName string
 
-// The requests.
+// The requests. CooldownAddress and ReinstateAddress call the Dispatcher's DisableAddress and ReinstateAddress.
 const (
 	ShowAddresses    RequestName = "reach"       // returns the addresses of all endpoints and their state
-	CooldownAddress  RequestName = "rest"        // takes an address out of use until it is reinstated
-	ReinstateAddress RequestName = "unrest"      // ends the cooldown of an address
+	CooldownAddress  RequestName = "rest"        // disables an address until it is reinstated
+	ReinstateAddress RequestName = "unrest"      // puts an address that is disabled or in cooldown back into use
 	ShowPeers        RequestName = "peers"       // returns the membership view
 	LeavePeers       RequestName = "peers-leave" // leaves the membership until the program is restarted
 )
--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -18,7 +18,7 @@
 	maxOffsets = 16
 )
 
-// Reading is a simultaneous reading of both clocks.
+// Reading is a reading of both clocks, one directly after the other.
 type Reading struct {
 	Instant  Instant
 	UnixTime time.Duration // wall clock time since the Unix epoch
@@ -51,8 +51,8 @@
 	return w
 }
 
-// Observe reads the clocks and reports whether the wall clock was stepped. It should be called about once a second; the
-// methods that translate times call it too.
+// Observe reads the clocks and reports whether the wall clock was stepped to an offset that is not remembered. It
+// should be called about once a second; the methods that translate times call it too.
 func (w *WallClock) Observe() (stepped bool) {
 	reading := w.read()
 	offset := reading.UnixTime - time.Duration(reading.Instant)
@@ -107,7 +107,8 @@
 	return latest
 }
 
-// EarliestInstant returns the earliest instant that a Unix time may correspond to; both are in seconds.
+// EarliestInstant returns the earliest instant that a Unix time may correspond to, to within minStep; both are in
+// seconds. It ignores slewing that has raised an offset since it was first observed.
 func (w *WallClock) EarliestInstant(unixSeconds float64) (instantSeconds float64) {
 	w.Observe()
 	highest := w.offsets[0].offset
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -65,16 +65,16 @@
 }
 
 // unknownKeys returns a FieldError for each key that is not in the schema, with the position of the key.
-func (d document) unknownKeys(mapping FieldError, location, keys []string) []FieldError {
+func (d document) unknownKeys(mappingError FieldError, location, keys []string) []FieldError {
 	n := d.find(location)
 	mistakes := make([]FieldError, len(keys))
 	for i, key := range keys {
-		mistake := mapping
+		mistake := mappingError
 		if keyNode, _ := entry(n, key); keyNode != nil {
 			mistake.Line = keyNode.Line
 			mistake.Column = keyNode.Column
 		}
-		mistake.Path = strings.TrimPrefix(mapping.Path+"."+key, ".")
+		mistake.Path = strings.TrimPrefix(mappingError.Path+"."+key, ".")
 		mistake.Reason = "unknown key"
 		mistakes[i] = mistake
 	}
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// File is the content of a configuration file, with defaults for all keys that are not set.
+// File is the content of a configuration file, with defaults for all keys that are not set. The unit and meaning of
+// each key are in its description in Schema.
 type File struct {
 	Router     Router     `json:"router"`
 	Membership Membership `json:"peers"`
@@ -21,7 +22,7 @@
 	DiskCache  DiskCache  `json:"tier"`
 }
 
-// Router is the part of a router's configuration that is not in the bootstrap file.
+// Router is the part of a router's configuration that is neither in the bootstrap file nor in Membership.
 type Router struct {
 	AdminSocket string              `json:"socket"`        // path; empty if disabled
 	RetryShare  float64             `json:"further_share"` // retries per first attempt; 0 for no retry budget
@@ -104,7 +105,8 @@
 	ColdSeconds     float64 `json:"cold_s"`
 }
 
-// SyntheticContent configures the content of an origin: generated objects, or the files of a directory.
+// SyntheticContent configures the content of an origin for tests: the files in Directory, or generated objects if
+// Directory is empty.
 type SyntheticContent struct {
 	Seed              uint64  `json:"seed"`
 	Directory         string  `json:"folder"`
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -12,8 +12,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Read reads and validates a file. The returned error joins a FieldError for each mistake, unless the file can't be
-// read.
+// Read reads and validates a file. The returned error is one of Parse, unless the file can't be read.
 func Read(path string) (File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -22,9 +21,9 @@
 	return Parse(path, text)
 }
 
-// Parse parses and validates the text of a file. The returned error joins a FieldError for each mistake, in the order
-// of the file. The steps are: YAML syntax, values, schema, then rules that a schema can't express. Only the mistakes
-// found by the first failing step are reported.
+// Parse parses and validates the text of a file. The steps are: YAML syntax, values, schema, then rules that a schema
+// can't express. Only the first failing step is reported. For values and schema the error joins a FieldError for each
+// mistake, in the order of the file; for the other steps it is a FieldError for the first mistake.
 func Parse(name string, text []byte) (File, error) {
 	root, err := parseYAML(name, text)
 	if err != nil {
@@ -34,11 +33,11 @@
 	if err != nil {
 		return File{}, err
 	}
-	schema, document := compiledSchema()
+	schema, plainSchema := compiledSchema()
 	if err := schema.Validate(value); err != nil {
 		return File{}, root.convertValidationError(err)
 	}
-	fillDefaults(document, value)
+	fillDefaults(plainSchema, value)
 	var file File
 	filled, err := json.Marshal(value)
 	if err == nil {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -29,7 +29,8 @@
 	return nil
 }
 
-// validate checks that an endpoint is specified and that the addresses can be dialed. At is the path of e in the file.
+// validate checks that an endpoint is specified and that its pattern and the addresses have a valid form. The argument
+// at is the path of e in the file.
 func (e EndpointAddresses) validate(d document, at []string) error {
 	if e.Endpoint == "" && e.DiscoveryAddress == "" {
 		return d.errorAt(keyEndpoint+" or "+keyDiscoveryAddress+" is required", at...)
@@ -64,7 +65,7 @@
 		return d.errorAt("no other router has an address, so none can be reached", keyMembership, keyRoster)
 	case m.Name != "" && !names[m.Name]:
 		return d.errorAt(fmt.Sprintf("%q is not in the roster", m.Name), keyMembership, keyName)
-	case 3*m.FaultyPeers >= len(m.Roster) && m.FaultyPeers > 1:
+	case 3*m.FaultyPeers >= len(m.Roster) && m.FaultyPeers > 1: // 1, the default, is accepted with any roster
 		reason := fmt.Sprintf("%d byzantine peers of %d: under a third can be tolerated", m.FaultyPeers, len(m.Roster))
 		return d.errorAt(reason, keyMembership, keyFaultyPeers)
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -26,7 +26,7 @@
 
 // Client receives the events of the discovery service. It reconnects until its context is done, and requests the events
 // after the last received revision on each connection. Its fields must be set before Run is called and must not be
-// accessed after that.
+// accessed after that, except to send on AddressChanges.
 type Client struct {
 	Address      string
 	LastRevision uint64
@@ -41,8 +41,8 @@
 	AddressChanges chan string
 
 	// OnRawEvent, if set, is called in place of OnEvent, on the same goroutine, for every event in the order of
-	// arrival, including heartbeats. If it returns an error, the connection is closed. StartRevision must then be set
-	// as well; each new connection requests the events after the revision that it returns.
+	// arrival, including heartbeats. If it returns an error, the connection is closed. If OnRawEvent is set,
+	// StartRevision must be set as well; each new connection requests the events after the revision that it returns.
 	OnRawEvent    func(Event) error
 	StartRevision func() uint64
 
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -34,8 +34,8 @@
 	millisInSecond = 1000
 )
 
-// ErrMalformed is wrapped by all errors about frames that violate the protocol. The connection can't be used after
-// that, because the start of the next frame is unknown.
+// ErrMalformed is wrapped by all errors about frames that violate the protocol. Client closes the connection after each
+// of them: after a length that is out of bounds, the start of the next frame is unknown.
 var ErrMalformed = errors.New("malformed frame")
 
 // errNotIPv4 is returned if an endpoint's address does not fit into the record, which has four bytes for it.
--- a/internal/discovery/known.go
+++ b/internal/discovery/known.go
@@ -68,8 +68,8 @@
 	"DELETED":  routing.Removed,
 }
 
-// ParseKnownEvents parses the events in a bootstrap file and returns them with the revision of the last one. The first
-// event is always a Snapshot or a purge.
+// ParseKnownEvents parses the events in a bootstrap file and returns them with the last revision that the file states,
+// which is not compared with the events. The first event is always a Snapshot or a purge.
 func ParseKnownEvents(text []byte, names IndexNames) (events []Event, lastRevision uint64, err error) {
 	var file knownFile
 	if err := json.Unmarshal(text, &file); err != nil {
--- a/internal/dispatch/addresses.go
+++ b/internal/dispatch/addresses.go
@@ -11,7 +11,8 @@
 
 // Errors of the operators' commands on addresses.
 var (
-	// ErrNotDisabled is returned if an address is unknown, or is the last one of its endpoint that is not disabled.
+	// ErrNotDisabled is returned if an address could not be disabled, because it is unknown or the only address of its
+	// endpoint that is not disabled.
 	ErrNotDisabled = errors.New("no such endpoint and address, or its last address that is not disabled")
 	// ErrUnknownAddress is returned if an address is unknown.
 	ErrUnknownAddress = errors.New("no such endpoint and address")
@@ -55,7 +56,7 @@
 	return d.sendAddressCommand(ctx, disableAddress, endpoint, addr)
 }
 
-// ReinstateAddress ends any cooldown of an address.
+// ReinstateAddress puts an address that is disabled or in cooldown back into use.
 func (d *Dispatcher) ReinstateAddress(ctx context.Context, endpoint routing.EndpointID, addr string) error {
 	return d.sendAddressCommand(ctx, reinstateAddress, endpoint, addr)
 }
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -9,17 +9,19 @@
 	"cairnfront/routing"
 )
 
-// sendState is the state of an attempt on its connection. The routing module has a separate state for each attempt,
-// attemptState. The table lists all transitions; attempt.transition rejects any other:
+// sendState is the state of an attempt, from its start to its end and whether or not it is sent. The routing module has
+// a separate state for each attempt, attemptState. The table lists all transitions; attempt.transition rejects any
+// other:
 //
 //	from       to         when
-//	open       cancelled  the Decider cancelled it, or its deadline passed (cancelAttempt)
+//	open       cancelled  the Decider cancelled it, its deadline passed, its request was abandoned, or the process
+//	                      shuts down (cancelAttempt)
 //	open       ended      its connection reported its end, or it could not be sent (finishAttempt)
 //	cancelled  ended      its connection reported its end, or will not report one (finishAttempt)
 type sendState uint8
 
 const (
-	sendOpen      sendState = iota // the attempt may still complete
+	sendOpen      sendState = iota // neither cancelled nor ended; it may still complete
 	sendCancelled                  // cancelled; its connection has not reported the end yet
 	sendEnded                      // the attempt's end was handled and reported to the Decider
 	sendStateCount
@@ -83,7 +85,7 @@
 	}
 	switch {
 	case o.request.Cancelled(): // the client cancelled the request, and the loop has not handled that yet
-		d.runAfterEvent(requestDisconnected{o})
+		d.runAfterEvent(requestCancelledByClient{o})
 	case o.state == requestOpen && deadline > d.now:
 		d.Metrics.Inc(telemetry.AttemptsSent.With(telemetry.Class(o.request.ClassName)))
 		a.sent = d.Pool.Send(cacheproto.Attempt{
@@ -170,8 +172,8 @@
 // cancelAttempt cancels an attempt. Its connection reports the end after it has sent the cancel command to the
 // endpoint. If nothing of the attempt was sent, the end is handled after the current event.
 func (d *Dispatcher) cancelAttempt(a *attempt, result routing.AttemptResult) {
-	notSent := a.sent == nil // an attemptFinished task is already queued for it
-	if notSent || !a.transition(sendCancelled) {
+	nothingToCancel := a.sent == nil // not sent, with an attemptFinished task queued, or already ended
+	if nothingToCancel || !a.transition(sendCancelled) {
 		return
 	}
 	if result, immediate := d.Pool.Cancel(a.sent, result); immediate {
--- a/internal/dispatch/decisions.go
+++ b/internal/dispatch/decisions.go
@@ -32,7 +32,9 @@
 	return append(actions, d.Decider.Decide(d.now, ev)...)
 }
 
-// perform carries out one action. An action for a request that is not open any more has no effect.
+// perform carries out one action. An action for a request that was removed (removeIfDone) has no effect. While a
+// request that is answered or cancelled still has attempts in progress, CancelAttempt cancels its attempt, a new
+// attempt ends as NotSent, and a response is dropped.
 func (d *Dispatcher) perform(action routing.Action) {
 	switch action := action.(type) {
 	case routing.StartAttempt:
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -26,7 +26,8 @@
 const (
 	// queueCapacity is the maximum number of queued events. A request that arrives when the queue is full is rejected.
 	queueCapacity = 4096
-	// closeIdleInterval is the time between two scans of the pool for idle connections to close.
+	// closeIdleInterval is the time between two scans of the pool for idle connections to close, and between two checks
+	// of the wall clock.
 	closeIdleInterval = time.Second
 	// stallCheckInterval is the time between two checks for stalled attempts and for expired retry budget windows.
 	stallCheckInterval = 20 * time.Millisecond
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -14,8 +14,8 @@
 
 // toListedEndpoint returns the entry to store for a listed endpoint; previous is its former entry, zero if there is
 // none. A start time is translated to monotonic time once, when it is first received, and to the latest possible time:
-// a warming endpoint may seem colder than it is, but never warmer (rule 4). A new start time is always after the
-// previous one, whatever the clocks show.
+// a warming endpoint may seem colder than it is, but never warmer (rule 4 in package routing). A new start time is
+// always after the previous one, whatever the clocks show.
 func (d *Dispatcher) toListedEndpoint(listed routing.Endpoint, previous listedEndpoint) listedEndpoint {
 	entry := listedEndpoint{kind: listed.Kind, startedAtUnix: listed.StartedAt}
 	switch {
@@ -77,12 +77,13 @@
 }
 
 // purgeAge returns the age of a purge in seconds; latest is the latest time at which it may have been made. The purge
-// is taken to be as recent as possible, so that every copy that may be older than the purge counts as older (rule 5).
-// Otherwise a purged copy could be served after a step of the wall clock.
+// is taken to be as recent as possible, so that every copy that may be older than the purge counts as older (rule 5 in
+// package routing). Otherwise a purged copy could be served after a step of the wall clock.
 func purgeAge(latest, now float64) float64 { return max(now-latest, 0) }
 
-// fillSource returns the fill source that is sent with an attempt, or an empty string to send none. An edge cache that
-// is its own source does not fetch, so none is sent; a parent cache or the origin is sent even as its own source.
+// fillSource returns the fill source that is sent with an attempt, or an empty string to send none. For an edge cache
+// that is its own fill source the string is empty, because it does not fetch; a parent cache or the origin gets its own
+// id.
 func (d *Dispatcher) fillSource(action routing.StartAttempt) string {
 	kind := d.endpoints[action.Endpoint].kind
 	isParent := kind == int(d.Settings.Float(routing.SettingParentKind, -1))
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -11,30 +11,31 @@
 // overdueGrace is the time after a request's deadline at which the request is aborted if the Decider has not ended it.
 const overdueGrace = 20 * time.Millisecond
 
-// openRequest is a request without a final response, or with attempts in progress.
+// openRequest is a request that the loop has not removed (removeIfDone): it is in the state requestOpen, or it is
+// answered or cancelled and has attempts in progress.
 type openRequest struct {
 	request        *request.Request
 	attempts       []*attempt // indexed by attempt number
 	activeAttempts int        // number of attempts that have not ended
 
-	state              requestState
-	abandonmentPending bool // a reportAbandoned task was queued for the request
+	state               requestState
+	abandonReportQueued bool // a reportAbandoned task was queued for the request
 }
 
 // requestState is the state of a request. The table lists all transitions; openRequest.transition rejects any other:
 //
 //	from      to         when
-//	open      answered   the request gets its final response (respond)
-//	open      cancelled  the client cancelled the request or disconnected (handleDisconnect)
-//	answered  cancelled  the client cancelled or disconnected while attempts are in progress (handleDisconnect)
+//	open      answered   its final response is passed to the ResponseWriter (respond)
+//	open      cancelled  the client cancelled the request or disconnected (handleCancelledByClient)
+//	answered  cancelled  the client cancelled or disconnected while attempts are in progress (handleCancelledByClient)
 //
 // The loop removes a request that is answered or cancelled when it has no attempt in progress (removeIfDone).
 type requestState uint8
 
 const (
-	requestOpen      requestState = iota // the client has not got a final response
-	requestAnswered                      // the client got the final response
-	requestCancelled                     // a ClientDisconnected event was passed to the Decider
+	requestOpen      requestState = iota // neither answered nor cancelled
+	requestAnswered                      // the final response was passed to the ResponseWriter
+	requestCancelled                     // the client cancelled the request or disconnected
 	requestStateCount
 )
 
@@ -85,7 +86,8 @@
 		ObjectGroup: r.PurgeGroup,
 		Deadline:    r.Deadline,
 		SizeKB:      r.SizeKB,
-		Write:       d.Settings.ListItem(routing.SettingUncacheable, int(r.Class)) == "true",
+		// Requests of uncacheable classes count as writes.
+		Write: d.Settings.ListItem(routing.SettingUncacheable, int(r.Class)) == "true",
 	}, o)
 }
 
@@ -101,12 +103,13 @@
 func (d *Dispatcher) handleRequestCancelled(r *request.Request) {
 	d.advanceClock()
 	if o := d.requests[r.ID]; o != nil && o.request == r {
-		d.handleDisconnect(o)
+		d.handleCancelledByClient(o)
 	}
 }
 
-// handleDisconnect passes a ClientDisconnected event for a request to the Decider, once.
-func (d *Dispatcher) handleDisconnect(o *openRequest) {
+// handleCancelledByClient passes a ClientDisconnected event for a request to the Decider, at most once. If the request
+// was abandoned, a reportAbandoned task passes such an event too.
+func (d *Dispatcher) handleCancelledByClient(o *openRequest) {
 	if !o.transition(requestCancelled) {
 		return
 	}
@@ -114,7 +117,8 @@
 	d.removeIfDone(o)
 }
 
-// respond sends the final response to a request, or frees the response's body if the request is not open any more.
+// respond passes the final response to the request's ResponseWriter, or frees the response's body if the request is not
+// open any more.
 func (d *Dispatcher) respond(o *openRequest, response request.Response) {
 	if !o.transition(requestAnswered) {
 		response.Body.Free()
@@ -140,8 +144,8 @@
 	for _, a := range o.attempts {
 		d.cancelAttempt(a, routing.Cancelled)
 	}
-	if !o.abandonmentPending {
-		o.abandonmentPending = true
+	if !o.abandonReportQueued {
+		o.abandonReportQueued = true
 		d.runAfterEvent(reportAbandoned{o})
 	}
 }
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -36,9 +36,10 @@
 		probe *probe
 		end   request.AttemptEnd
 	}
-	// requestDisconnected handles a cancellation of a request by its client.
-	requestDisconnected struct{ request *openRequest }
-	// reportAbandoned makes the Decider drop its state of a request that was abandoned.
+	// requestCancelledByClient handles a cancellation of a request by its client, which may have disconnected.
+	requestCancelledByClient struct{ request *openRequest }
+	// reportAbandoned passes ClientDisconnected for a request that the dispatcher abandoned (abandon), so that the
+	// Decider drops its state of the request. The client may still be connected.
 	reportAbandoned struct{ request *openRequest }
 	// retryBudgetCheck passes changes of the retry budget to the Decider.
 	retryBudgetCheck struct{}
@@ -66,7 +67,7 @@
 
 func (t probeFinished) run(d *Dispatcher) { d.finishProbe(t.probe, t.end) }
 
-func (t requestDisconnected) run(d *Dispatcher) { d.handleDisconnect(t.request) }
+func (t requestCancelledByClient) run(d *Dispatcher) { d.handleCancelledByClient(t.request) }
 
 func (t reportAbandoned) run(d *Dispatcher) {
 	d.decide(routing.ClientDisconnected{Request: t.request.id()}, t.request)
--- a/internal/telemetry/dump.go
+++ b/internal/telemetry/dump.go
@@ -16,8 +16,8 @@
 
 // Dump writes all metrics that have a value, one per line and sorted by name, together with the current resource usage
 // of the process. A line is "counter NAME VALUE" for metrics of every kind. NAME includes the labels in the text format
-// of Prometheus; VALUE is an integer, or a decimal number if the metric is in seconds. Dump runs a garbage collection
-// first. It holds no lock while it writes, so a slow writer does not block updates of metrics.
+// of Prometheus; VALUE is an integer or, if a metric in seconds is not at a full second, a decimal number. Dump runs a
+// garbage collection first. It holds no lock while it writes, so a slow writer does not block updates of metrics.
 func (m *Metrics) Dump(w io.Writer) {
 	lines := append(m.lines(), processLines()...)
 	sort.Strings(lines)
--- a/internal/telemetry/metric.go
+++ b/internal/telemetry/metric.go
@@ -15,9 +15,9 @@
 	kindMaximum             // the value is the maximum since the start
 )
 
-// descriptor describes a metric. Its name follows the conventions of Prometheus: snake_case, with the base unit
+// definition describes a metric. Its name follows the conventions of Prometheus: snake_case, with the base unit
 // (seconds or bytes) if it has a unit, and with the suffix _total if and only if it is a counter.
-type descriptor struct {
+type definition struct {
 	name   string
 	kind   kind
 	labels []string // names of the labels, in the order of the dump
@@ -25,18 +25,18 @@
 }
 
 // table contains all metrics, in the order in which table.go defines them.
-var table []*descriptor
+var table []*definition
 
 // defineMetric adds a metric to the table.
-func defineMetric(kind kind, name, help string, labels ...string) *descriptor {
-	metric := &descriptor{name: name, kind: kind, labels: labels, help: help}
+func defineMetric(kind kind, name, help string, labels ...string) *definition {
+	metric := &definition{name: name, kind: kind, labels: labels, help: help}
 	table = append(table, metric)
 	return metric
 }
 
 // series is a time series: a metric with one combination of label values.
 type series struct {
-	metric *descriptor
+	metric *definition
 	labels string // pairs of name and quoted value; empty for a metric without labels
 }
 
@@ -56,7 +56,7 @@
 
 // with returns the series for the given label values. The exported types of this package have one type parameter per
 // label, so the number of values always equals the number of labels.
-func (d *descriptor) with(values ...fmt.Stringer) series {
+func (d *definition) with(values ...fmt.Stringer) series {
 	var labels strings.Builder
 	labels.Grow(typicalLabelBytes * len(values))
 	for i, value := range values {
@@ -94,25 +94,25 @@
 type Maximum struct{ series }
 
 // CounterVec is a counter with one label, whose values are of type A.
-type CounterVec[A fmt.Stringer] struct{ metric *descriptor }
+type CounterVec[A fmt.Stringer] struct{ metric *definition }
 
 // With returns the counter for a label value.
 func (v CounterVec[A]) With(a A) Counter { return Counter{v.metric.with(a)} }
 
 // CounterVec2 is a counter with two labels.
-type CounterVec2[A, B fmt.Stringer] struct{ metric *descriptor }
+type CounterVec2[A, B fmt.Stringer] struct{ metric *definition }
 
 // With returns the counter for the label values.
 func (v CounterVec2[A, B]) With(a A, b B) Counter { return Counter{v.metric.with(a, b)} }
 
 // CounterVec3 is a counter with three labels.
-type CounterVec3[A, B, C fmt.Stringer] struct{ metric *descriptor }
+type CounterVec3[A, B, C fmt.Stringer] struct{ metric *definition }
 
 // With returns the counter for the label values.
 func (v CounterVec3[A, B, C]) With(a A, b B, c C) Counter { return Counter{v.metric.with(a, b, c)} }
 
 // GaugeVec is a gauge with one label, whose values are of type A.
-type GaugeVec[A fmt.Stringer] struct{ metric *descriptor }
+type GaugeVec[A fmt.Stringer] struct{ metric *definition }
 
 // With returns the gauge for a label value.
 func (v GaugeVec[A]) With(a A) Gauge { return Gauge{v.metric.with(a)} }
--- a/internal/telemetry/read.go
+++ b/internal/telemetry/read.go
@@ -10,8 +10,8 @@
 var labelPair = regexp.MustCompile(`(\w+)="(?:[^"\\]|\\.)*"`)
 
 // Value returns the value of the series with the given name, in the format of the dump, such as
-// upstream_attempts_total{class="page"}. It returns 0 for a series that was never updated, and NaN, which does not
-// equal any value, for an unknown name or unknown labels.
+// upstream_attempts_total{class="page"}. It returns 0 for a series that was never updated and for the metrics of the
+// process, which only Dump reads, and NaN, which does not equal any value, for an unknown name or unknown labels.
 func (m *Metrics) Value(name string) float64 {
 	metric, labels, _ := strings.Cut(strings.TrimSuffix(name, "}"), "{")
 	if !inTable(metric, labels) {
@@ -44,7 +44,7 @@
 }
 
 // findMetric returns the metric with the given name, or nil if there is none.
-func findMetric(name string) *descriptor {
+func findMetric(name string) *definition {
 	for _, metric := range table {
 		if metric.name == name {
 			return metric
--- a/internal/telemetry/table.go
+++ b/internal/telemetry/table.go
@@ -41,6 +41,7 @@
 		"Panics that were recovered.")
 	MaxTimerDelay = newMaximum("dispatch_timer_delay_max_seconds",
 		"Longest time after its due time at which a timer of the dispatch loop fired.")
+	// AttemptsSent includes attempts that could not be sent because no connection could be opened.
 	AttemptsSent = newCounterVec[Class]("upstream_attempts_total", "class",
 		"Attempts that were started before their deadline.")
 	AttemptsEnded = newCounterVec2[Class, fmt.Stringer]("upstream_attempts_ended_total", "class", "result",
@@ -51,6 +52,8 @@
 		"Attempts whose connection was silent while the endpoint answered over another address.")
 	ConnectionsSilent = newCounter("upstream_connections_silent_total",
 		"Times that a connection received no data while an attempt waited for a response on it.")
+	// ConnectionsUnwritable has the label answered if all attempts on the connection ended, silent if a cancelled one
+	// was pending and no input arrived in time, and failed if the endpoint closed it or violated the protocol.
 	ConnectionsUnwritable = newCounterVec[fmt.Stringer]("upstream_unwritable_connections_total", "end",
 		"Connections that ended after their endpoint had stopped reading: answered, silent or failed.")
 	AddressProbes = newCounter("upstream_address_probes_total",
@@ -83,6 +86,8 @@
 		"Changes of a peer's state, by the new state.")
 	PartitionStateChanges = newCounterVec[fmt.Stringer]("partition_state_changes_total", "state",
 		"Changes of the partition state, by the new state.")
+	// PeerDoubts counts changes of doubt levels. A doubt level is the degree to which an endpoint's health is doubted,
+	// from 0 to 1 (observation.Doubt).
 	PeerDoubts = newCounter("endpoint_doubts_total",
 		"Changes of the doubt level of an endpoint that were caused by observations of peers.")
 	PeerDoubtsDropped = newCounter("endpoint_doubts_dropped_total",
--- a/internal/telemetry/table_test.go
+++ b/internal/telemetry/table_test.go
@@ -48,7 +48,7 @@
 
 // conventionViolations lists the naming conventions of Prometheus that a metric violates, except those ensured by the
 // types.
-func conventionViolations(metric *descriptor) []string {
+func conventionViolations(metric *definition) []string {
 	var violations []string
 	add := func(broken bool, violation string) {
 		if broken {
@@ -94,7 +94,7 @@
 // TestConventionViolationsAreFound checks that conventionViolations detects each violation.
 func TestConventionViolationsAreFound(t *testing.T) {
 	const help = "Requests that were counted."
-	for violation, metric := range map[string]descriptor{
+	for violation, metric := range map[string]definition{
 		"the name is not in snake_case":      {name: "requests.open", kind: kindGauge, help: help},
 		"the unit is no base unit":           {name: "delay_ms_total", help: help},
 		"the unit is not at the end":         {name: "bytes_read_total", help: help},
@@ -107,7 +107,7 @@
 	} {
 		assert.Equal(t, []string{violation}, conventionViolations(&metric))
 	}
-	gauge := descriptor{name: "requests_total", kind: kindGauge, help: help}
+	gauge := definition{name: "requests_total", kind: kindGauge, help: help}
 	assert.Len(t, conventionViolations(&gauge), 1)
 }
 
