--- a/internal/diskcache/cache_read.go
+++ b/internal/diskcache/cache_read.go
@@ -24,8 +24,8 @@
 func (c *Cache) Contains(key eviction.Key) bool { return c.store.Contains(key) }
 
 // Get reads a chunk and waits for the disk up to the configured timeout. Callers treat every error as a cache miss:
-// ErrNotFound, ErrReadQueueFull, ErrReadTimeout, ErrInvalidated or a StoreError. The verdict tells whether the copy may
-// be served without confirmation by the upstream.
+// ErrNotFound, ErrReadQueueFull, ErrReadTimeout, ErrInvalidated or a StoreError. The verdict states whether the copy
+// may be served without confirmation by the upstream.
 func (c *Cache) Get(key eviction.Key) (Chunk, validity.Verdict, error) {
 	if !c.store.Contains(key) {
 		return Chunk{}, validity.Invalidated, ErrNotFound
--- a/internal/diskcache/cache_write.go
+++ b/internal/diskcache/cache_write.go
@@ -33,7 +33,8 @@
 
 // Admit offers a fetched chunk to the eviction policy. An admitted chunk is written in the background. epoch is the
 // value of Epoch when the chunk was requested: a copy from an earlier epoch may have missed a purge and is not stored.
-func (c *Cache) Admit(m Meta, body []byte, epoch uint16) (admitAndWait bool) {
+// Admit does not wait for the write. It reports whether the chunk was queued for it.
+func (c *Cache) Admit(m Meta, body []byte, epoch uint16) (queued bool) {
 	if c.Epoch() != epoch || c.writesPaused() {
 		return false
 	}
--- a/internal/diskcache/errors.go
+++ b/internal/diskcache/errors.go
@@ -15,7 +15,7 @@
 // The codes of faults.
 const (
 	CodeBadHeader         FaultCode = iota + 1 // a record's header is invalid
-	CodeBadBody                                // a record's body does not match its checksum
+	CodeBadBody                                // wrong body checksum; any error of readRecord in compaction and scans
 	CodeTruncated                              // a segment ends in the middle of a record
 	CodeMissingSegment                         // a segment listed in the index snapshot does not exist
 	CodeBadSegment                             // a segment's header is invalid or cannot be read
@@ -64,7 +64,9 @@
 	errWrongSegment       = errors.New("header belongs to another segment")
 )
 
-// Reasons why a record is invalid. Each is wrapped in a StoreError, whose code classifies the fault.
+// Reasons why a record is invalid. Each is wrapped in a StoreError, whose code classifies the fault. errHeaderChecksum
+// reports the checksum mismatch of a record's or segment's header, or a segment's wrong magic number; errBodyChecksum
+// reports the checksum mismatch of a body.
 var (
 	errNoRecord        = errors.New("no record at this offset")
 	errHeaderChecksum  = errors.New("head's checksum does not hold")
--- a/internal/diskcache/eviction/entry.go
+++ b/internal/diskcache/eviction/entry.go
@@ -14,9 +14,9 @@
 	size       int64   // bytes
 	meanGap    float64 // moving average of the seconds between requests, as of the last request
 	lastAccess float64 // Unix seconds
-	sortKey    float64 // sort key by descending mean gap; the order does not change over time (Theorem 1 of the paper)
+	sortKey    float64 // in ascending order of it, entries have descending gaps at any time (Theorem 1 of the paper)
 	cached     bool
-	prev       *entry // neighbours in the list of uncached entries, ordered by last access
+	prev       *entry // neighbours in the entryList that contains the entry, nil if there is none
 	next       *entry
 }
 
--- a/internal/diskcache/eviction/eviction.go
+++ b/internal/diskcache/eviction/eviction.go
@@ -1,9 +1,11 @@
 // Package eviction implements admission and eviction policies for a disk cache. Production uses [Cafe], an
-// implementation of the Cafe Cache of the paper (section 6); [LRU] and [XLRU] are baselines for comparison.
+// implementation of the Cafe Cache of the paper (section 6); [LRU] and [XLRU] are baselines for comparison. The paper
+// is "Caching in Video CDNs: Building Strong Lines of Defense" by Mokhtarian and Jacobsen (EuroSys 2014).
 //
 // The package owns the set of cached chunks, their access history and the write budget. It does no I/O and reads no
-// clock: the caller passes the time to every call. A caller makes one Request per access to a chunk, carries out the
-// decision, and calls [Cafe.Remove] for a chunk that could not be written.
+// clock: the caller passes the time to every call. A caller makes one Request per access that is to count as a use of a
+// chunk, carries out the decision, and calls [Cafe.Remove] for a chunk that could not be written. The disk cache makes
+// a Request for a chunk that is offered to it and for a hit in memory, but not for a chunk served from the disk.
 package eviction
 
 import "cmp"
--- a/internal/diskcache/format.go
+++ b/internal/diskcache/format.go
@@ -25,7 +25,7 @@
 	segmentHeaderSize = 64
 	recordHeaderSize  = 64
 	maxETagBytes      = 256
-	maxBodyBytes      = 240000 // the protocol's limit for an object
+	maxBodyBytes      = 240000 // the protocol's limit for the body of a chunk
 
 	segmentMagic = 0x4745534e52494143 // "CAIRNSEG"
 	recordMagic  = 0x54524150         // "PART"
@@ -47,7 +47,7 @@
 type Meta struct {
 	eviction.Key
 	Group    uint16 // validity.UnknownGroup if the response named no group
-	Rank     uint8  // 0 to 3, the lowest is evicted first
+	Rank     uint8  // 0 to 3; memory evicts the lowest first, eviction from the disk does not use it
 	IssuedAt int64  // Unix ms at which the origin issued the copy
 	ETag     string // entity tag
 	Seq      uint64 // sequence number of the write, assigned by the store
@@ -57,7 +57,7 @@
 type Chunk struct {
 	Meta
 	Body           []byte
-	ConfirmedEpoch uint16 // validation epoch in which the upstream last confirmed the copy
+	ConfirmedEpoch uint16 // validation epoch of the upstream's last confirmation, 0 if there was none since the start
 }
 
 // recordSize returns the on-disk size of a record in bytes, with header and padding.
--- a/internal/diskcache/index.go
+++ b/internal/diskcache/index.go
@@ -28,7 +28,7 @@
 	segment        uint32
 	alignedOffset  uint32 // offset in the segment, in units of recordAlignment bytes
 	size           uint32 // size of the record in bytes
-	confirmedEpoch uint16 // validation epoch in which the upstream last confirmed the copy
+	confirmedEpoch uint16 // validation epoch of the upstream's last confirmation, 0 if there was none since the start
 	rank           uint8
 }
 
--- a/internal/diskcache/snapshot_read.go
+++ b/internal/diskcache/snapshot_read.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	if le.Uint64(b) != snapshotMagic || le.Uint32(b[8:]) != formatVersion {
+	if le.Uint64(b) != snapshotMagic || le.Uint32(b[8:]) != formatVersion { // the error names the supported version
 		return 0, 0, 0, fmt.Errorf("%w: %d", errNotASnapshot, formatVersion)
 	}
 	segments, entries, lastSeq = le.Uint32(b[12:]), le.Uint64(b[16:]), le.Uint64(b[24:])
--- a/internal/diskcache/store.go
+++ b/internal/diskcache/store.go
@@ -7,8 +7,8 @@
 //
 // Durability: a chunk survives a power loss once a Sync that follows its Put has returned. Before that, either the
 // complete chunk survives or nothing of it; a torn chunk is never served. Purge records survive a power loss once
-// AppendPurgeRecords has returned. A deleted chunk may reappear after a restart; the logged purge then invalidates it
-// again.
+// AppendPurgeRecords has returned. A deleted chunk may reappear after a restart; if a purge had invalidated it, the
+// logged purge then invalidates it again.
 package diskcache
 
 import (
@@ -63,7 +63,7 @@
 	unlock  func()
 	onFault func(StoreError) // never nil
 
-	writeMu sync.Mutex // held while appending records, compacting and writing a snapshot
+	writeMu sync.Mutex // held while appending a record, one at a time in a compaction, and while writing a snapshot
 	active  *segment
 	nextID  uint32
 
--- a/internal/diskcache/validity/record.go
+++ b/internal/diskcache/validity/record.go
@@ -63,7 +63,8 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], crc32cTable))
 }
 
-// ParseRecord decodes a record from the first RecordSize bytes of b. Its errors wrap ErrBadRecord.
+// ParseRecord decodes a record from the first RecordSize bytes of b. Its errors wrap ErrBadRecord. A wrong magic number
+// is reported as a checksum mismatch.
 func ParseRecord(b []byte) (Record, error) {
 	if len(b) < RecordSize {
 		return Record{}, fmt.Errorf("%w: %d bytes of %d", ErrBadRecord, len(b), RecordSize)
--- a/internal/diskcache/validity/tracker.go
+++ b/internal/diskcache/validity/tracker.go
@@ -197,7 +197,8 @@
 func (t *Tracker) PrunePurges(oldest int64) { t.purges.prune(oldest) }
 
 // UpToDate reports whether no purge can have been missed: the tracker has caught up with the stream, and the stream is
-// not silent. Otherwise every copy is unconfirmed. A hung connection and one without events differ only by heartbeats.
+// not silent. Otherwise every copy is unconfirmed. Without heartbeats, a hung connection could not be distinguished
+// from one without events.
 func (t *Tracker) UpToDate(now int64) bool { return t.caughtUp && now-t.lastEventAt <= maxSilenceMS }
 
 // Evaluate returns whether a copy may be served now. now is in Unix ms.
--- a/internal/diskcache/validity/validity.go
+++ b/internal/diskcache/validity/validity.go
@@ -26,7 +26,8 @@
 // UnknownGroup is the group of a copy if the upstream did not specify one. A purge of any group applies to it.
 const UnknownGroup = 0xffff
 
-// Copy describes a cached copy for Tracker.Evaluate.
+// Copy describes a cached copy for Tracker.Evaluate. The disk cache does not record the epoch of delivery:
+// ConfirmedEpoch of a copy read from the disk is 0 if the upstream has not confirmed that copy since the start.
 type Copy struct {
 	Object         uint64
 	Group          uint16
--- a/internal/diskcache/vfs/faultfs.go
+++ b/internal/diskcache/vfs/faultfs.go
@@ -23,8 +23,7 @@
 //
 // The exported fields may be set between calls.
 type FaultFS struct {
-	// PowerLossAfter is the number of the operation (write, sync, rename, removal or truncation) at which the power
-	// fails; 0 means never.
+	// PowerLossAfter is the number of the operation during which the power fails, counted as in OpCount; 0 means never.
 	PowerLossAfter int
 	// CapacityBytes is the capacity of the disk; 0 means no limit.
 	CapacityBytes int64
@@ -71,7 +70,8 @@
 	}
 }
 
-// OpCount returns the number of writes, syncs, renames, removals and truncations since the last restart.
+// OpCount returns the number of writes, creations, renames, removals, truncations, and syncs of files and the directory
+// since the last restart.
 func (f *FaultFS) OpCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/edgecache/conn.go
+++ b/internal/edgecache/conn.go
@@ -101,6 +101,7 @@
 		c.conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		line, err := c.conn.ReadLine()
 		if err != nil {
+			// ClassifyError returns SlowReader for every timeout, but here the client was idle.
 			if code := netconn.ClassifyError(err); code != netconn.SlowReader {
 				return code, err
 			}
@@ -157,7 +158,9 @@
 	return code, nil
 }
 
-// send queues a response for the connection's writer. The limit on open requests per connection also bounds the queue.
+// send queues a response for the connection's writer. The queue has no limit: a request no longer counts as open once
+// its response is queued, and probe replies and rejections never count. A client that reads nothing is disconnected
+// after clientStallTimeout.
 func (c *clientConn) send(response queuedResponse) {
 	c.mu.Lock()
 	c.queue = append(c.queue, response)
--- a/internal/edgecache/discovery.go
+++ b/internal/edgecache/discovery.go
@@ -55,7 +55,7 @@
 		return nil // already applied before the process started; only its endpoints were needed
 	}
 	event := validityEvent(ev)
-	if s.validity.Apply(event) {
+	if s.validity.Apply(event) { // the discovery service numbers its events from the start again
 		s.Telemetry.Inc(telemetry.CacheDiscoveryRestarts)
 		s.Telemetry.Log.Warn("discovery revisions restarted", "revision", ev.Revision)
 		return discovery.ErrRevisionGap
--- a/internal/edgecache/handler/action.go
+++ b/internal/edgecache/handler/action.go
@@ -35,6 +35,8 @@
 	MaxAgeSeconds  float64 // maximum age of the copy, 0 for the class's fresh time
 	Rank           int
 
+	// CacheOnly: the source must respond from its cache only. NoStore: it must not cache the response. JoinFill: it may
+	// let the request wait for a fetch in progress.
 	CacheOnly, NoStore, JoinFill bool
 }
 
--- a/internal/edgecache/handler/request.go
+++ b/internal/edgecache/handler/request.go
@@ -7,12 +7,12 @@
 	"cairnfront/internal/diskcache/validity"
 )
 
-// Class contains the properties of a request class that the handler uses.
+// Class contains properties of a request class. The handler uses all of them except StaleSeconds.
 type Class struct {
 	Name         string
 	Cacheable    bool
 	FreshSeconds float64 // maximum age of a fresh copy, 0 if copies are fresh at any age
-	StaleSeconds float64 // time beyond FreshSeconds for which a stale copy may be served
+	StaleSeconds float64 // time beyond FreshSeconds for which a stale copy may be served; set by the caller only
 }
 
 // Request is a request for a chunk. Times are in Unix seconds.
--- a/internal/edgecache/loop.go
+++ b/internal/edgecache/loop.go
@@ -90,8 +90,9 @@
 	}
 }
 
-// handleAt handles an event at the given time in monotonic seconds, or immediately if that time has passed. The timer's
-// goroutine only posts the event, which is dropped if the loop has ended.
+// handleAt handles an event at the given time, or immediately if that time has passed. The time is in Unix seconds of
+// the server's clock, which is monotonic. The timer's goroutine only posts the event, which is dropped if the loop has
+// ended.
 func (s *Server) handleAt(at float64, ev event) {
 	if wait := at - s.now().Seconds(); wait > 0 {
 		time.AfterFunc(time.Duration(wait*float64(time.Second)), func() { s.post(ev) })
--- a/internal/edgecache/origin.go
+++ b/internal/edgecache/origin.go
@@ -17,8 +17,9 @@
 type Origin interface {
 	// Get returns the current content of a chunk. ok is false if the origin does not have the chunk.
 	Get(key eviction.Key) (etag string, group uint16, body []byte, ok bool)
-	// Execute executes a request. A request whose idempotency key has been executed before succeeds without being
-	// executed again.
+	// Execute executes a request. effect is the effect of its class, one of the Effect constants of package config. For
+	// EffectIdempotencyKey, a request whose idempotency key has been executed before may succeed without being executed
+	// again.
 	Execute(id, class, idempotencyKey string, key eviction.Key, effect string) error
 }
 
--- a/internal/edgecache/perform.go
+++ b/internal/edgecache/perform.go
@@ -17,9 +17,10 @@
 	"cairnfront/routing"
 )
 
-// perform executes the handler's actions. It iterates over a clone because some actions call the handler again, which
-// reuses the slice. Nothing waits for the goroutine of a disk read: it ends when the disk cache responds, at the latest
-// after the read timeout, and its result is dropped if the event loop has ended by then.
+// perform executes the handler's actions. It iterates over a clone because a call of the handler reuses the slice; no
+// action calls the handler before perform returns, but one that did would overwrite the remaining actions. Nothing
+// waits for the goroutine of a disk read: it ends when the disk cache responds, at the latest after the read timeout,
+// and its result is dropped if the event loop has ended by then.
 func (s *Server) perform(actions []handler.Action) {
 	for _, action := range slices.Clone(actions) {
 		switch a := action.(type) {
@@ -113,13 +114,14 @@
 	}})
 }
 
-// fillOwner is the id of a fill that identifies the fill as the owner of an upstream attempt.
+// fillOwner is the id of the fill that an upstream attempt belongs to. The pool stores it as the attempt's owner.
 type fillOwner uint64
 
 // OwnsUpstreamAttempt implements upstream.Owner.
 func (fillOwner) OwnsUpstreamAttempt() {}
 
-// fetch sends the request of a fill to its source endpoint.
+// fetch sends the request of a fill to its source endpoint. The request id consists of the digits of this cache's id,
+// without the prefix "s-", and the fill's id.
 func (s *Server) fetch(f handler.Fetch) {
 	outbound := &request.Request{
 		ID:        routing.RequestID(fmt.Sprintf("%s-%x", s.Config.ID[2:], f.Fill)),
@@ -179,7 +181,7 @@
 		IssuedAt:    ev.End.OriginUnixMillis,
 		Group:       validity.UnknownGroup,
 	}
-	if ev.End.PurgeGroupPlusOne > 0 {
+	if ev.End.PurgeGroupPlusOne > 0 { // 0 if the source sent no purge group
 		result.Group = uint16(ev.End.PurgeGroupPlusOne - 1)
 	}
 	if body := ev.End.Body; body != nil {
--- a/internal/edgecache/server.go
+++ b/internal/edgecache/server.go
@@ -1,9 +1,11 @@
 // Package edgecache implements a cache server. The server speaks the cache protocol with routers and other caches,
-// caches chunks in memory and on disk, and fetches misses from the source that the request names.
+// caches chunks in memory and on disk, and fetches misses from the source that the request names, or from the default
+// source of a parent cache if the request names none.
 //
-// Package handler decides how to handle each request. Package diskcache decides what is stored on disk and which copies
-// are valid. This package owns the sockets, the goroutines and the event loop that executes these decisions. It makes
-// no decisions itself apart from enforcing its limits.
+// Package handler decides how to handle each request to a cache. Package diskcache decides what is stored on disk and
+// which copies are valid. This package owns the sockets, the goroutines and the event loop that executes these
+// decisions. Apart from that, it enforces its limits, passes the requests to the origin instead of the handler if there
+// is an origin, and determines the event after which the discovery service is to resume.
 package edgecache
 
 import (
--- a/internal/edgecache/synthetic.go
+++ b/internal/edgecache/synthetic.go
@@ -64,7 +64,7 @@
 	return x ^ x>>33
 }
 
-// Execute implements Origin.
+// Execute implements Origin. For EffectIdempotencyKey, it executes the requests of one key once within KeyRetention.
 func (o *SyntheticOrigin) Execute(id, _, idempotencyKey string, _ eviction.Key, effect string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/membership/datagram/decode.go
+++ b/internal/membership/datagram/decode.go
@@ -15,7 +15,7 @@
 	StartMillis  uint64
 	Message      swim.Message
 	Observations []observation.Observation
-	Skipped      int // number of parts left out because of an invalid signature or an unknown member
+	Skipped      int // number of refused signed parts, for example with an invalid signature or an unknown member
 }
 
 // Decode verifies and decodes a datagram. It must be addressed to this member by another member of the roster,
@@ -101,7 +101,8 @@
 	return nil
 }
 
-// decodeSigned decodes the parts that are signed by their authors, and counts those with an invalid signature.
+// decodeSigned decodes the parts that are signed by their authors, and counts those it refuses: malformed ones, those
+// with an invalid signature or an unknown member, and this member's own observations.
 func (c *Codec) decodeSigned(p *payload, r *Received, isNewer func(swim.MemberID, swim.Incarnation) bool) {
 	for _, signed := range p.Records {
 		if record, ok := c.openRecord(signed, isNewer); ok {
--- a/internal/membership/datagram/encode.go
+++ b/internal/membership/datagram/encode.go
@@ -9,8 +9,8 @@
 )
 
 // Encode encodes and signs a datagram. startMillis is the start time in the sender's incarnation. To stay within
-// MaxSize, it leaves out parts: observations first, then accusations, records and entries. It returns ErrTooLong if
-// that is not enough.
+// MaxSize, it leaves out parts: observations first, then all but one of the accusations, all but one of the records,
+// and entries. It returns ErrTooLong if that is not enough.
 func (c *Codec) Encode(
 	startMillis uint64, to swim.MemberID, m swim.Message, observations [][]byte,
 ) ([]byte, error) {
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -138,7 +138,7 @@
 }
 
 // Run participates in the cluster until the context is cancelled, and then leaves it. It starts the node's goroutines
-// and returns when they have ended.
+// and returns when they have ended, except for one that sends a probe to the event loop (see probeEventLoop).
 func (n *Node) Run(ctx context.Context) error {
 	defer close(n.stopped)
 	g, ctx := errgroup.WithContext(ctx)
--- a/internal/membership/observation/observation.go
+++ b/internal/membership/observation/observation.go
@@ -15,10 +15,12 @@
 	Healthy                   // revokes an earlier Failing or Slow
 )
 
+// healthNames are the texts for operators. The text of Healthy is "well".
 var healthNames = [...]string{Failing: "failing", Slow: "slow", Healthy: "well"}
 
 func (h Health) valid() bool { return h >= Failing && h <= Healthy }
 
+// String returns the text for operators, which is "nothing" for a value that is not one of the constants.
 func (h Health) String() string {
 	if !h.valid() {
 		return "nothing"
--- a/internal/membership/observation/receive.go
+++ b/internal/membership/observation/receive.go
@@ -9,7 +9,7 @@
 
 const (
 	// maxSequenceAhead limits how far one observation may advance its witness's sequence number, so that the
-	// numbers of one start are not exhausted at once.
+	// numbers of one start are not exhausted at once. The first observation received from a start may have any number.
 	maxSequenceAhead = 100000
 	// maxSequenceBehind limits how far a delayed observation may be behind the latest sequence number of its
 	// witness.
@@ -17,8 +17,8 @@
 )
 
 // HandleObservation handles an observation whose signature the caller has verified. fresh is false, and the
-// observation is ignored, if a later one by the same witness is known, or if it is from an earlier start of the
-// witness.
+// observation is ignored, if it is invalid or by this router, if there is no space for it, if it is from an earlier
+// start of the witness, or if acceptSequence refuses its number.
 func (t *Tracker) HandleObservation(now float64, o Observation) (doubts []Doubt, fresh bool) {
 	if o.Witness == t.self || !o.Health.valid() || o.Endpoint == "" {
 		return nil, false
--- a/internal/membership/partition/tracker.go
+++ b/internal/membership/partition/tracker.go
@@ -97,8 +97,8 @@
 	return true
 }
 
-// updateCandidate sets the candidate to the lowest of the better states seen since the first one, because only that
-// one has lasted throughout.
+// updateCandidate sets the candidate to the lowest of the better states seen since the candidate was set: all the time,
+// the view has implied this state or a better one.
 func (t *Tracker) updateCandidate(now float64, state State) {
 	if t.candidate == nil {
 		t.candidate = &candidate{state: state, since: now}
--- a/internal/membership/report.go
+++ b/internal/membership/report.go
@@ -43,6 +43,7 @@
 // Report is the state of a node in reports for operators. Its JSON keys are those of the first version:
 //
 //	standing: the partition state; there: number of members present; held_back: datagrams dropped by the send limit;
+//	health: Lifeguard's health score, 0 is best;
 //	detected, detect_p50_s, detect_p99_s: number of failures, and percentiles of the time from suspicion to failure
 type Report struct {
 	Name                string          `json:"name"`
@@ -52,7 +53,7 @@
 	Present             int             `json:"there"`
 	Roster              int             `json:"roster"`
 	Health              int             `json:"health"`
-	Silent              bool            `json:"silent"` // another process uses this router's name
+	Silent              bool            `json:"silent"` // another process uses this router's name; nothing is sent
 	UptimeSeconds       float64         `json:"up_s"`
 	InBytes             int64           `json:"in_bytes"`
 	InDatagrams         int64           `json:"in_datagrams"`
--- a/internal/membership/swim/action.go
+++ b/internal/membership/swim/action.go
@@ -35,7 +35,7 @@
 const (
 	ReasonNotInRoster    Reason = iota + 1 // the member was removed from the roster
 	ReasonProbesFailed                     // probes sent by this router failed and the member sent no refutation
-	ReasonManyAccusers                     // accused by more members than Config.MaxByzantine
+	ReasonManyAccusers                     // more than Config.MaxByzantine+1 accusers; one with Config.PublishedSWIM
 	ReasonFailureMessage                   // declared failed by another member; only with Config.PublishedSWIM
 	ReasonNoAck                            // no ack to a probe sent by this router
 	ReasonAccused                          // accused by another member
--- a/internal/membership/swim/gossip.go
+++ b/internal/membership/swim/gossip.go
@@ -10,7 +10,7 @@
 	minTransmissions      = 3
 	maxDuplicates         = 3 // duplicates received before an item is dropped; push-pull repairs members that missed it
 	maxRecords            = 5 // per message; with accusations and entries, a message is below 1,400 bytes
-	maxRecordsWithEntries = 3 // per message that has entries
+	maxRecordsWithEntries = 3 // records up to which gossip is added to a message that has entries
 	maxAccusations        = 3 // per message
 )
 
--- a/internal/membership/swim/health.go
+++ b/internal/membership/swim/health.go
@@ -35,7 +35,8 @@
 
 // detectPause detects from a late tick that this process was paused. Acks and refutations that arrived during the
 // pause were not read, so without this rule a router that resumes would declare every suspect failed. After a pause,
-// probes in flight are dropped and suspicions restart, so that only acks missing from now on count.
+// all probes are dropped, suspicions are extended by the pause, and their failed probes no longer count, so that only
+// acks missing from now on count.
 func (c *Core) detectPause(now float64) {
 	paused := pausedSeconds(now - max(c.nextTickDue, c.lastTick))
 	if c.config.PublishedSWIM || paused == 0 {
--- a/internal/membership/swim/message.go
+++ b/internal/membership/swim/message.go
@@ -29,8 +29,8 @@
 	Nonce     uint64   // identifies the probe that the message belongs to
 	Requester MemberID // member that started the probe: the sender, or the member for which the sender pings
 	Target    MemberID // probed member of an IndirectPing or IndirectAck
-	// Proof is the target's signature over nonce and requester, in Ack and IndirectAck messages. The core's caller
-	// creates and verifies it.
+	// Proof is the target's signature over nonce and requester, in an IndirectAck and in the Ack that is relayed as
+	// one. The Ack to a direct ping has none. The core's caller creates and verifies the proof.
 	Proof       []byte
 	ViewHash    uint64 // hash of the present members in the sender's view; 0 if absent
 	Records     []MemberRecord
--- a/internal/membership/swim/probe.go
+++ b/internal/membership/swim/probe.go
@@ -42,7 +42,7 @@
 	return p.target == id && (p.nonce == nonce || p.retried && p.retryNonce == nonce)
 }
 
-// reset drops all probes in flight.
+// reset drops all probes in flight, the failed probes whose late ack is still accepted, and the queue of suspects.
 func (p *prober) reset() {
 	p.probes = p.probes[:0]
 	p.timedOut = p.timedOut[:0]
--- a/internal/membership/swim/probeorder.go
+++ b/internal/membership/swim/probeorder.go
@@ -103,8 +103,8 @@
 	return state == Failed || state == Unknown || state == Left && probeCount%leftPingEvery == 0
 }
 
-// probeSuspects probes some of the queued suspects. It ignores the health score, because only an ack can clear a
-// suspect.
+// probeSuspects probes some of the queued suspects. The time between its probes does not depend on the health score, so
+// that an ack can soon clear a suspect; the ack timeout does.
 func (c *Core) probeSuspects(now float64) {
 	p := &c.prober
 	if now < p.nextSuspectsAt || len(p.suspectQueue) == 0 {
--- a/internal/membership/swim/suspicion.go
+++ b/internal/membership/swim/suspicion.go
@@ -142,12 +142,13 @@
 	failedProbes   int     // failed probes by this router
 	requiredProbes int     // failed probes that packet loss does not explain
 	lastFailedAt   float64 // time of this router's last failed probe
-	accusers       int     // independent accusers, including this router
+	accusers       int     // independent accusers, see independentAccusers
 }
 
 // decideSuspicion decides on a suspicion. An accuser that is byzantine, or that has a bad network, must not get a
 // healthy member declared failed. The decision therefore requires failed probes by this router, the last one recent,
-// or more accusers than may be byzantine for a long time. The latter covers a router that is too busy to probe.
+// or, after twice the longest timeout, more than MaxByzantine+1 accusers. The latter covers a router that is too busy
+// to probe.
 func decideSuspicion(now float64, config Config, e suspicionEvidence) suspicionDecision {
 	switch {
 	case now < e.deadline:
@@ -236,7 +237,9 @@
 	return max(shortest, longest-(longest-shortest)*math.Log(n)/math.Log(k+1))
 }
 
-// requiredFailures returns how many probes by this router must fail before it accuses a member or declares it failed.
+// requiredFailures returns how many probes by this router must fail before it gossips its accusation of a member and
+// counts as an accuser. The first failed probe already starts a suspicion. To declare a member failed because of
+// probes, at least minFailedProbes must fail as well.
 func (c *Core) requiredFailures() int {
 	if c.config.PublishedSWIM {
 		return 1
@@ -245,9 +248,9 @@
 }
 
 // failuresBeyondChance returns the number of failed probes that packet loss alone causes with a probability below
-// chanceThreshold. Without this rule, a network with packet loss would cause constant suspicions. A probe fails by
-// chance if two pings and the indirect pings are lost, each of the latter over two round trips. Lifeguard's health
-// score has the same purpose for late acks.
+// chanceThreshold. Without this rule, a network with packet loss would cause constant accusations and wrong failures. A
+// probe fails by chance if two pings and the indirect pings are lost, each of the latter over two round trips.
+// Lifeguard's health score has the same purpose for late acks.
 func failuresBeyondChance(lossRate float64) int {
 	if lossRate <= 0 {
 		return 1
@@ -257,7 +260,8 @@
 	return min(max(int(math.Ceil(math.Log(chanceThreshold)/math.Log(chance))), 1), maxFailedProbes)
 }
 
-// independentAccusers counts the members that independently suspect a member, including this one.
+// independentAccusers counts the members that independently suspect a member. This one counts once requiredFailures of
+// its probes have failed.
 func (c *Core) independentAccusers(s *suspicion) int {
 	n := c.trustedAccusers(s)
 	if s.failedProbes >= c.requiredFailures() {
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -20,8 +20,8 @@
 }
 
 // probeEventLoop sends a probe to the router's event loop, or reports the loop as stuck if the answer to the last
-// probe is overdue. The goroutine that sends the probe is not waited for. There is one at a time, it ends when the
-// event loop accepts or refuses the call, and its answer has space in a channel of its own.
+// probe is overdue. Run does not wait for the goroutine that sends the probe. At most one such goroutine runs. It ends
+// when the event loop accepts or refuses the probe, and the answer never blocks the event loop.
 func (n *Node) probeEventLoop() {
 	if n.ProbeEventLoop == nil {
 		return
