--- a/internal/diskcache/eviction/cafe.go
+++ b/internal/diskcache/eviction/cafe.go
@@ -9,7 +9,7 @@
 
 const (
 	minCacheAge       = 1.0  // seconds; lower bound for a disk that was filled just now
-	treeDegree        = 32   // B-tree degree: a node has at most 63 entries; a binary search in it reads at most six
+	treeDegree        = 32   // B-tree degree: a search in a node reads two CPU cache lines of child pointers
 	maxComparedChunks = 64   // per object; bounds the work to estimate the gap of an unseen chunk
 	minGap            = 1e-9 // seconds; avoids a division by zero
 	fillingDivisor    = 2    // below CapacityBytes/fillingDivisor cached bytes, the disk counts as filling
--- a/internal/diskcache/eviction/eviction.go
+++ b/internal/diskcache/eviction/eviction.go
@@ -1,6 +1,5 @@
 // Package eviction implements admission and eviction policies for a disk cache. Production uses [Cafe], an
-// implementation of the Cafe Cache of the paper (section 6); [LRU] and [XLRU] are baselines for comparison. The paper
-// is "Caching in Video CDNs: Building Strong Lines of Defense" by Mokhtarian and Jacobsen (EuroSys 2014).
+// implementation of the Cafe Cache of the paper (section 6); [LRU] and [XLRU] are baselines for comparison.
 //
 // The package owns the set of cached chunks, their access history and the write budget. It does no I/O and reads no
 // clock: the caller passes the time to every call. A caller makes one Request per access that is to count as a use of a
