--- a/internal/replication/node.go
+++ b/internal/replication/node.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	maxQueuedEvents      = 8192  // events queued for the node's goroutine
-	maxEventsPerBatch    = 256   // events handled before one disk write, so that their changes share a sync
-	maxPendingRequests   = 65536 // pending requests submitted by this router
-	retryInterval        = 250 * time.Millisecond
-	responseTimeout      = 5 * time.Second // how long the requester of a proposed command or read is retained
-	rebalanceInterval    = 500 * time.Millisecond
-	advanceTimeInterval  = 2 * time.Second // interval of OpAdvanceTime commands, which only advance a shard's time
-	startCountNumberBits = 40              // bits by which the start count is shifted left in a request number
+	maxQueuedEvents     = 8192  // events queued for the node's goroutine
+	maxEventsPerBatch   = 256   // events handled before one disk write, so that their changes share a sync
+	maxPendingRequests  = 65536 // pending requests submitted by this router
+	retryInterval       = 250 * time.Millisecond
+	responseTimeout     = 5 * time.Second // how long the requester of a proposed command or read is retained
+	rebalanceInterval   = 500 * time.Millisecond
+	advanceTimeInterval = 2 * time.Second // interval of OpAdvanceTime commands, which only advance a shard's time
+	requestNumberBits   = 40              // bits by which the start count is shifted left: 2^40 request numbers per run
 )
 
 // Errors that end a request without a result.
@@ -46,7 +46,7 @@
 type Config struct {
 	Name, Zone          string
 	ReplicaCount        int      // replicas of each shard
-	InitialMembers      []string // routers that create the shards; all of them must be up at the same time once
+	InitialMembers      []string // routers that create the shards when all of them are up at the same time
 	ReplaceAfterSeconds float64  // how long a replica must be down before it is replaced
 	Transport           *transport.Transport
 	Disk                vfs.FS
@@ -126,7 +126,7 @@
 		shardTimes:         map[int]shardTime{},
 		peersWithoutShards: map[string]bool{},
 		connected:          map[string]bool{},
-		lastRequestNumber:  uint64(identity.StartCount) << startCountNumberBits,
+		lastRequestNumber:  uint64(identity.StartCount) << requestNumberBits,
 		pending:            map[uint64]*pendingRequest{},
 		requesters:         map[responseKey]pendingRequester{},
 	}
@@ -205,8 +205,8 @@
 // secondsSinceStart returns the current time as used in statuses, from the monotonic clock.
 func (n *Node) secondsSinceStart() float64 { return time.Since(n.startedAt).Seconds() }
 
-// unixSeconds returns the initial time of a new shard: the wall clock reading at the start plus the
-// monotonic time elapsed since.
+// unixSeconds returns the current Unix time for a shard without a known time: the wall clock
+// reading at the start plus the monotonic time elapsed since.
 //
 // If the wall clock were read again, a clock step while the node leads a shard would make
 // reservations expire too early, or too late, by the size of the step.
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -32,8 +32,8 @@
 // currentReplica returns the replica ID in a router's last hello frame, or 0 if there was none.
 //
 // After a router's disk is replaced, two replicas have its name. Their last-seen times do not show
-// which of them is up, because both were last seen when the connection ended. Without this rule the
-// new replica could count as down until its next hello frame.
+// which of them is up, because both were last seen when the connection ended. If the replica were
+// chosen by these times, the new one could count as down until its next hello frame.
 func (n *Node) currentReplica(name string) uint64 { return n.lastHello[name] }
 
 // hello returns the frame that announces this router's replica and its shards. It has no replica ID
--- a/internal/replication/placement/rebalancer.go
+++ b/internal/replication/placement/rebalancer.go
@@ -7,9 +7,10 @@
 )
 
 const (
-	// maxConcurrentChanges bounds the changes that one router proposes at a time, so that copying
-	// replicas leaves network capacity for reservations.
-	maxConcurrentChanges = 4
+	// maxChangesPerCall bounds the changes that one call of Changes returns, so that copying
+	// replicas leaves network capacity for reservations. Changes still in progress from earlier calls
+	// are not counted.
+	maxChangesPerCall = 4
 	// changeIntervalSeconds is the minimum time between two proposals for a shard. It is also how
 	// often the rebalancer checks whether a learner has caught up.
 	changeIntervalSeconds = 0.5
@@ -82,7 +83,7 @@
 		return cmp.Or(cmp.Compare(a.votersUp, b.votersUp), cmp.Compare(a.change.Shard, b.change.Shard))
 	})
 	var changes []ConfChange
-	for _, c := range candidates[:min(len(candidates), maxConcurrentChanges)] {
+	for _, c := range candidates[:min(len(candidates), maxChangesPerCall)] {
 		r.lastChange[c.change.Shard] = now
 		changes = append(changes, c.change)
 	}
@@ -92,12 +93,13 @@
 // view is the rebalancer's view of the replicas at one time.
 type view struct {
 	byID    map[uint64]ReplicaStatus
-	current map[string]uint64 // replica ID that counts for each node
+	current map[string]uint64 // ID of the current replica of each node, by name
 	nodes   []Node            // nodes on which replicas may be placed
 }
 
 // newView selects the nodes that are up or were up recently. If two replicas have the same node
-// name, the one that is up counts; if none is up, the one that was seen last.
+// name, the later one in statuses is the current replica of the node if the earlier one is down or
+// was seen less recently, even if the later one is down itself.
 func (r *Rebalancer) newView(now float64, statuses []ReplicaStatus) *view {
 	v := &view{byID: map[uint64]ReplicaStatus{}, current: map[string]uint64{}}
 	for _, status := range statuses {
@@ -124,7 +126,7 @@
 	return !status.Up && now-status.LastSeen >= replaceAfterSeconds
 }
 
-// isUp reports whether a replica is up and is the one that counts for its node.
+// isUp reports whether a replica is up and is the current replica of its node.
 func (v *view) isUp(id uint64) bool {
 	status := v.byID[id]
 	return status.Up && v.current[status.Node] == id
--- a/internal/replication/placement/rebalancer_test.go
+++ b/internal/replication/placement/rebalancer_test.go
@@ -69,7 +69,7 @@
 		if len(changes) == 0 {
 			break
 		}
-		assert.LessOrEqual(t, len(changes), maxConcurrentChanges)
+		assert.LessOrEqual(t, len(changes), maxChangesPerCall)
 		changeCount += len(changes)
 		applyChanges(led, changes)
 		for _, shard := range led {
--- a/internal/replication/requests.go
+++ b/internal/replication/requests.go
@@ -40,8 +40,12 @@
 }
 
 // Propose submits a command to the shard of its key. The channel receives exactly one outcome and
-// is buffered, so the caller may ignore it. A command with the same requester and number as an
-// earlier one is applied only once.
+// is buffered, so the caller may ignore it.
+//
+// A command may be applied more than once, because it is sent again if no outcome arrives. Until a
+// reservation is settled, a repeated OpReserve command with the same requester and number adds no
+// grant and does not extend the window. A repeated OpPut command writes the reservation again, with
+// a new expiry time.
 func (n *Node) Propose(command statemachine.Command, deadline time.Time) <-chan Outcome {
 	payload, err := command.Encode()
 	if err != nil {
@@ -152,8 +156,8 @@
 	}
 }
 
-// route sends a request to the replica that is believed to lead its shard, or else to a different
-// voter at each attempt.
+// route sends a request to the replica that is believed to lead its shard, or else to a random
+// voter that is up.
 func (n *Node) route(request *pendingRequest) {
 	request.sentAt = time.Now()
 	number := request.frame.Shard
@@ -203,8 +207,9 @@
 	return reachable
 }
 
-// serve passes a command or read to this router's replica. If that replica is not the leader, a
-// peer is sent the ID of the leader; a request of this router is retried later.
+// serve passes a command or read to this router's replica. If that fails for any reason, a peer is
+// sent the ID of the leader that is known here, which may be this replica, or 0 if none is known; a
+// request of this router is retried later.
 func (n *Node) serve(frame transport.Frame, requester pendingRequester) {
 	requester.receivedAt = time.Now()
 	err := shard.ErrNotLeader
--- a/internal/replication/reservation/actions.go
+++ b/internal/replication/reservation/actions.go
@@ -58,8 +58,10 @@
 type ReportLocation struct {
 	RequestID RequestID
 	Group     string
-	ExpiresAt float64 // end of the group's window, in seconds on the core's clock
-	Completed bool    // the earlier attempt ran and was answered
+	// ExpiresAt is the end of the group's window in seconds on the core's clock. If the location is
+	// remembered from a denial by the shard, the time is statemachine.RetentionSeconds later.
+	ExpiresAt float64
+	Completed bool // the earlier attempt ran and was answered
 }
 
 // RejectRequest rejects a request whose attempt was denied because the location of its key could
--- a/internal/replication/reservation/core.go
+++ b/internal/replication/reservation/core.go
@@ -30,9 +30,9 @@
 const (
 	// attemptSeconds is the time that an attempt needs before its request's deadline.
 	attemptSeconds = 0.15
-	// startCountNumberBits is how far the start count is shifted left in reservation numbers, so
-	// that the numbers of two runs of a router differ.
-	startCountNumberBits = 20
+	// reservationNumberBits is how far the start count is shifted left in reservation numbers. The
+	// numbers of two runs of a router differ if no run uses more than 2^20 of them.
+	reservationNumberBits = 20
 	// rndStream separates the core's random numbers from others drawn from the same seed.
 	rndStream = 0xc1a1
 )
@@ -47,13 +47,13 @@
 	reachable  bool
 
 	pending      map[uint64]*pendingReservation
-	pendingByKey map[string]*pendingReservation // at most one per key; later attempts of the key join it
+	pendingByKey map[string]*pendingReservation // at most one per key; later attempts in its group join it
 	// abandoned has the reservations that were abandoned without a result. If one is granted later,
 	// it is settled as not executed.
 	abandoned map[uint64]keyGroup
 
 	locations     map[string]location
-	locationOrder []string // keys of locations, in insertion order
+	locationOrder []string // keys of locations, in insertion order; may list removed keys, and a key twice
 
 	actions []Action
 
@@ -72,7 +72,7 @@
 		config:       config,
 		router:       router,
 		rnd:          rand.New(rand.NewPCG(seed, rndStream)),
-		lastNumber:   startCount << startCountNumberBits,
+		lastNumber:   startCount << reservationNumberBits,
 		pending:      map[uint64]*pendingReservation{},
 		pendingByKey: map[string]*pendingReservation{},
 		abandoned:    map[uint64]keyGroup{},
--- a/internal/replication/reservation/location.go
+++ b/internal/replication/reservation/location.go
@@ -10,8 +10,8 @@
 	// maxRemembered is the maximum number of keys whose location is remembered, at 120 bytes each.
 	maxRemembered = 65536
 	// ownGrantSeconds is how long a grant of this router allows further attempts in the same group
-	// without asking the shard. It is short compared with a group's window, part of which it uses
-	// up.
+	// without asking the shard. It is short compared with a group's window, because such an attempt
+	// may start that much later in the window.
 	ownGrantSeconds = 2.0
 )
 
@@ -45,18 +45,19 @@
 // location is the known location of a key's attempts.
 type location struct {
 	group      string
-	expiresAt  float64 // in seconds on the core's clock
-	completed  bool    // an attempt ran and was answered
-	number     uint64  // number of this router's reservation, 0 for one of another router
-	recordedAt float64 // in seconds on the core's clock
-	users      []RequestID
+	expiresAt  float64     // in seconds on the core's clock
+	completed  bool        // an attempt ran and was answered
+	number     uint64      // number of this router's reservation, 0 for one of another router
+	recordedAt float64     // in seconds on the core's clock
+	users      []RequestID // with an attempt allowed on this router's reservation, and not ended as not executed
 }
 
-// isOwn reports whether the reservation was made by this router. Its users are the requests that
-// had an attempt allowed on it and did not end as not executed.
+// isOwn reports whether the reservation was made by this router.
 func (l location) isOwn() bool { return l.number != 0 }
 
-// remember stores a key's location. Above maxRemembered keys, the oldest key is removed.
+// remember stores a key's location. If locationOrder has maxRemembered keys, the location of its
+// first key is removed. Because removeUser leaves keys in locationOrder, that location may already
+// be gone, or may be a newer one of the same key.
 func (c *Core) remember(key string, known location) {
 	if _, ok := c.locations[key]; !ok {
 		if len(c.locationOrder) >= maxRemembered {
--- a/internal/replication/reservation/pending.go
+++ b/internal/replication/reservation/pending.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	resubmitSeconds      = 0.25 // before the first resubmission; an election takes 0.3 to 1.5 s
-	maxResubmitSeconds   = 1.0  // upper limit of the wait, which doubles at each resubmission
-	maxResubmitDoublings = 4    // number of times that the wait doubles
+	resubmitSeconds      = 0.25 // before the first resubmission; a failed leader is replaced after 0.3 to 1.5 s
+	maxResubmitSeconds   = 1.0  // upper limit, before jitter, of the wait, which doubles at each resubmission
+	maxResubmitDoublings = 4    // bounds the shift in resubmitWait; the wait reaches its limit after two doublings
 	resubmitJitterMin    = 0.75 // smallest factor applied to the wait
 	resubmitJitterRange  = 0.5  // range of the random factor above the smallest
-	minRetryAfterSeconds = 0.5  // shortest wait asked of a rejected client: the time of an election
+	minRetryAfterSeconds = 0.5  // shortest wait asked of a rejected client: the shortest time before an election
 	maxRetryAfterSeconds = 2.0  // longest wait asked of a rejected client
 	maxAbandoned         = 4096 // abandoned reservations whose result may still arrive, 100 bytes each
 )
@@ -93,8 +93,8 @@
 	return list
 }
 
-// submit proposes a reservation. A resubmission repeats the same command, which the shard applies
-// only once.
+// submit proposes a reservation. A resubmission repeats the same command. Until the reservation is
+// settled, the repeated command adds no grant and does not extend the window.
 func (c *Core) submit(now float64, p *pendingReservation) {
 	p.resubmitAt = now + resubmitWait(p.retries, c.rnd.Float64())
 	c.emit(SubmitCommand{
--- a/internal/replication/shard/ready.go
+++ b/internal/replication/shard/ready.go
@@ -18,7 +18,7 @@
 	HardState *pb.HardState
 	Entries   []*pb.Entry
 	Snapshot  *pb.Snapshot
-	MustSync  bool // must survive a power loss
+	MustSync  bool // whether the state must survive a power loss
 	Messages  []*pb.Message
 
 	raft raft.Ready
@@ -142,9 +142,9 @@
 	return applied >= lastSnapshot+snapshotInterval
 }
 
-// Compact creates a snapshot if one is due and drops the entries before it from memory; otherwise
-// it returns nil. The snapshot must be on disk before the same entries are removed from the
-// write-ahead log.
+// Compact returns a new snapshot if one is due, and nil otherwise. If it creates a snapshot, it
+// drops the entries in the snapshot from memory, except the last trailingEntries. The snapshot must
+// be on disk before its entries are removed from the write-ahead log.
 func (r *Replica) Compact() (*pb.Snapshot, error) {
 	if !snapshotIsDue(r.applied, r.snapshotIndex) {
 		return nil, nil
--- a/internal/replication/statemachine/command.go
+++ b/internal/replication/statemachine/command.go
@@ -19,7 +19,7 @@
 
 // The operations.
 const (
-	OpReserve     Op = iota + 1 // records an attempt location, unless the key is reserved for another group
+	OpReserve     Op = iota + 1 // records an attempt location, unless an existing one blocks it (Reservation.blocks)
 	OpSettle                    // records the outcome of a reserved request
 	OpPut                       // writes a reservation of another kind, replacing an existing one
 	OpAdvanceTime               // advances the state's time and does nothing else
--- a/internal/replication/statemachine/reservation.go
+++ b/internal/replication/statemachine/reservation.go
@@ -44,9 +44,10 @@
 )
 
 const (
-	// ClockSkewSeconds is the maximum difference between two routers' clocks. A reservation lasts
-	// that much longer than its expiry time, by the clock of the current leader. Each clock is held
-	// to half of it, because two clocks may be off in opposite directions.
+	// ClockSkewSeconds is the maximum difference between two routers' clocks. A reservation that is
+	// not an attempt location is retained that much longer than its expiry time, by the time that the
+	// current leader sets in its commands. Each clock must be correct to within half of it, because
+	// two clocks may be off in opposite directions; this package does not check it.
 	ClockSkewSeconds = 4.0
 	// RetentionSeconds is how long an attempt location is retained after its window. If a client
 	// retries in that time, its request must not run a second time, although the group no longer
@@ -78,9 +79,9 @@
 	Status    Status  `cbor:"6,keyasint,omitempty"`
 	Value     []byte  `cbor:"7,keyasint,omitempty"`
 	Revision  uint64  `cbor:"8,keyasint"` // log index of the command that wrote it
-	// Grants identifies the requests with a grant for an open attempt location, whose attempt may
-	// have run, by a hash of requester and number. The location becomes not executed only when each
-	// of them was settled as not executed. Above maxGrants they are not tracked individually:
+	// Grants has a hash of requester and number for each request that was granted the open attempt
+	// location and whose attempt may have run. The location becomes not executed only when each of
+	// these requests was settled as not executed. Above maxGrants they are not tracked individually:
 	// GrantsOverflowed is set, and the location stays open until it expires.
 	Grants           []uint64 `cbor:"9,keyasint,omitempty"`
 	GrantsOverflowed bool     `cbor:"10,keyasint,omitempty"`
--- a/internal/replication/statemachine/state.go
+++ b/internal/replication/statemachine/state.go
@@ -17,27 +17,27 @@
 	// maxRemovedPerCommand bounds the expired reservations that one command removes, so that no
 	// command takes longer than a few milliseconds.
 	maxRemovedPerCommand = 256
-	// treeDegree is the degree of the B-tree ordered by expiry time.
+	// treeDegree is the degree of the B-tree ordered by removal time.
 	treeDegree = 32
 )
 
 // State holds a shard's reservations. It is not safe for concurrent use.
 type State struct {
-	now      float64 // Unix time in seconds of the latest command
-	revision uint64
-	byKey    map[string]*Reservation
-	byExpiry *btree.BTreeG[*Reservation]
+	now       float64 // Unix time in seconds of the latest command
+	revision  uint64
+	byKey     map[string]*Reservation
+	byRemoval *btree.BTreeG[*Reservation]
 }
 
 // New returns an empty state.
 func New() *State {
 	return &State{
-		byKey:    map[string]*Reservation{},
-		byExpiry: btree.NewG(treeDegree, expiresBefore),
+		byKey:     map[string]*Reservation{},
+		byRemoval: btree.NewG(treeDegree, removedBefore),
 	}
 }
 
-func expiresBefore(a, b *Reservation) bool {
+func removedBefore(a, b *Reservation) bool {
 	if a.removeAt() != b.removeAt() {
 		return a.removeAt() < b.removeAt()
 	}
@@ -64,9 +64,10 @@
 	return *r, true
 }
 
-// FirstToExpire returns the reservation that will be removed next.
+// FirstToExpire returns the reservation that will be removed next. Another one may have an earlier
+// expiry time, because the time from expiry to removal depends on the kind.
 func (s *State) FirstToExpire() (Reservation, bool) {
-	if r, ok := s.byExpiry.Min(); ok {
+	if r, ok := s.byRemoval.Min(); ok {
 		return *r, true
 	}
 	return Reservation{}, false
@@ -74,16 +75,16 @@
 
 // Ascend calls visit for the reservations in the order of their removal, until visit returns false.
 func (s *State) Ascend(visit func(Reservation) bool) {
-	s.byExpiry.Ascend(func(r *Reservation) bool { return visit(*r) })
+	s.byRemoval.Ascend(func(r *Reservation) bool { return visit(*r) })
 }
 
 func (s *State) put(r Reservation) {
 	key := mapKey(r.Kind, r.Key)
 	if old := s.byKey[key]; old != nil {
-		s.byExpiry.Delete(old)
+		s.byRemoval.Delete(old)
 	}
 	s.byKey[key] = &r
-	s.byExpiry.ReplaceOrInsert(&r)
+	s.byRemoval.ReplaceOrInsert(&r)
 }
 
 // Apply applies a command. revision is its log index.
@@ -184,11 +185,11 @@
 // time.
 func (s *State) removeExpired() {
 	for range maxRemovedPerCommand {
-		r, ok := s.byExpiry.Min()
+		r, ok := s.byRemoval.Min()
 		if !ok || s.now <= r.removeAt() {
 			return
 		}
-		s.byExpiry.DeleteMin()
+		s.byRemoval.DeleteMin()
 		delete(s.byKey, mapKey(r.Kind, r.Key))
 	}
 }
--- a/internal/replication/transport/tls.go
+++ b/internal/replication/transport/tls.go
@@ -22,7 +22,7 @@
 // Errors in identifying a peer.
 var (
 	errOtherProtocol = errors.New("peer speaks another protocol")
-	errNoPublicKey   = errors.New("peer has no public key")
+	errNoPublicKey   = errors.New("peer has no public key") // or none of type Ed25519
 	errUnknownPeer   = errors.New("public key is not in the list of peers")
 )
 
--- a/internal/replication/verify.go
+++ b/internal/replication/verify.go
@@ -23,7 +23,8 @@
 
 // Verify reads the write-ahead logs of stopped routers without changing them, and writes a summary
 // of each and the differences between them. It returns false if a log cannot be read, or if two
-// logs differ in a committed entry.
+// logs differ in a committed entry. The last line counts a shard once for each pair of folders
+// that have it.
 func Verify(w io.Writer, paths []string) bool {
 	var folders []inspectedFolder
 	readable := true
--- a/internal/replication/wal/identity.go
+++ b/internal/replication/wal/identity.go
@@ -12,7 +12,7 @@
 type Identity struct {
 	ID         uint64 // replica ID, drawn when the folder was created
 	Owner      string // name of the router
-	StartCount uint32 // times the folder was opened; an old copy has fewer than its peers have seen
+	StartCount uint32 // times the folder was opened; lower in a restored copy than the count its peers know
 }
 
 // Offsets in the identity file: version (1), ID (8), start count (4), owner, checksum (4).
@@ -27,7 +27,7 @@
 	content, err := readFile(w.fs, identityFile)
 	switch {
 	case errors.Is(err, vfs.ErrNotExist):
-		w.identity = Identity{ID: drawID() | 1, Owner: owner} // never 0, which raft reserves for no node
+		w.identity = Identity{ID: drawID() | 1, Owner: owner} // never 0: in raft, ID 0 means no node
 	case err != nil:
 		return fmt.Errorf("read identity of write-ahead log: %w", err)
 	default:
--- a/internal/replication/wal/record.go
+++ b/internal/replication/wal/record.go
@@ -30,10 +30,10 @@
 )
 
 const (
-	indexBytes      = 8                 // snapshot index, or offset in a file
-	fileHeaderBytes = 1 + indexBytes    // payload of kindFileHeader: version and checkpoint length
-	checksumBytes   = crc32.Size        // at the end of the identity file and of snapshot files
-	minTrailerBytes = 1 + checksumBytes // smallest file with a checksum: the version and the checksum
+	indexBytes              = 8                 // snapshot index, or offset in a file
+	fileHeaderBytes         = 1 + indexBytes    // payload of kindFileHeader: version and checkpoint length
+	checksumBytes           = crc32.Size        // at the end of the identity file and of snapshot files
+	minChecksummedFileBytes = 1 + checksumBytes // smallest file with a checksum: the version and the checksum
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -95,7 +95,7 @@
 
 // cutChecksum removes the checksum from a file's content, and reports whether it matches.
 func cutChecksum(content []byte) (body []byte, ok bool) {
-	if len(content) < minTrailerBytes {
+	if len(content) < minChecksummedFileBytes {
 		return nil, false
 	}
 	body = content[:len(content)-checksumBytes]
--- a/internal/replication/wal/write.go
+++ b/internal/replication/wal/write.go
@@ -11,9 +11,10 @@
 
 const rotateBytes = 16 << 20 // size of a log file above which the next one is started with a checkpoint
 
-// Write writes a batch to disk, with one sync if any part of it must survive a power loss. After an
-// error nothing of the batch may be sent or relied on, and all further writes fail until the log is
-// reopened.
+// Write writes a batch to disk, with one sync of the log if any part of it must survive a power
+// loss. Each snapshot in the batch is synced in its own file, with one more sync of the log if it
+// replaces an earlier snapshot. After an error nothing of the batch may be sent or relied on, and
+// all further writes fail until the log is reopened.
 func (w *WAL) Write(batch []shard.Ready) error {
 	if w.failure != nil {
 		return w.failure
