--- a/internal/replication/placement/placement.go
+++ b/internal/replication/placement/placement.go
@@ -15,9 +15,8 @@
 )
 
 // ShardCount is the fixed number of shards to which keys are assigned. It is part of the format on
-// disk. With 64 shards of 3 replicas, each of 300 routers has 0.64 replicas on average, and the
-// leaders of all shards send 1280 heartbeats per second, about as many as the membership protocol
-// sends probes (1200 per second).
+// disk. With 64 shards, a router of 300 has a replica of fewer than one shard in five, and the
+// heartbeats of all shards are fewer than the probes of the membership protocol.
 const ShardCount = 64
 
 // Node is a router on which replicas may be placed.
